--- a/features/same_bytes/golden.py
+++ b/features/same_bytes/golden.py
@@ -11,6 +11,7 @@
 
 import base64
 import contextlib
+import functools
 import hashlib
 import json
 import os
@@ -191,8 +192,10 @@
             file.write("\n")
 
 
+@functools.cache
 def in_process(command, seed=0):
-    """What a command of this module prints in a process of its own, with its own order of hashes."""
+    """What a command of this module prints in a process of its own, with its own order of hashes; the
+    same again when it is asked for again, and not to be changed."""
     root = os.path.dirname(os.path.dirname(FOLDER))
     path = os.pathsep.join([root, *(one for one in sys.path if one)])
     done = subprocess.run(
--- a/features/steps/same_bytes.py
+++ b/features/steps/same_bytes.py
@@ -1,6 +1,7 @@
 """Steps for Same bytes: the golden files beside what the code makes now."""
 
 import copy
+import json
 import os
 import sys
 
@@ -61,6 +62,27 @@
     assert not context.lines, "\n".join(context.lines[:20])
 
 
+@when("the runs are recorded by two processes with different orders of hashes")
+def step_two_orders(context):
+    context.recorded = [golden.in_process("record", seed)["answers"] for seed in (0, 1)]
+
+
+@then("every answer has the same bytes in both")
+def step_same_answers(context):
+    first, second = context.recorded
+    assert len(first) == len(second)
+    other = [pair for pair in zip(first, second, strict=False) if pair[0] != pair[1]]
+    assert not other, other[:3]
+
+
+@then("the keys of every answer are in order")
+def step_keys_in_order(context):
+    bodies = [body for _, _, head, body in context.recorded[0] if "application/json" in head]
+    assert len(bodies) > 100
+    for body in bodies:
+        assert body == json.dumps(json.loads(body), sort_keys=True), body
+
+
 # --- the checks themselves ------------------------------------------------------------
 def _flipped(data):
     """Bytes whose middle one is another."""
--- a/src/pinepitch/ground/http.py
+++ b/src/pinepitch/ground/http.py
@@ -94,11 +94,12 @@
                 return Fault(0, "closed")
 
     async def answer(self, response):
-        """Sends one Response; True if another request may follow."""
+        """Sends one Response, its keys in order; True if another request may follow."""
         if isinstance(response.document, str):
             body, kind = response.document.encode(), "text/plain; charset=utf-8"
         else:
-            body, kind = json.dumps(response.document).encode(), "application/json"
+            body = json.dumps(response.document, sort_keys=True).encode()
+            kind = "application/json"
         headers = [("Content-Type", kind), ("Content-Length", str(len(body))), *response.headers]
         try:
             data = self.connection.send(h11.Response(status_code=response.status, headers=headers))
--- a/src/pinepitch/world/ticket.py
+++ b/src/pinepitch/world/ticket.py
@@ -1,6 +1,7 @@
 """A ticket: a caller's request, a directed acyclic graph of tasks."""
 
 import hashlib
+import itertools
 import json
 from typing import NamedTuple
 
@@ -91,7 +92,25 @@
     try:
         return shape(document), ()
     except voluptuous.MultipleInvalid as several:
-        return None, tuple((".".join(map(str, one.path)), one.msg) for one in several.errors)
+        return None, tuple((".".join(map(str, one.path)), one.msg) for one in _in_order(several.errors))
+
+
+def _in_order(errors):
+    """The errors where they stand, but those keys that lack beside each other by name: voluptuous
+    tells these in the order of a set, which is another in each process."""
+    ordered = []
+    for (lacks, _), group in itertools.groupby(errors, _lack):
+        beside = list(group)
+        if lacks:
+            beside.sort(key=lambda one: str(one.path[-1]))
+        ordered.extend(beside)
+    return ordered
+
+
+def _lack(error):
+    """(whether a required key lacks, the path of where it lacks)."""
+    lacks = isinstance(error, voluptuous.RequiredFieldInvalid)
+    return lacks, tuple(map(str, error.path[:-1])) if lacks else ()
 
 
 def checked(document):
