--- a/features/cost_comparison.py
+++ b/features/cost_comparison.py
@@ -1,7 +1,7 @@
 """Compares what single acts of a leader cost in two source trees.
 
     python -m features.cost_comparison BEFORE_TREE AFTER_TREE --runs 5
-        [--before-module pinepitch.proof.scale.costs] [--after-module ...]
+        [--before-module pinepitch.simulation.scale.costs] [--after-module ...]
 
 A tree is a checkout, with the program under its src. Each run measures one tree and then the
 other, every second one the other way round, each in a process of its own that imports the
@@ -24,7 +24,7 @@
 import time
 import tracemalloc
 
-MODULE = "pinepitch.proof.scale.costs"
+MODULE = "pinepitch.simulation.scale.costs"
 ACTS = ("heartbeat", "start", "append", "commit")
 COUNTS = ("calls", "instructions", "bytes")
 WORKERS, RUNNING = 40, 120  # of the leader that is measured
--- a/features/same_bytes/runs.py
+++ b/features/same_bytes/runs.py
@@ -2,10 +2,10 @@
 
 import json
 
-from pinepitch.proof import trial
-from pinepitch.proof.jobs.fleet import Tenancy
-from pinepitch.proof.jobs.plans import FLEET_PLANS
-from pinepitch.proof.simulator import Simulator
+from pinepitch.simulation import pushed_job_trial
+from pinepitch.simulation.jobs.fleet import Tenancy
+from pinepitch.simulation.jobs.plans import FLEET_PLANS
+from pinepitch.simulation.simulator import Simulator
 
 from . import taps
 
@@ -246,7 +246,7 @@
     """Tickets on three accords, an operator's calls, the leader lost, a disk lost, an accord stopped."""
     simulator = Simulator(6)
     simulator.begin()
-    simulator.caller("caller", trial.TRAFFIC, fail=0.1, cancels=0.08)
+    simulator.caller("caller", pushed_job_trial.TRAFFIC, fail=0.1, cancels=0.08)
     simulator.run(4)
     _tickets_script(simulator, recorder)
     _metrics(simulator, recorder, "verge0")
--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -12,24 +12,26 @@
 
 import cbor2
 
-from pinepitch.accord import calls, consensus
-from pinepitch.accord.archive import Archive
-from pinepitch.accord.core import Accord
-from pinepitch.accord.log import measured
-from pinepitch.accord.record import ACTIONS, Record
-from pinepitch.ground import constants, http, packed, wire
-from pinepitch.ground.store import Damaged, Store
-from pinepitch.proof import simulator as simulators
-from pinepitch.verge import filters
-from pinepitch.world import contract
+from pinepitch.common import constants, packed_operations
+from pinepitch.consensus import replica
+from pinepitch.consensus.log import measured
+from pinepitch.control import requests
+from pinepitch.control.daemon import Accord
+from pinepitch.front import filters
+from pinepitch.model import contract
+from pinepitch.simulation import simulator as simulators
+from pinepitch.state.archive import Archive
+from pinepitch.state.cluster_state import ACTIONS, Record
+from pinepitch.storage.store import Damaged, Store
+from pinepitch.transport import framing, http
 
 PLATFORM = os.path.join(
     os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))), "platform"
 )
 sys.path.insert(0, PLATFORM)
 try:
-    import doors
-    import place
+    import adapters
+    import platform_settings
 finally:
     sys.path.remove(PLATFORM)
 
@@ -43,8 +45,12 @@
     return {
         "frames": {
             *(kind for kind in contract.CONTRACTS if kind not in ("raft", "ask", "answer")),
-            *(f"raft {kind}" for kind in {*contract.RAFT, *consensus.HANDLERS}),
-            *(f"{kind} {call}" for kind in ("ask", "answer") for call in {*contract.ARGUMENTS, *calls.CALLS}),
+            *(f"raft {kind}" for kind in {*contract.RAFT, *replica.HANDLERS}),
+            *(
+                f"{kind} {call}"
+                for kind in ("ask", "answer")
+                for call in {*contract.ARGUMENTS, *requests.CALLS}
+            ),
         },
         "operations": set(ACTIONS),
         "answers": {
@@ -56,24 +62,24 @@
 
 # The platform's calls: (method, where the path begins).
 PLATFORM_WAYS = (
-    ("GET", doors.READY),
+    ("GET", adapters.READY),
     ("POST", "PREFIX/{job}"),
     ("GET", "PREFIX/{job}"),
     ("DELETE", "PREFIX/{job}"),
-    ("POST", doors.BEAT),
-    ("POST", doors.LEAVE),
-    ("POST", doors.REPLACE),
-    ("POST", doors.AMEND),
-    ("GET", doors.READ),
-    ("POST", doors.BEGIN),
-    ("POST", doors.FINISH),
+    ("POST", adapters.BEAT),
+    ("POST", adapters.LEAVE),
+    ("POST", adapters.REPLACE),
+    ("POST", adapters.AMEND),
+    ("GET", adapters.READ),
+    ("POST", adapters.BEGIN),
+    ("POST", adapters.FINISH),
 )
 
 
 @contextlib.contextmanager
 def tapped(recorder):
     """While it lasts, the recorder is told every frame, operation, file, answer and order."""
-    encode, apply, keep = wire.encode, Record.apply, simulators.Disk.keep
+    encode, apply, keep = framing.encode, Record.apply, simulators.Disk.keep
     reply, post, rehearse = (simulators.EFFECTS[kind] for kind in ("reply", "post", "rehearse"))
 
     def tapped_encode(source, message):
@@ -84,7 +90,7 @@
     def tapped_apply(record, index, time, operation):
         outcome = apply(record, index, time, operation)
         if recorder.records:
-            recorder.operation(index, time, packed.dumps(operation), outcome_bytes(outcome))
+            recorder.operation(index, time, packed_operations.dumps(operation), outcome_bytes(outcome))
         return outcome
 
     def tapped_keep(disk, job):
@@ -105,7 +111,7 @@
 
     effects = {"reply": tapped_reply, "post": tapped_post, "rehearse": tapped_rehearse}
     with (
-        mock.patch.object(wire, "encode", tapped_encode),
+        mock.patch.object(framing, "encode", tapped_encode),
         mock.patch.object(Record, "apply", tapped_apply),
         mock.patch.object(simulators.Disk, "keep", tapped_keep),
         mock.patch.dict(simulators.EFFECTS, effects),
@@ -122,41 +128,47 @@
 
 def frame_of(message):
     """The frame of a scripted message."""
-    return wire.encode("10.0.0.9:7000", message)
+    return framing.encode("10.0.0.9:7000", message)
 
 
 def message_of(frame):
     """The message that a frame holds, as plain lists."""
-    return cbor2.loads(frame[wire.LENGTH.size :])[2]
+    return cbor2.loads(frame[framing.LENGTH.size :])[2]
 
 
 def keeps_contract(frame):
     """Whether the code takes a frame for one that keeps its contract."""
-    return contract.kept(wire.decode(frame[wire.LENGTH.size :])[1])
+    return contract.kept(framing.decode(frame[framing.LENGTH.size :])[1])
 
 
 def frame_again(frame):
     """A frame decoded, and encoded again."""
-    return wire.encode(*wire.decode(frame[wire.LENGTH.size :]))
+    return framing.encode(*framing.decode(frame[framing.LENGTH.size :]))
 
 
 def operation_again(data):
     """An operation decoded, held as the log holds it, and encoded again."""
-    return packed.dumps(measured(packed.unpacked(packed.Packed("", data)))[0])
+    return packed_operations.dumps(
+        measured(packed_operations.unpacked(packed_operations.Packed("", data)))[0]
+    )
 
 
 def operation_held_encoded(data):
     """An operation that the log holds encoded, decoded and encoded again."""
-    one = packed.Packed(cbor2.loads(data)[0], data)
-    return packed.dumps(packed.unpacked(one)) if packed.dumps(one) == data else b""
+    one = packed_operations.Packed(cbor2.loads(data)[0], data)
+    return (
+        packed_operations.dumps(packed_operations.unpacked(one))
+        if packed_operations.dumps(one) == data
+        else b""
+    )
 
 
 def scripted(operations):
     """The bytes of scripted operations, and of their outcomes, applied in turn to one record."""
     record = Record()
-    for place, operation in enumerate(operations):
-        outcome = record.apply(place + 1, 1000.0 + place, operation)
-        yield packed.dumps(operation), outcome_bytes(outcome)
+    for platform_settings, operation in enumerate(operations):
+        outcome = record.apply(platform_settings + 1, 1000.0 + platform_settings, operation)
+        yield packed_operations.dumps(operation), outcome_bytes(outcome)
 
 
 def applied(entries):
@@ -207,7 +219,7 @@
     files = [written("segment", data, number) for number, data in segments.items()]
     if base is not None:
         files.append(written("base", base, 1))
-    files.extend(written("step", step, place + 2) for place, step in enumerate(steps))
+    files.extend(written("step", step, platform_settings + 2) for platform_settings, step in enumerate(steps))
     return dict(files)
 
 
@@ -260,7 +272,9 @@
 
 def platform_door(name, address):
     """A door of the platform by the name of its port."""
-    return {"front": doors.Front, "readiness": doors.Readiness}.get(name, lambda: doors.Control(address))()
+    return {"front": adapters.Front, "readiness": adapters.Readiness}.get(
+        name, lambda: adapters.Control(address)
+    )()
 
 
 def platform_read(door, method, target, headers, body):
@@ -280,5 +294,5 @@
         path = os.path.join(folder, "settings")
         with open(path, "w", encoding="utf-8") as file:
             file.write("".join(f"{name}={value}\n" for name, value in values.items()))
-        found, faults = place.read(program, path)
+        found, faults = platform_settings.read(program, path)
     return [found and [list(one) if isinstance(one, tuple) else one for one in found], sorted(faults)]
--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -23,12 +23,13 @@
 
 import cbor2
 
-from pinepitch.ground import constants, packed, wire
-from pinepitch.proof import second_loss, tenancy, trial
-from pinepitch.proof import simulator as simulators
-from pinepitch.proof.jobs import fleet as job_fleets
-from pinepitch.proof.model import fleets as model_fleets
-from pinepitch.proof.model import schedule, search
+from pinepitch.common import constants, packed_operations
+from pinepitch.simulation import leased_job_trial, pushed_job_trial, second_loss
+from pinepitch.simulation import simulator as simulators
+from pinepitch.simulation.jobs import fleet as job_fleets
+from pinepitch.simulation.model_checker import fleets as model_fleets
+from pinepitch.simulation.model_checker import schedule, search
+from pinepitch.transport import framing
 
 EXPECTED = pathlib.Path(__file__).parent / "data" / "histories.json"
 SHOWN = 16  # hexadecimal digits of each digest; two that differ are alike once in 2**64
@@ -98,7 +99,7 @@
 @contextlib.contextmanager
 def fleet_taps(history):
     """Records in `history` what simulated fleets do meanwhile, and in the end what they hold."""
-    schedule_event, keep, encode = simulators.Simulator.at, simulators.Disk.keep, wire.encode
+    schedule_event, keep, encode = simulators.Simulator.at, simulators.Disk.keep, framing.encode
 
     def tapped_schedule(simulator, delay, *event):
         """Notes when what happens next is due, at which node, and its numbers, among them status codes."""
@@ -119,7 +120,7 @@
     def tapped_encode(source, message):
         """Notes a frame between daemons."""
         frame = encode(source, message)
-        history.note("frames", len(frame), plain(frame[wire.LENGTH.size :]))
+        history.note("frames", len(frame), plain(frame[framing.LENGTH.size :]))
         return frame
 
     def tapped_document(document, **how):
@@ -132,7 +133,7 @@
     with (
         mock.patch.object(simulators.Simulator, "at", tapped_schedule),
         mock.patch.object(simulators.Disk, "keep", tapped_keep),
-        mock.patch.object(wire, "encode", tapped_encode),
+        mock.patch.object(framing, "encode", tapped_encode),
         mock.patch.object(simulators, "json", documents),
         mock.patch.object(job_fleets, "json", documents),
         contextlib.suppress(Ended),
@@ -161,10 +162,10 @@
 def note_model(history, world):
     """Notes all messages that a model's fleet ever sent, as frames, and what its disks hold."""
     for letter in world.post.letters:
-        frame = wire.encode(letter.sender, letter.message)
-        history.note("frames", letter.receiver, plain(frame[wire.LENGTH.size :]))
+        frame = framing.encode(letter.sender, letter.message)
+        history.note("frames", letter.receiver, plain(frame[framing.LENGTH.size :]))
     for identity, replica in sorted(world.replicas.items()):
-        history.note("disks", identity, plain(packed.dumps(replica.disk)))
+        history.note("disks", identity, plain(packed_operations.dumps(replica.disk)))
 
 
 # --- the histories ------------------------------------------------------------------------
@@ -172,9 +173,13 @@
     """A fleet of the product under a weather; snapshots are frequent for odd seeds."""
     nine = seed % 10 == 9
     history = History(NINE_SECONDS if nine else FLEET_SECONDS)
-    fleet, mode = ("nine", "dynamic") if nine else (trial.IN_TURN[seed % len(trial.IN_TURN)], "static")
+    fleet, mode = (
+        ("nine", "dynamic")
+        if nine
+        else (pushed_job_trial.IN_TURN[seed % len(pushed_job_trial.IN_TURN)], "static")
+    )
     with _frequent_snapshots(seed % 2 == 1), fleet_taps(history):
-        trial.trial(weather, seed, fleet, mode)
+        pushed_job_trial.trial(weather, seed, fleet, mode)
     return history
 
 
@@ -182,7 +187,7 @@
     """A fleet that runs jobs under leases in a scenario; snapshots are frequent for odd seeds."""
     history = History(JOB_SECONDS)
     with _frequent_snapshots(seed % 2 == 1), fleet_taps(history):
-        tenancy.trial(scenario, seed)
+        leased_job_trial.trial(scenario, seed)
     return history
 
 
@@ -230,12 +235,12 @@
 
 # simulator -> (what records a history of it, the histories)
 SIMULATORS = {
-    "fleets": (_fleet_history, _in_turn(list(trial.WEATHERS), len(trial.WEATHERS))),
+    "fleets": (_fleet_history, _in_turn(list(pushed_job_trial.WEATHERS), len(pushed_job_trial.WEATHERS))),
     "jobs": (
         _job_history,
         _in_turn(
-            [*tenancy.SCENARIOS, *tenancy.CONTROL_SCENARIOS],
-            len(tenancy.SCENARIOS) + len(tenancy.CONTROL_SCENARIOS),
+            [*leased_job_trial.SCENARIOS, *leased_job_trial.CONTROL_SCENARIOS],
+            len(leased_job_trial.SCENARIOS) + len(leased_job_trial.CONTROL_SCENARIOS),
         ),
     ),
     "second-losses": (
--- a/features/soak/soak.py
+++ b/features/soak/soak.py
@@ -6,9 +6,9 @@
 import time
 from typing import NamedTuple
 
-from pinepitch.proof.jobs import checks, limits
-from pinepitch.proof.jobs.caller import Patron
-from pinepitch.proof.tenant import StandInTenant
+from pinepitch.simulation.jobs import checks, limits
+from pinepitch.simulation.jobs.stand_in_client import Patron
+from pinepitch.simulation.stand_in_lease_worker import StandInTenant
 
 from . import wire
 from .processes import ZONES, Processes
--- a/features/soak/wire.py
+++ b/features/soak/wire.py
@@ -11,7 +11,7 @@
 
 sys.path.insert(0, str(ROOT / "platform"))
 try:
-    import wording
+    import vocabulary
 finally:
     sys.path.remove(str(ROOT / "platform"))
 
@@ -82,7 +82,7 @@
 
 def beat_of(document):
     """A stand-in worker's beat in the platform's words."""
-    words = {ours: name for name, ours in wording.BEAT.items()}
+    words = {ours: name for name, ours in vocabulary.BEAT.items()}
     told = {words[field]: document[field] for field in words}
     cpu, memory, accelerators = document["room"]
     told.update(
@@ -115,9 +115,9 @@
 
 def job_of(document):
     """A job in the platform's words."""
-    return wording.original(document, wording.JOB)
+    return vocabulary.original(document, vocabulary.JOB)
 
 
 def configuration_of(document):
     """A configuration in the platform's words."""
-    return wording.original(document, wording.CONFIGURATION)
+    return vocabulary.original(document, vocabulary.CONFIGURATION)
--- a/features/steps/api.py
+++ b/features/steps/api.py
@@ -5,8 +5,8 @@
 
 from behave import given, then, when
 
-from pinepitch.ground import constants
-from pinepitch.proof.simulator import Simulator
+from pinepitch.common import constants
+from pinepitch.simulation.simulator import Simulator
 
 ONE = {"queue": "default", "key": "k", "tasks": [{"name": "a", "work": {"seconds": 0.05}}]}
 
--- a/features/steps/archive.py
+++ b/features/steps/archive.py
@@ -5,12 +5,12 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.consensus import Consensus
-from pinepitch.accord.record import Record
-from pinepitch.ground import constants
-from pinepitch.ground.store import Damaged, Store
-from pinepitch.proof import plants, trial
-from pinepitch.proof.simulator import Simulator
+from pinepitch.common import constants
+from pinepitch.consensus.replica import Consensus
+from pinepitch.simulation import injected_faults, pushed_job_trial
+from pinepitch.simulation.simulator import Simulator
+from pinepitch.state.cluster_state import Record
+from pinepitch.storage.store import Damaged, Store
 
 PLAIN = {
     "queue": "default",
@@ -162,7 +162,7 @@
 
 @given("a simulated fleet that compacts and seals all the time")
 def step_fleet(context):
-    stack = plants.planted("frequent-snapshots")
+    stack = injected_faults.planted("frequent-snapshots")
     stack.__enter__()
     context.add_cleanup(stack.__exit__, None, None, None)
     context.sent, whole = [], Consensus._whole
@@ -176,7 +176,7 @@
     context.add_cleanup(setattr, Consensus, "_whole", whole)
     context.simulator = Simulator(3)
     context.simulator.begin()
-    context.simulator.caller("caller", trial.TRAFFIC)
+    context.simulator.caller("caller", pushed_job_trial.TRAFFIC)
     context.simulator.run(10)
 
 
--- a/features/steps/backlog.py
+++ b/features/steps/backlog.py
@@ -4,9 +4,9 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.consensus import Consensus
-from pinepitch.accord.log import measured
-from pinepitch.ground import constants
+from pinepitch.common import constants
+from pinepitch.consensus.log import measured
+from pinepitch.consensus.replica import Consensus
 
 NAMES = {"a": "north", "b": "south", "c": "west"}
 
--- a/features/steps/board.py
+++ b/features/steps/board.py
@@ -6,11 +6,11 @@
 import cbor2
 from behave import given, then, when
 
-from pinepitch.accord.record import Record
-from pinepitch.ground import constants
+from pinepitch.common import constants
 from pinepitch.scheduling import configuration
-from pinepitch.scheduling import job as jobs
-from pinepitch.scheduling.board import Board
+from pinepitch.scheduling import leased_job as jobs
+from pinepitch.scheduling.leased_job_state import Board
+from pinepitch.state.cluster_state import Record
 
 QUEUE = "orders"
 NAMES = {letter: letter.lower() * 16 for letter in "ABC"}
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -7,10 +7,10 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.calls import CALLS
-from pinepitch.ground.leaderclock import Reading
-from pinepitch.proof import simulator as simulators
-from pinepitch.world import ticket as tickets
+from pinepitch.consensus.leader_clock import Reading
+from pinepitch.control.requests import CALLS
+from pinepitch.model import pushed_job as tickets
+from pinepitch.simulation import simulator as simulators
 
 ROOT = os.path.join(os.path.dirname(__file__), "..", "..")
 DOOR = "10.0.0.99:7000"  # where nobody stands
--- a/features/steps/carrier.py
+++ b/features/steps/carrier.py
@@ -2,9 +2,9 @@
 
 from behave import given, then, when
 
-from pinepitch.ground import constants
-from pinepitch.ground.carrier import Carrier
-from pinepitch.verge.core import Verge
+from pinepitch.common import constants
+from pinepitch.front.daemon import Verge
+from pinepitch.transport.forwarder import Carrier
 
 ADDRESS, LEADER, OTHER = "10.0.0.9:7000", "10.0.0.1:7000", "10.0.0.2:7000"
 CALL = ("job", ("a.example", "/orders/5c0e7a21d94b36f8", {"steps": [{}]}))
--- a/features/steps/command_line.py
+++ b/features/steps/command_line.py
@@ -11,15 +11,15 @@
 
 from behave import given, then, when
 
-from pinepitch.client import asking, commands, jobs, overview, program, setups
+from pinepitch.cli import commands, front_commands, jobs, overview, program, queue_configuration
 
 GROUPS = (
     commands.Area,
     jobs.Configuration,
     jobs.Job,
     commands.Minion,
-    setups.Setup,
-    setups.Table,
+    queue_configuration.Setup,
+    queue_configuration.Table,
     commands.Ticket,
 )
 
@@ -64,7 +64,7 @@
 
 @then("each exit code is explained")
 def step_codes(context):
-    codes = {value for name, value in vars(asking).items() if name.startswith("EXIT_")} | {0}
+    codes = {value for name, value in vars(front_commands).items() if name.startswith("EXIT_")} | {0}
     assert codes == {code for code, _ in overview.EXIT_CODES}
     for code, meaning in overview.EXIT_CODES:
         assert f"  {code}  {meaning}" in context.told[()]
@@ -79,7 +79,7 @@
 
 @then("the command ends with the exit code for no answer")
 def step_no_answer(context):
-    assert context.ended == asking.EXIT_UNREACHED, context.ended
+    assert context.ended == front_commands.EXIT_UNREACHED, context.ended
 
 
 # --- the timeline of jobs ----------------------------------------------------------------
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -5,8 +5,8 @@
 import cbor2
 from behave import given, then, when
 
-from pinepitch.accord.record import Record
-from pinepitch.scheduling import calls
+from pinepitch.scheduling import requests
+from pinepitch.state.cluster_state import Record
 
 
 class Core:
@@ -18,13 +18,13 @@
     def call(self, name, *arguments):
         """(status, document, retry) as the leader would answer."""
         # what comes over the wire and through the log comes as lists
-        made = calls.CALLS[name](self, "token", cbor2.loads(cbor2.dumps(arguments)), 0.0)
+        made = requests.CALLS[name](self, "token", cbor2.loads(cbor2.dumps(arguments)), 0.0)
         if made[0] == "answer":
             return made[1]
         _, operation, shape, extra = made
         self.index += 1
         outcome = self.record.apply(self.index, float(self.index), cbor2.loads(cbor2.dumps(operation)))
-        return calls.SHAPES[shape](self, outcome, extra, 0.0)
+        return requests.SHAPES[shape](self, outcome, extra, 0.0)
 
 
 def route(name, host, prefix, service="web", **more):
--- a/features/steps/connections.py
+++ b/features/steps/connections.py
@@ -7,8 +7,9 @@
 import curio
 from behave import given, then, when
 
-from pinepitch.ground import constants, http
-from pinepitch.ground.host import Host
+from pinepitch.common import constants
+from pinepitch.runtime.host import Host
+from pinepitch.transport import http
 
 PATIENCE = 5.0  # seconds; a step that takes longer has failed
 GIVEN_UP_AFTER = 0.2  # seconds; a call whose answer has not come by then, once the server has read it
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -7,12 +7,14 @@
 import curio
 from behave import given, then, when
 
-from pinepitch.ground import constants, events, host, http, stall
-from pinepitch.ground.leaderclock import LeaderClock, Reading
-from pinepitch.proof import tenancy
-from pinepitch.proof.isolation import trials
-from pinepitch.proof.scale import costs
-from pinepitch.proof.simulator import Simulator
+from pinepitch.common import constants, events
+from pinepitch.consensus.leader_clock import LeaderClock, Reading
+from pinepitch.runtime import host, stall_detector
+from pinepitch.simulation import leased_job_trial
+from pinepitch.simulation.isolation import trials
+from pinepitch.simulation.scale import costs
+from pinepitch.simulation.simulator import Simulator
+from pinepitch.transport import http
 
 KEY = ("job", "a.example /orders/5c0e7a21d94b36f8")  # of the call that features/steps/carrier.py takes
 
@@ -29,14 +31,14 @@
 @then("no check of contact finds a fault")
 def step_clean(context):
     found = []
-    for arguments, faults, _ in tenancy.many(context.work, trials.one):
+    for arguments, faults, _ in leased_job_trial.many(context.work, trials.one):
         found.extend(f"{trials.replay(*arguments)}\n   {fault}" for fault in faults)
     assert not found, "\n".join(found[:6])
 
 
 @then("some check of contact finds {fault}")
 def step_found(context, fault):
-    found = [one for _, faults, _ in tenancy.many(context.work, trials.one) for one in faults]
+    found = [one for _, faults, _ in leased_job_trial.many(context.work, trials.one) for one in faults]
     assert any(fault in one for one in found), f"the planted fault went unseen; found: {found[:6]}"
 
 
@@ -289,7 +291,7 @@
 
 @then("it is refused there, saying when to come back")
 def step_paused(context):
-    assert context.response == http.Response(*stall.PAUSED), context.response
+    assert context.response == http.Response(*stall_detector.PAUSED), context.response
     assert context.response.status == 503 and dict(context.response.headers)["Retry-After"]
     assert all(message[0] == "tick" for message in context.core.messages)
 
@@ -334,5 +336,5 @@
 @then("the one is told as unsure, and the other as it was decided")
 def step_unsure(context):
     late, timely = context.responses
-    assert late == http.Response(*stall.LATE) and late.status == 504
+    assert late == http.Response(*stall_detector.LATE) and late.status == 504
     assert timely == http.Response(200, {"version": 3})
--- a/features/steps/control_faults.py
+++ b/features/steps/control_faults.py
@@ -2,8 +2,8 @@
 
 from behave import given, then
 
-from pinepitch.proof import tenancy
-from pinepitch.proof.jobs.control_scenarios import CONTROL_SCENARIOS
+from pinepitch.simulation import leased_job_trial
+from pinepitch.simulation.jobs.control_scenarios import CONTROL_SCENARIOS
 
 SEEDS = 6  # with which a planted fault is sought
 
@@ -22,8 +22,8 @@
 @then("none of the trials finds a fault")
 def step_clean(context):
     found = []
-    for arguments, faults, _ in tenancy.many(context.work):
-        found.extend(f"{tenancy.replay(*arguments)}\n   {fault}" for fault in faults)
+    for arguments, faults, _ in leased_job_trial.many(context.work):
+        found.extend(f"{leased_job_trial.replay(*arguments)}\n   {fault}" for fault in faults)
     assert not found, "\n".join(found[:6])
 
 
@@ -37,7 +37,7 @@
     unseen, found = dict(context.sought), {}
     for turn in range(SEEDS):
         work = [(one[0], context.first[one] + turn, one[1]) for one in unseen]
-        for (scenario, _, plant), faults, _ in tenancy.many(work):
+        for (scenario, _, plant), faults, _ in leased_job_trial.many(work):
             if any(context.sought[scenario, plant] in fault for fault in faults):
                 unseen.pop((scenario, plant), None)
             found.setdefault((scenario, plant), []).extend(faults)
--- a/features/steps/door_fuzz.py
+++ b/features/steps/door_fuzz.py
@@ -9,16 +9,16 @@
 
 from behave import given, then, when
 
-from pinepitch.ground import constants
-from pinepitch.ground.http import Request, Response
-from pinepitch.proof import simulator as simulators
+from pinepitch.common import constants
+from pinepitch.simulation import simulator as simulators
+from pinepitch.transport.http import Request, Response
 
 FOLDER = os.path.join(
     os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))), "platform"
 )
 sys.path.insert(0, FOLDER)
 try:
-    import doors
+    import adapters
 finally:
     sys.path.remove(FOLDER)
 
@@ -174,7 +174,7 @@
         assert self.responses.pop()[1].status == 200
 
     def door(self, kind):
-        return doors.Control("10.0.0.1:8080") if kind == "control" else doors.Front()
+        return adapters.Control("10.0.0.1:8080") if kind == "control" else adapters.Front()
 
     def send(self, kind, request, node=None):
         """One request to a daemon's door; its Response is noted."""
--- a/features/steps/doors.py
+++ b/features/steps/doors.py
@@ -11,20 +11,21 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.record import Record
-from pinepitch.ground import constants, wire
-from pinepitch.ground.http import Request, Response
-from pinepitch.scheduling import calls, worker
-from pinepitch.scheduling import job as jobs
+from pinepitch.common import constants
+from pinepitch.scheduling import leased_job as jobs
+from pinepitch.scheduling import requests, worker
+from pinepitch.state.cluster_state import Record
+from pinepitch.transport import framing
+from pinepitch.transport.http import Request, Response
 
 FOLDER = os.path.join(
     os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))), "platform"
 )
 sys.path.insert(0, FOLDER)
 try:
-    import doors
-    import place
-    import wording
+    import adapters
+    import platform_settings
+    import vocabulary
 finally:
     sys.path.remove(FOLDER)
 
@@ -128,12 +129,12 @@
 
 def front(method, target, body=b"", **headers):
     headers = {"host": "nony24.example", **{name.replace("_", "-"): value for name, value in headers.items()}}
-    return doors.Front().read(Request(method, target, headers, body))
+    return adapters.Front().read(Request(method, target, headers, body))
 
 
 def control(method, target, body=b"", **headers):
     headers = {name.replace("_", "-"): value for name, value in headers.items()}
-    return doors.Control(CONTROL).read(Request(method, target, headers, body))
+    return adapters.Control(CONTROL).read(Request(method, target, headers, body))
 
 
 def body_of(document):
@@ -142,7 +143,7 @@
 
 def framed(value):
     """What comes out of a frame between daemons that `value` is put into."""
-    source, told = wire.decode(wire.encode("here", ("ask", value))[wire.LENGTH.size :])
+    source, told = framing.decode(framing.encode("here", ("ask", value))[framing.LENGTH.size :])
     assert source == "here"
     return told[1]
 
@@ -162,7 +163,7 @@
             return made
         call, arguments, _ = made
         arguments = framed(arguments)
-        told = calls.CALLS[call](self, "token", arguments, 0.0)
+        told = requests.CALLS[call](self, "token", arguments, 0.0)
         if told[0] == "answer":
             status, document, retry = told[1]
         else:
@@ -170,9 +171,11 @@
             self.index += 1
             operation = framed(operation)
             outcome = self.record.apply(self.index, float(self.index), operation)
-            status, document, retry = calls.SHAPES[shape](self, outcome, extra, 0.0)
+            status, document, retry = requests.SHAPES[shape](self, outcome, extra, 0.0)
         headers = () if retry is None else (("Retry-After", str(retry)),)
-        door = doors.Control(CONTROL) if call in ("configure", "amend", "configuration") else doors.Front()
+        door = (
+            adapters.Control(CONTROL) if call in ("configure", "amend", "configuration") else adapters.Front()
+        )
         return door.write(call, Response(status, document, headers))
 
 
@@ -220,26 +223,26 @@
 @given("a record for calls of the platform, with a configuration in force")
 def step_configured(context):
     context.core = Core()
-    made = control("POST", doors.REPLACE, body_of(CONFIGURATION), x_based_on_version="0")
+    made = control("POST", adapters.REPLACE, body_of(CONFIGURATION), x_based_on_version="0")
     assert context.core.answer(made).status == 200
 
 
 @when("the platform's example of a configuration comes to a control port on top of {base:d}")
 def step_replace(context, base):
     context.sent = CONFIGURATION
-    context.made = control("POST", doors.REPLACE, body_of(CONFIGURATION), x_based_on_version=str(base))
+    context.made = control("POST", adapters.REPLACE, body_of(CONFIGURATION), x_based_on_version=str(base))
     context.response = context.core.answer(context.made)
 
 
 @when('the platform\'s example of a configuration comes to a control port on top of "{base}"')
 @when('the platform\'s example of a configuration comes to a control port on top of ""')
 def step_replace_on(context, base=""):
-    context.made = control("POST", doors.REPLACE, body_of(CONFIGURATION), x_based_on_version=base)
+    context.made = control("POST", adapters.REPLACE, body_of(CONFIGURATION), x_based_on_version=base)
 
 
 @when("the platform's example of a change comes to a control port on top of {base:d}")
 def step_amend(context, base):
-    context.made = control("POST", doors.AMEND, body_of(CHANGE), x_based_on_version=str(base))
+    context.made = control("POST", adapters.AMEND, body_of(CHANGE), x_based_on_version=str(base))
     context.response = context.core.answer(context.made)
 
 
@@ -254,7 +257,11 @@
         document.update(version=3, host="x", timeout_ms=0, service="y")
     elif member == "members that begin with the mark":
         document.update(
-            {wording.MARK: 1, f"{wording.MARK}version": 2, f"{wording.MARK}{wording.MARK}routes": []}
+            {
+                vocabulary.MARK: 1,
+                f"{vocabulary.MARK}version": 2,
+                f"{vocabulary.MARK}{vocabulary.MARK}routes": [],
+            }
         )
     elif member == "members of routes in the product's words":
         document["routes"][0].update(host="other.example", prefix="/x", service="nobody", timeout_ms=0)
@@ -276,7 +283,7 @@
 @when("the platform's example of a configuration with {member} comes to a control port on top of {base:d}")
 def step_replace_with(context, member, base):
     context.sent = with_member(member)
-    made = control("POST", doors.REPLACE, body_of(context.sent), x_based_on_version=str(base))
+    made = control("POST", adapters.REPLACE, body_of(context.sent), x_based_on_version=str(base))
     context.response = context.core.answer(made)
 
 
@@ -288,7 +295,7 @@
 
 
 def read_back(context):
-    response = context.core.answer(control("GET", doors.READ))
+    response = context.core.answer(control("GET", adapters.READ))
     assert response.status == 200, response
     return json.loads(json.dumps(response.document))
 
@@ -307,9 +314,9 @@
 @then("{count:d} random values of seed {seed:d} come back as they were from either set of words")
 def step_random(context, count, seed):
     chance = random.Random(seed)
-    for words in (wording.JOB, wording.CONFIGURATION):
-        names = [*words, *words.values(), "", "news", wording.MARK]
-        names += [wording.MARK * chance.randint(1, 2) + one for one in names]
+    for words in (vocabulary.JOB, vocabulary.CONFIGURATION):
+        names = [*words, *words.values(), "", "news", vocabulary.MARK]
+        names += [vocabulary.MARK * chance.randint(1, 2) + one for one in names]
 
         def value(depth, names=names):
             kind = chance.random()
@@ -321,7 +328,7 @@
 
         for _ in range(count):
             before = value(4)
-            assert wording.original(wording.renamed(before, words), words) == before, before
+            assert vocabulary.original(vocabulary.renamed(before, words), words) == before, before
 
 
 # --- bodies --------------------------------------------------------------------------
@@ -379,9 +386,9 @@
     if kind == "job":
         context.made = front("POST", JOB, body)
     elif kind == "beat":
-        context.made = control("POST", doors.BEAT + "i-7f3a91c2", body)
+        context.made = control("POST", adapters.BEAT + "i-7f3a91c2", body)
     else:
-        target = doors.REPLACE if kind == "configuration" else doors.AMEND
+        target = adapters.REPLACE if kind == "configuration" else adapters.AMEND
         context.made = control("POST", target, body, x_based_on_version="0")
 
 
@@ -400,8 +407,8 @@
     told = framed(arguments)
     if call in ("job", "beat"):
         return  # never written back
-    words = wording.JOB if call == "job" else wording.CONFIGURATION
-    json.dumps(wording.original(told, words), allow_nan=False).encode()
+    words = vocabulary.JOB if call == "job" else vocabulary.CONFIGURATION
+    json.dumps(vocabulary.original(told, words), allow_nan=False).encode()
 
 
 # --- jobs' names, headers, answers ---------------------------------------------------
@@ -468,13 +475,17 @@
 @when("{method:w} {target} comes to the {port:w} port")
 def step_comes(context, method, target, port):
     request = Request(method, target, {"host": "nony24.example"}, b"{}")
-    door = {"front": doors.Front(), "control": doors.Control(CONTROL), "readiness": doors.Readiness()}[port]
+    door = {
+        "front": adapters.Front(),
+        "control": adapters.Control(CONTROL),
+        "readiness": adapters.Readiness(),
+    }[port]
     context.made = door.read(request)
 
 
 @when("the product answers a client {status:d} with an error and Retry-After")
 def step_error(context, status):
-    context.response = doors.Front().write(
+    context.response = adapters.Front().write(
         "job",
         Response(
             status, {"error": {"code": "full", "message": "too many jobs are open"}}, (("Retry-After", "1"),)
@@ -532,7 +543,7 @@
 @when("the platform's example of a beat {form} comes to a control port")
 def step_beat(context, form):
     context.sent = beat_with(form)
-    context.made = control("POST", doors.BEAT + "i-7f3a91c2", body_of(context.sent))
+    context.made = control("POST", adapters.BEAT + "i-7f3a91c2", body_of(context.sent))
 
 
 @then("the product can take the beat")
@@ -596,7 +607,7 @@
 
 
 def orders(context, document):
-    response = doors.Control(CONTROL).write("beat", Response(200, document))
+    response = adapters.Control(CONTROL).write("beat", Response(200, document))
     assert response.status == 200
     context.told = json.loads(json.dumps(response.document))
 
@@ -662,7 +673,7 @@
     context.add_cleanup(folder.cleanup)
     context.path, context.settings, context.more = os.path.join(folder.name, "settings"), dict(SETTINGS), ""
     write(context)
-    context.place = place.read("front", context.path)
+    context.place = platform_settings.read("front", context.path)
 
 
 @then("its place is read")
@@ -692,24 +703,26 @@
 
 @then("the same place is read")
 def step_same_place(context):
-    assert place.read("front", context.path) == context.place, place.read("front", context.path)
+    assert platform_settings.read("front", context.path) == context.place, platform_settings.read(
+        "front", context.path
+    )
 
 
 @then("the place that the variable names is the same")
 def step_variable(context):
-    with mock.patch.dict(os.environ, {place.VARIABLE: context.path}):
-        assert place.read("front") == context.place
+    with mock.patch.dict(os.environ, {platform_settings.VARIABLE: context.path}):
+        assert platform_settings.read("front") == context.place
 
 
 @then("without the variable, or the file, the variable is named")
 def step_no_variable(context):
     with mock.patch.dict(os.environ):
-        os.environ.pop(place.VARIABLE, None)
-        without = place.read("front")
-    with mock.patch.dict(os.environ, {place.VARIABLE: context.path + "-gone"}):
-        gone = place.read("front")
+        os.environ.pop(platform_settings.VARIABLE, None)
+        without = platform_settings.read("front")
+    with mock.patch.dict(os.environ, {platform_settings.VARIABLE: context.path + "-gone"}):
+        gone = platform_settings.read("front")
     for found, faults in (without, gone):
-        assert found is None and len(faults) == 1 and place.VARIABLE in faults[0], faults
+        assert found is None and len(faults) == 1 and platform_settings.VARIABLE in faults[0], faults
 
 
 @when("the setting {field} is {value}")
@@ -727,13 +740,13 @@
 
 @then("the settings are refused, and just {field} is named")
 def step_one_named(context, field):
-    found, faults = place.read("front", context.path)
+    found, faults = platform_settings.read("front", context.path)
     assert found is None and named(faults) == [field], (found, faults)
 
 
 @then("the settings are refused, naming nodeName, internalPortRange and bounds.graceS")
 def step_all_named(context):
-    found, faults = place.read("front", context.path)
+    found, faults = platform_settings.read("front", context.path)
     assert found is None and named(faults) == ["bounds.graceS", "internalPortRange", "nodeName"], faults
 
 
@@ -745,7 +758,7 @@
             capture_output=True,
             text=True,
             timeout=20,
-            env={**os.environ, place.VARIABLE: context.path},
+            env={**os.environ, platform_settings.VARIABLE: context.path},
         )
         assert ended.returncode == 2 and "Traceback" not in ended.stderr, ended
         lines = ended.stderr.strip().splitlines()
@@ -756,8 +769,8 @@
 
 @when("it is watched, and other seeds are written there")
 def step_watched(context):
-    context.watch = place.Watch("front", context.place[0])
-    with mock.patch.dict(os.environ, {place.VARIABLE: context.path}):
+    context.watch = platform_settings.Watch("front", context.place[0])
+    with mock.patch.dict(os.environ, {platform_settings.VARIABLE: context.path}):
         context.told = [context.watch.changed()]
         context.settings["seedAddresses"] = "10.9.0.1:8144,10.9.0.2:8144,10.9.0.3:8144"
         write(context)
--- a/features/steps/events.py
+++ b/features/steps/events.py
@@ -7,7 +7,7 @@
 
 from behave import then
 
-from pinepitch.ground import events
+from pinepitch.common import events
 
 ROOT = os.path.join(os.path.dirname(__file__), "..", "..")
 
--- a/features/steps/founding.py
+++ b/features/steps/founding.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from pinepitch.proof.simulator import Simulator
+from pinepitch.simulation.simulator import Simulator
 
 
 def of(context, kind):
--- a/features/steps/frames.py
+++ b/features/steps/frames.py
@@ -7,8 +7,9 @@
 import curio
 from behave import given, then, when
 
-from pinepitch.ground import constants, wire
-from pinepitch.ground.host import Host
+from pinepitch.common import constants
+from pinepitch.runtime.host import Host
+from pinepitch.transport import framing
 
 PATIENCE = 5.0  # seconds; a step that takes longer has failed
 SOURCE = "10.0.0.1:7000"
@@ -30,36 +31,38 @@
 
 
 def raft(*inner):
-    return wire.encode(SOURCE, ("raft", "cohort", "one", "two", inner))
+    return framing.encode(SOURCE, ("raft", "cohort", "one", "two", inner))
 
 
 def length_and(body):
-    return wire.LENGTH.pack(len(body)) + body
+    return framing.LENGTH.pack(len(body)) + body
 
 
-WHOLE = wire.encode(SOURCE, ("leave", "whole"))
+WHOLE = framing.encode(SOURCE, ("leave", "whole"))
 STREAM = [
-    wire.encode(SOURCE, greeting()),
-    wire.encode(SOURCE, ("ask", SOURCE, "token", "beat-leave", ("minion",), 1, (1, 2.5))),
-    wire.encode(SOURCE, ("elsewhere", "token", None, 1, None)),
+    framing.encode(SOURCE, greeting()),
+    framing.encode(SOURCE, ("ask", SOURCE, "token", "beat-leave", ("minion",), 1, (1, 2.5))),
+    framing.encode(SOURCE, ("elsewhere", "token", None, 1, None)),
 ]
 FRAMES = {
     "a frame of another version": length_and(
         cbor2.dumps((constants.WIRE_VERSION + 1, SOURCE, ("leave", "one")))
     ),
-    "a frame longer than any may be": wire.LENGTH.pack(constants.FRAME_MOST + 1),
+    "a frame longer than any may be": framing.LENGTH.pack(constants.FRAME_MOST + 1),
     "a frame that is no array": length_and(cbor2.dumps({"leave": "one"})),
-    "a message of an unknown kind": wire.encode(SOURCE, ("farewell", "one")),
-    "a message of the daemon's own": wire.encode(SOURCE, ("saved", 7)),
-    "an answer without its call's key": wire.encode(SOURCE, ("answer", "token", (200, {}, None))),
-    "a greeting from an address that is none": wire.encode(SOURCE, greeting("nowhere")),
-    "a greeting from a port beyond any": wire.encode(SOURCE, greeting("10.0.0.1:70000")),
-    "a greeting from a port of odd digits": wire.encode(SOURCE, greeting("10.0.0.1:7\u00b2")),
-    "a greeting that tells of a faulty address": wire.encode(SOURCE, greeting(known=(("two", "a", "x:y"),))),
-    "a call to be answered to no address": wire.encode(
+    "a message of an unknown kind": framing.encode(SOURCE, ("farewell", "one")),
+    "a message of the daemon's own": framing.encode(SOURCE, ("saved", 7)),
+    "an answer without its call's key": framing.encode(SOURCE, ("answer", "token", (200, {}, None))),
+    "a greeting from an address that is none": framing.encode(SOURCE, greeting("nowhere")),
+    "a greeting from a port beyond any": framing.encode(SOURCE, greeting("10.0.0.1:70000")),
+    "a greeting from a port of odd digits": framing.encode(SOURCE, greeting("10.0.0.1:7\u00b2")),
+    "a greeting that tells of a faulty address": framing.encode(
+        SOURCE, greeting(known=(("two", "a", "x:y"),))
+    ),
+    "a call to be answered to no address": framing.encode(
         SOURCE, ("ask", "", "token", "beat-leave", ("minion",), 1, None)
     ),
-    "a refusal that names no address": wire.encode(SOURCE, ("elsewhere", "token", "leader", 1, None)),
+    "a refusal that names no address": framing.encode(SOURCE, ("elsewhere", "token", "leader", 1, None)),
     "a raft message without a kind": raft(),
     "an entry without an operation": raft("append", 1, 0, 0, ((1, 1.5, ()),), 0, 1),
 }
--- a/features/steps/history.py
+++ b/features/steps/history.py
@@ -6,9 +6,9 @@
 import cbor2
 from behave import then, when
 
-from pinepitch.accord.record import Record
-from pinepitch.ground import constants
-from pinepitch.world import row as rows
+from pinepitch.common import constants
+from pinepitch.model import queue_settings as rows
+from pinepitch.state.cluster_state import Record
 
 
 def change(context, manner, document, kept=True):
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -13,15 +13,17 @@
 import curio
 from behave import given, then, when
 
-from pinepitch.accord.record import Record
-from pinepitch.ground import constants, http, wire
-from pinepitch.ground.env import split
-from pinepitch.ground.host import Host
-from pinepitch.proof.fleet import PLANS, Fleet
-from pinepitch.proof.simulator import Simulator
-from pinepitch.verge.core import Verge
-from pinepitch.world import contract, minion, row, ticket
-
+from pinepitch.common import constants
+from pinepitch.common.daemon_settings import split
+from pinepitch.front.daemon import Verge
+from pinepitch.model import contract, push_worker, pushed_job, queue_settings
+from pinepitch.runtime.host import Host
+from pinepitch.simulation.fleet import PLANS, Fleet
+from pinepitch.simulation.simulator import Simulator
+from pinepitch.state.cluster_state import Record
+from pinepitch.transport import framing, http
+
+PACKAGES = {"accord": "control", "verge": "front"}  # of each program
 GOOD = {
     "accord": {
         "address": "127.0.0.1:7000",
@@ -57,7 +59,7 @@
             [
                 sys.executable,
                 "-c",
-                f"from pinepitch.{program}.program import main; main()",
+                f"from pinepitch.{PACKAGES[program]}.program import main; main()",
                 f"--settings={file.name}",
             ],
             capture_output=True,
@@ -94,7 +96,7 @@
         document.update(due=5, not_before=6)
     elif fault == "a stray field":
         document["colour"] = "salmon"
-    context.taken, context.faults = ticket.checked(document)
+    context.taken, context.faults = pushed_job.checked(document)
 
 
 @then("the fault at {path} is named")
@@ -105,7 +107,7 @@
 @when("a setup with {fault} is offered to the record")
 def step_setup(context, fault):
     context.record = Record()
-    plain, _ = ticket.checked({**one_ticket(), "key": "k"})
+    plain, _ = pushed_job.checked({**one_ticket(), "key": "k"})
     context.record.apply(1, 1.0, ("ticket", "k", "", plain))
     context.before = copy.deepcopy(
         (context.record.version, context.record.setup, context.record.setups.image())
@@ -133,24 +135,24 @@
     draw = random.Random(1)
     context.decoded = []
     for _ in range(count):
-        body = bytearray(wire.encode("127.0.0.1:1", ("greet", [1, {"a": b"x"}], None, 2.5))[4:])
+        body = bytearray(framing.encode("127.0.0.1:1", ("greet", [1, {"a": b"x"}], None, 2.5))[4:])
         for _ in range(draw.randrange(4)):
             body[draw.randrange(len(body))] = draw.randrange(256)
         if draw.random() < 0.3:
             del body[draw.randrange(len(body)) :]
         if draw.random() < 0.1:
             body = bytearray(draw.randbytes(draw.randrange(60)))
-        context.decoded.append(wire.decode(bytes(body)))
+        context.decoded.append(framing.decode(bytes(body)))
 
 
 @then("each is a message or refused, and a newer version is refused")
 def step_decoded(context):
-    refused = [one for one in context.decoded if isinstance(one, wire.Refused)]
+    refused = [one for one in context.decoded if isinstance(one, framing.Refused)]
     assert 0 < len(refused) < len(context.decoded)
     for one in context.decoded:
-        assert isinstance(one, wire.Refused) or (isinstance(one[0], str) and one[1]), one
-    newer = wire.decode(cbor2.dumps((constants.WIRE_VERSION + 1, "x", ("greet",))))
-    assert isinstance(newer, wire.Refused) and "version" in newer[0]
+        assert isinstance(one, framing.Refused) or (isinstance(one[0], str) and one[1]), one
+    newer = framing.decode(cbor2.dumps((constants.WIRE_VERSION + 1, "x", ("greet",))))
+    assert isinstance(newer, framing.Refused) and "version" in newer[0]
 
 
 def bend(document, draw):
@@ -188,13 +190,13 @@
 def step_documents(context, count):
     draw = random.Random(2)
     goods = {
-        ticket.checked: {**one_ticket(), "key": "k", "due": 9, "not_before": 1, "urgency": 3},
-        row.checked: {
+        pushed_job.checked: {**one_ticket(), "key": "k", "due": 9, "not_before": 1, "urgency": 3},
+        queue_settings.checked: {
             "queues": {"default": {"share": 3, "limit": 9}, "b": {"lends": False}},
             "room": 50,
             "objective": {"shed": 2},
         },
-        minion.checked: {
+        push_worker.checked: {
             "minion": "m",
             "area": "a",
             "address": "127.0.0.1:9",
@@ -220,10 +222,10 @@
         if plain is None:
             continue
         taken += 1
-        if reader is ticket.checked:
+        if reader is pushed_job.checked:
             outcome = record.apply(number, 1.0, ("ticket", f"k{number}", "", plain))
             assert outcome[0] in ("accepted", "invalid", "shed"), outcome
-        elif reader is row.checked:
+        elif reader is queue_settings.checked:
             assert record.apply(number, 1.0, ("setup", f"m{number}", None, "whole", plain, "", ""))[0] in (
                 "setup",
                 "invalid",
@@ -264,14 +266,16 @@
         for _ in range(40):
             throw(address, draw.randbytes(draw.randrange(1, 300)))
         throw(address, (2**31).to_bytes(4, "big") + b"x" * 100)
-        throw(address, wire.encode("127.0.0.1:1", ("greet", 1))[:-1])
-        throw(address, wire.encode("127.0.0.1:1", ("greet", 1)))
-        throw(address, wire.encode("127.0.0.1:1", ("raft", [], {}, None, 3)))
+        throw(address, framing.encode("127.0.0.1:1", ("greet", 1))[:-1])
+        throw(address, framing.encode("127.0.0.1:1", ("greet", 1)))
+        throw(address, framing.encode("127.0.0.1:1", ("raft", [], {}, None, 3)))
         for kind, pattern in contract.CONTRACTS.items():
             for _ in range(10):
                 odd = [draw.choice((None, -1, "x", b"x", [], {}, [[1]], 1.5, True)) for _ in pattern]
-                throw(address, wire.encode("127.0.0.1:1", (kind, *odd)))
-        throw(address, wire.encode("127.0.0.1:1", ("ask", "127.0.0.1:1", "t", "submit", (1,), 0, (1, 1.0))))
+                throw(address, framing.encode("127.0.0.1:1", (kind, *odd)))
+        throw(
+            address, framing.encode("127.0.0.1:1", ("ask", "127.0.0.1:1", "t", "submit", (1,), 0, (1, 1.0)))
+        )
 
 
 @then("both still serve, and oversized or malformed calls get their status")
--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -9,10 +9,10 @@
 from behave import given, then, when
 from prometheus_client.parser import text_string_to_metric_families
 
-from pinepitch.client import asking, commands, whence
-from pinepitch.ground import constants
-from pinepitch.ground.http import Response
-from pinepitch.proof.simulator import Simulator
+from pinepitch.cli import commands, explain, front_commands
+from pinepitch.common import constants
+from pinepitch.simulation.simulator import Simulator
+from pinepitch.transport.http import Response
 
 HOST, PREFIX = "lamps.example", "/plans/"
 CONFIGURATION = {
@@ -427,7 +427,7 @@
 
     out, code = io.StringIO(), 0
     with (
-        mock.patch.object(asking, "ask", ask),
+        mock.patch.object(front_commands, "ask", ask),
         contextlib.redirect_stdout(out),
         contextlib.redirect_stderr(out),
     ):
@@ -452,7 +452,7 @@
 )
 def step_commands(context):
     shown, code = told(context, commands.Commands, "job", "show", context.name)
-    assert code == 0 and told(context, whence.run, context.name) == (shown, 0), shown
+    assert code == 0 and told(context, explain.run, context.name) == (shown, 0), shown
     assert "state: running" in shown and "(workers: 3 lacks unheard-of)" in shown, shown
     for worker in context.workers:
         for task, _ in worker.running:
--- a/features/steps/keeper.py
+++ b/features/steps/keeper.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.core import Accord
-from pinepitch.ground import constants
+from pinepitch.common import constants
+from pinepitch.control.daemon import Accord
 
 ADDRESS, DOOR = "10.0.0.1:7000", "10.0.0.9:7000"
 JOB = "5c0e7a21d94b36f8"
--- a/features/steps/learners.py
+++ b/features/steps/learners.py
@@ -2,8 +2,8 @@
 
 from behave import given, then, when
 
-from pinepitch.ground import constants
-from pinepitch.proof.simulator import Simulator
+from pinepitch.common import constants
+from pinepitch.simulation.simulator import Simulator
 
 
 @given("a cohort of three accords")
--- a/features/steps/lease.py
+++ b/features/steps/lease.py
@@ -5,9 +5,9 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.consensus import Consensus
-from pinepitch.ground import constants
-from pinepitch.ground.host import Host
+from pinepitch.common import constants
+from pinepitch.consensus.replica import Consensus
+from pinepitch.runtime.host import Host
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
 WAITS = {"lease": constants.LEAD_LEASE * constants.LEASE_STRETCH, "time-out": constants.ELECTION_TIMEOUT}
--- a/features/steps/lives.py
+++ b/features/steps/lives.py
@@ -4,9 +4,9 @@
 
 from behave import given, then, when
 
-from pinepitch.ground.carrier import Carrier
-from pinepitch.ground.leaderclock import Reading
-from pinepitch.proof import simulator as simulators
+from pinepitch.consensus.leader_clock import Reading
+from pinepitch.simulation import simulator as simulators
+from pinepitch.transport.forwarder import Carrier
 
 ANSWER_TO_NOBODY, ANSWER_TO_ANOTHER_CALL = 144, 145
 PATIENCE = 2.0  # seconds
--- a/features/steps/log.py
+++ b/features/steps/log.py
@@ -8,17 +8,18 @@
 from behave import given, then, when
 from curio.network import run_server, tcp_server_socket
 
-import place
-from pinepitch.accord.consensus import Consensus
-from pinepitch.accord.log import measured
-from pinepitch.ground import constants, env, wire
-from pinepitch.ground.limits import Limits
-from pinepitch.ground.link import Lane, Link
-from pinepitch.ground.packed import Packed, dumps, unpacked
-from pinepitch.proof import tenancy
-from pinepitch.proof.changes import BODY, Cohort, document_of, missed, planted
-from pinepitch.proof.steady import Day
-from pinepitch.proof.ways import Ways
+import platform_settings
+from pinepitch.common import constants, daemon_settings
+from pinepitch.common.limits import Limits
+from pinepitch.common.packed_operations import Packed, dumps, unpacked
+from pinepitch.consensus.log import measured
+from pinepitch.consensus.replica import Consensus
+from pinepitch.simulation import leased_job_trial
+from pinepitch.simulation.changes import BODY, Cohort, document_of, missed, planted
+from pinepitch.simulation.link_rates import Ways
+from pinepitch.simulation.steady import Day
+from pinepitch.transport import framing
+from pinepitch.transport.link import Lane, Link
 
 MEGA = 1_000_000
 ENVELOPE = 1_000  # bytes; of a frame beside its entries
@@ -258,7 +259,7 @@
     plain = [(1, 2.0, one) for one in context.operations]
     held = [(1, 2.0, large), (1, 2.0, small)]
     assert dumps(held) == cbor2.dumps(plain)
-    assert wire.encode("10.0.0.1:1", ("append", held)) == wire.encode("10.0.0.1:1", ("append", plain))
+    assert framing.encode("10.0.0.1:1", ("append", held)) == framing.encode("10.0.0.1:1", ("append", plain))
 
 
 @then("decoding the large one gives the operation back")
@@ -269,7 +270,7 @@
 
 @given("a day of jobs under holds that is calm, of seed {seed:d}")
 def step_calm(context, seed):
-    faults, context.simulator = tenancy.trial("calm", seed)
+    faults, context.simulator = leased_job_trial.trial("calm", seed)
     assert not faults, faults
 
 
@@ -340,7 +341,9 @@
 
 @when("{count:d} frames of {size} bytes are put into it")
 def step_put(context, count, size):
-    context.frames = [bytes([place]) * int(size.replace(",", "")) for place in range(count)]
+    context.frames = [
+        bytes([platform_settings]) * int(size.replace(",", "")) for platform_settings in range(count)
+    ]
 
     async def put():
         for frame in context.frames:
@@ -411,7 +414,7 @@
     with tempfile.NamedTemporaryFile("w", encoding="utf-8", suffix=".settings") as file:
         file.write("".join(f"{name}={value}\n" for name, value in lines.items()))
         file.flush()
-        context.place, faults = place.read("core", file.name)
+        context.place, faults = platform_settings.read("core", file.name)
     assert not faults, faults
 
 
@@ -434,12 +437,12 @@
         "seeds": "10.1.0.4:1,10.1.0.4:2,10.1.0.4:3",
         "data": "/data",
     }
-    found, _ = env.read("accord", None, {**flags, "memory_mb": 300, "disk_mb": 64})
+    found, _ = daemon_settings.read("accord", None, {**flags, "memory_mb": 300, "disk_mb": 64})
     assert (found.memory, found.disk) == (300 * MEGA, 64 * MEGA), found
-    found, _ = env.read("accord", None, flags)
+    found, _ = daemon_settings.read("accord", None, flags)
     assert (found.memory, found.disk) == (constants.MEMORY, constants.DISK), found
     for value in (0, True, "much"):
-        found, faults = env.read("accord", None, {**flags, "memory_mb": value})
+        found, faults = daemon_settings.read("accord", None, {**flags, "memory_mb": value})
         assert found is None and "memory_mb" in faults[0], (value, faults)
 
 
--- a/features/steps/metrics.py
+++ b/features/steps/metrics.py
@@ -3,9 +3,9 @@
 from behave import given, then, when
 from prometheus_client.parser import text_string_to_metric_families
 
-from pinepitch.accord.record import Record
-from pinepitch.proof import trial
-from pinepitch.proof.simulator import Simulator
+from pinepitch.simulation import pushed_job_trial
+from pinepitch.simulation.simulator import Simulator
+from pinepitch.state.cluster_state import Record
 
 
 def read(simulator, node, target="/v1/metrics", method="GET"):
@@ -31,7 +31,7 @@
 def step_fleet(context):
     context.simulator = Simulator(6)
     context.simulator.begin()
-    context.simulator.caller("caller", trial.TRAFFIC, fail=0.1)
+    context.simulator.caller("caller", pushed_job_trial.TRAFFIC, fail=0.1)
     context.simulator.run(12)
 
 
--- a/features/steps/models.py
+++ b/features/steps/models.py
@@ -4,11 +4,11 @@
 from hypothesis import HealthCheck, Phase, settings, strategies
 from hypothesis import given as drawn
 
-from pinepitch.proof.model import fleets, script, search
-from pinepitch.proof.model.explore import Found
-from pinepitch.proof.model.faults import FAULTS, conditions, injected
-from pinepitch.proof.model.fleets import FAST, MODELS, SLOW, THREE, Fleet
-from pinepitch.proof.model.schedule import BEGINNING, EVENTS, SHAPES, Event, Run, drawn_run
+from pinepitch.simulation.model_checker import fleets, script, search
+from pinepitch.simulation.model_checker.explore import Found
+from pinepitch.simulation.model_checker.faults import FAULTS, conditions, injected
+from pinepitch.simulation.model_checker.fleets import FAST, MODELS, SLOW, THREE, Fleet
+from pinepitch.simulation.model_checker.schedule import BEGINNING, EVENTS, SHAPES, Event, Run, drawn_run
 
 STATES_LEAST = 10_000  # states; what all brief searches see together, so that none became empty
 REPLACING = (("a", "north"), ("b", "south"), ("d", "west"))
--- a/features/steps/moves.py
+++ b/features/steps/moves.py
@@ -2,8 +2,8 @@
 
 from behave import given, then, when
 
-from pinepitch.proof import checks
-from pinepitch.proof.simulator import START, Simulator
+from pinepitch.simulation import checks
+from pinepitch.simulation.simulator import START, Simulator
 
 
 @given("a quiet simulated fleet")
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -19,25 +19,25 @@
     run_state_machine_as_test,
 )
 
-from pinepitch.accord.core import Accord
-from pinepitch.accord.record import Record
-from pinepitch.ground import constants
-from pinepitch.ground.http import Request, Response, Server
-from pinepitch.proof import order_fleet, order_rules
-from pinepitch.proof.jobs import plants
-from pinepitch.scheduling import calls
+from pinepitch.common import constants
+from pinepitch.control.daemon import Accord
+from pinepitch.scheduling import requests
+from pinepitch.simulation import order_fleet, order_rules
+from pinepitch.simulation.jobs import injected_faults
+from pinepitch.state.cluster_state import Record
+from pinepitch.transport.http import Request, Response, Server
 
 FOLDER = os.path.join(
     os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))), "platform"
 )
 sys.path.insert(0, FOLDER)
 try:
-    import doors
-    import wording
+    import adapters
+    import vocabulary
 finally:
     sys.path.remove(FOLDER)
 
-TARGETS = {order_rules.REPLACE: doors.REPLACE, order_rules.AMEND: doors.AMEND}
+TARGETS = {order_rules.REPLACE: adapters.REPLACE, order_rules.AMEND: adapters.AMEND}
 REMEMBERED = 5  # versions; as CONFIGURATIONS_KEPT in the model, so that some are forgotten in it
 BOUNDED = hypothesis.settings(
     derandomize=True,
@@ -89,13 +89,13 @@
         self.record, self.index = Record(), 0
 
     def call(self, name, *arguments):
-        made = calls.CALLS[name](self, "token", arguments, 0.0)
+        made = requests.CALLS[name](self, "token", arguments, 0.0)
         if made[0] == "answer":
             return made[1]
         _, operation, shape, extra = made
         self.index += 1
         outcome = self.record.apply(self.index, float(self.index), json.loads(json.dumps(operation)))
-        return calls.SHAPES[shape](self, outcome, extra, 0.0)
+        return requests.SHAPES[shape](self, outcome, extra, 0.0)
 
     def restart(self):
         self.record = Record.decode(Record.encode(self.record.image()))
@@ -109,7 +109,7 @@
         {"x-based-on-version": order.base},
         json.dumps(document).encode(),
     )
-    return doors.Control("10.0.0.1:8080").read(request)
+    return adapters.Control("10.0.0.1:8080").read(request)
 
 
 class OrdersAtARecord(RuleBasedStateMachine):
@@ -216,7 +216,7 @@
     @invariant()
     def read_back(self):
         found = self.core.record.board.configuration.document
-        plain = None if found is None else wording.original(found, wording.CONFIGURATION)
+        plain = None if found is None else vocabulary.original(found, vocabulary.CONFIGURATION)
         found, expected = (json.dumps(one, sort_keys=True) for one in (plain, self.reference.document))
         assert found == expected, f"{found} is read back, not {expected}"
 
@@ -229,7 +229,7 @@
 
 def must_find(plant, model):
     """Fails unless a model fails by what it checks, with a fault planted."""
-    with plants.planted(plant):
+    with injected_faults.planted(plant):
         try:
             model()
         except AssertionError as found:
@@ -310,7 +310,7 @@
 
 @given("a cohort that takes orders")
 def step_cohort(context):
-    planted = plants.planted(getattr(context, "plant", ""))
+    planted = injected_faults.planted(getattr(context, "plant", ""))
     planted.__enter__()
     context.add_cleanup(planted.__exit__, None, None, None)
     context.fleet = fleet_of_orders()
@@ -605,7 +605,7 @@
         self.operators.read(self.fleet.names()[0])
         self.fleet.run(1)
         if reference.document is not None:
-            found = wording.original(self.operators.reads[0][2], wording.CONFIGURATION)
+            found = vocabulary.original(self.operators.reads[0][2], vocabulary.CONFIGURATION)
             assert found == reference.document, (found, reference.document)
 
 
@@ -710,7 +710,7 @@
 async def received(body):
     """The request of a body that comes over a socket, or why there is none."""
     ours, theirs = curio.socket.socketpair()
-    target, host = doors.REPLACE, "Host: x\r\nX-Based-On-Version: 0"
+    target, host = adapters.REPLACE, "Host: x\r\nX-Based-On-Version: 0"
     head = f"POST {target} HTTP/1.1\r\n{host}\r\nContent-Length: {len(body)}\r\n\r\n".encode()
     async with ours, theirs:
         sending = await curio.spawn(theirs.sendall, head + body)
@@ -734,7 +734,7 @@
     if not isinstance(found, Request):
         context.status = found.status
         return
-    call, arguments, _ = doors.Control("10.0.0.1:8080").read(found)
+    call, arguments, _ = adapters.Control("10.0.0.1:8080").read(found)
     order = order_rules.order_of(order_rules.REPLACE, "0", context.document)
     change = order_fleet.Change(order, call, arguments)
     operators = order_fleet.ChangeOperators(fleet)
@@ -749,7 +749,7 @@
     context.fleet.run(1)
     for node in context.fleet.nodes.values():
         found = node.core.record.board.configuration.document
-        assert wording.original(found, wording.CONFIGURATION) == context.document
+        assert vocabulary.original(found, vocabulary.CONFIGURATION) == context.document
 
 
 @then("it is not taken everywhere")
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -13,13 +13,13 @@
 import curio.socket
 from behave import given, then, when
 
-from pinepitch.accord.consensus import Consensus
-from pinepitch.accord.core import Accord
-from pinepitch.ground import constants
-from pinepitch.ground.folderlock import FolderLock
-from pinepitch.ground.host import Link
-from pinepitch.proof import outage
-from pinepitch.verge.core import Verge
+from pinepitch.common import constants
+from pinepitch.consensus.replica import Consensus
+from pinepitch.control.daemon import Accord
+from pinepitch.front.daemon import Verge
+from pinepitch.runtime.host import Link
+from pinepitch.simulation import outage
+from pinepitch.storage.folder_lock import FolderLock
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
 WATCHED = 3.0  # seconds from the last start
@@ -172,7 +172,7 @@
         [
             sys.executable,
             "-c",
-            "from pinepitch.accord.program import main; main()",
+            "from pinepitch.control.program import main; main()",
             "--address=127.0.0.1:1",
             "--area=a",
             f"--data={context.folder}",
--- a/features/steps/path.py
+++ b/features/steps/path.py
@@ -7,8 +7,8 @@
 import curio
 from behave import given, then, when
 
-from pinepitch.ground import http
-from pinepitch.proof.fleet import PLANS, Fleet, Traffic, check, run
+from pinepitch.simulation.fleet import PLANS, Fleet, Traffic, check, run
+from pinepitch.transport import http
 
 
 @given("a small fleet of processes with its setup in force")
--- a/features/steps/placing.py
+++ b/features/steps/placing.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from pinepitch.accord import rehearsal
-from pinepitch.world import row as rows
+from pinepitch.control import rehearsal
+from pinepitch.model import queue_settings as rows
 
 QUEUES = {
     "main": {"share": 40, "limit": 400, "retries": 3, "pending": 100_000},
--- a/features/steps/progress.py
+++ b/features/steps/progress.py
@@ -6,11 +6,11 @@
 from behave import given, then, when
 from heartbeats import heartbeat
 
-from pinepitch.ground import constants
-from pinepitch.scheduling import job as jobs
-from pinepitch.scheduling.board import Board
-from pinepitch.scheduling.pace import Pace
+from pinepitch.common import constants
+from pinepitch.scheduling import leased_job as jobs
+from pinepitch.scheduling.leased_job_state import Board
 from pinepitch.scheduling.progress import ProgressWatch
+from pinepitch.scheduling.run_speed import Pace
 from pinepitch.scheduling.worker import Worker
 
 SERVICE = "web"
--- a/features/steps/quorum.py
+++ b/features/steps/quorum.py
@@ -5,8 +5,8 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.quorum import Cohort, Quorum, Reply
-from pinepitch.proof.fleet import PLANS
+from pinepitch.consensus.quorum import Cohort, Quorum, Reply
+from pinepitch.simulation.fleet import PLANS
 
 
 def spreads(accords, areas):
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -2,11 +2,11 @@
 
 from heartbeats import heartbeat
 
-from pinepitch.scheduling import job as jobs
+from pinepitch.scheduling import leased_job as jobs
 from pinepitch.scheduling import policy as policies
 from pinepitch.scheduling.assigner import Assigner
-from pinepitch.scheduling.board import Board
-from pinepitch.scheduling.pace import Pace
+from pinepitch.scheduling.leased_job_state import Board
+from pinepitch.scheduling.run_speed import Pace
 from pinepitch.scheduling.worker import Worker
 
 SERVICE = "imaging"
--- a/features/steps/rules.py
+++ b/features/steps/rules.py
@@ -6,9 +6,9 @@
 
 from behave import given, then, when
 
-from pinepitch.accord import rulefile
-from pinepitch.accord.record import Record
-from pinepitch.proof.simulator import Simulator
+from pinepitch.control import alert_rules
+from pinepitch.simulation.simulator import Simulator
+from pinepitch.state.cluster_state import Record
 
 GOOD = """
 groups:
@@ -39,11 +39,11 @@
 
 @when("a rules file with {fault} is read")
 def step_read(context, fault):
-    found, _ = rulefile.read(GOOD)
+    found, _ = alert_rules.read(GOOD)
     assert [(one.alert, one.bound, one.lasting, one.holds) for one in found] == [
         ("parked", 0.0, 2.0, "approvals")
     ]
-    context.found, context.faults = rulefile.read(BENT[fault])
+    context.found, context.faults = alert_rules.read(BENT[fault])
 
 
 @then("the fault is at {place}")
@@ -62,7 +62,7 @@
             [
                 sys.executable,
                 "-c",
-                "from pinepitch.accord.program import main; main()",
+                "from pinepitch.control.program import main; main()",
                 "--address=127.0.0.1:1",
                 "--area=a",
                 f"--data={folder}/data",
@@ -87,7 +87,7 @@
     context.simulator = Simulator(5, setup=SETUP)
     for node in context.simulator.nodes.values():
         if node.kind == "accord":
-            node.core.rules = rulefile.read(GOOD)[0]
+            node.core.rules = alert_rules.read(GOOD)[0]
     context.simulator.begin()
     context.simulator.caller("day", CROWD, fail=0.0)
     context.simulator.run(20)
@@ -158,7 +158,7 @@
     simulator.run(6)
     assert "parked" in simulator.leader().core.record.holds
     simulator.start(old.name)
-    old.core.rules = rulefile.read(GOOD)[0]
+    old.core.rules = alert_rules.read(GOOD)[0]
 
 
 @then("once the ticket is cancelled approving puts the draft, made anew, in force")
--- a/features/steps/same_histories.py
+++ b/features/steps/same_histories.py
@@ -10,8 +10,8 @@
 
 from behave import then, when
 
-from pinepitch.ground import constants
-from pinepitch.proof import simulator as simulators
+from pinepitch.common import constants
+from pinepitch.simulation import simulator as simulators
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 sys.path.insert(0, str(ROOT))
--- a/features/steps/scale.py
+++ b/features/steps/scale.py
@@ -2,7 +2,7 @@
 
 from behave import then, when
 
-from pinepitch.proof.scale import costs, load, measuring, statistics, sweep
+from pinepitch.simulation.scale import costs, load, measuring, statistics, sweep
 
 SEED, SECONDS = 1, 3.0
 
--- a/features/steps/second_loss.py
+++ b/features/steps/second_loss.py
@@ -2,7 +2,7 @@
 
 from behave import then, when
 
-from pinepitch.proof import second_loss
+from pinepitch.simulation import second_loss
 
 
 @when("second losses are tried as {name} with seeds {first:d} to {last:d}")
@@ -21,7 +21,7 @@
 def step_clean(context):
     for name, seed in context.trials:
         faults = second_loss.run(name, seed)
-        assert not faults, f"python -m pinepitch.proof.second_loss {name} {seed} 1: {faults[:4]}"
+        assert not faults, f"python -m pinepitch.simulation.second_loss {name} {seed} 1: {faults[:4]}"
 
 
 @then("some trial of second losses finds {fault}")
--- a/features/steps/snapshot_lives.py
+++ b/features/steps/snapshot_lives.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.consensus import Consensus, Follower
-from pinepitch.ground import constants
+from pinepitch.common import constants
+from pinepitch.consensus.replica import Consensus, Follower
 
 MEMBERS = {"leader": "a", "follower": "b", "other": "c"}
 SEGMENTS = {number: bytes([number]) * 40 for number in range(1, 7)}
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -11,9 +11,9 @@
 import cbor2
 from behave import given, then, when
 
-from pinepitch.accord.opening import identity_of, open_store
-from pinepitch.ground import constants
-from pinepitch.ground.store import Damaged, Store
+from pinepitch.common import constants
+from pinepitch.control.startup import identity_of, open_store
+from pinepitch.storage.store import Damaged, Store
 
 
 def folder_of(context):
@@ -88,7 +88,7 @@
         [
             sys.executable,
             "-c",
-            "from pinepitch.accord.program import main; main()",
+            "from pinepitch.control.program import main; main()",
             "--address=127.0.0.1:1",
             "--area=a",
             f"--data={context.folder}",
--- a/features/steps/stored_folders.py
+++ b/features/steps/stored_folders.py
@@ -23,11 +23,12 @@
 
 import cbor2
 
-from pinepitch.accord.core import Accord
-from pinepitch.accord.opening import identity_of, open_store
-from pinepitch.ground import packed, wire
-from pinepitch.ground.leaderclock import Reading
-from pinepitch.ground.store import Store
+from pinepitch.common import packed_operations
+from pinepitch.consensus.leader_clock import Reading
+from pinepitch.control.daemon import Accord
+from pinepitch.control.startup import identity_of, open_store
+from pinepitch.storage.store import Store
+from pinepitch.transport import framing
 
 STORED = os.path.join(os.path.dirname(__file__), os.pardir, "data", "stored")
 EXPECTED = "expected.json"
@@ -87,7 +88,7 @@
 
     def receive(self, frame, now):
         """Takes a frame of another daemon."""
-        self._give(tuple(wire.decode(frame[4:])[1]), now)
+        self._give(tuple(framing.decode(frame[4:])[1]), now)
 
     def _give(self, message, now):
         """One message and all that its saves bring about."""
@@ -96,7 +97,7 @@
             saved = None
             for kind, *rest in self.core.step(waiting.popleft(), now, now):
                 if kind == "send":
-                    self.sent.append((rest[0], wire.encode(self.address, rest[1])))
+                    self.sent.append((rest[0], framing.encode(self.address, rest[1])))
                 elif kind == "save":
                     self.store.write_step([["raft", rest[1]]])
                     saved = rest[0]
@@ -131,7 +132,7 @@
     @staticmethod
     def answer_in(frame):
         """(token, status, document) of a frame that answers a call, None for any other."""
-        message = wire.decode(frame[4:])[1]
+        message = framing.decode(frame[4:])[1]
         return (message[1], *message[2][:2]) if message[0] == "answer" else None
 
     def knows_cohort(self):
@@ -144,7 +145,7 @@
     def shown(self):
         """What the daemon holds right after it opened its folder, before it takes any message."""
         consensus = self.core.consensus
-        entries = cbor2.loads(packed.dumps(list(consensus.entries)))
+        entries = cbor2.loads(packed_operations.dumps(list(consensus.entries)))
         return plain(
             {
                 "identity": self.core.identity,
@@ -172,7 +173,7 @@
         consensus, record = self.core.consensus, self.core.record
         for index in range(max(consensus.base_index + 1, consensus.first), consensus.last_index() + 1):
             _, time, operation = consensus.entry(index)
-            record.apply(index, time, packed.unpacked(operation))
+            record.apply(index, time, packed_operations.unpacked(operation))
         record.audit()
         return self._record_digest()
 
--- a/features/steps/table.py
+++ b/features/steps/table.py
@@ -2,8 +2,8 @@
 
 from behave import given, then, when
 
-from pinepitch.proof import rates
-from pinepitch.proof.simulator import Simulator
+from pinepitch.simulation import rates
+from pinepitch.simulation.simulator import Simulator
 
 CROWD = (
     ("crowd", 3.0, {"queue": "narrow", "urgency": 4, "count": 3, "shape": "fan", "units": 1, "seconds": 0.6}),
--- a/features/steps/tenancy.py
+++ b/features/steps/tenancy.py
@@ -6,7 +6,7 @@
 
 from behave import then, when
 
-from pinepitch.proof import tenancy
+from pinepitch.simulation import leased_job_trial
 
 
 @when("jobs under holds meet the weather {weather} with seeds {first:d} to {last:d}")
@@ -18,9 +18,9 @@
 @then("no history check finds a fault")
 def step_clean(context):
     tried, found = 0, []
-    for arguments, faults, _ in tenancy.many(context.work):
+    for arguments, faults, _ in leased_job_trial.many(context.work):
         tried += 1
-        found.extend(f"{tenancy.replay(*arguments)}\n   {fault}" for fault in faults)
+        found.extend(f"{leased_job_trial.replay(*arguments)}\n   {fault}" for fault in faults)
     assert not found, "\n".join(found[:6])
     assert tried == len(context.work)
 
@@ -28,7 +28,7 @@
 @then("some history check finds {fault}")
 def step_found(context, fault):
     found = []
-    for _arguments, faults, _ in tenancy.many(context.work):
+    for _arguments, faults, _ in leased_job_trial.many(context.work):
         found.extend(faults)
         if any(fault in one for one in faults):
             return
@@ -43,7 +43,7 @@
 def step_twice(context, weather, seed):
     context.histories = []
     for _ in range(2):
-        _, simulator = tenancy.trial(weather, seed)
+        _, simulator = leased_job_trial.trial(weather, seed)
         context.histories.append(_history(simulator))
 
 
@@ -55,8 +55,8 @@
 
 TELL = """
 import hashlib, sys
-from pinepitch.proof import tenancy
-_, simulator = tenancy.trial(sys.argv[1], int(sys.argv[2]))
+from pinepitch.simulation import leased_job_trial
+_, simulator = leased_job_trial.trial(sys.argv[1], int(sys.argv[2]))
 print(hashlib.sha256(repr((simulator.minion_history, simulator.patron.history,
                            simulator.trace)).encode()).hexdigest())
 """
--- a/features/steps/trial.py
+++ b/features/steps/trial.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from pinepitch.proof import trial
+from pinepitch.simulation import pushed_job_trial
 
 
 @given("the planted fault {plant}")
@@ -19,7 +19,7 @@
 def step_try(context, weather, first, last):
     plant = getattr(context, "plant", "")
     context.work = [
-        (weather, seed, trial.IN_TURN[seed % len(trial.IN_TURN)], "static", plant)
+        (weather, seed, pushed_job_trial.IN_TURN[seed % len(pushed_job_trial.IN_TURN)], "static", plant)
         for seed in range(first, last + 1)
     ]
 
@@ -37,9 +37,9 @@
 @then("no check finds a fault")
 def step_clean(context):
     tried, found = 0, []
-    for arguments, faults, _ in trial.many(context.work):
+    for arguments, faults, _ in pushed_job_trial.many(context.work):
         tried += 1
-        found.extend(f"{trial.replay(*arguments)}\n   {fault}" for fault in faults)
+        found.extend(f"{pushed_job_trial.replay(*arguments)}\n   {fault}" for fault in faults)
     assert not found, "\n".join(found[:6])
     assert tried == len(context.work)
 
@@ -47,7 +47,7 @@
 @then("some check finds {fault}")
 def step_found(context, fault):
     found = []
-    for _arguments, faults, _ in trial.many(context.work):
+    for _arguments, faults, _ in pushed_job_trial.many(context.work):
         found.extend(faults)
         if any(fault in one for one in faults):
             return
@@ -58,7 +58,7 @@
 def step_twice(context, weather, seed):
     context.histories = []
     for _ in range(2):
-        _, simulator = trial.trial(weather, seed)
+        _, simulator = pushed_job_trial.trial(weather, seed)
         context.histories.append(
             (simulator.minion_history, simulator.callers["caller"].history, simulator.trace)
         )
@@ -72,8 +72,8 @@
 
 TELL = """
 import hashlib, sys
-from pinepitch.proof import trial
-_, simulator = trial.trial(sys.argv[1], int(sys.argv[2]))
+from pinepitch.simulation import pushed_job_trial
+_, simulator = pushed_job_trial.trial(sys.argv[1], int(sys.argv[2]))
 print(hashlib.sha256(repr((simulator.minion_history, simulator.callers["caller"].history,
                            simulator.trace)).encode()).hexdigest())
 """
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -2,12 +2,12 @@
 
 from behave import given, then, when
 
-from pinepitch.accord.core import Accord
-from pinepitch.accord.record import ACTIONS, OK, Record
-from pinepitch.ground import constants
-from pinepitch.ground.packed import kind_of
-from pinepitch.proof import checks, trial
-from pinepitch.proof.simulator import Simulator
+from pinepitch.common import constants
+from pinepitch.common.packed_operations import kind_of
+from pinepitch.control.daemon import Accord
+from pinepitch.simulation import checks, pushed_job_trial
+from pinepitch.simulation.simulator import Simulator
+from pinepitch.state.cluster_state import ACTIONS, OK, Record
 
 
 def _remark(record, text):
@@ -88,7 +88,7 @@
 def step_fleet(context):
     context.simulator = Simulator(8)
     context.simulator.begin()
-    context.simulator.caller("caller", trial.TRAFFIC)
+    context.simulator.caller("caller", pushed_job_trial.TRAFFIC)
     context.simulator.run(3)
 
 
--- a/features/steps/whence.py
+++ b/features/steps/whence.py
@@ -4,9 +4,9 @@
 
 from behave import given, then
 
-from pinepitch.client.whence import told
-from pinepitch.ground import constants
-from pinepitch.proof.simulator import Simulator
+from pinepitch.cli.explain import told
+from pinepitch.common import constants
+from pinepitch.simulation.simulator import Simulator
 
 
 def fleet(context):
--- /dev/null
+++ b/src/pinepitch/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line."""
--- a/src/pinepitch/client/commands.py
+++ b/src/pinepitch/cli/commands.py
@@ -3,9 +3,9 @@
 import os
 import sys
 
-from .asking import EXIT_USE, Verged, read_file, table
+from .front_commands import EXIT_USE, Verged, read_file, table
 from .jobs import WORKER_COLUMNS, Configuration, Job, room_text
-from .setups import Setup, Table
+from .queue_configuration import Setup, Table
 
 
 class Ticket(Verged):
@@ -136,55 +136,55 @@
 
     def fleet(self, plan="nkansah", seconds=20, rate=1.0, seed=0, folder=None, level="warning", disturb=""):
         """Runs a whole deployment on this machine, checks its histories."""
-        from ..proof.fleet import fleet
+        from ..simulation.fleet import fleet
 
         fleet(plan, seconds, rate, seed, folder, level, disturb)
 
     def scale(self, sweep="workers", seconds=8, seed=0, most=None, out=None):
         """Runs real daemons beside hollow workers at rising sizes; prints what each spends."""
-        from ..proof.scale.sweep import scale
+        from ..simulation.scale.sweep import scale
 
         scale(sweep, seconds, seed, most, out)
 
     def traffic(self, verge=None, seconds=30, rate=1.0):
         """Sends stand-in tickets to the queue `default`, for a try."""
-        from ..proof.fleet import traffic
+        from ..simulation.fleet import traffic
 
         traffic(verge or os.environ.get("PINEPITCH_VERGE", "127.0.0.1:8080"), seconds, rate)
 
     def disturbances(self, plans="nkansah,pinturas", only="", seconds=12):
         """Runs fleets of processes under every disturbance in turn; prints a table."""
-        from ..proof.fleet import disturbances
+        from ..simulation.fleet import disturbances
 
         disturbances(plans, only, seconds)
 
     def trials(self, weather="all", seeds=20, first=0, fleet="all", mode="static", plant=""):
         """Runs simulated fleets under failures, over many seeds; prints how to replay a fault."""
-        from ..proof.trial import trials
+        from ..simulation.pushed_job_trial import trials
 
         trials(weather, seeds, first, fleet, mode, plant)
 
     def explore(self, model="all", states=0, walks=1_000, fault=""):
         """Searches every schedule of small fleets of consensus, at length; prints what breaks and how."""
-        from ..proof.model.search import explore
+        from ..simulation.model_checker.search import explore
 
         explore(model, states, walks, fault)
 
     def forecasts(self, seconds=20):
         """Compares rehearsals' forecasts with what fleets of processes then do."""
-        from ..proof.fleet import forecasts
+        from ..simulation.fleet import forecasts
 
         forecasts(seconds)
 
     def rates(self, idle=200, known=25):
         """Measures how often rehearsals err, over idle drafts and drafts with a known effect."""
-        from ..proof.rates import rates
+        from ..simulation.rates import rates
 
         rates(idle, known)
 
     def proof(self, page="docs/proof.md"):
         """Writes the tables of promises, failures, weathers and plants into a page."""
-        from ..proof.promises import written
+        from ..simulation.guarantees import written
 
         with open(page) as file:
             text = file.read()
--- a/src/pinepitch/client/whence.py
+++ b/src/pinepitch/cli/explain.py
@@ -5,7 +5,7 @@
 import fire
 from fire.decorators import SetParseFn
 
-from .asking import Verged, table
+from .front_commands import Verged, table
 from .jobs import Job
 
 JOB = re.compile(r"[0-9a-fA-F]{16}")  # what names a job; a ticket's name begins with t
--- a/src/pinepitch/client/asking.py
+++ b/src/pinepitch/cli/front_commands.py
@@ -7,7 +7,8 @@
 
 import curio
 
-from ..ground import env, http
+from ..common import daemon_settings
+from ..transport import http
 
 EXIT_REFUSED, EXIT_USE, EXIT_UNREACHED, EXIT_LATER = 1, 2, 3, 4
 
@@ -16,7 +17,7 @@
     """The answer of a verge, or exit 3."""
 
     async def one():
-        client = http.Client(*env.split(verge))
+        client = http.Client(*daemon_settings.split(verge))
         try:
             return await curio.ignore_after(10, client.call(method, target, document, headers))
         finally:
--- a/src/pinepitch/client/jobs.py
+++ b/src/pinepitch/cli/jobs.py
@@ -4,7 +4,7 @@
 
 from fire.decorators import SetParseFn
 
-from .asking import Verged, table
+from .front_commands import Verged, table
 
 
 class Job(Verged):
--- a/src/pinepitch/client/setups.py
+++ b/src/pinepitch/cli/queue_configuration.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from .asking import EXIT_USE, Verged, ask, finish, flat, read_file, table
+from .front_commands import EXIT_USE, Verged, ask, finish, flat, read_file, table
 
 
 class Setup(Verged):
--- a/src/pinepitch/client/timeline.py
+++ b/src/pinepitch/cli/timeline.py
@@ -11,7 +11,7 @@
 import json
 from typing import NamedTuple
 
-from .asking import table
+from .front_commands import table
 
 HANDED_IN, ACCEPTED, PLACED, TOLD, ENDED, SHOWN = 186, 187, 188, 189, 155, 190
 STOPPED, MISJUDGED = 183, 185
--- /dev/null
+++ b/src/pinepitch/common/__init__.py
@@ -0,0 +1,1 @@
+"""What every part stands on: constants, numbered events, limits, metrics, checked settings."""
--- a/src/pinepitch/ground/cohorttime.py
+++ b/src/pinepitch/consensus/cluster_clock.py
@@ -1,6 +1,6 @@
 """Cohort time: the median of the members' clocks, carried by the monotonic clock."""
 
-from . import constants
+from ..common import constants
 
 
 class CohortTime:
--- a/src/pinepitch/accord/flow.py
+++ b/src/pinepitch/consensus/flow_control.py
@@ -3,7 +3,7 @@
 import collections
 from typing import NamedTuple
 
-from ..ground import constants
+from ..common import constants
 
 PATIENT = 4  # times as slow as seen before; so long an answer to a large message is waited for
 
--- a/src/pinepitch/ground/leaderclock.py
+++ b/src/pinepitch/consensus/leader_clock.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from . import constants
+from ..common import constants
 
 
 class Reading(NamedTuple):
--- a/src/pinepitch/accord/log.py
+++ b/src/pinepitch/consensus/log.py
@@ -8,8 +8,8 @@
 
 import cbor2
 
-from ..ground import constants
-from ..ground.packed import Packed
+from ..common import constants
+from ..common.packed_operations import Packed
 
 ENTRY = 64  # bytes; of an entry beside its operation
 MARSHAL_VERSION = 2  # the newest that writes each value out wherever it stands
--- a/src/pinepitch/accord/consensus.py
+++ b/src/pinepitch/consensus/replica.py
@@ -10,13 +10,13 @@
 
 import cbor2
 
-from ..ground import constants
-from ..ground.limits import USUAL
-from ..ground.packed import kind_of
-from .flow import Flow
+from ..common import constants
+from ..common.limits import USUAL
+from ..common.packed_operations import kind_of
+from .flow_control import Flow
 from .log import Log
 from .quorum import Cohort, Quorum, Reply, cohort_from
-from .transfer import Snapshot, Transfer
+from .snapshot_transfer import Snapshot, Transfer
 
 BEYOND = 1 << 40  # the offset that a follower tells which needs nothing of a snapshot
 
--- /dev/null
+++ b/src/pinepitch/control/__init__.py
@@ -0,0 +1,1 @@
+"""The control daemon: sessions, bootstrap, membership and the work of the leader."""
--- a/src/pinepitch/accord/rulefile.py
+++ b/src/pinepitch/control/alert_rules.py
@@ -7,8 +7,8 @@
 import voluptuous
 import yaml
 
-from ..world.ticket import name, shaped
-from .rules import Rule
+from ..model.pushed_job import name, shaped
+from .alert_watch import Rule
 
 EXPRESSION = re.compile(
     r"^\s*([a-zA-Z_:][a-zA-Z0-9_:]*)\s*(?:\{([^{}]*)\})?\s*(>=|<=|==|!=|>|<)\s*(-?[0-9.]+(?:e-?\d+)?)\s*$"
--- a/src/pinepitch/accord/founding.py
+++ b/src/pinepitch/control/bootstrap.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from ..ground import constants
+from ..common import constants
 
 
 class Founding:
--- a/src/pinepitch/accord/core.py
+++ b/src/pinepitch/control/daemon.py
@@ -6,20 +6,20 @@
 ("event", number, fields).
 """
 
-from ..ground import constants, limits, metrics
-from ..ground.carrier import Carrier
-from ..ground.cohorttime import CohortTime
-from ..ground.confirmed import ConfirmedCalls
-from ..ground.leaderclock import LeaderClock, Reading
-from ..ground.packed import unpacked
-from ..scheduling.keeper import Keeper
-from . import membership, rehearsal, rules
-from .calls import SHAPES
-from .consensus import Consensus
-from .founding import Founding
-from .lead import Lead
-from .placing import Placer
-from .record import Record
+from ..common import constants, limits, metrics
+from ..common.packed_operations import unpacked
+from ..consensus.cluster_clock import CohortTime
+from ..consensus.leader_clock import LeaderClock, Reading
+from ..consensus.replica import Consensus
+from ..scheduling.assignment_manager import Keeper
+from ..state.cluster_state import Record
+from ..transport.forwarder import Carrier
+from ..transport.indexed_forwarder import ConfirmedCalls
+from . import alert_watch, membership, rehearsal
+from .bootstrap import Founding
+from .leader import Lead
+from .placement import Placer
+from .requests import SHAPES
 from .sessions import Sessions
 
 
@@ -103,7 +103,7 @@
         self.moving = set()
         self.news_serial = 0
         self.change_begun = None  # when the joint change under way was proposed
-        self.alerts = rules.Watch(self.rules)
+        self.alerts = alert_watch.Watch(self.rules)
         self.alert_at = -1e9
 
     # --- durable state ----------------------------------------------------------------
--- a/src/pinepitch/accord/lead.py
+++ b/src/pinepitch/control/leader.py
@@ -2,12 +2,12 @@
 
 from typing import NamedTuple
 
-from ..ground import constants, metrics
-from ..ground.callkey import subject_of
-from ..scheduling import calls as job_calls
-from ..world.minion import Minion
-from . import figures
-from .calls import CALLS
+from ..common import constants, metrics
+from ..model.push_worker import Minion
+from ..scheduling import requests as job_calls
+from ..transport.request_key import subject_of
+from . import metrics_text
+from .requests import CALLS
 
 KEPT = tuple(job_calls.CALLS)  # calls that only a leader with its lease and epoch may answer
 
@@ -408,7 +408,7 @@
         """The leader, under its epoch, judges the rules by its own metrics; what holds
         approvals is an entry, so that it outlives the leader."""
         self.alert_at = now
-        firing = self.alerts.firing(figures.text(self, now), now)
+        firing = self.alerts.firing(metrics_text.text(self, now), now)
         holding = {
             rule.alert: firing[rule.alert] for rule in self.rules if rule.holds and rule.alert in firing
         }
@@ -515,7 +515,7 @@
 
     def _on_http(self, request, method, target, headers, body, now):
         """The accord's own small port: its health and metrics, nothing that is carried."""
-        answer = {"/v1/health": figures.health, "/v1/metrics": figures.text}.get(target)
+        answer = {"/v1/health": metrics_text.health, "/v1/metrics": metrics_text.text}.get(target)
         if method != "GET" or answer is None:
             told = {
                 "error": {
--- a/src/pinepitch/accord/membership.py
+++ b/src/pinepitch/control/membership.py
@@ -5,8 +5,8 @@
 import itertools
 from typing import NamedTuple
 
-from ..ground import constants
-from .quorum import Quorum
+from ..common import constants
+from ..consensus.quorum import Quorum
 
 
 class Tolerance(NamedTuple):
--- a/src/pinepitch/accord/figures.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -1,7 +1,7 @@
 """What an accord tells of itself: health and metrics."""
 
-from ..ground import metrics
-from ..scheduling.idleroom import IDLE_BESIDE_WORK, KEPT_UNTAKEN
+from ..common import metrics
+from ..scheduling.idle_capacity import IDLE_BESIDE_WORK, KEPT_UNTAKEN
 
 
 def health(core, now):
--- a/src/pinepitch/accord/placing.py
+++ b/src/pinepitch/control/placement.py
@@ -8,8 +8,8 @@
 import itertools
 from typing import NamedTuple
 
-from ..ground import constants
-from ..world.task import reference, unit_of
+from ..common import constants
+from ..model.task import reference, unit_of
 
 SHORT = ("no room", "no credits", "the queue's limit")  # what ends in room being held back
 
--- a/src/pinepitch/accord/program.py
+++ b/src/pinepitch/control/program.py
@@ -5,19 +5,19 @@
 
 import fire
 
-from ..ground import events
-from ..ground.folderlock import FolderLock
-from ..ground.limits import Limits
-from ..ground.program import checked_env, serve
-from .core import Accord
-from .opening import identity_of, open_store
+from ..common import events
+from ..common.limits import Limits
+from ..runtime.process import checked_env, serve
+from ..storage.folder_lock import FolderLock
+from .daemon import Accord
+from .startup import identity_of, open_store
 
 
 def read_rules(path):
     """The alert rules of a file, or exit 2 with one line per fault."""
     if path is None:
         return ()
-    from .rulefile import read as rules_of  # most daemons have no such file
+    from .alert_rules import read as rules_of  # most daemons have no such file
 
     try:
         with open(path, encoding="utf-8") as file:
--- a/src/pinepitch/accord/rehearsal.py
+++ b/src/pinepitch/control/rehearsal.py
@@ -5,11 +5,11 @@
 import heapq
 import random
 
-from ..ground import constants
-from ..world.minion import Minion, Report
-from ..world.row import objective_of
-from .placing import Placer
-from .record import Record
+from ..common import constants
+from ..model.push_worker import Minion, Report
+from ..model.queue_settings import objective_of
+from ..state.cluster_state import Record
+from .placement import Placer
 
 FIGURES = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
 SHARES = ("dues_missed", "failed", "shed", "preemptions")  # told as parts of a queue's tickets
--- a/src/pinepitch/accord/calls.py
+++ b/src/pinepitch/control/requests.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..ground import constants
-from ..ground.carrier import INDEX_CALL
-from ..scheduling import calls as job_calls
-from ..world import row as rows
-from ..world.minion import Report
-from ..world.task import reference
+from ..common import constants
+from ..model import queue_settings as rows
+from ..model.push_worker import Report
+from ..model.task import reference
+from ..scheduling import requests as job_calls
+from ..transport.forwarder import INDEX_CALL
 
 
 class Call(NamedTuple):
--- a/src/pinepitch/accord/sessions.py
+++ b/src/pinepitch/control/sessions.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from ..ground import constants
+from ..common import constants
 
 
 class Session(NamedTuple):
--- a/src/pinepitch/accord/opening.py
+++ b/src/pinepitch/control/startup.py
@@ -2,8 +2,8 @@
 
 import secrets
 
-from ..ground.store import Damaged, Foreign, Store
-from .log import packed_step
+from ..consensus.log import packed_step
+from ..storage.store import Damaged, Foreign, Store
 
 
 def open_store(folder):
--- a/src/pinepitch/verge/core.py
+++ b/src/pinepitch/front/daemon.py
@@ -7,11 +7,11 @@
 
 from typing import NamedTuple
 
-from ..ground import constants
-from ..ground.callkey import key_of
-from ..ground.carrier import Carrier
-from ..ground.confirmed import ConfirmedCalls
-from ..ground.leaderclock import LeaderClock
+from ..common import constants
+from ..consensus.leader_clock import LeaderClock
+from ..transport.forwarder import Carrier
+from ..transport.indexed_forwarder import ConfirmedCalls
+from ..transport.request_key import key_of
 from .filters import FILTERS
 
 
--- a/src/pinepitch/verge/filters.py
+++ b/src/pinepitch/front/filters.py
@@ -4,11 +4,11 @@
 import secrets
 from urllib.parse import parse_qsl, unquote, urlsplit
 
-from ..ground import constants, metrics
-from ..ground import document as documents
-from ..world import minion as minions
-from ..world import row as rows
-from ..world import ticket as tickets
+from ..common import constants, metrics
+from ..common import document as documents
+from ..model import push_worker as minions
+from ..model import pushed_job as tickets
+from ..model import queue_settings as rows
 
 
 def no(status, code, message, retry=None, **more):
--- a/src/pinepitch/verge/program.py
+++ b/src/pinepitch/front/program.py
@@ -4,9 +4,9 @@
 
 import fire
 
-from ..ground import events
-from ..ground.program import checked_env, serve
-from .core import Verge
+from ..common import events
+from ..runtime.process import checked_env, serve
+from .daemon import Verge
 
 
 def run(settings=None, address=None, area=None, seeds=None, http=None, level=None):
--- a/src/pinepitch/world/contract.py
+++ b/src/pinepitch/model/contract.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from ..ground import env
+from ..common import daemon_settings
 
 
 class Maybe(NamedTuple):
@@ -44,7 +44,7 @@
     if pattern is Number:
         return isinstance(value, (int, float)) and not isinstance(value, bool) and value == value
     if pattern is Address:
-        return isinstance(value, str) and env.is_address(value)
+        return isinstance(value, str) and daemon_settings.is_address(value)
     if pattern is Operation:
         return isinstance(value, (list, tuple)) and bool(value) and isinstance(value[0], str)
     if isinstance(pattern, Maybe):
--- a/src/pinepitch/world/minion.py
+++ b/src/pinepitch/model/push_worker.py
@@ -4,8 +4,8 @@
 
 import voluptuous
 
-from ..ground import constants, env
-from .ticket import _number, _whole, name, shaped
+from ..common import constants, daemon_settings
+from .pushed_job import _number, _whole, name, shaped
 
 
 class Report(NamedTuple):
@@ -35,7 +35,7 @@
     {
         voluptuous.Required("minion"): name,
         voluptuous.Required("area"): name,
-        voluptuous.Required("address"): env.address,
+        voluptuous.Required("address"): daemon_settings.address,
         voluptuous.Required("room"): _whole(0, constants.UNITS_MOST),
         voluptuous.Optional("labels", default=[]): [name],
         voluptuous.Optional("guards", default=False): bool,
--- a/src/pinepitch/world/ticket.py
+++ b/src/pinepitch/model/pushed_job.py
@@ -7,7 +7,7 @@
 
 import voluptuous
 
-from ..ground import constants
+from ..common import constants
 from .task import Task
 
 
--- a/src/pinepitch/world/row.py
+++ b/src/pinepitch/model/queue_settings.py
@@ -4,8 +4,8 @@
 
 import voluptuous
 
-from ..ground import constants
-from .ticket import _number, _whole, name, shaped
+from ..common import constants
+from .pushed_job import _number, _whole, name, shaped
 
 
 class Row(NamedTuple):
--- a/src/pinepitch/proof/isolation/__main__.py
+++ /dev/null
@@ -1,7 +0,0 @@
-"""python -m pinepitch.proof.isolation SCENARIO FIRST_SEED SEEDS [PLANT]"""
-
-import sys
-
-from .trials import main
-
-sys.exit(main(*sys.argv[1:]))
--- a/src/pinepitch/proof/minion_program.py
+++ b/src/pinepitch/proof/minion_program.py
@@ -1,95 +1,9 @@
-"""A stand-in minion, or several, as one process with real sockets."""
+"""The earlier path of `pinepitch.simulation.worker_program`, kept for one version."""
 
-import json
-import time
-
-import curio
-import fire
-
-from ..ground import constants, http
-from ..ground.env import split
-from .minion import StandInMinion
-
-
-class MinionHost:
-    """Runs stand-in minions. Invariant: only its own tasks touch a minion, each to the end
-    of a step before another may."""
-
-    def __init__(self, minions, verges, history_path):
-        self.minions, self.verges = minions, verges
-        self.file = open(history_path, "a", buffering=1) if history_path else None
-        self.turn = 0
-
-    async def run(self):
-        async with curio.TaskGroup() as group:
-            for minion in self.minions:
-                host, port = split(minion.address)
-                await group.spawn(self._server, host, port, minion)
-                await group.spawn(self._life, minion)
-
-    async def _server(self, host, port, minion):
-        async def serve(socket, address):
-            server = http.Server(socket)
-            while True:
-                request = await server.receive()
-                if isinstance(request, http.Fault):
-                    return
-                kind = {"/v1/orders": "order", "/v1/kills": "kill"}.get(request.target)
-                if kind is None:
-                    await server.answer(http.refusal(404, "unknown", "no such way"))
-                    continue
-                effects = minion.step((kind, 0, json.loads(request.body)), time.time())
-                self._flush(minion)
-                for _, _, status, document in effects:
-                    if not await server.answer(http.Response(status, document)):
-                        return
-
-        await curio.tcp_server(host, port, serve)
-
-    def _flush(self, minion):
-        for event in minion.history:
-            if self.file:
-                self.file.write(json.dumps(event) + "\n")
-        minion.history.clear()
-
-    async def _life(self, minion):
-        client = None
-        while True:
-            effects = minion.step(("tick",), time.time())
-            self._flush(minion)
-            for _, document in effects:
-                if client is None:
-                    self.turn += 1
-                    client = http.Client(*split(self.verges[self.turn % len(self.verges)]))
-                answer = await curio.ignore_after(
-                    constants.CARRY_TIMEOUT + 0.5, client.call("POST", "/v1/reports", document)
-                )
-                if isinstance(answer, http.Response):
-                    minion.step(("reported", answer.status, answer.document), time.time())
-                if not isinstance(answer, http.Response) or answer.status >= 500:
-                    minion.step(("reported", 0, None), time.time())
-                    await client.close()
-                    client = None
-                    await curio.sleep(constants.TICK)
-            await curio.sleep(constants.TICK)
-
-
-def run(minions, verges, history=None):
-    """Runs the minions of a JSON file: [[name, area, address, room, [labels], guards], ...]."""
-    with open(minions) as file:
-        minions = json.load(file)
-    made = [
-        StandInMinion(name, area, address, room, labels, guards, seed=time.time_ns())
-        for name, area, address, room, labels, guards in minions
-    ]
-    if isinstance(verges, str):
-        verges = verges.split(",")
-    curio.run(MinionHost(made, list(verges), history).run)
-
-
-def main():
-    fire.Fire(run)
+import sys
 
+from ..simulation.worker_program import main
 
 if __name__ == "__main__":
+    print("pinepitch.proof.minion_program is now pinepitch.simulation.worker_program", file=sys.stderr)
     main()
--- a/src/pinepitch/ground/host.py
+++ b/src/pinepitch/runtime/host.py
@@ -11,11 +11,13 @@
 import curio
 import curio.socket
 
-from ..world import contract
-from . import constants, events, http, stall, wire
-from .env import split
-from .limits import USUAL
-from .link import Link
+from ..common import constants, events
+from ..common.daemon_settings import split
+from ..common.limits import USUAL
+from ..model import contract
+from ..transport import framing, http
+from ..transport.link import Link
+from . import stall_detector
 
 
 def call_sending(message):
@@ -76,7 +78,7 @@
         self.connections = 0
         self.tasks = curio.TaskGroup(wait=None)
         self.ticking = False
-        self.stall_guard = stall.StallGuard()
+        self.stall_guard = stall_detector.StallGuard()
 
     async def run(self):
         """Serves until told to stop."""
@@ -108,7 +110,7 @@
         if stalled:
             events.emit(self.log, 108, seconds=round(stalled, 3))
         if self.stall_guard.refuses(message, now):
-            await self._reply(message[1], *stall.PAUSED)
+            await self._reply(message[1], *stall_detector.PAUSED)
             return
         for effect in self.core.step(message, now, time.time()):
             await EFFECTS[effect[0]](self, *effect[1:])
@@ -121,7 +123,7 @@
             link = self.links[address] = Link(address, self._undelivered, limits)
             await self.tasks.spawn(link.run)
         sending = call_sending(message)
-        await link.put(wire.encode(self.address, message), sending)
+        await link.put(framing.encode(self.address, message), sending)
 
     async def _undelivered(self, sendings):
         """Tells the decider which sendings of calls reached nobody."""
@@ -286,11 +288,11 @@
         stream = socket.as_stream()
         try:
             while True:
-                body = await wire.read_frame(stream)
-                frame = body if isinstance(body, wire.Refused) else wire.decode(body)
-                if not isinstance(frame, wire.Refused) and not contract.kept(frame[1]):
-                    frame = wire.Refused((f"a message that keeps no contract: {str(frame[1][0])[:40]}",))
-                if isinstance(frame, wire.Refused):
+                body = await framing.read_frame(stream)
+                frame = body if isinstance(body, framing.Refused) else framing.decode(body)
+                if not isinstance(frame, framing.Refused) and not contract.kept(frame[1]):
+                    frame = framing.Refused((f"a message that keeps no contract: {str(frame[1][0])[:40]}",))
+                if isinstance(frame, framing.Refused):
                     events.emit(self.log, 105, why=frame[0], peer=str(address))
                     return
                 await self.inbox.put(tuple(frame[1]))
@@ -326,7 +328,7 @@
     """The Response to a request once its answer comes; the clock is read when it is about to be
     written, however long the process was stopped since the answer was decided."""
     reply, until = await answers.get()
-    return http.Response(*stall.timely(reply, until, steady_clock()))
+    return http.Response(*stall_detector.timely(reply, until, steady_clock()))
 
 
 class Entrance:
--- a/src/pinepitch/ground/program.py
+++ b/src/pinepitch/runtime/process.py
@@ -4,13 +4,13 @@
 
 import curio
 
-from . import constants, env, events
+from ..common import constants, daemon_settings, events
 from .host import Host
 
 
 def checked_env(program, settings, flags):
     """The Env, or exit 2 with one line per fault."""
-    found, faults = env.read(program, settings, flags)
+    found, faults = daemon_settings.read(program, settings, flags)
     if faults:
         for fault in faults:
             print(f"{program}: {fault}", file=sys.stderr)
--- a/src/pinepitch/ground/stall.py
+++ b/src/pinepitch/runtime/stall_detector.py
@@ -1,6 +1,6 @@
 """Calls that waited while their daemon was stopped, and answers that were held back too long."""
 
-from . import constants
+from ..common import constants
 
 PAUSED = (
     503,
--- a/src/pinepitch/scheduling/__init__.py
+++ b/src/pinepitch/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs whose tasks run under a hold: the part of the record that minions pull by their beats."""
+"""Jobs under leases: what is agreed on about them, and what the leader decides."""
--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -2,13 +2,13 @@
 
 import heapq
 
-from ..ground import constants
+from ..common import constants
 from . import policy as policies
 from .budgets import RoomBudgets
-from .idleroom import IdleRoomCheck
+from .candidate_workers import open_seats
+from .idle_capacity import IdleRoomCheck
 from .reservations import Reservations
-from .room import RESOURCES, less, tasks_in
-from .seat import open_seats
+from .resources import RESOURCES, less, tasks_in
 
 # Why a round left tasks waiting, as operators are told it.
 NO_WORKER = "no minion"
--- a/src/pinepitch/scheduling/keeper.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -5,13 +5,13 @@
 
 import collections
 
-from ..ground import constants, events
+from ..common import constants, events
 from . import policy as policies
 from .assigner import Assigner
-from .ends import EndIntake
-from .holds import HoldWatch
-from .pace import Pace
+from .leases import HoldWatch
 from .progress import ProgressWatch
+from .run_ends import EndIntake
+from .run_speed import Pace
 from .worker import Worker
 
 
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -3,9 +3,9 @@
 
 import math
 
-from ..ground import constants
+from ..common import constants
 from . import policy as policies
-from .room import NO_ROOM, RESOURCES, less, more, tasks_in, times
+from .resources import NO_ROOM, RESOURCES, less, more, tasks_in, times
 
 
 def slack(aim_ms, stretch, length):
--- a/src/pinepitch/scheduling/seat.py
+++ b/src/pinepitch/scheduling/candidate_workers.py
@@ -1,7 +1,7 @@
 """A worker as one assigning round sees it."""
 
-from ..ground import constants
-from .room import NO_ROOM, RESOURCES, less, tasks_in
+from ..common import constants
+from .resources import NO_ROOM, RESOURCES, less, tasks_in
 
 
 class Seat:
--- a/src/pinepitch/scheduling/configuration.py
+++ b/src/pinepitch/scheduling/configuration.py
@@ -6,8 +6,8 @@
 
 import voluptuous
 
-from ..ground import constants
-from ..world.ticket import _number, _whole, shaped
+from ..common import constants
+from ..model.pushed_job import _number, _whole, shaped
 
 _NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.NAME_MOST))
 _PREFIX = voluptuous.All(str, voluptuous.Length(min=1, max=constants.PREFIX_MOST), voluptuous.Match(r"^/"))
--- a/src/pinepitch/scheduling/evacuation.py
+++ b/src/pinepitch/scheduling/evacuation.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from ..ground import constants
+from ..common import constants
 
 
 class Newest(NamedTuple):
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -1,7 +1,7 @@
 """Why jobs are where they are, which workers there are, what is in force: reading calls for
 operators, answered from the record and from what the leader has gathered."""
 
-from ..ground import constants
+from ..common import constants
 
 ROOM = ("cpu", "mem_mb", "gpu")
 
--- a/src/pinepitch/scheduling/idleroom.py
+++ b/src/pinepitch/scheduling/idle_capacity.py
@@ -3,8 +3,8 @@
 import collections
 from typing import NamedTuple
 
-from ..ground import constants
-from .seat import in_use
+from ..common import constants
+from .candidate_workers import in_use
 
 KEPT_UNTAKEN = "kept room is not taken by the wave it is kept for"
 IDLE_BESIDE_WORK = "a job waits beside ample idle room"
--- a/src/pinepitch/scheduling/job.py
+++ b/src/pinepitch/scheduling/leased_job.py
@@ -5,8 +5,8 @@
 
 import voluptuous
 
-from ..ground import constants
-from ..world.ticket import _number, _whole, shaped
+from ..common import constants
+from ..model.pushed_job import _number, _whole, shaped
 
 
 def _short(most):
--- a/src/pinepitch/scheduling/board.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -5,10 +5,10 @@
 
 import itertools
 
-from ..ground import constants
+from ..common import constants
 from .configuration import Configuration
 from .evacuation import Evacuations
-from .job import Job
+from .leased_job import Job
 from .placement import Placement
 
 
--- a/src/pinepitch/scheduling/holds.py
+++ b/src/pinepitch/scheduling/leases.py
@@ -1,6 +1,6 @@
 """Which workers run nothing any more though nobody heard an end: holds that lapsed, workers that left."""
 
-from ..ground import constants
+from ..common import constants
 
 LEFT, LAPSED = "left", "hold lapsed"
 
--- a/src/pinepitch/scheduling/placement.py
+++ b/src/pinepitch/scheduling/placement.py
@@ -1,6 +1,6 @@
 """A placement: one run of a task on one minion, from its record to its proven end."""
 
-from ..ground import document
+from ..common import document
 
 
 class Placement:
--- a/src/pinepitch/scheduling/progress.py
+++ b/src/pinepitch/scheduling/progress.py
@@ -7,9 +7,9 @@
 import collections
 from typing import NamedTuple
 
-from ..ground import constants
+from ..common import constants
 from . import policy as policies
-from .job import Wave
+from .leased_job import Wave
 from .worker import Progress, Worker
 
 STALLED, SLOW = "stalled", "slow"
--- a/src/pinepitch/scheduling/calls.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -3,9 +3,9 @@
 Each is answered by a leader whose lease stands, so that what it reads is the newest.
 """
 
-from ..ground import constants
+from ..common import constants
 from . import configuration, explain
-from . import job as jobs
+from . import leased_job as jobs
 from . import worker as workers
 
 UNFINISHED = ("queued", "running")  # states of a job
--- a/src/pinepitch/scheduling/reservations.py
+++ b/src/pinepitch/scheduling/reservations.py
@@ -1,9 +1,9 @@
 """Room that is kept for waves which have found none for long, and what had better yield to them."""
 
-from ..ground import constants
+from ..common import constants
 from . import policy as policies
-from .room import NO_ROOM, less, more, times
-from .seat import in_use
+from .candidate_workers import in_use
+from .resources import NO_ROOM, less, more, times
 
 
 class Reservations:
--- a/src/pinepitch/scheduling/pace.py
+++ b/src/pinepitch/scheduling/run_speed.py
@@ -1,7 +1,7 @@
 """How long work takes, learnt from ends and from progress. The leader's guess alone: it decides
 where work goes, never whether it may."""
 
-from ..ground import constants
+from ..common import constants
 from .worker import Progress
 
 UNKNOWN = Progress(0, 0, 0)
--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -3,7 +3,7 @@
 import math
 from typing import NamedTuple
 
-from ..ground import constants
+from ..common import constants
 
 
 class Progress(NamedTuple):
--- a/src/pinepitch/proof/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -7,10 +7,10 @@
 import time
 from unittest import mock
 
-from ..accord.consensus import Consensus
-from ..accord.transfer import Transfer
-from ..ground import constants
-from ..ground.limits import USUAL, Limits
+from ..common import constants
+from ..common.limits import USUAL, Limits
+from ..consensus.replica import Consensus
+from ..consensus.snapshot_transfer import Transfer
 from ..scheduling.configuration import Configuration
 from .simulator import Simulator
 
--- a/src/pinepitch/proof/checks.py
+++ b/src/pinepitch/simulation/checks.py
@@ -1,7 +1,7 @@
 """History checks, written apart from the code that they check: they see only what
 callers were answered and what minions did. Each returns a list of faults in words."""
 
-from ..world.row import merged
+from ..model.queue_settings import merged
 
 
 def starts_and_ends(minion_history):
--- a/src/pinepitch/proof/fleet.py
+++ b/src/pinepitch/simulation/fleet.py
@@ -13,9 +13,10 @@
 
 import curio
 
-from ..ground import constants, http
-from ..ground.env import split
-from . import caller, checks
+from ..common import constants
+from ..common.daemon_settings import split
+from ..transport import http
+from . import checks, stand_in_client
 
 
 class Plan(NamedTuple):
@@ -55,7 +56,7 @@
         ("z1", "z1", "z2", "z2", "z3", "z3", "z4"),
         (("lamp", 20, 8, (), True), ("image", 8, 4, ("graphics",), True)),
         ("z1", "z2", "z3", "z4"),
-        caller.NKANSAH,
+        stand_in_client.NKANSAH,
         {
             "queues": {
                 "field": _row(80, 160, urgency=6, retries=5, preempts=True, yields=False),
@@ -71,7 +72,7 @@
         ("p1", "p1", "p2", "p2", "p3", "p3"),
         (("mix", 33, 4, (), False),),
         ("p1", "p2", "p3"),
-        caller.PINTURAS,
+        stand_in_client.PINTURAS,
         {
             "queues": {
                 "counter": _row(66, 132, urgency=7, retries=5, preempts=True, yields=False),
@@ -140,7 +141,7 @@
         area, address = self.accords[place]
         self.start(
             f"accord{place}",
-            "from pinepitch.accord.program import main; main()",
+            "from pinepitch.control.program import main; main()",
             f"--address={address}",
             f"--area={area}",
             f"--seeds={self.seeds}",
@@ -154,7 +155,7 @@
         area, address, web = self.verges[place]
         self.start(
             f"verge{place}",
-            "from pinepitch.verge.program import main; main()",
+            "from pinepitch.front.program import main; main()",
             f"--address={address}",
             f"--http={web}",
             f"--area={area}",
@@ -182,7 +183,7 @@
                 json.dump(own, file)
             self.start(
                 name,
-                "from pinepitch.proof.minion_program import main; main()",
+                "from pinepitch.simulation.worker_program import main; main()",
                 f"--minions={path}",
                 f"--verges={','.join(one[2] for one in self.verges)}",
                 f"--history={os.path.join(self.folder, f'{name}.history')}",
@@ -354,7 +355,9 @@
 
     def __init__(self, fleet, seed=0, rate=1.0, fail=0.02, name="caller", cancels=0.02):
         self.fleet = fleet
-        self.caller = caller.StandInCaller(name, fleet.plan.traffic, seed, rate, fail, cancels=cancels)
+        self.caller = stand_in_client.StandInCaller(
+            name, fleet.plan.traffic, seed, rate, fail, cancels=cancels
+        )
         self.idle = {}
 
     async def run(self, seconds):
@@ -461,7 +464,7 @@
 
 async def run(one, seconds, rate=1.0, seed=0, disturb=""):
     """One fleet from its start to its checks; what was seen."""
-    from .disturb import DISTURBANCES
+    from .fleet_faults import DISTURBANCES
 
     begun = time.monotonic()
     one.start_all()
@@ -498,7 +501,7 @@
         only: names of disturbances, parted by commas; all when empty.
         seconds: how long tickets come in each run.
     """
-    from .disturb import DISTURBANCES
+    from .fleet_faults import DISTURBANCES
 
     names = [one for one in (only.split(",") if isinstance(only, str) else only) if one] or list(DISTURBANCES)
     failed = 0
--- a/src/pinepitch/proof/disturb.py
+++ b/src/pinepitch/simulation/fleet_faults.py
@@ -8,7 +8,8 @@
 
 import curio
 
-from ..ground import constants, http
+from ..common import constants
+from ..transport import http
 
 
 async def _leader_place(fleet):
--- a/src/pinepitch/proof/promises.py
+++ b/src/pinepitch/simulation/guarantees.py
@@ -3,10 +3,10 @@
 
 from typing import NamedTuple
 
-from .jobs.control_plants import CONTROL_PLANTS
+from .fault_scenarios import WEATHERS
+from .injected_faults import PLANTS
+from .jobs.control_injected_faults import CONTROL_PLANTS
 from .jobs.control_scenarios import CONTROL_SCENARIOS
-from .plants import PLANTS
-from .weathers import WEATHERS
 
 
 class Promise(NamedTuple):
--- a/src/pinepitch/proof/plants.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -6,25 +6,28 @@
 
 import cbor2
 
-from ..accord import calls, consensus, core, history, record
-from ..accord.consensus import Consensus
-from ..accord.record import Record
-from ..ground import cohorttime, constants
-from ..verge import core as verge_core
-from ..verge.core import Verge
-from ..world import minion, ticket
-from ..world import row as rows
-from ..world.row import Row
+from ..common import constants
+from ..consensus import cluster_clock, replica
+from ..consensus.replica import Consensus
+from ..control import daemon, requests
+from ..front import daemon as verge_core
+from ..front.daemon import Verge
+from ..model import push_worker, pushed_job
+from ..model import queue_settings as rows
+from ..model.queue_settings import Row
+from ..state import cluster_state, configuration_history
+from ..state.cluster_state import Record
 from . import simulator
 
 
 def _tasks(**changed):
     def planted(plain, retries, feed):
         return {
-            name: task._replace(**changed) for name, task in ticket.tasks_from(plain, retries, feed).items()
+            name: task._replace(**changed)
+            for name, task in pushed_job.tasks_from(plain, retries, feed).items()
         }
 
-    return [(record, "tasks_from", planted)]
+    return [(cluster_state, "tasks_from", planted)]
 
 
 def _silence(self, report, listed):
@@ -50,7 +53,7 @@
             )
 
 
-original_watch = core.Accord._watch
+original_watch = daemon.Accord._watch
 
 
 def _early_saved(self, node, sequence, change):
@@ -83,7 +86,7 @@
 original_told = Verge._on_told
 original_change = Record._change
 original_end = Record._end
-original_checked = minion.checked
+original_checked = push_worker.checked
 
 
 def _no_base(self, base, manner, document, who, why):
@@ -155,7 +158,7 @@
     return original_read(self, now, agreed, 1)
 
 
-original_read = cohorttime.CohortTime.read
+original_read = cluster_clock.CohortTime.read
 
 
 def _no_strays(self, report, now):
@@ -163,7 +166,7 @@
     return ends, acknowledged, []
 
 
-original_report = core.Accord.take_report
+original_report = daemon.Accord.take_report
 
 
 def _short_history(self, *line):
@@ -173,42 +176,42 @@
         self.lines[2] = (*self.lines[2][:2], "forgotten", *self.lines[2][3:])
 
 
-original_add = history.History.add
+original_add = configuration_history.History.add
 
 
-def _free_tries(self, ticket, task, standing, how):
+def _free_tries(self, pushed_job, task, standing, how):
     """Does not count what was lost with its minion."""
-    return original_end(self, ticket, task, standing, "never" if how == "lost" else how)
+    return original_end(self, pushed_job, task, standing, "never" if how == "lost" else how)
 
 
 PLANTS = {
     "promises-when-full": [(simulator.Simulator, "_durable", _promises_when_full)],
-    "any-clock": [(cohorttime.CohortTime, "read", _any_clock)],
-    "impossible-unseen": [(calls, "_impossible", lambda core, plain, now: "")],
+    "any-clock": [(cluster_clock.CohortTime, "read", _any_clock)],
+    "impossible-unseen": [(requests, "_impossible", lambda daemon, plain, now: "")],
     "bound-ignored": [(Record, "ticket_refusal", lambda self, plain, parked="": None)],
     "limit-ignored": [(rows, "row_of", lambda document: Row(**{**document, "limit": 1000}))],
-    "killed-once": [(constants, "KILL_AGAIN", 1e9), (core.Accord, "take_report", _no_strays)],
-    "history-cut": [(history.History, "add", _short_history)],
+    "killed-once": [(constants, "KILL_AGAIN", 1e9), (daemon.Accord, "take_report", _no_strays)],
+    "history-cut": [(configuration_history.History, "add", _short_history)],
     "lost-not-counted": [(Record, "_end", _free_tries)],
-    "early-proof": [(core.Accord, "_absent", _silence)],
-    "silence-is-an-end": [(core.Accord, "_watch", _silent_minions)],
-    "sent-again": [(Verge, "_on_told", _late_told), (core.Accord, "_due_orders", _all_orders)],
+    "early-proof": [(daemon.Accord, "_absent", _silence)],
+    "silence-is-an-end": [(daemon.Accord, "_watch", _silent_minions)],
+    "sent-again": [(Verge, "_on_told", _late_told), (daemon.Accord, "_due_orders", _all_orders)],
     "saved-too-soon": [(simulator.Simulator, "_save", _early_saved)],
     "forerunners-ignored": _tasks(after=()),
     "not-before-ignored": _tasks(not_before=0.0),
     "attempts-unbounded": _tasks(attempts=100),
-    "own-clock": [(cohorttime.CohortTime, "read", _own_clock)],
+    "own-clock": [(cluster_clock.CohortTime, "read", _own_clock)],
     "cancel-in-word": [(Record, "_cancel", _cancel_in_word)],
     "closed-ignored": [
         (Record, "closed", lambda self, name, area: ""),
         (Verge, "_closed", lambda self, order: False),
     ],
-    "room-doubled": [(minion, "checked", _double_room)],
+    "room-doubled": [(push_worker, "checked", _double_room)],
     "gangs-apart": _tasks(gang=""),
     "base-ignored": [(Record, "_change", _no_base)],
     "refused-takes-effect": [(Record, "_change", _takes_refused)],
     "change-not-kept": [(Record, "_take_setup", _forgetful)],
-    "news-kept-back": [(core.Accord, "_news_version", lambda self: (self.consensus.term, 0))],
+    "news-kept-back": [(daemon.Accord, "_news_version", lambda self: (self.consensus.term, 0))],
     "failed-counts-as-done": [(Record, "_end", _as_if_done)],
     "lost-is-tried-again": [(Record, "_end", _repeats_lost)],
     "slow-elections": [
@@ -238,10 +241,10 @@
         if name:
             registries = [
                 (simulator.EFFECTS, "save", simulator.Simulator._save),
-                (record.ACTIONS, "cancel", Record._cancel),
+                (cluster_state.ACTIONS, "cancel", Record._cancel),
             ]
             registries += [
-                (consensus.HANDLERS, "vote", Consensus._on_vote),
+                (replica.HANDLERS, "vote", Consensus._on_vote),
                 (verge_core.INPUTS, "told", Verge._on_told),
             ]
             for registry, key, value in registries:
--- a/src/pinepitch/proof/isolation/checks.py
+++ b/src/pinepitch/simulation/isolation/checks.py
@@ -1,6 +1,6 @@
 """Checks of what operators were told against what held. Each returns the faults that it finds."""
 
-from ...ground import constants
+from ...common import constants
 
 ON_ITS_WAY = 0.1  # seconds; an answer that was written may be read this much later
 EFFECT_WITHIN = constants.CALL_PATIENCE + ON_ITS_WAY  # seconds; after it was sent an order may take effect
--- a/src/pinepitch/proof/isolation/fleet.py
+++ b/src/pinepitch/simulation/isolation/fleet.py
@@ -2,7 +2,8 @@
 
 import json
 
-from ...ground import constants, wire
+from ...common import constants
+from ...transport import framing
 from ..jobs.fleet import Tenancy
 from .orders import Operators
 
@@ -36,7 +37,7 @@
         """As ever, but for a frame into a cut while links hold back what they carry."""
         target = self.by_address.get(effect[1]) if effect[0] == "send" else None
         if self.holding and target is not None and (node.name, target.name) in self.cuts:
-            _, plain = wire.decode(wire.encode(node.address, effect[2])[wire.LENGTH.size :])
+            _, plain = framing.decode(framing.encode(node.address, effect[2])[framing.LENGTH.size :])
             self.kept.append((target.name, target.life, tuple(plain)))
             return
         super().carry_out(node, effect)
--- a/src/pinepitch/proof/isolation/plants.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -3,12 +3,14 @@
 import contextlib
 from unittest import mock
 
-from ...accord.consensus import Consensus
-from ...accord.lead import Lead
-from ...ground import confirmed, constants, stall
-from ...ground.carrier import Carrier
-from ...ground.leaderclock import LeaderClock, Reading
+from ...common import constants
+from ...consensus.leader_clock import LeaderClock, Reading
+from ...consensus.replica import Consensus
+from ...control.leader import Lead
+from ...runtime import stall_detector
 from ...scheduling.configuration import Configuration
+from ...transport import indexed_forwarder
+from ...transport.forwarder import Carrier
 
 
 def _never_in_doubt(self, call):
@@ -29,7 +31,7 @@
 
 def _carried_unconfirmed(self, request, call, arguments, now, patience):
     """Carries an order for a zone at once, as if the newest index of all had been confirmed."""
-    if call in confirmed.CALLS:
+    if call in indexed_forwarder.CALLS:
         arguments = (*arguments, constants.NUMBER_MOST)
     return self.carrier.begin(request, call, arguments, now, patience)
 
@@ -46,7 +48,7 @@
 
 
 original_given_up = Carrier._given_up
-UNCONFIRMED_ORDERS = (confirmed.ConfirmedCalls, "begin", _carried_unconfirmed)
+UNCONFIRMED_ORDERS = (indexed_forwarder.ConfirmedCalls, "begin", _carried_unconfirmed)
 # The registry of planted faults: name -> [(owner, attribute, replacement)].
 PLANTS = {
     # What a late copy of an order for a zone would undo, its confirmed index keeps too: each of these
@@ -59,9 +61,9 @@
         UNCONFIRMED_ORDERS,
         (LeaderClock, "end", lambda self, until, now: Reading(self.term, now + constants.CALL_PATIENCE)),
     ],
-    "late-answers-written": [(stall, "timely", lambda reply, until, now: reply)],
+    "late-answers-written": [(stall_detector, "timely", lambda reply, until, now: reply)],
     "waited-calls-taken": [
-        (stall.StallGuard, "refuses", lambda self, message, now: False),
+        (stall_detector.StallGuard, "refuses", lambda self, message, now: False),
         UNCONFIRMED_ORDERS,
     ],
     "lease-ignored": [
--- a/src/pinepitch/proof/isolation/trials.py
+++ b/src/pinepitch/simulation/isolation/trials.py
@@ -4,11 +4,11 @@
 import time
 import traceback
 
-from .. import tenancy
+from .. import leased_job_trial
 from ..jobs import checks as job_checks
 from . import checks
 from .fleet import Isolation
-from .plants import planted
+from .injected_faults import planted
 from .scenarios import SCENARIOS
 
 
@@ -57,7 +57,7 @@
 
 def replay(scenario, seed, plant=""):
     """The command that runs one trial again."""
-    return f"python -m pinepitch.proof.isolation {scenario} {seed} 1 {plant}".strip()
+    return f"python -m pinepitch.simulation.isolation {scenario} {seed} 1 {plant}".strip()
 
 
 def main(scenario="all", first="0", seeds="4", plant=""):
@@ -65,7 +65,7 @@
     names = list(SCENARIOS) if scenario == "all" else scenario.split(",")
     work = [(name, seed, plant) for name in names for seed in range(int(first), int(first) + int(seeds))]
     begun, failed = time.monotonic(), 0
-    for arguments, faults, _ in tenancy.many(work, one):
+    for arguments, faults, _ in leased_job_trial.many(work, one):
         if faults:
             failed += 1
             print(replay(*arguments) + "\n   " + "\n   ".join(faults[:5]), flush=True)
--- a/src/pinepitch/proof/jobs/control_faults.py
+++ b/src/pinepitch/simulation/jobs/control_faults.py
@@ -3,7 +3,7 @@
 import functools
 import itertools
 
-from ...ground import constants
+from ...common import constants
 from ..simulator import GRACE
 
 CATCH_UP = 4.0  # seconds; a daemon counts as lost for this long after its start
--- a/src/pinepitch/proof/jobs/control_plants.py
+++ b/src/pinepitch/simulation/jobs/control_injected_faults.py
@@ -1,11 +1,11 @@
 """Planted faults of the control daemons: each must be found by a fault scenario of theirs."""
 
-from ...accord.core import Accord
-from ...accord.quorum import Cohort
-from ...ground import constants
-from ...ground.cohorttime import CohortTime
-from ...scheduling.board import Board
+from ...common import constants
+from ...consensus.cluster_clock import CohortTime
+from ...consensus.quorum import Cohort
+from ...control.daemon import Accord
 from ...scheduling.configuration import Configuration
+from ...scheduling.leased_job_state import Board
 from ..simulator import Simulator
 
 
--- a/src/pinepitch/proof/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -3,16 +3,16 @@
 import itertools
 import json
 
-from ...ground import constants, events
-from ...scheduling.board import Board
+from ...common import constants, events
+from ...scheduling.leased_job_state import Board
 from .. import simulator as simulators
 from ..simulator import START, Simulator
-from ..tenant import StandInTenant
-from .caller import Patron
+from ..stand_in_lease_worker import StandInTenant
 from .limits import BEAT_PATIENCE, ENDS_WITHIN, FIVE, ROOM, SERVED_WITHIN, TENANTS, THREE, TIMEOUT
-from .operator import Governor
 from .operator_traffic import OperatorTraffic
 from .plans import FleetPlan
+from .stand_in_client import Patron
+from .stand_in_operator import Governor
 
 ACKNOWLEDGED = ("job", "job-cancel", "configure", "amend", "evacuate")  # calls whose answer is a promise
 
--- a/src/pinepitch/proof/jobs/plants.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -4,17 +4,17 @@
 import itertools
 from unittest import mock
 
-from ...accord.consensus import Consensus
-from ...accord.lead import Lead
-from ...ground import constants
-from ...ground.carrier import Carrier
+from ...common import constants
+from ...consensus.replica import Consensus
+from ...control.leader import Lead
 from ...scheduling import assigner
-from ...scheduling.board import Board
-from ...scheduling.keeper import Keeper
+from ...scheduling.assignment_manager import Keeper
+from ...scheduling.leased_job_state import Board
 from ...scheduling.worker import Worker
-from .. import order_plants
+from ...transport.forwarder import Carrier
+from .. import order_injected_faults
 from ..simulator import EFFECTS, Simulator
-from .control_plants import CONTROL_PLANTS
+from .control_injected_faults import CONTROL_PLANTS
 
 
 def _absent_at_once(self, worker, now):
@@ -128,7 +128,7 @@
         (constants, "SNAPSHOT_TAIL", 10),
         (constants, "SNAPSHOT_PIECE", 5_000),
     ],
-    **order_plants.PLANTS,
+    **order_injected_faults.PLANTS,
 }
 
 
--- a/src/pinepitch/proof/jobs/operator_traffic.py
+++ b/src/pinepitch/simulation/jobs/operator_traffic.py
@@ -1,6 +1,6 @@
 """Orders that come all the time while faults strike: changes of the configuration, evacuations."""
 
-from .operator import ORDER_LASTS, Change
+from .stand_in_operator import ORDER_LASTS, Change
 
 EVERY = 0.25  # seconds; between two looks at what is due
 UNDER_WAY_MOST = 8  # changes; not yet answered at any time
--- a/src/pinepitch/proof/jobs/replays.py
+++ b/src/pinepitch/simulation/jobs/replays.py
@@ -8,8 +8,8 @@
 import functools
 from unittest import mock
 
-from ...ground import wire
-from ...world import contract
+from ...model import contract
+from ...transport import framing
 from .. import simulator as simulators
 
 PART = 0.08  # of all frames come again
@@ -87,7 +87,7 @@
         target = simulator.by_address.get(address)
         if target is None or draw.random() >= PART:
             return
-        _, plain = wire.decode(wire.encode(node.address, message)[wire.LENGTH.size :])
+        _, plain = framing.decode(framing.encode(node.address, message)[framing.LENGTH.size :])
         again = functools.partial(_arrive_again, simulator, target.name, distorted(draw, tuple(plain)))
         simulator.at(draw.uniform(0.0, draw.choice((AT_ONCE, LATEST))), "later", again)
 
--- a/src/pinepitch/proof/jobs/operator.py
+++ b/src/pinepitch/simulation/jobs/stand_in_operator.py
@@ -8,7 +8,7 @@
 import json
 import random
 
-from ...ground import constants
+from ...common import constants
 from ..simulator import START
 from .limits import ATTEMPTS, HOST
 
--- a/src/pinepitch/proof/tenancy.py
+++ b/src/pinepitch/simulation/leased_job_trial.py
@@ -9,9 +9,10 @@
 import traceback
 
 from .jobs import checks
-from .jobs.control_plants import CONTROL_PLANTS
+from .jobs.control_injected_faults import CONTROL_PLANTS
 from .jobs.control_scenarios import CONTROL_SCENARIOS
 from .jobs.fleet import Tenancy
+from .jobs.injected_faults import planted
 from .jobs.limits import (
     CONTROL_RUSHES,
     ENDS_WITHIN,
@@ -23,9 +24,8 @@
     RUSHES,
 )
 from .jobs.plans import plan_for
-from .jobs.plants import planted
 from .jobs.scenarios import SCENARIOS
-from .tenant import STOP_GRACE
+from .stand_in_lease_worker import STOP_GRACE
 
 
 def trial(scenario, seed, plant=""):
@@ -106,7 +106,7 @@
 
 def replay(scenario, seed, plant=""):
     """The command that runs one trial again."""
-    return f"python -m pinepitch.proof.tenancy {scenario} {seed} 1 {plant}".strip()
+    return f"python -m pinepitch.simulation.leased_job_trial {scenario} {seed} 1 {plant}".strip()
 
 
 def main(scenario="all", first="0", seeds="5", plant=""):
--- a/src/pinepitch/proof/ways.py
+++ b/src/pinepitch/simulation/link_rates.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from ..ground import constants
+from ..common import constants
 
 
 class Ways:
--- a/src/pinepitch/proof/model/faults.py
+++ b/src/pinepitch/simulation/model_checker/faults.py
@@ -4,14 +4,14 @@
 from typing import NamedTuple
 from unittest import mock
 
-from ...accord import consensus as consensus_module
-from ...accord.consensus import Consensus
-from ...accord.quorum import Cohort, Quorum
-from ...ground import constants
+from ...common import constants
+from ...consensus import replica as consensus_module
+from ...consensus.quorum import Cohort, Quorum
+from ...consensus.replica import Consensus
 from . import invariants
 from .replica import Replica, machine_of
+from .state import World
 from .timed import QUANTUM, TimedWorld
-from .world import World
 
 original_advance = Consensus._advance
 original_appended = Consensus._on_appended
--- a/src/pinepitch/proof/model/fleets.py
+++ b/src/pinepitch/simulation/model_checker/fleets.py
@@ -2,20 +2,10 @@
 
 from typing import NamedTuple
 
-from ...ground import constants
-from .script import (
-    act,
-    deliver,
-    drop,
-    elect,
-    keep_only,
-    quiet_without,
-    settle,
-    wait_unheard,
-    wait_without,
-)
+from ...common import constants
+from .script import act, deliver, drop, elect, keep_only, quiet_without, settle, wait_unheard, wait_without
+from .state import Budget, World
 from .timed import TimedBudget, TimedWorld
-from .world import Budget, World
 
 PLENTY = 100  # steps of each kind; that a script may take
 SLOW, FAST = 1 - constants.CLOCK_DRIFT, 1 + constants.CLOCK_DRIFT
--- a/src/pinepitch/proof/model/invariants.py
+++ b/src/pinepitch/simulation/model_checker/invariants.py
@@ -3,7 +3,7 @@
 import functools
 import itertools
 
-from ...accord.quorum import Cohort, Reply, cohort_from
+from ...consensus.quorum import Cohort, Reply, cohort_from
 from .replica import frozen
 
 
--- a/src/pinepitch/proof/model/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -5,9 +5,9 @@
 import functools
 from typing import NamedTuple
 
-from ...accord.consensus import Consensus, Follower, Incoming
-from ...accord.log import Log
-from ...ground import constants
+from ...common import constants
+from ...consensus.log import Log
+from ...consensus.replica import Consensus, Follower, Incoming
 
 LONG_AGO = -1e9
 SCALARS = (int, str, bool, float, bytes, type(None))
--- a/src/pinepitch/proof/model/schedule.py
+++ b/src/pinepitch/simulation/model_checker/schedule.py
@@ -11,8 +11,8 @@
 from .faults import conditions
 from .fleets import FAST, FIVE, SLOW, THREE, Fleet
 from .replica import frozen, machine_of
+from .state import Action
 from .timed import TimedBudget, TimedWorld
-from .world import Action
 
 MESSAGES_MOST = 400  # messages; delivered between two waits, a storm beyond that is a fault itself
 RECOVERY = 80  # quanta; within which an election, a joint change and another election are over
--- a/src/pinepitch/proof/model/script.py
+++ b/src/pinepitch/simulation/model_checker/script.py
@@ -1,7 +1,7 @@
 """Lines of the scripts that lead a model to where its search begins: each takes a world to another."""
 
 from .invariants import Violation
-from .world import Action
+from .state import Action
 
 STEPS_MOST = 1_000  # steps; after which messages that breed messages count as a fault
 
--- a/src/pinepitch/proof/model/world.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from ...ground import constants
+from ...common import constants
 from . import invariants
 from .invariants import Violation
 from .replica import SHORTEST, Job, Replica, frozen, identity_in
--- a/src/pinepitch/proof/model/timed.py
+++ b/src/pinepitch/simulation/model_checker/timed.py
@@ -9,7 +9,7 @@
 
 from .invariants import Violation
 from .replica import machine_of
-from .world import Action, World
+from .state import Action, World
 
 QUANTUM = 0.1  # seconds; of real time, as long as a heartbeat
 BEGIN = 1000.0  # seconds; what every clock reads at first
--- a/src/pinepitch/proof/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -7,8 +7,8 @@
 import itertools
 import json
 
-from ..ground import constants
-from ..scheduling import calls
+from ..common import constants
+from ..scheduling import requests
 from .jobs.fleet import Tenancy
 from .simulator import START, Simulator
 
@@ -142,7 +142,7 @@
     def digest(self):
         """What the record would remember it by."""
         plain = json.loads(json.dumps(self.arguments))
-        return calls.CALLS[self.call](None, "", plain, 0.0)[1][-1]
+        return requests.CALLS[self.call](None, "", plain, 0.0)[1][-1]
 
     def statuses(self):
         return {status for _, _, status in self.answers}
--- a/src/pinepitch/proof/order_plants.py
+++ b/src/pinepitch/simulation/order_injected_faults.py
@@ -3,12 +3,12 @@
 import hashlib
 import json
 
-from ..accord.lead import Lead
-from ..ground import constants
-from ..ground.confirmed import ConfirmedCalls
+from ..common import constants
+from ..control.leader import Lead
 from ..scheduling import configuration
 from ..scheduling.configuration import Configuration
 from ..scheduling.evacuation import Evacuations
+from ..transport.indexed_forwarder import ConfirmedCalls
 
 original_settled = Configuration._settled
 original_image = Configuration.image
--- a/src/pinepitch/proof/outage.py
+++ b/src/pinepitch/simulation/outage.py
@@ -1,15 +1,15 @@
 """How long an outage of the whole control plane lasts: every accord is killed right after a job
 was accepted and started again, and each step of the way back is timed from the last start.
 
-`python -m pinepitch.proof.outage [SEEDS]` prints the spans over seeds.
+`python -m pinepitch.simulation.outage [SEEDS]` prints the spans over seeds.
 """
 
 import statistics
 import sys
 from typing import NamedTuple
 
+from .leased_job_trial import Tenancy
 from .simulator import START
-from .tenancy import Tenancy
 
 DOWN = 0.5  # seconds; from the kill to the first start: the platform starts what ended
 LONG = 5.0  # seconds; the same after a loss of power
--- a/src/pinepitch/proof/trial.py
+++ b/src/pinepitch/simulation/pushed_job_trial.py
@@ -9,10 +9,10 @@
 import time
 import traceback
 
-from . import checks, plants
-from .operator import Operator
+from . import checks, injected_faults
+from .fault_scenarios import WEATHERS
 from .simulator import Simulator
-from .weathers import WEATHERS
+from .stand_in_operator import Operator
 
 TRAFFIC = (
     ("job", 3.0, {"queue": "default", "urgency": 4, "count": 4, "shape": "fan", "units": 1, "seconds": 0.3}),
@@ -61,7 +61,7 @@
 
 def trial(weather, seed, fleet="three", mode="static", plant=""):
     """(faults, simulator) of one trial, with a planted fault if one is named."""
-    with plants.planted(plant):
+    with injected_faults.planted(plant):
         return _trial(weather, seed, fleet, mode)
 
 
--- a/src/pinepitch/proof/rates.py
+++ b/src/pinepitch/simulation/rates.py
@@ -7,9 +7,9 @@
 import os
 import random
 
-from ..accord import rehearsal
-from ..ground import constants
-from ..world import row as rows
+from ..common import constants
+from ..control import rehearsal
+from ..model import queue_settings as rows
 
 ROOMS = [(f"m{one}", "a", 8, []) for one in range(6)]
 TABLE = {
--- a/src/pinepitch/proof/scale/costs.py
+++ b/src/pinepitch/simulation/scale/costs.py
@@ -10,11 +10,12 @@
 
 import h11
 
-from ...accord.core import Accord
-from ...ground import constants, wire
-from ...ground.leaderclock import Reading
-from ...scheduling.board import Board
-from ...scheduling.job import checked
+from ...common import constants
+from ...consensus.leader_clock import Reading
+from ...control.daemon import Accord
+from ...scheduling.leased_job import checked
+from ...scheduling.leased_job_state import Board
+from ...transport import framing
 from ..jobs import kinds, limits
 from .load import RACK
 
@@ -256,7 +257,7 @@
     tracemalloc.stop()
     return {
         "accept": accept,
-        "entry_bytes": len(wire.encode("", entry)),
+        "entry_bytes": len(framing.encode("", entry)),
         "open_bytes": (held - before) / count,
         "over_bytes": (over - before) / count,
     }
--- a/src/pinepitch/proof/scale/counted_fleet.py
+++ b/src/pinepitch/simulation/scale/counted_fleet.py
@@ -5,8 +5,8 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from ...ground import http
-from ...ground.env import split
+from ...common.daemon_settings import split
+from ...transport import http
 from ..fleet import Fleet
 
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -15,9 +15,9 @@
 # A daemon's own program, with its frames counted by kind into a file.
 COUNTING = """
 import json, os, threading, time
-from pinepitch.ground import wire
-from pinepitch.{kind}.program import main
-counts, encode, decode = {{"in": {{}}, "out": {{}}}}, wire.encode, wire.decode
+from pinepitch.transport import framing
+from pinepitch.{package}.program import main
+counts, encode, decode = {{"in": {{}}, "out": {{}}}}, framing.encode, framing.decode
 def note(way, size, message):
     kind = message[0]
     if kind == "raft":
@@ -33,7 +33,7 @@
     return frame
 def counted_decode(body):
     frame = decode(body)
-    if not isinstance(frame, wire.Refused):
+    if not isinstance(frame, framing.Refused):
         note("in", len(body) + 4, frame[1])
     return frame
 def tell():
@@ -42,7 +42,7 @@
         with open({path!r} + ".aside", "w") as file:
             json.dump({{way: dict(kinds) for way, kinds in counts.items()}}, file)
         os.replace({path!r} + ".aside", {path!r})
-wire.encode, wire.decode = counted_encode, counted_decode
+framing.encode, framing.decode = counted_encode, counted_decode
 threading.Thread(target=tell, daemon=True).start()
 main()
 """
@@ -52,8 +52,8 @@
     """A fleet whose daemons count their frames."""
 
     def start(self, name, *command):
-        kind = "accord" if name.startswith("accord") else "verge"
-        code = COUNTING.format(kind=kind, path=os.path.join(self.folder, f"{name}.counts"))
+        package = "control" if name.startswith("accord") else "front"
+        code = COUNTING.format(package=package, path=os.path.join(self.folder, f"{name}.counts"))
         super().start(name, code, *command[1:])
 
     def spent(self, name):
--- a/src/pinepitch/proof/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -6,12 +6,13 @@
 
 import curio
 
-from ...ground import constants, wire
-from ...ground.host import Link
-from ...ground.leaderclock import LeaderClock
+from ...common import constants
+from ...consensus.leader_clock import LeaderClock
+from ...runtime.host import Link
+from ...transport import framing
 from ..fleet import free_ports
 from ..jobs import checks, kinds, limits
-from ..tenant import StandInTenant
+from ..stand_in_lease_worker import StandInTenant
 from .load import JOB_TASKS, RACK
 
 PASS = 0.01  # seconds; between two looks at which hollow worker is due
@@ -73,14 +74,14 @@
             self.bytes_in += len(data)
             held += data
             place = 0
-            while len(held) - place >= wire.LENGTH.size:
-                (length,) = wire.LENGTH.unpack_from(held, place)
-                if len(held) - place - wire.LENGTH.size < length:
+            while len(held) - place >= framing.LENGTH.size:
+                (length,) = framing.LENGTH.unpack_from(held, place)
+                if len(held) - place - framing.LENGTH.size < length:
                     break
-                place += wire.LENGTH.size
-                frame = wire.decode(bytes(held[place : place + length]))
+                place += framing.LENGTH.size
+                frame = framing.decode(bytes(held[place : place + length]))
                 place += length
-                if not isinstance(frame, wire.Refused):
+                if not isinstance(frame, framing.Refused):
                     await self._heard(*frame[1])
             del held[:place]
 
@@ -89,7 +90,7 @@
         if link is None:
             link = self.links[address] = Link(address, self._undelivered)
             await self.tasks.spawn(link.run)
-        frame = wire.encode(self.address, message)
+        frame = framing.encode(self.address, message)
         self.bytes_out += len(frame)
         await link.put(frame)
 
--- a/src/pinepitch/proof/scale/measuring.py
+++ b/src/pinepitch/simulation/scale/measuring.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from ...ground.env import split
+from ...common.daemon_settings import split
 from ..fleet import PLANS
 from .counted_fleet import CountedFleet
 from .hollow import Hollow
--- a/src/pinepitch/proof/second_loss.py
+++ b/src/pinepitch/simulation/second_loss.py
@@ -9,14 +9,15 @@
 import sys
 from unittest import mock
 
-from ..accord import consensus, membership
-from ..accord.consensus import Consensus
-from ..accord.core import Accord
-from ..accord.founding import Founding, cohort_identity
-from ..accord.quorum import Cohort
-from ..ground import constants
-from . import plants, simulator
-from .loss_trial import SETTLED, LossTrial
+from ..common import constants
+from ..consensus import replica
+from ..consensus.quorum import Cohort
+from ..consensus.replica import Consensus
+from ..control import membership
+from ..control.bootstrap import Founding, cohort_identity
+from ..control.daemon import Accord
+from . import injected_faults, simulator
+from .second_loss_trial import SETTLED, LossTrial
 from .simulator import GRACE
 
 HANDED_WITHIN = 0.1  # seconds; without a leader while one hands over, on the slowest disk
@@ -471,7 +472,7 @@
     "area-alone": [(membership, "gains", lambda *_: False)],
     "slow-replacement": [(membership.Budget, "replace_after", lambda self: 4.5)],
     "snapshot-too-soon": [(simulator.Simulator, "_base", _early_base)],
-    "held-too-soon": [(simulator.Simulator, "_save", plants._early_saved)],
+    "held-too-soon": [(simulator.Simulator, "_save", injected_faults._early_saved)],
     "counted-too-soon": [(Consensus, "_on_appended", _counts_at_once)],
     "founds-at-sight": [(Founding, "ready", _founds_at_sight)],
 }
@@ -483,7 +484,7 @@
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in PLANTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
-        stack.enter_context(mock.patch.dict(consensus.HANDLERS, {"appended": Consensus._on_appended}))
+        stack.enter_context(mock.patch.dict(replica.HANDLERS, {"appended": Consensus._on_appended}))
         effects = {"save": simulator.Simulator._save, "base": simulator.Simulator._base}
         stack.enter_context(mock.patch.dict(simulator.EFFECTS, effects))
         yield
@@ -497,7 +498,9 @@
             faults = run(name, seed, plant)
             failed += bool(faults)
             for fault in faults[:3]:
-                print(f"python -m pinepitch.proof.second_loss {name} {seed} 1 {plant}: {fault}", flush=True)
+                print(
+                    f"python -m pinepitch.simulation.second_loss {name} {seed} 1 {plant}: {fault}", flush=True
+                )
     print(f"{failed} trials failed")
     return 1 if failed else 0
 
--- a/src/pinepitch/proof/loss_trial.py
+++ b/src/pinepitch/simulation/second_loss_trial.py
@@ -4,8 +4,8 @@
 step. `second_loss` holds what is tried with it.
 """
 
-from ..accord.consensus import Consensus
-from ..accord.quorum import Quorum
+from ..consensus.quorum import Quorum
+from ..consensus.replica import Consensus
 from . import simulator as simulators
 from .simulator import OFFSET, Simulator
 
--- a/src/pinepitch/proof/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -11,13 +11,15 @@
 
 import cbor2
 
-from ..accord.core import Accord
-from ..ground import constants, packed, stall, wire
-from ..ground.host import call_sending
-from ..verge.core import Verge
-from ..world import contract
-from . import caller as callers
-from .minion import StandInMinion
+from ..common import constants, packed_operations
+from ..control.daemon import Accord
+from ..front.daemon import Verge
+from ..model import contract
+from ..runtime import stall_detector
+from ..runtime.host import call_sending
+from ..transport import framing
+from . import stand_in_client as callers
+from .stand_in_worker import StandInMinion
 
 OF_THE_MACHINE = ("encoded", "rehearsed")  # what a daemon is given by its own machine, by no connection
 LAGGED = ("give", "tick", "synced", "based")  # events of one machine, which a slow one handles late
@@ -80,7 +82,7 @@
         self.frozen = self.down = False
         self.held, self.unwritten = [], []
         self.stops_at = None  # says of each effect whether the process is stopped just before it
-        self.stall_guard = stall.StallGuard()
+        self.stall_guard = stall_detector.StallGuard()
         self.skew = 0.0
         self.disk = Disk() if kind == "accord" else None
 
@@ -175,7 +177,7 @@
         node = self.nodes[name]
         node.life += 1
         node.frozen, node.down, node.held, node.unwritten = False, False, [], []
-        node.stall_guard = stall.StallGuard()
+        node.stall_guard = stall_detector.StallGuard()
         if node.kind == "accord":
             base, steps, segments = node.disk.load()
             identity = (
@@ -350,7 +352,7 @@
         now = self.steady()
         node.stall_guard.turn(now)
         if node.stall_guard.refuses(message, now):
-            self._reply(node, message[1], *stall.PAUSED)
+            self._reply(node, message[1], *stall_detector.PAUSED)
             return
         for effect in node.core.step(message, now, self.clock(node)):
             if node.stops_at is not None and node.stops_at(effect):
@@ -381,11 +383,11 @@
         if target.core is None and sending is not None:
             self.at(REFUSED_AFTER, "give", node.name, node.life, ("undelivered", *sending))
             return
-        frame = wire.encode(node.address, message)
+        frame = framing.encode(node.address, message)
         delay = self.latency()
         if self.ways is not None and target.core is not None:
             delay += self.ways.delay(node.name, target.name, len(frame), self.now)
-        source, plain = wire.decode(frame[4:])
+        source, plain = framing.decode(frame[4:])
         if not contract.kept(plain):
             raise AssertionError(f"{node.name} breaks a contract: {message!r}")
         self.at(delay, "give", target.name, target.life, tuple(plain))
@@ -427,7 +429,7 @@
             if disk.beside is not None:
                 return
             disk.jobs.popleft()
-            disk.beside, disk.covers = (("base", packed.dumps(payload)), tag), len(disk.steps)
+            disk.beside, disk.covers = (("base", packed_operations.dumps(payload)), tag), len(disk.steps)
             if tag is not None:
                 disk.under_way = disk.beside  # nothing may follow before it is durable
             self.at((0.005 + self.draw.random() * 0.3) * disk.slow, "based", node.name, node.life)
@@ -437,7 +439,7 @@
         while disk.jobs and disk.jobs[0][0] == "save":
             _, tag, payload = disk.jobs.popleft()
             batch.append(payload)
-        disk.under_way = (("step", packed.dumps(batch)), tag)
+        disk.under_way = (("step", packed_operations.dumps(batch)), tag)
         self.at((0.001 + self.draw.random() * 0.004) * disk.slow, "synced", node.name, node.life)
 
     def _durable(self, node, what, job, life):
@@ -489,7 +491,7 @@
                 raise AssertionError(f"two leaders in term {term}: {other} and {node.name}")
 
     def _reply(self, node, request, status, document, headers=(), until=None):
-        status, document, _ = stall.timely((status, document, headers), until, self.steady())
+        status, document, _ = stall_detector.timely((status, document, headers), until, self.steady())
         self.at(self.latency(), "answer", request, status, json.dumps(document))
 
     def _post(self, node, key, address, path, document):
@@ -672,7 +674,7 @@
             consensus = node.core.consensus
             for index in range(consensus.first, consensus.commit + 1):
                 entry = consensus.entry(index)
-                text = packed.dumps((entry[0], entry[2]))
+                text = packed_operations.dumps((entry[0], entry[2]))
                 if entries.setdefault(index, text) != text:
                     faults.append(f"entry {index} differs at {node.name}")
             try:
--- a/src/pinepitch/proof/caller.py
+++ b/src/pinepitch/simulation/stand_in_client.py
@@ -5,7 +5,7 @@
 
 import random
 
-from ..ground import constants
+from ..common import constants
 
 # What each kind of caller sends, by the brief: rate a second and the shape of the ticket.
 NKANSAH = (
--- a/src/pinepitch/proof/minion.py
+++ b/src/pinepitch/simulation/stand_in_worker.py
@@ -6,7 +6,7 @@
 
 import random
 
-from ..ground import constants
+from ..common import constants
 
 
 class StandInMinion:
--- a/src/pinepitch/proof/steady.py
+++ b/src/pinepitch/simulation/steady.py
@@ -1,15 +1,15 @@
 """A steady stream of large changes while one member after the other is killed or wiped.
 
-Run by hand: python -m pinepitch.proof.steady FIRST_SEED SEEDS MINUTES
+Run by hand: python -m pinepitch.simulation.steady FIRST_SEED SEEDS MINUTES
 """
 
 import random
 import sys
 from typing import NamedTuple
 
-from ..ground.limits import Limits
+from ..common.limits import Limits
 from .changes import BODY, Cohort
-from .ways import Ways
+from .link_rates import Ways
 
 EVERY = 0.33  # seconds between two changes
 LINK = 50e6 / 8  # bytes a second
--- /dev/null
+++ b/src/pinepitch/state/__init__.py
@@ -0,0 +1,1 @@
+"""The replicated state machine: what the committed operations of the log add up to."""
--- a/src/pinepitch/accord/archive.py
+++ b/src/pinepitch/state/archive.py
@@ -12,7 +12,7 @@
 import cbor2
 import immutables
 
-from ..ground import constants
+from ..common import constants
 
 
 def hash_of(key):
--- a/src/pinepitch/accord/marks.py
+++ b/src/pinepitch/state/change_watermarks.py
@@ -7,7 +7,7 @@
 
 import re
 
-from ..ground import constants
+from ..common import constants
 
 FORGOTTEN = ("forgotten",)
 _PARTS = re.compile(r"(.*?)([0-9]*)")
--- a/src/pinepitch/accord/record.py
+++ b/src/pinepitch/state/cluster_state.py
@@ -10,16 +10,16 @@
 import cbor2
 import immutables
 
-from ..ground import constants
-from ..scheduling.board import Board
-from ..world import row as rows
-from ..world.task import FINAL, Standing, Task, reference, unit_of
-from ..world.ticket import Ticket, tasks_from
+from ..common import constants
+from ..model import queue_settings as rows
+from ..model.pushed_job import Ticket, tasks_from
+from ..model.task import FINAL, Standing, Task, reference, unit_of
+from ..scheduling.leased_job_state import Board
 from .archive import Archive
-from .history import History
-from .marks import Marks
-from .sample import Sample
-from .table import OK, Table
+from .change_watermarks import Marks
+from .configuration_history import History
+from .queue_table import OK, Table
+from .traffic_sample import Sample
 
 
 class Record(Table):
--- a/src/pinepitch/accord/history.py
+++ b/src/pinepitch/state/configuration_history.py
@@ -2,8 +2,8 @@
 
 import cbor2
 
-from ..ground import constants
-from ..world.row import merged
+from ..common import constants
+from ..model.queue_settings import merged
 
 
 def difference(before, after):
--- a/src/pinepitch/accord/table.py
+++ b/src/pinepitch/state/queue_table.py
@@ -1,7 +1,7 @@
 """The record's part for setups: changes, their history, drafts, approvals and holds."""
 
-from ..ground import constants
-from ..world import row as rows
+from ..common import constants
+from ..model import queue_settings as rows
 
 OK = ("ok",)
 MARKS_LEVEL = 3  # of operations; from it on all members know which marks they have forgotten
--- a/src/pinepitch/accord/sample.py
+++ b/src/pinepitch/state/traffic_sample.py
@@ -9,7 +9,7 @@
 
 import immutables
 
-from ..ground import constants
+from ..common import constants
 
 
 class Block(NamedTuple):
--- a/src/pinepitch/ground/store.py
+++ b/src/pinepitch/storage/store.py
@@ -6,7 +6,7 @@
 
 import cbor2
 
-from . import constants, packed
+from ..common import constants, packed_operations
 
 NAME = re.compile(r"^(base|step|segment)-(\d{16})$")
 
@@ -103,7 +103,7 @@
         self.version = 0
 
     def _write(self, name, payload):
-        body = packed.dumps((constants.FILE_VERSION, payload))
+        body = packed_operations.dumps((constants.FILE_VERSION, payload))
         aside = os.path.join(self.folder, name + ".aside")
         if os.path.exists(aside):
             os.unlink(
--- a/src/pinepitch/ground/carrier.py
+++ b/src/pinepitch/transport/forwarder.py
@@ -1,7 +1,7 @@
 """Calls on their way to the leader, until one answers or nothing more is to be hoped for."""
 
-from . import constants
-from .callkey import key_of
+from ..common import constants
+from .request_key import key_of
 
 INDEX_CALL = "log-index"  # asks how far the log is; it changes nothing, so that given up it was not taken
 
--- a/src/pinepitch/ground/wire.py
+++ b/src/pinepitch/transport/framing.py
@@ -4,7 +4,7 @@
 
 import cbor2
 
-from . import constants, packed
+from ..common import constants, packed_operations
 
 LENGTH = struct.Struct(">I")
 
@@ -15,7 +15,7 @@
 
 def encode(source, message):
     """One whole frame, ready for a socket."""
-    body = packed.dumps((constants.WIRE_VERSION, source, message))
+    body = packed_operations.dumps((constants.WIRE_VERSION, source, message))
     return LENGTH.pack(len(body)) + body
 
 
--- a/src/pinepitch/ground/http.py
+++ b/src/pinepitch/transport/http.py
@@ -10,7 +10,7 @@
 import curio
 import h11
 
-from . import constants
+from ..common import constants
 
 
 class Request(NamedTuple):
--- a/src/pinepitch/ground/confirmed.py
+++ b/src/pinepitch/transport/indexed_forwarder.py
@@ -8,8 +8,8 @@
 
 from typing import NamedTuple
 
-from . import constants
-from .carrier import INDEX_CALL
+from ..common import constants
+from .forwarder import INDEX_CALL
 
 CALLS = frozenset(("evacuate",))  # that are carried so: they bear no version of their own
 
--- a/src/pinepitch/ground/link.py
+++ b/src/pinepitch/transport/link.py
@@ -6,9 +6,9 @@
 import curio
 import curio.socket
 
-from . import constants
-from .env import split
-from .limits import USUAL
+from ..common import constants
+from ..common.daemon_settings import split
+from ..common.limits import USUAL
 
 
 class Lane:
