--- a/features/same_bytes/runs.py
+++ b/features/same_bytes/runs.py
@@ -318,18 +318,18 @@
         headers = {name.replace("_", "-"): value for name, value in headers.items()}
         return _platform(simulator, recorder, "control", daemon, way, method, target, document, headers)
 
-    beat, leave = taps.doors.BEAT, taps.doors.LEAVE
+    beat, leave = taps.adapters.HEARTBEAT, taps.adapters.LEAVE
     control(beat, "POST", beat + "m-1", BEAT)
     control(beat, "POST", beat + "m-1", {**BEAT, "callSequence": 5, "clockMs": 482513})
     control(beat, "POST", beat + "m-1", {**BEAT, "labels": 3})
     control(beat, "POST", beat + "m-1", {"state": "ready"})
     control(beat, "POST", beat + "m-1", [])
     control(leave, "POST", leave + "m-1")
-    _, found, _ = control(taps.doors.READ, "GET", taps.doors.READ)
+    _, found, _ = control(taps.adapters.READ, "GET", taps.adapters.READ)
     version = found["configVersion"]
     base = {"x_based_on_version": str(version)}
     following = {**found, "configVersion": version + 2}
-    replace, amend = taps.doors.REPLACE, taps.doors.AMEND
+    replace, amend = taps.adapters.REPLACE, taps.adapters.AMEND
     control(replace, "POST", replace, following)
     control(replace, "POST", replace, {**following, "routes": 3}, **base)
     control(replace, "POST", replace, following, **base)
@@ -342,8 +342,8 @@
     base = {"x_based_on_version": str(version + 2)}
     control(amend, "POST", amend, {"upsertItems": 3}, **base)
     control(amend, "POST", amend, change, **base)
-    control(taps.doors.READ, "GET", taps.doors.READ)
-    for way in (taps.doors.BEGIN, taps.doors.FINISH):
+    control(taps.adapters.READ, "GET", taps.adapters.READ)
+    for way in (taps.adapters.BEGIN, taps.adapters.FINISH):
         control(way, "POST", way + "b")
         control(way, "POST", way)
     control("/api/Nowhere", "POST", "/api/Nowhere")
@@ -354,13 +354,13 @@
 def jobs(recorder):
     """Jobs of tenants on three control daemons, every call of the platform, the leader lost."""
     simulator = Tenancy(1, FLEET_PLANS["three"])
-    _platform(simulator, recorder, "readiness", "verge0", taps.doors.READY, "GET", taps.doors.READY)
+    _platform(simulator, recorder, "readiness", "verge0", taps.adapters.READY, "GET", taps.adapters.READY)
     _control_unready(simulator, recorder)
     simulator.begin()
     simulator.run(4)
-    _platform(simulator, recorder, "readiness", "verge0", taps.doors.READY, "GET", taps.doors.READY)
-    _platform(simulator, recorder, "readiness", "verge0", taps.doors.READY, "POST", taps.doors.READY)
-    _front_script(simulator, recorder, simulator.governor.changes[0].document["routes"][0]["host"])
+    _platform(simulator, recorder, "readiness", "verge0", taps.adapters.READY, "GET", taps.adapters.READY)
+    _platform(simulator, recorder, "readiness", "verge0", taps.adapters.READY, "POST", taps.adapters.READY)
+    _front_script(simulator, recorder, simulator.operator_stand_in.changes[0].document["routes"][0]["host"])
     leader = simulator.leader().name
     _control_script(simulator, recorder, leader)
     follower = next(
@@ -370,7 +370,7 @@
     for way in ("workers", "configuration", "evacuations"):
         _ask(simulator, recorder, f"/v1/{way}", "GET", f"/v1/{way}")
     _ask(simulator, recorder, "/v1/jobs/{job}", "GET", "/v1/jobs/5c0e7a21d94b36f8")
-    for identity in list(simulator.patron.jobs)[-2:]:
+    for identity in list(simulator.client_stand_in.jobs)[-2:]:
         _ask(simulator, recorder, "/v1/jobs/{job}", "GET", f"/v1/jobs/{identity}")
     _metrics(simulator, recorder, leader)
     _metrics(simulator, recorder, follower)
@@ -381,7 +381,7 @@
 
 def _control_unready(simulator, recorder):
     """What a daemon answers before it has a cohort."""
-    _platform(simulator, recorder, "control", "accord0", taps.doors.READ, "GET", taps.doors.READ)
+    _platform(simulator, recorder, "control", "accord0", taps.adapters.READ, "GET", taps.adapters.READ)
 
 
 RUNS = (tickets, jobs)
--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -16,12 +16,12 @@
 from pinepitch.consensus import replica
 from pinepitch.consensus.log import measured
 from pinepitch.control import requests
-from pinepitch.control.daemon import Accord
+from pinepitch.control.daemon import ControlDaemon
 from pinepitch.front import filters
 from pinepitch.model import contract
 from pinepitch.simulation import simulator as simulators
 from pinepitch.state.archive import Archive
-from pinepitch.state.cluster_state import ACTIONS, Record
+from pinepitch.state.cluster_state import ACTIONS, ClusterState
 from pinepitch.storage.store import Damaged, Store
 from pinepitch.transport import framing, http
 
@@ -37,7 +37,7 @@
 
 # So small that a run of some seconds seals segments, makes snapshots and sends them in pieces, and
 # that a rehearsal takes a moment.
-SMALL = {"FINISHED_LIVE": 4, "SEGMENT_TICKETS": 4, "SNAPSHOT_ENTRIES": 60, "REPLAY_TICKETS": 30}
+SMALL = {"FINISHED_LIVE": 4, "SEGMENT_JOBS": 4, "SNAPSHOT_ENTRIES": 60, "REPLAY_JOBS": 30}
 
 
 def registered():
@@ -54,7 +54,7 @@
         },
         "operations": set(ACTIONS),
         "answers": {
-            *(f"product {method} {pattern}" for method, pattern, _ in filters.WAYS),
+            *(f"product {method} {pattern}" for method, pattern, _ in filters.ROUTES),
             *(f"platform {method} {path}" for method, path in PLATFORM_WAYS),
         },
     }
@@ -66,7 +66,7 @@
     ("POST", "PREFIX/{job}"),
     ("GET", "PREFIX/{job}"),
     ("DELETE", "PREFIX/{job}"),
-    ("POST", adapters.BEAT),
+    ("POST", adapters.HEARTBEAT),
     ("POST", adapters.LEAVE),
     ("POST", adapters.REPLACE),
     ("POST", adapters.AMEND),
@@ -79,7 +79,7 @@
 @contextlib.contextmanager
 def tapped(recorder):
     """While it lasts, the recorder is told every frame, operation, file, answer and order."""
-    encode, apply, keep = framing.encode, Record.apply, simulators.Disk.keep
+    encode, apply, keep = framing.encode, ClusterState.apply, simulators.Disk.keep
     reply, post, rehearse = (simulators.EFFECTS[kind] for kind in ("reply", "post", "rehearse"))
 
     def tapped_encode(source, message):
@@ -112,7 +112,7 @@
     effects = {"reply": tapped_reply, "post": tapped_post, "rehearse": tapped_rehearse}
     with (
         mock.patch.object(framing, "encode", tapped_encode),
-        mock.patch.object(Record, "apply", tapped_apply),
+        mock.patch.object(ClusterState, "apply", tapped_apply),
         mock.patch.object(simulators.Disk, "keep", tapped_keep),
         mock.patch.dict(simulators.EFFECTS, effects),
         mock.patch.multiple(constants, **SMALL),
@@ -138,7 +138,7 @@
 
 def keeps_contract(frame):
     """Whether the code takes a frame for one that keeps its contract."""
-    return contract.kept(framing.decode(frame[framing.LENGTH.size :])[1])
+    return contract.keeps_contract(framing.decode(frame[framing.LENGTH.size :])[1])
 
 
 def frame_again(frame):
@@ -165,7 +165,7 @@
 
 def scripted(operations):
     """The bytes of scripted operations, and of their outcomes, applied in turn to one record."""
-    record = Record()
+    record = ClusterState()
     for platform_settings, operation in enumerate(operations):
         outcome = record.apply(platform_settings + 1, 1000.0 + platform_settings, operation)
         yield packed_operations.dumps(operation), outcome_bytes(outcome)
@@ -173,7 +173,7 @@
 
 def applied(entries):
     """Applies the entries of a log to an empty record: (outcomes, image with its maps in order)."""
-    record, outcomes = Record(), []
+    record, outcomes = ClusterState(), []
     with mock.patch.multiple(constants, **SMALL):
         for index, time, operation in entries:
             outcomes.append(outcome_bytes(record.apply(index, time, tuple(cbor2.loads(operation)))))
@@ -231,12 +231,12 @@
             with open(os.path.join(folder, name), "wb") as file:
                 file.write(data)
         base, steps, segments = Store(folder).load()
-    accord = Accord(base[0], "10.0.0.1:7000", "a", ())
+    accord = ControlDaemon(base[0], "10.0.0.1:7000", "a", ())
     accord.restore(base, steps, segments)
-    record = accord.record
+    record = accord.cluster_state
     sealed = {}
     for number, data in sorted(segments.items()):
-        tickets = [record.ticket(f"t{one}") for one in cbor2.loads(data)[0]]
+        tickets = [record.pushed_job(f"t{one}") for one in cbor2.loads(data)[0]]
         archive = Archive()
         sealed[number] = (data, archive.seal(tickets, 0.0)[1])
     return (
--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -34,7 +34,7 @@
 EXPECTED = pathlib.Path(__file__).parent / "data" / "histories.json"
 SHOWN = 16  # hexadecimal digits of each digest; two that differ are alike once in 2**64
 FLEET_SECONDS, NINE_SECONDS, JOB_SECONDS = 7.0, 4.5, 7.0  # virtual; a longer trial is compared up to here
-FREQUENT_SNAPSHOTS = {"SNAPSHOT_ENTRIES": 100, "SNAPSHOT_TAIL": 20, "SNAPSHOT_PIECE": 2_000}
+FREQUENT_SNAPSHOTS = {"SNAPSHOT_ENTRIES": 100, "SNAPSHOT_TAIL": 20, "SNAPSHOT_CHUNK": 2_000}
 LOSSES = 30  # trials of second losses: each in turn, but for the longest, which are tried once
 LONGEST_LOSSES = ("change-struck", "snapshot-struck", "founding-struck")
 SCHEDULES = 32  # seeds of schedules of the consensus model
@@ -76,7 +76,7 @@
     return held if len(cbor2.dumps(held)) == len(data) else None
 
 
-class History:
+class ConfigurationHistory:
     """What was recorded of one history. Invariants: each part's digest is of all values that were
     noted; `fleets` holds the simulators in the order in which they began."""
 
@@ -155,13 +155,13 @@
         for number, segment in sorted(node.disk.segments.items()):
             history.note("disks", number, segment)
         if node.core is not None:
-            record = node.core.record
+            record = node.core.cluster_state
             history.note("images", name, record.index, simulators.plain_image(record))
 
 
 def note_model(history, world):
     """Notes all messages that a model's fleet ever sent, as frames, and what its disks hold."""
-    for letter in world.post.letters:
+    for letter in world.post.messages:
         frame = framing.encode(letter.sender, letter.message)
         history.note("frames", letter.receiver, plain(frame[framing.LENGTH.size :]))
     for identity, replica in sorted(world.replicas.items()):
@@ -172,7 +172,7 @@
 def _fleet_history(weather, seed):
     """A fleet of the product under a weather; snapshots are frequent for odd seeds."""
     nine = seed % 10 == 9
-    history = History(NINE_SECONDS if nine else FLEET_SECONDS)
+    history = ConfigurationHistory(NINE_SECONDS if nine else FLEET_SECONDS)
     fleet, mode = (
         ("nine", "dynamic")
         if nine
@@ -185,7 +185,7 @@
 
 def _job_history(scenario, seed):
     """A fleet that runs jobs under leases in a scenario; snapshots are frequent for odd seeds."""
-    history = History(JOB_SECONDS)
+    history = ConfigurationHistory(JOB_SECONDS)
     with _frequent_snapshots(seed % 2 == 1), fleet_taps(history):
         leased_job_trial.trial(scenario, seed)
     return history
@@ -199,7 +199,7 @@
 
 def _loss_history(name, seed):
     """A trial of second losses, to its end."""
-    history = History()
+    history = ConfigurationHistory()
     with fleet_taps(history):
         second_loss.TRIALS[name](seed)
     return history
@@ -207,7 +207,7 @@
 
 def _schedule_history(_name, seed):
     """A schedule of the consensus model with clocks, and whether its fleet serves again in the end."""
-    history = History()
+    history = ConfigurationHistory()
     run = schedule.drawn_run(seed)
     served = run.serves_again(seed)
     history.note("times", run.leased, run.world.time, {None: 2, False: 0, True: 1}[served])
@@ -220,7 +220,7 @@
 
 def _search_history(name, seed):
     """A search of a model of the registry: how much it saw and all messages of all its states."""
-    history = History()
+    history = ConfigurationHistory()
     start, every, walks = search.search(name, SEARCH_BOUNDS, SEARCH_WALKS)
     for outcome in (every, walks):
         history.note("events", outcome.states, outcome.steps, outcome.depth, int(outcome.whole))
@@ -235,7 +235,10 @@
 
 # simulator -> (what records a history of it, the histories)
 SIMULATORS = {
-    "fleets": (_fleet_history, _in_turn(list(pushed_job_trial.WEATHERS), len(pushed_job_trial.WEATHERS))),
+    "fleets": (
+        _fleet_history,
+        _in_turn(list(pushed_job_trial.FAULT_SCENARIOS), len(pushed_job_trial.FAULT_SCENARIOS)),
+    ),
     "jobs": (
         _job_history,
         _in_turn(
--- a/features/soak/__main__.py
+++ b/features/soak/__main__.py
@@ -11,7 +11,7 @@
     for seed in range(int(first), int(first) + int(count)):
         one = soak(seed, float(seconds))
         print(
-            f"seed {seed}: {len(one.troubles)} troubles, {one.most_at_once} at once, {one.jobs} jobs, "
+            f"seed {seed}: {len(one.fault_log)} troubles, {one.most_at_once} at once, {one.jobs} jobs, "
             f"{one.starts} starts, {len(one.faults)} faults",
             flush=True,
         )
--- a/features/soak/processes.py
+++ b/features/soak/processes.py
@@ -180,8 +180,8 @@
 
     def _longest_stop(self, name, lines):
         """Seconds that a daemon did not run at most: paused by the soak, or by its own word."""
-        told = [event_of(line) or {} for line in lines]
-        own = [event["seconds"] for event in told if event.get("number") == STOPPED]
+        events = [event_of(line) or {} for line in lines]
+        own = [event["seconds"] for event in events if event.get("number") == STOPPED]
         return max([self.longest_pauses.get(name, 0.0), *own])
 
 
--- a/features/soak/soak.py
+++ b/features/soak/soak.py
@@ -7,12 +7,12 @@
 from typing import NamedTuple
 
 from pinepitch.simulation.jobs import checks, limits
-from pinepitch.simulation.jobs.stand_in_client import Patron
-from pinepitch.simulation.stand_in_lease_worker import StandInTenant
+from pinepitch.simulation.jobs.stand_in_client import StandInClient
+from pinepitch.simulation.stand_in_lease_worker import StandInLeaseWorker
 
 from . import wire
 from .processes import ZONES, Processes
-from .troubles import TROUBLES
+from .troubles import FAULTS
 
 STEP = 0.02  # seconds; between two looks at workers, caller and troubles
 AT_ONCE = 3  # troubles; that go on at the same time at most
@@ -20,8 +20,8 @@
 WIPE_APART = 10.0  # seconds; a disk is lost only once the one lost before has been made up for
 READY_WITHIN = 20.0  # seconds; from the first start until the first configuration is taken
 ENDS_WITHIN = 60.0  # seconds; until every job has ended once troubles are over
-BEAT_TIMEOUT, CALL_TIMEOUT = 1.0, 3.0  # seconds
-RUNNING_AFTER_CANCEL = limits.HELD_ON + 2.0  # seconds; a cancelled run on a worker that hears nobody
+HEARTBEAT_TIMEOUT, CALL_TIMEOUT = 1.0, 3.0  # seconds
+RUNNING_AFTER_CANCEL = limits.LEASE_LONGEST + 2.0  # seconds; a cancelled run on a worker that hears nobody
 
 
 class Outcome(NamedTuple):
@@ -29,7 +29,7 @@
 
     seed: int
     faults: list
-    troubles: list  # (seconds, name of the trouble, whom it met)
+    fault_log: list  # (seconds, name of the trouble, whom it met)
     most_at_once: int
     jobs: int
     starts: int
@@ -44,7 +44,7 @@
         self.history, gangs = [], {}
         self.workers = {}
         for place in range(limits.TENANTS):
-            self.workers[f"w{place}"] = StandInTenant(
+            self.workers[f"w{place}"] = StandInLeaseWorker(
                 f"w{place}",
                 ZONES[place % len(ZONES)],
                 f"10.0.0.{place + 1}:80",
@@ -57,10 +57,10 @@
                 self.processes.controls,
                 gangs,
             )
-        self.patron = Patron(seed)
+        self.client_stand_in = StandInClient(seed)
         self.away, self.cut, self.answer_loss, self.wiped_at = set(), set(), 0.0, 0.0
         self.open = {}  # whom a trouble meets -> (its name, when it ends)
-        self.next_trouble = 0.0
+        self.next_fault = 0.0
         self.met, self.most_at_once, self.faults = [], 0, []
 
     def clock(self):
@@ -68,7 +68,7 @@
         return time.time()
 
     # --- stand-ins ------------------------------------------------------------------------
-    def finish_life(self, name):
+    def finish_incarnation(self, name):
         """A worker that drained has ended, or ends now; another life takes its place."""
         self.workers[name].crash(self.clock())
         self.workers[name].begin()
@@ -81,19 +81,19 @@
                 self._say(name, worker, effect)
 
     def _say(self, name, worker, effect):
-        life = worker.births
+        incarnation = worker.births
         if effect[0] == "leave":
-            path, document, purpose = f"/api/Minions.Leave/{effect[2]}", {}, ("left", name, life, 0)
+            path, document, purpose = f"/api/Minions.Leave/{effect[2]}", {}, ("left", name, incarnation, 0)
         else:
-            _, _, number, identity, told = effect
-            path, document = f"/api/Minions.Heartbeat/{identity}", wire.beat_of(told)
-            purpose = ("beat", name, life, number)
+            _, _, number, identity, heartbeat = effect
+            path, document = f"/api/Minions.Heartbeat/{identity}", wire.heartbeat_of(heartbeat)
+            purpose = ("beat", name, incarnation, number)
         if name not in self.cut:
-            request = wire.Request(effect[1], "POST", path, document, "", BEAT_TIMEOUT)
+            request = wire.Request(effect[1], "POST", path, document, "", HEARTBEAT_TIMEOUT)
             self.calls.send(purpose, request)
 
-    def _step_patron(self, now):
-        for _, draw, call, arguments, tag in self.patron.step(("tick",), now):
+    def _step_client(self, now):
+        for _, draw, call, arguments, tag in self.client_stand_in.step(("tick",), now):
             host, path, *rest = arguments
             method = {"job": "POST", "job-read": "GET", "job-cancel": "DELETE"}[call]
             document = wire.job_of(rest[0]) if rest else None
@@ -106,11 +106,11 @@
             if self.draw.random() < self.answer_loss:
                 status, document = wire.NO_ANSWER, {}
             if purpose[0] == "call":
-                self.patron.step(("answered", purpose[1], status, document), now)
+                self.client_stand_in.step(("answered", purpose[1], status, document), now)
             elif purpose[0] == "beat":
-                _, name, life, number = purpose
+                _, name, incarnation, number = purpose
                 worker = self.workers[name]
-                if worker.births == life and name not in self.cut and name not in self.away:
+                if worker.births == incarnation and name not in self.cut and name not in self.away:
                     worker.step(("told", number, status, wire.orders_of(document)), now)
 
     # --- troubles --------------------------------------------------------------------------
@@ -121,25 +121,25 @@
         names = list(self.workers) if kind == "worker" else self.processes.names(kind)
         return [name for name in names if name not in self.open]
 
-    def _step_troubles(self, now, going):
-        for name, (trouble, until) in list(self.open.items()):
+    def _step_faults(self, now, going):
+        for name, (fault, until) in list(self.open.items()):
             if now >= until or not going:
                 del self.open[name]
-                TROUBLES[trouble].end(self, name)
-        if not going or now < self.next_trouble or len(self.open) >= AT_ONCE:
+                FAULTS[fault].end(self, name)
+        if not going or now < self.next_fault or len(self.open) >= AT_ONCE:
             return
-        self.next_trouble = now + self.draw.uniform(0, PAUSE_MOST)
-        trouble = self.draw.choice(sorted(TROUBLES))
-        whom = self._whom(TROUBLES[trouble].kind)
+        self.next_fault = now + self.draw.uniform(0, PAUSE_MOST)
+        fault = self.draw.choice(sorted(FAULTS))
+        whom = self._whom(FAULTS[fault].kind)
         cores_met = any(name in self.open for name in self.processes.names("core"))
-        if not whom or trouble == "wipe-core" and (cores_met or now - self.wiped_at < WIPE_APART):
+        if not whom or fault == "wipe-core" and (cores_met or now - self.wiped_at < WIPE_APART):
             return
-        if TROUBLES[trouble].kind == "core" and now - self.wiped_at < WIPE_APART:
+        if FAULTS[fault].kind == "core" and now - self.wiped_at < WIPE_APART:
             return  # one lost disk is all that may be lost until it has been made up for
         name = self.draw.choice(whom)
-        self.open[name] = (trouble, now + self.draw.uniform(TROUBLES[trouble].least, TROUBLES[trouble].most))
-        TROUBLES[trouble].begin(self, name)
-        self.met.append((round(now - self.begun, 2), trouble, name))
+        self.open[name] = (fault, now + self.draw.uniform(FAULTS[fault].least, FAULTS[fault].most))
+        FAULTS[fault].begin(self, name)
+        self.met.append((round(now - self.begun, 2), fault, name))
         self.most_at_once = max(self.most_at_once, len(self.open))
 
     # --- the run ---------------------------------------------------------------------------
@@ -174,9 +174,9 @@
     def _step(self, going):
         now = self.clock()
         self._hear(now)
-        self._step_troubles(now, going)
+        self._step_faults(now, going)
         self._step_workers(now)
-        self._step_patron(now)
+        self._step_client(now)
         time.sleep(STEP)
 
     def run(self, seconds):
@@ -187,11 +187,11 @@
             self.begun = self.clock()
             while self.clock() < self.begun + seconds:
                 self._step(True)
-            self.patron.stopped = True
+            self.client_stand_in.stopped = True
             until = self.clock() + ENDS_WITHIN
-            while self.clock() < until and not self.patron.quiet():
+            while self.clock() < until and not self.client_stand_in.quiet():
                 self._step(False)
-            if not self.patron.quiet():
+            if not self.client_stand_in.quiet():
                 self.faults.append(f"not every job ended within {ENDS_WITHIN:.0f} s: {self._unended()}")
         finally:
             late = self.processes.stop()
@@ -200,25 +200,27 @@
         self.faults += self.processes.forbidden_events()
         self.faults += self._judged()
         starts = sum(event[0] == "start" for event in self.history)
-        return Outcome(self.seed, self.faults, self.met, self.most_at_once, len(self.patron.jobs), starts)
+        return Outcome(
+            self.seed, self.faults, self.met, self.most_at_once, len(self.client_stand_in.jobs), starts
+        )
 
     def _unended(self):
         return [
             (job["identity"], job["kind"], job["accepted"] is not None)
-            for job in self.patron.jobs.values()
+            for job in self.client_stand_in.jobs.values()
             if job["refused"] is None and job["final"] is None
         ]
 
     def _judged(self):
         """Faults that the history checks of the simulated fleets find."""
-        jobs = self.patron.jobs
+        jobs = self.client_stand_in.jobs
         return [
             *checks.never_twice(self.history),
             *checks.steps_kept(self.history, jobs),
             *checks.attempts_kept(self.history, jobs),
             *checks.room_kept(self.history),
             *checks.cancels_kept(self.history, jobs, RUNNING_AFTER_CANCEL),
-            *checks.told_truly(self.history, self.patron),
+            *checks.outcomes_true(self.history, self.client_stand_in),
         ]
 
 
--- a/features/soak/troubles.py
+++ b/features/soak/troubles.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Trouble(NamedTuple):
+class SoakFault(NamedTuple):
     """begin(soak, name) and end(soak, name) for a daemon or worker of `kind`."""
 
     kind: str  # "core", "front", "worker", or "" for all of the soak
@@ -46,7 +46,7 @@
     soak.workers[name].begin()
 
 
-def _cut(soak, name):
+def _partition(soak, name):
     """A worker runs on and reaches nobody."""
     soak.cut.add(name)
 
@@ -61,7 +61,7 @@
 
 def _drained(soak, name):
     """Its end came by itself; a new life takes its place."""
-    soak.finish_life(name)
+    soak.finish_incarnation(name)
 
 
 def _lose_answers(soak, name):
@@ -72,14 +72,14 @@
     soak.answer_loss = 0.0
 
 
-TROUBLES = {
-    "kill-core": Trouble("core", _kill, _start, 0.2, 3.0),
-    "kill-front": Trouble("front", _kill, _start, 0.2, 2.0),
-    "wipe-core": Trouble("core", _wipe, _start, 0.2, 2.0),
-    "pause-core": Trouble("core", _pause, _resume, 0.3, 4.0),
-    "pause-front": Trouble("front", _pause, _resume, 0.3, 3.0),
-    "crash-worker": Trouble("worker", _crash, _reborn, 0.5, 4.0),
-    "cut-worker": Trouble("worker", _cut, _join, 0.5, 7.0),
-    "drain-worker": Trouble("worker", _drain, _drained, 7.0, 9.0),
-    "lose-answers": Trouble("", _lose_answers, _keep_answers, 1.0, 4.0),
+FAULTS = {
+    "kill-core": SoakFault("core", _kill, _start, 0.2, 3.0),
+    "kill-front": SoakFault("front", _kill, _start, 0.2, 2.0),
+    "wipe-core": SoakFault("core", _wipe, _start, 0.2, 2.0),
+    "pause-core": SoakFault("core", _pause, _resume, 0.3, 4.0),
+    "pause-front": SoakFault("front", _pause, _resume, 0.3, 3.0),
+    "crash-worker": SoakFault("worker", _crash, _reborn, 0.5, 4.0),
+    "cut-worker": SoakFault("worker", _partition, _join, 0.5, 7.0),
+    "drain-worker": SoakFault("worker", _drain, _drained, 7.0, 9.0),
+    "lose-answers": SoakFault("", _lose_answers, _keep_answers, 1.0, 4.0),
 }
--- a/features/soak/wire.py
+++ b/features/soak/wire.py
@@ -72,20 +72,20 @@
             headers["X-Based-On-Version"] = "0"
         connection.request(request.method, request.path, body, headers)
         answer = connection.getresponse()
-        told = json.loads(answer.read() or b"{}")
-        return answer.status, told if isinstance(told, dict) else {}
+        content = json.loads(answer.read() or b"{}")
+        return answer.status, content if isinstance(content, dict) else {}
     except (OSError, http.client.HTTPException, ValueError):
         return NO_ANSWER, {}
     finally:
         connection.close()
 
 
-def beat_of(document):
+def heartbeat_of(document):
     """A stand-in worker's beat in the platform's words."""
-    words = {ours: name for name, ours in vocabulary.BEAT.items()}
-    told = {words[field]: document[field] for field in words}
+    words = {ours: name for name, ours in vocabulary.HEARTBEAT.items()}
+    content = {words[field]: document[field] for field in words}
     cpu, memory, accelerators = document["room"]
-    told.update(
+    content.update(
         configVersion="v1",
         freeSlots=8,
         coldRemainingMs=0,
@@ -95,11 +95,11 @@
         endedAt=document["ended"],
     )
     if document["leaves_ms"] is not None:
-        told["leavesAtMs"] = document["leaves_ms"]
-    return told
+        content["leavesAtMs"] = document["leaves_ms"]
+    return content
 
 
-def orders_of(told):
+def orders_of(content):
     """The answer to a beat as the stand-in worker reads it."""
     names = {
         "holdMs": "hold_ms",
@@ -110,7 +110,7 @@
         "retryAfterMs": "again_ms",
         "heartbeatAddress": "home",
     }
-    return {ours: told[name] for name, ours in names.items() if name in told}
+    return {ours: content[name] for name, ours in names.items() if name in content}
 
 
 def job_of(document):
--- a/features/steps/api.py
+++ b/features/steps/api.py
@@ -17,19 +17,19 @@
     context.simulator.begin()
     context.simulator.run(3)
     context.simulator.loss = 0.0
-    context.verges = sum(node.kind == "verge" for node in context.simulator.nodes.values())
+    context.fronts = sum(node.kind == "verge" for node in context.simulator.nodes.values())
 
 
 @when("one ticket is handed in at every verge under one key, then with another body")
 def step_key(context):
     ask = context.simulator.ask
-    context.answers = [ask("POST", "/v1/tickets", ONE, verge=place) for place in range(context.verges)]
-    context.other = ask("POST", "/v1/tickets", {**ONE, "urgency": 9}, verge=1)
+    context.answers = [ask("POST", "/v1/tickets", ONE, front=place) for place in range(context.fronts)]
+    context.other = ask("POST", "/v1/tickets", {**ONE, "urgency": 9}, front=1)
 
 
 @then('all but the first answer 200 with the same ticket, and the other body 409 "{code}"')
 def step_same(context, code):
-    assert [status for status, _ in context.answers] == [201] + [200] * (context.verges - 1), context.answers
+    assert [status for status, _ in context.answers] == [201] + [200] * (context.fronts - 1), context.answers
     assert len({answer["ticket"] for _, answer in context.answers}) == 1
     assert context.other[0] == 409 and context.other[1]["error"]["code"] == code, context.other
 
@@ -38,22 +38,22 @@
 def step_many(context, count):
     simulator = context.simulator
     context.made = []
-    with mock.patch.object(constants, "FINISHED_LIVE", 8), mock.patch.object(constants, "SEGMENT_TICKETS", 8):
+    with mock.patch.object(constants, "FINISHED_LIVE", 8), mock.patch.object(constants, "SEGMENT_JOBS", 8):
         for place in range(count):
             queue = "urgent" if place % 4 == 0 else "default"
             status, answer = simulator.ask(
-                "POST", "/v1/tickets", {**ONE, "queue": queue, "key": f"k{place}"}, verge=place
+                "POST", "/v1/tickets", {**ONE, "queue": queue, "key": f"k{place}"}, front=place
             )
             assert status == 201, answer
             context.made.append((answer["ticket"], queue))
         simulator.run(5)
-        assert simulator.leader().core.record.archive.count >= 24
+        assert simulator.leader().core.cluster_state.archive.count >= 24
 
 
 def pages(context, more):
     found, after, place = [], 0, 0
     while after is not None:
-        status, page = context.simulator.ask("GET", f"/v1/tickets?after={after}&limit=7{more}", verge=place)
+        status, page = context.simulator.ask("GET", f"/v1/tickets?after={after}&limit=7{more}", front=place)
         assert status == 200 and len(page["tickets"]) <= 7, page
         found.extend(one["ticket"] for one in page["tickets"])
         after, place = page["next"], place + 1
@@ -62,9 +62,9 @@
 
 @then("pages of 7 list each once in order, by queue and by state and by key as well")
 def step_pages(context):
-    names = [ticket for ticket, _ in context.made]
+    names = [job for job, _ in context.made]
     assert pages(context, "") == names
-    assert pages(context, "&queue=urgent") == [ticket for ticket, queue in context.made if queue == "urgent"]
+    assert pages(context, "&queue=urgent") == [job for job, queue in context.made if queue == "urgent"]
     assert pages(context, "&state=finished") == names and pages(context, "&state=failed") == []
     assert pages(context, "&key=k5") == [names[5]] and pages(context, "&key=unheard") == []
 
@@ -72,7 +72,7 @@
 @then("at every verge {call} is answered with {status:d} and {code}")
 def step_status(context, call, status, code):
     method, target, *body = call.split(" ", 2)
-    for place in range(context.verges):
+    for place in range(context.fronts):
         node = [node for node in context.simulator.nodes.values() if node.kind == "verge"][place]
         got = []
         if body and not body[0].startswith("{"):  # what is no JSON goes in as bytes
@@ -85,7 +85,7 @@
                 (
                     0,
                     *context.simulator.ask(
-                        method, target, json.loads(body[0]) if body else None, verge=place
+                        method, target, json.loads(body[0]) if body else None, front=place
                     ),
                 )
             )
@@ -96,19 +96,19 @@
 def step_etag(context, code):
     simulator = context.simulator
     version = simulator.ask("GET", "/v1/setup")[1]["version"]
-    verge = next(node for node in simulator.nodes.values() if node.kind == "verge")
-    replies, reply = [], verge.core._reply
+    front = next(node for node in simulator.nodes.values() if node.kind == "verge")
+    replies, reply = [], front.core._reply
 
     def noted(request, status, document, retry=None, headers=()):
         replies.append(headers)
         reply(request, status, document, retry, headers)
 
-    with mock.patch.object(verge.core, "_reply", noted):
-        simulator.ask("GET", "/v1/setup", verge=0)
+    with mock.patch.object(front.core, "_reply", noted):
+        simulator.ask("GET", "/v1/setup", front=0)
     assert ("ETag", f'"{version}"') in replies[0], replies
     patch = {"queues": {"default": {"limit": 47}}}
-    assert simulator.ask("PATCH", "/v1/setup", patch, {"if-match": f'"{version}"'}, verge=1)[0] == 200
-    status, answer = simulator.ask("PATCH", "/v1/setup", patch, {"if-match": f'"{version}"'}, verge=2)
+    assert simulator.ask("PATCH", "/v1/setup", patch, {"if-match": f'"{version}"'}, front=1)[0] == 200
+    status, answer = simulator.ask("PATCH", "/v1/setup", patch, {"if-match": f'"{version}"'}, front=2)
     assert status == 409 and answer["error"]["code"] == code and answer["error"]["version"] == version + 1, (
         answer
     )
--- a/features/steps/archive.py
+++ b/features/steps/archive.py
@@ -9,7 +9,7 @@
 from pinepitch.consensus.replica import Consensus
 from pinepitch.simulation import injected_faults, pushed_job_trial
 from pinepitch.simulation.simulator import Simulator
-from pinepitch.state.cluster_state import Record
+from pinepitch.state.cluster_state import ClusterState
 from pinepitch.storage.store import Damaged, Store
 
 PLAIN = {
@@ -36,7 +36,7 @@
 
 
 def finish(context, count):
-    record = context.record
+    record = context.cluster_state
     for _ in range(count):
         context.index += 1
         moment, place = context.begun + context.index * 0.01, record.count
@@ -52,80 +52,86 @@
             record.apply(
                 context.index, moment + 0.005, ("ended", tuple((one[0], 1, "done") for one in items))
             )
-        ticket = record.tickets[identity]
+        job = record.pushed_jobs[identity]
         context.was[identity] = (
-            ticket.state,
-            ticket.key,
-            ticket.accepted,
-            ticket.ended_at,
-            {name: (one.state, one.minion, one.attempt, one.took) for name, one in ticket.standings.items()},
+            job.state,
+            job.key,
+            job.accepted,
+            job.ended_at,
+            {name: (one.state, one.worker, one.attempt, one.took) for name, one in job.standings.items()},
         )
 
 
 @given("a record that has finished {count:d} tickets")
 def step_record(context, count):
-    context.record, context.index, context.was, context.begun = Record(), 1, {}, 0.0
-    context.record.apply(1, 0.0, ("duty", "placing", "test"))
+    context.cluster_state, context.index, context.was, context.begun = ClusterState(), 1, {}, 0.0
+    context.cluster_state.apply(1, 0.0, ("duty", "placing", "test"))
     finish(context, count)
 
 
 @then("{count:d} or more of them are archived, and each reads as it was when it ended")
 def step_archived(context, count):
-    again = Record.decode(Record.encode(context.record.image()), context.record.archive.held)
-    for record in (context.record, again):
+    again = ClusterState.decode(
+        ClusterState.encode(context.cluster_state.image()), context.cluster_state.archive.segments
+    )
+    for record in (context.cluster_state, again):
         assert (
             record.archive.count >= count
-            and len(record.tickets) <= constants.FINISHED_LIVE + constants.SEGMENT_TICKETS
+            and len(record.pushed_jobs) <= constants.FINISHED_LIVE + constants.SEGMENT_JOBS
         )
         for identity, was in context.was.items():
-            ticket = record.ticket(identity)
-            assert (ticket.state, ticket.key, ticket.accepted, ticket.ended_at) == was[:4], identity
+            job = record.pushed_job(identity)
+            assert (job.state, job.key, job.accepted, job.ended_at) == was[:4], identity
             assert {
-                name: (one.state, one.minion, one.attempt, one.took) for name, one in ticket.standings.items()
+                name: (one.state, one.worker, one.attempt, one.took) for name, one in job.standings.items()
             } == was[4], identity
         assert (
-            record.ticket("t0") is None and record.ticket("t9999999") is None and record.ticket("x/y") is None
+            record.pushed_job("t0") is None
+            and record.pushed_job("t9999999") is None
+            and record.pushed_job("x/y") is None
         )
 
 
 @then("each archived key with its body is known, and with another is refused")
 def step_keys(context):
-    for place in range(0, context.record.count, 7):
+    for place in range(0, context.cluster_state.count, 7):
         identity = f"t{place + 1}"
-        before = context.record.count
-        assert context.record.apply(10**6, 0.0, ("ticket", f"key-{place}", f"digest-{place}", PLAIN)) == (
+        before = context.cluster_state.count
+        assert context.cluster_state.apply(
+            10**6, 0.0, ("ticket", f"key-{place}", f"digest-{place}", PLAIN)
+        ) == (
             "known",
             identity,
         )
-        assert context.record.apply(10**6, 0.0, ("ticket", f"key-{place}", "other", PLAIN)) == (
+        assert context.cluster_state.apply(10**6, 0.0, ("ticket", f"key-{place}", "other", PLAIN)) == (
             "mismatch",
             identity,
         )
-        assert context.record.count == before
+        assert context.cluster_state.count == before
 
 
 @then("cancelling an archived ticket says how it ended")
 def step_cancel(context):
-    assert "t1" not in context.record.tickets
-    assert context.record.apply(10**6, 0.0, ("cancel", "t1")) == ("ended", "finished")
+    assert "t1" not in context.cluster_state.pushed_jobs
+    assert context.cluster_state.apply(10**6, 0.0, ("cancel", "t1")) == ("ended", "finished")
 
 
 @when("{count:d} more are finished")
 def step_more(context, count):
-    context.before = len(Record.encode(context.record.image()))
+    context.before = len(ClusterState.encode(context.cluster_state.image()))
     finish(context, count)
 
 
 @then("its image has grown by less than a quarter")
 def step_small(context):
-    after = len(Record.encode(context.record.image()))
+    after = len(ClusterState.encode(context.cluster_state.image()))
     assert after < context.before * 1.25, (context.before, after)
 
 
 @then("an archived ticket takes less than {most:d} bytes")
 def step_bytes(context, most):
-    archive = context.record.archive
-    assert sum(map(len, archive.held.values())) / archive.count < most
+    archive = context.cluster_state.archive
+    assert sum(map(len, archive.segments.values())) / archive.count < most
 
 
 @when("a day passes and {count:d} more are finished")
@@ -141,15 +147,15 @@
 
 @then("the oldest are gone with their keys, and what is kept still reads")
 def step_gone(context):
-    record = context.record
-    assert record.ticket("t1") is None and record.known("key-0", "digest-0") is None
-    kept = [identity for identity in context.was if record.ticket(identity) is not None]
+    record = context.cluster_state
+    assert record.pushed_job("t1") is None and record.known("key-0", "digest-0") is None
+    kept = [identity for identity in context.was if record.pushed_job(identity) is not None]
     assert 1000 <= len(kept) < len(context.was) and record.archive.retired
     archive = record.archive
     assert len(archive.place) <= record.count - archive.place_from + 1 and archive.place[0], (
         archive.place_from
     )
-    assert len(archive.keys) == archive.count == len(kept) - len(record.tickets), (
+    assert len(archive.keys) == archive.count == len(kept) - len(record.pushed_jobs), (
         len(archive.keys),
         archive.count,
     )
@@ -165,15 +171,15 @@
     stack = injected_faults.planted("frequent-snapshots")
     stack.__enter__()
     context.add_cleanup(stack.__exit__, None, None, None)
-    context.sent, whole = [], Consensus._whole
+    context.sent, payload = [], Consensus._snapshot_payload
 
-    def noted(self, held):
+    def noted(self, stored):
         first, last = self.base_segments
-        context.sent.append((held, list(range(max(first, held + 1), last + 1))))
-        return whole(self, held)
+        context.sent.append((stored, list(range(max(first, stored + 1), last + 1))))
+        return payload(self, stored)
 
-    Consensus._whole = noted
-    context.add_cleanup(setattr, Consensus, "_whole", whole)
+    Consensus._snapshot_payload = noted
+    context.add_cleanup(setattr, Consensus, "_snapshot_payload", payload)
     context.simulator = Simulator(3)
     context.simulator.begin()
     context.simulator.caller("caller", pushed_job_trial.TRAFFIC)
@@ -192,16 +198,16 @@
     return (
         leader is not None
         and node.core.consensus is not None
-        and node.core.record.archive.sealed == leader.core.record.archive.sealed > 0
+        and node.core.cluster_state.archive.sealed == leader.core.cluster_state.archive.sealed > 0
     )
 
 
 @when("an accord is cut off for a while and comes back")
 def step_away(context):
     context.node = away(context)
-    context.had = context.node.core.record.archive.sealed
+    context.had = context.node.core.cluster_state.archive.sealed
     assert context.had > 0
-    context.simulator.cut([context.node.name], list(context.simulator.nodes))
+    context.simulator.partition([context.node.name], list(context.simulator.nodes))
     context.simulator.run(12)
     context.simulator.heal()
     assert context.simulator.until(lambda: caught_up(context), 20) is not None
@@ -210,8 +216,8 @@
 @then("it was sent only segments it lacked, and holds what the leader holds")
 def step_lacked(context):
     assert context.sent, "no snapshot was sent"
-    held, numbers = context.sent[0]
-    assert held >= context.had and numbers and min(numbers) == held + 1, context.sent
+    stored, numbers = context.sent[0]
+    assert stored >= context.had and numbers and min(numbers) == stored + 1, context.sent
     step_holds(context)
 
 
@@ -228,11 +234,17 @@
 @then("it holds what the leader holds")
 def step_holds(context):
     leader = context.simulator.leader()
-    common = min(leader.core.record.archive.sealed, context.node.core.record.archive.sealed)
+    common = min(leader.core.cluster_state.archive.sealed, context.node.core.cluster_state.archive.sealed)
     assert common > 3
     for number in range(1, common + 1):
-        assert context.node.core.record.archive.segment(number) == leader.core.record.archive.segment(number)
-    assert context.node.core.record.ticket("t1") == leader.core.record.ticket("t1") is not None
+        assert context.node.core.cluster_state.archive.segment(
+            number
+        ) == leader.core.cluster_state.archive.segment(number)
+    assert (
+        context.node.core.cluster_state.pushed_job("t1")
+        == leader.core.cluster_state.pushed_job("t1")
+        is not None
+    )
 
 
 @given("a store whose base stands on {count:d} segments")
@@ -259,9 +271,9 @@
 def step_damage(context):
     path = os.path.join(context.folder, f"segment-{2:016d}")
     with open(path, "rb") as file:
-        whole = file.read()
+        payload = file.read()
     with open(path, "wb") as file:
-        file.write(whole[:-1])
+        file.write(payload[:-1])
     assert isinstance(Store(context.folder).load(), Damaged)
     os.unlink(path)
     assert isinstance(Store(context.folder).load(), Damaged)
--- a/features/steps/assigning.py
+++ b/features/steps/assigning.py
@@ -4,11 +4,11 @@
 from unittest import mock
 
 from behave import given, then, when
-from round_fleet import AIM_MS, INSPECTION, ROUND_EVERY, STRETCH, WORKER_ROOM, Fleet
+from round_fleet import INSPECTION, LATENCY_TARGET_MS, ROUND_EVERY, STRETCH, WORKER_CAPACITY, Fleet
 
 from pinepitch.scheduling import policy as policies
 from pinepitch.scheduling.assigner import Assigner
-from pinepitch.scheduling.budgets import RoomBudgets
+from pinepitch.scheduling.budgets import CapacityBudgets
 
 
 @given("{count:d} workers of 8 accelerators")
@@ -19,7 +19,7 @@
 @given("inspections of {seconds:d} seconds fill {count:d} workers")
 def step_full(context, seconds, count):
     fleet = context.fleet
-    fleet.put("inspections", count * WORKER_ROOM[2], 1, seconds)
+    fleet.put("inspections", count * WORKER_CAPACITY[2], 1, seconds)
     before = sum(fleet.free(identity)[2] == 0 for identity in fleet.workers)
     fleet.run(ROUND_EVERY)
     assert sum(fleet.free(identity)[2] == 0 for identity in fleet.workers) == before + count
@@ -78,11 +78,11 @@
 
 
 @then("no worker ran more than it has room for, and work starves without {first:w} and {second:w}, no other")
-def step_room_kept(context, first, second):
+def step_capacity_kept(context, first, second):
     starved = set()
     for field, fleet in context.fleets.items():
         assert min(min(fleet.free(identity)) for identity in fleet.workers) >= 0, field
-        for job in fleet.board.jobs.values():
+        for job in fleet.leased_jobs.jobs.values():
             if not any(step.lasts for step in job.steps) and fleet.now - job.accepted > 60:
                 starved.add(field)
     assert starved == {first, second}, starved
@@ -102,11 +102,11 @@
 )
 def step_overload(context, seconds, share):
     fleet, draw = context.fleet, random.Random(1)
-    room = len(fleet.workers) * WORKER_ROOM[2]
+    capacity = len(fleet.workers) * WORKER_CAPACITY[2]
     owed = {"scans": 0.0, "inspections": 0.0}
     for _ in range(seconds * 2):
-        owed["scans"] += share * room * 0.5
-        owed["inspections"] += 0.1 * room * 0.5
+        owed["scans"] += share * capacity * 0.5
+        owed["inspections"] += 0.1 * capacity * 0.5
         while owed["scans"] > 0:
             length = draw.uniform(2, 8)
             fleet.put("scans", 1, 8, length)
@@ -120,21 +120,21 @@
 @then("of the inspections that came in the first {seconds:d} seconds {part:g} were done in time")
 def step_in_time(context, seconds, part):
     fleet = context.fleet
-    aim = AIM_MS / 1000 + STRETCH * INSPECTION
+    latency_target = LATENCY_TARGET_MS / 1000 + STRETCH * INSPECTION
     jobs_of = [
         job
         for job, came in fleet.came.items()
-        if came <= 100 + seconds and fleet.lengths[job] == INSPECTION and job not in fleet.board.ready
+        if came <= 100 + seconds and fleet.lengths[job] == INSPECTION and job not in fleet.leased_jobs.ready
     ]
-    good = sum(fleet.done.get(job, 1e9) - fleet.came[job] <= aim for job in jobs_of)
+    good = sum(fleet.done.get(job, 1e9) - fleet.came[job] <= latency_target for job in jobs_of)
     assert jobs_of and good >= part * len(jobs_of), f"{good} of {len(jobs_of)}"
 
 
 @then("scans had {part:g} of the room")
 def step_scans_share(context, part):
     fleet = context.fleet
-    whole = (fleet.now - 100) * len(fleet.workers) * WORKER_ROOM[2]
-    assert fleet.room_used["scans"] >= part * whole, f"{fleet.room_used['scans'] / whole:.2f}"
+    available = (fleet.now - 100) * len(fleet.workers) * WORKER_CAPACITY[2]
+    assert fleet.capacity_used["scans"] >= part * available, f"{fleet.capacity_used['scans'] / available:.2f}"
 
 
 @when(
@@ -143,20 +143,20 @@
 )
 def step_large(context, seconds, urgent, share, large):
     fleet = context.fleet
-    room = len(fleet.workers) * WORKER_ROOM[2]
+    capacity = len(fleet.workers) * WORKER_CAPACITY[2]
     count = 2 if urgent == "gangs" else 1
     for _ in range(seconds // 4):
-        for _ in range(max(1, share * room * 4 // (8 * count * 4))):
+        for _ in range(max(1, share * capacity * 4 // (8 * count * 4))):
             fleet.put("scans", count, 8, 4, gang=urgent == "gangs")
-        fleet.put("inspections", max(1, room // large), large, INSPECTION)
+        fleet.put("inspections", max(1, capacity // large), large, INSPECTION)
         fleet.run(4)
 
 
 @then("inspections had between {least:g} and {most:g} of the room, scans at least {scans:g}")
 def step_between(context, least, most, scans):
     fleet = context.fleet
-    whole = (fleet.now - 100) * len(fleet.workers) * WORKER_ROOM[2]
-    had = {queue: used / whole for queue, used in fleet.room_used.items()}
+    available = (fleet.now - 100) * len(fleet.workers) * WORKER_CAPACITY[2]
+    had = {queue: used / available for queue, used in fleet.capacity_used.items()}
     assert least <= had.get("inspections", 0) <= most and had.get("scans", 0) >= scans, had
 
 
@@ -173,11 +173,11 @@
 
 
 @given("scans of {seconds:d} seconds fill {count:d} workers, which then fall silent")
-def step_silent(context, seconds, count):
+def step_unresponsive(context, seconds, count):
     fleet = context.fleet
     fleet.put("scans", count, 8, seconds)
     fleet.run(0.5)
-    fleet.silent = set(fleet.board.placements)
+    fleet.silent = set(fleet.leased_jobs.placements)
     assert len(fleet.silent) == count
     fleet.run(1.5)
 
@@ -203,7 +203,7 @@
 @then("within {seconds:g} seconds all its tasks have started")
 def step_started(context, seconds):
     context.fleet.run(seconds)
-    states = [task.state for task in context.fleet.board.jobs[context.job].waves[(0, 0)].tasks]
+    states = [task.state for task in context.fleet.leased_jobs.jobs[context.job].waves[(0, 0)].tasks]
     assert set(states) == {"placed"}, states
 
 
@@ -218,7 +218,7 @@
 @when("inspections of {seconds:d} seconds come that ask for {share:d} times the room")
 def step_inspections(context, seconds, share):
     fleet = context.fleet
-    fleet.put("inspections", share * len(fleet.workers) * WORKER_ROOM[2], 1, seconds)
+    fleet.put("inspections", share * len(fleet.workers) * WORKER_CAPACITY[2], 1, seconds)
 
 
 @then("within {seconds:d} seconds {part:g} of all accelerators are in use")
@@ -228,7 +228,7 @@
 
 
 @then("after {seconds:d} seconds at most {part:g} of them")
-def step_held(context, seconds, part):
+def step_deferred(context, seconds, part):
     context.fleet.run(seconds)
     assert context.fleet.in_use() <= part, context.fleet.in_use()
 
@@ -254,7 +254,7 @@
 # --- invariants that the code checks itself -------------------------------------------------
 @then("by no seed has the code counted a broken invariant")
 def step_counted_none(context):
-    counts = {seed: dict(fleet.assigner.idle_room.counts) for seed, fleet in context.fleets.items()}
+    counts = {seed: dict(fleet.assigner.idle_capacity.counts) for seed, fleet in context.fleets.items()}
     assert not any(sum(one.values()) for one in counts.values()), counts
 
 
@@ -267,8 +267,8 @@
 FAULTS = {
     "a wave may not take what is kept for it": [(Assigner, "_take", _nothing_kept)],
     "every budget is used up": [
-        (RoomBudgets, "allowance", lambda self, wave, wanted: 0),
-        (RoomBudgets, "keepable", lambda self, wave, kept: 0),
+        (CapacityBudgets, "allowance", lambda self, wave, wanted: 0),
+        (CapacityBudgets, "keepable", lambda self, wave, kept: 0),
     ],
 }
 
@@ -281,4 +281,4 @@
 
 @then("it has counted that {what}, for each job once")
 def step_counted(context, what):
-    assert context.fleet.assigner.idle_room.counts[what] in range(1, context.fleet.made + 1)
+    assert context.fleet.assigner.idle_capacity.counts[what] in range(1, context.fleet.made + 1)
--- a/features/steps/backlog.py
+++ b/features/steps/backlog.py
@@ -91,12 +91,12 @@
             small = len(entries) <= constants.COMMIT_ENTRIES and size <= constants.COMMIT_BYTES
             assert small or len(entries) == 1, (len(entries), size)
     # followers hear of each slice with a heartbeat
-    beat = constants.HEARTBEAT / constants.TICK
-    assert context.ticks <= context.slices + more + beat, (context.ticks, context.slices)
+    heartbeat = constants.HEARTBEAT / constants.TICK
+    assert context.ticks <= context.slices + more + heartbeat, (context.ticks, context.slices)
 
 
 @then("the leader sent every heartbeat in its time, and nobody else stood for an election")
-def step_beats(context):
+def step_heartbeats(context):
     restarted = context.restarted
     gaps = [later - earlier for earlier, later in zip(restarted.beats, restarted.beats[1:], strict=False)]
     assert max(gaps, default=0) <= constants.HEARTBEAT + 2 * constants.TICK, max(gaps)
--- a/features/steps/board.py
+++ b/features/steps/board.py
@@ -9,11 +9,11 @@
 from pinepitch.common import constants
 from pinepitch.scheduling import configuration
 from pinepitch.scheduling import leased_job as jobs
-from pinepitch.scheduling.leased_job_state import Board
-from pinepitch.state.cluster_state import Record
+from pinepitch.scheduling.leased_job_state import LeasedJobState
+from pinepitch.state.cluster_state import ClusterState
 
 QUEUE = "orders"
-NAMES = {letter: letter.lower() * 16 for letter in "ABC"}
+NAMES = {job_letter: job_letter.lower() * 16 for job_letter in "ABC"}
 
 
 def document(attempts=3, version=1):
@@ -51,51 +51,55 @@
     return [tuple(map(int, one.split("."))) for one in text.split()]
 
 
-def reference(letter, task):
-    return ".".join([NAMES[letter], *map(str, task)])
+def reference(job_letter, task):
+    return ".".join([NAMES[job_letter], *map(str, task)])
 
 
-def held(context, letter, task, run):
+def placement_of(context, job_letter, task, run):
     """The placement of a run, or None."""
-    key = (reference(letter, task), run)
-    found = [placements[key] for placements in context.board.placements.values() if key in placements]
+    key = (reference(job_letter, task), run)
+    found = [placements[key] for placements in context.leased_jobs.placements.values() if key in placements]
     assert len(found) <= 1, found
     return found[0] if found else None
 
 
 # --- by hand -------------------------------------------------------------------------
 @given("a board whose queue allows {attempts:d} attempts")
-def step_board(context, attempts):
-    context.board, context.now = Board(), 1.0
+def step_leased_jobs(context, attempts):
+    context.leased_jobs, context.now = LeasedJobState(), 1.0
     context.met = {}  # (task, run) -> the minion it was placed on
-    assert context.board.configure(0, 0, document(attempts), "first") == ("configured", 1)
+    assert context.leased_jobs.configure(0, 0, document(attempts), "first") == ("configured", 1)
 
 
 @given("a board whose queue allows {attempts:d} attempts and that holds {most:d} jobs at most")
 def step_small(context, attempts, most):
-    patch = mock.patch.object(constants, "JOBS_MOST", most)
+    patch = mock.patch.object(constants, "MAX_LEASED_JOBS", most)
     patch.start()
     context.add_cleanup(patch.stop)
-    step_board(context, attempts)
+    step_leased_jobs(context, attempts)
 
 
-@when('the board takes job {letter:w} with steps "{steps}"')
-def step_take(context, letter, steps):
-    context.told = context.board.accept(context.now, NAMES[letter], QUEUE, plain_of(steps=steps_of(steps)))[0]
+@when('the board takes job {job_letter:w} with steps "{steps}"')
+def step_take(context, job_letter, steps):
+    context.outcome = context.leased_jobs.accept(
+        context.now, NAMES[job_letter], QUEUE, plain_of(steps=steps_of(steps))
+    )[0]
 
 
-@when("the board takes job {letter:w} at another queue")
-def step_elsewhere(context, letter):
-    context.told = context.board.accept(context.now, NAMES[letter], "nowhere", plain_of(steps=[{}]))[0]
+@when("the board takes job {job_letter:w} at another queue")
+def step_not_taken(context, job_letter):
+    context.outcome = context.leased_jobs.accept(
+        context.now, NAMES[job_letter], "nowhere", plain_of(steps=[{}])
+    )[0]
 
 
 @when(
-    'the board takes job {letter:w} with steps "{steps}" '
+    'the board takes job {job_letter:w} with steps "{steps}" '
     "due {times:d} times every {every:d} seconds from {first:d} on"
 )
-def step_timed(context, letter, steps, times, every, first):
+def step_timed(context, job_letter, steps, times, every, first):
     plain = plain_of(steps=steps_of(steps), times=times, every_ms=every * 1000, first_ms=first * 1000)
-    context.told = context.board.accept(context.now, NAMES[letter], QUEUE, plain)[0]
+    context.outcome = context.leased_jobs.accept(context.now, NAMES[job_letter], QUEUE, plain)[0]
 
 
 @when("{seconds:g} seconds have passed on the board")
@@ -113,78 +117,78 @@
     context.now += 0.2
 
 
-@when('the board places "{tasks}" of {letter:w} on {minion:w}')
-def step_place(context, tasks, letter, minion):
+@when('the board places "{tasks}" of {job_letter:w} on {worker:w}')
+def step_place(context, tasks, job_letter, worker):
     waves = {}
     for time, number, index in tasks_of(tasks):
-        waves.setdefault((time, number), []).append((index, minion))
-    items = tuple((NAMES[letter], *place, tuple(group)) for place, group in waves.items())
-    context.placed = context.board.assign(context.now, 1, items)
+        waves.setdefault((time, number), []).append((index, worker))
+    items = tuple((NAMES[job_letter], *place, tuple(group)) for place, group in waves.items())
+    context.placed = context.leased_jobs.assign(context.now, 1, items)
     for one in context.placed:
         assert (one.reference(), one.run) not in context.met, "a run number was given twice"
-        context.met[(one.reference(), one.run)] = one.minion
+        context.met[(one.reference(), one.run)] = one.worker_id
 
 
-def ends(context, tasks, letter, run, how, heard):
+def ends(context, tasks, job_letter, run, how, heard):
     for task in tasks_of(tasks):
-        name = reference(letter, task)
+        name = reference(job_letter, task)
         item = (context.met.get((name, run), "one"), name, run, how, "", heard)
-        kind, outcomes = context.board.end(context.now, (item,))
+        kind, outcomes = context.leased_jobs.end(context.now, (item,))
         assert kind == "ended" and len(outcomes) == 1, (kind, outcomes)
-        context.told = outcomes[0]
+        context.outcome = outcomes[0]
 
 
-@when('the board hears that run {run:d} of "{tasks}" of {letter:w} ended {how:w}')
-def step_heard(context, run, tasks, letter, how):
-    ends(context, tasks, letter, run, how, True)
+@when('the board hears that run {run:d} of "{tasks}" of {job_letter:w} ended {how:w}')
+def step_heard(context, run, tasks, job_letter, how):
+    ends(context, tasks, job_letter, run, how, True)
 
 
-@when('the board lets go of run {run:d} of "{tasks}" of {letter:w} as {how:w}')
-def step_let_go(context, run, tasks, letter, how):
-    ends(context, tasks, letter, run, how, False)
+@when('the board lets go of run {run:d} of "{tasks}" of {job_letter:w} as {how:w}')
+def step_let_go(context, run, tasks, job_letter, how):
+    ends(context, tasks, job_letter, run, how, False)
 
 
-@when('the task "{task}" of {letter:w} is placed and ends {how:w} {count:d} times')
-def step_again(context, task, letter, how, count):
+@when('the task "{task}" of {job_letter:w} is placed and ends {how:w} {count:d} times')
+def step_again(context, task, job_letter, how, count):
     for run in range(1, count + 1):
-        step_place(context, task, letter, "one")
+        step_place(context, task, job_letter, "one")
         assert [one.run for one in context.placed] == [run], context.placed
-        ends(context, task, letter, run, how, True)
+        ends(context, task, job_letter, run, how, True)
 
 
-@when("the board cancels {letter:w}")
-def step_cancel(context, letter):
-    context.told = context.board.cancel(context.now, NAMES[letter])[0]
+@when("the board cancels {job_letter:w}")
+def step_cancel(context, job_letter):
+    context.outcome = context.leased_jobs.cancel(context.now, NAMES[job_letter])[0]
 
 
-@then("the board answers {told:w}")
-def step_answers(context, told):
-    assert context.told == told, context.told
+@then("the board answers {reported:w}")
+def step_answers(context, reported):
+    assert context.outcome == reported, context.outcome
 
 
-@then("the board shows {letter:w} as {state:w}")
-def step_shows(context, letter, state):
-    assert context.board.state(NAMES[letter]) == state, context.board.state(NAMES[letter])
+@then("the board shows {job_letter:w} as {state:w}")
+def step_shows(context, job_letter, state):
+    assert context.leased_jobs.state(NAMES[job_letter]) == state, context.leased_jobs.state(NAMES[job_letter])
 
 
-@then("the board does not know {letter:w}")
-def step_unknown(context, letter):
-    assert context.board.state(NAMES[letter]) is None
+@then("the board does not know {job_letter:w}")
+def step_unknown(context, job_letter):
+    assert context.leased_jobs.state(NAMES[job_letter]) is None
 
 
 @then("the board counts {count:d} job that has not begun")
 def step_counts(context, count):
-    assert context.board.counts.get(QUEUE, 0) == count, context.board.counts
+    assert context.leased_jobs.counts.get(QUEUE, 0) == count, context.leased_jobs.counts
 
 
 @then('the board has "{waves}" ready')
 def step_ready(context, waves):
-    assert sorted(key[1:] for key in context.board.ready) == tasks_of(waves), context.board.ready
+    assert sorted(key[1:] for key in context.leased_jobs.ready) == tasks_of(waves), context.leased_jobs.ready
 
 
 @then('the board has "" ready')
 def step_none_ready(context):
-    assert not context.board.ready, context.board.ready
+    assert not context.leased_jobs.ready, context.leased_jobs.ready
 
 
 @then("nothing was placed")
@@ -207,38 +211,38 @@
     assert [one.run for one in context.placed] == [run] * count, [one.image() for one in context.placed]
 
 
-@then('what run {first:d} or {second:d} of "{task}" of {letter:w} held is free')
-def step_free(context, first, second, task, letter):
+@then('what run {first:d} or {second:d} of "{task}" of {job_letter:w} held is free')
+def step_free(context, first, second, task, job_letter):
     for run in (first, second):
-        assert held(context, letter, tasks_of(task)[0], run) is None
+        assert placement_of(context, job_letter, tasks_of(task)[0], run) is None
 
 
-@then('run {run:d} of "{task}" of {letter:w} is held and wanted')
-def step_wanted(context, run, task, letter):
-    assert context.board.wanted(held(context, letter, tasks_of(task)[0], run))
+@then('run {run:d} of "{task}" of {job_letter:w} is held and wanted')
+def step_wanted(context, run, task, job_letter):
+    assert context.leased_jobs.wanted(placement_of(context, job_letter, tasks_of(task)[0], run))
 
 
-@then('run {run:d} of "{task}" of {letter:w} is held and not wanted')
-def step_unwanted(context, run, task, letter):
-    placement = held(context, letter, tasks_of(task)[0], run)
-    assert placement is not None and not context.board.wanted(placement)
+@then('run {run:d} of "{task}" of {job_letter:w} is held and not wanted')
+def step_unwanted(context, run, task, job_letter):
+    placement = placement_of(context, job_letter, tasks_of(task)[0], run)
+    assert placement is not None and not context.leased_jobs.wanted(placement)
 
 
-@then("no other member of {letter:w} is wanted any more")
-def step_no_member(context, letter):
+@then("no other member of {job_letter:w} is wanted any more")
+def step_no_member(context, job_letter):
     rest = [
         one
-        for placements in context.board.placements.values()
+        for placements in context.leased_jobs.placements.values()
         for one in placements.values()
-        if one.job == NAMES[letter]
+        if one.job == NAMES[job_letter]
     ]
-    assert rest and not any(map(context.board.wanted, rest)), [one.image() for one in rest]
+    assert rest and not any(map(context.leased_jobs.wanted, rest)), [one.image() for one in rest]
 
 
 # --- placing epochs ------------------------------------------------------------------
 @given("a record whose board holds a job, and a placing epoch followed by another")
 def step_epochs(context):
-    context.record = Record()
+    context.cluster_state = ClusterState()
     context.index = 0
     log(context, ("configure", 0, document(), "first"))
     log(context, ("job", NAMES["A"], QUEUE, plain_of(steps=[{"count": 2}])))
@@ -249,34 +253,34 @@
 
 def log(context, operation):
     context.index += 1
-    return context.record.apply(context.index, 10.0 + context.index, operation)
+    return context.cluster_state.apply(context.index, 10.0 + context.index, operation)
 
 
 @when("{what} comes under the {age:w} epoch")
 def step_under(context, what, age):
-    context.image = cbor2.dumps(context.record.board.image())
+    context.image = cbor2.dumps(context.cluster_state.leased_jobs.image())
     epoch = {"older": 1, "newer": 2}[age]
     operation = {
         "a placement": ("job-assign", epoch, ((NAMES["A"], 0, 0, ((1, "m"),)),)),
         "a stop": ("job-stop", epoch, (("m", reference("A", (0, 0, 0)), 1, "room"),)),
     }[what]
-    context.told = log(context, operation)
+    context.outcome = log(context, operation)
 
 
 @then("it is refused for its epoch and the board is as it was")
 def step_refused(context):
-    assert context.told == ("refused", "epoch"), context.told
-    assert cbor2.dumps(context.record.board.image()) == context.image
+    assert context.outcome == ("refused", "epoch"), context.outcome
+    assert cbor2.dumps(context.cluster_state.leased_jobs.image()) == context.image
 
 
 @then("it is taken and the board has changed")
 def step_taken(context):
-    assert context.told[0] != "refused", context.told
-    assert cbor2.dumps(context.record.board.image()) != context.image
+    assert context.outcome[0] != "refused", context.outcome
+    assert cbor2.dumps(context.cluster_state.leased_jobs.image()) != context.image
 
 
 # --- long random histories -----------------------------------------------------------
-MINIONS = ("m1", "m2", "m3", "m4")
+WORKERS = ("m1", "m2", "m3", "m4")
 HOWS = ("done", "done", "done", "done", "failed", "failed", "stopped", "lapsed", "broken", "alone", "refused")
 
 
@@ -305,11 +309,11 @@
             "duty": 0.3,
         }
         kind = self.random.choices(list(kinds), list(kinds.values()))[0]
-        return getattr(self, kind)(record.board, record)
+        return getattr(self, kind)(record.leased_jobs, record)
 
-    def take(self, board, record):
-        if board.jobs and self.random.random() < 0.1:
-            identity = self.random.choice(list(board.jobs))
+    def take(self, leased_jobs, record):
+        if leased_jobs.jobs and self.random.random() < 0.1:
+            identity = self.random.choice(list(leased_jobs.jobs))
         else:
             self.count += 1
             identity = f"{self.count:016x}"
@@ -340,64 +344,64 @@
             ),
         )
 
-    def assign(self, board, record):
+    def assign(self, leased_jobs, record):
         epoch = record.epochs["placing"][0] - (self.random.random() < 0.05)
         items = []
-        keys = list(board.ready)
+        keys = list(leased_jobs.ready)
         if self.random.random() < 0.1:
-            keys = [wave.key() for job in board.jobs.values() for wave in job.waves.values()]
+            keys = [wave.key() for job in leased_jobs.jobs.values() for wave in job.waves.values()]
         for key in self.random.sample(keys, min(len(keys), self.random.randint(1, 4))):
-            wave = board.jobs[key[0]].waves[key[1:]]
+            wave = leased_jobs.jobs[key[0]].waves[key[1:]]
             indices = sorted(wave.waiting)
             if self.random.random() < 0.2:
                 indices = indices[:-1]
-            items.append((*key, tuple((index, self.random.choice(MINIONS)) for index in indices)))
+            items.append((*key, tuple((index, self.random.choice(WORKERS)) for index in indices)))
         return ("job-assign", epoch, tuple(items))
 
-    def placements(self, board):
-        return [one for placed in board.placements.values() for one in placed.values()]
+    def placements(self, leased_jobs):
+        return [one for placed in leased_jobs.placements.values() for one in placed.values()]
 
-    def end(self, board, record):
-        placed = self.placements(board)
+    def end(self, leased_jobs, record):
+        placed = self.placements(leased_jobs)
         items = []
         for one in self.random.sample(placed, min(len(placed), self.random.randint(1, 5))):
             heard = self.random.random() < 0.8
             how = self.random.choice(HOWS) if heard else self.random.choice(("lapsed", "unsent"))
-            key = (one.minion, one.reference(), one.run)
+            key = (one.worker_id, one.reference(), one.run)
             saved = f"s{self.random.randint(1, 9)}" if self.random.random() < 0.3 and how != "unsent" else ""
             (self.heard if heard else self.gone).append(key)
             items.append((*key, how, saved, heard))
         return ("job-ended", tuple(items))
 
-    def late(self, board, record):
+    def late(self, leased_jobs, record):
         if not self.gone:
             return ("job-ended", ())
         key = self.gone.pop(self.random.randrange(len(self.gone)))
         self.heard.append(key)
         return ("job-ended", ((*key, self.random.choice(HOWS), "", True),))
 
-    def again(self, board, record):
+    def again(self, leased_jobs, record):
         if not self.heard:
             return ("job-ended", ())
         return ("job-ended", ((*self.random.choice(self.heard), self.random.choice(HOWS), "again", True),))
 
-    def cancel(self, board, record):
-        known = [*board.jobs, *board.final] or ["0" * 16]
+    def cancel(self, leased_jobs, record):
+        known = [*leased_jobs.jobs, *leased_jobs.final] or ["0" * 16]
         return ("job-cancel", self.random.choice(known))
 
-    def stop(self, board, record):
-        placed = self.placements(board)
+    def stop(self, leased_jobs, record):
+        placed = self.placements(leased_jobs)
         return (
             "job-stop",
             record.epochs["placing"][0],
             tuple(
-                (one.minion, one.reference(), one.run, "room")
+                (one.worker_id, one.reference(), one.run, "room")
                 for one in self.random.sample(placed, min(len(placed), 2))
             ),
         )
 
-    def configure(self, board, record):
-        base = board.configuration.version
+    def configure(self, leased_jobs, record):
+        base = leased_jobs.configuration.version
         version = base + self.random.choice((0, 1, 2, 5))
         if self.random.random() < 0.5:
             changed = document(self.random.randint(1, 3), version)
@@ -405,35 +409,35 @@
         upserts = {"routes": [{**document(self.random.randint(1, 3))["routes"][0]}]}
         return ("amend", base, version, upserts, {}, configuration.digest_of([base, version, upserts]))
 
-    def evacuate(self, board, record):
+    def evacuate(self, leased_jobs, record):
         order = (self.random.choice(("north", "south")), self.random.random() < 0.5)
         if self.random.random() < 0.3:
             return ("evacuate", *order)  # as members of level 2 propose it
         return ("evacuation", *order, record.index - self.random.choice((0, 0, 20, 200)))
 
-    def duty(self, board, record):
+    def duty(self, leased_jobs, record):
         return ("duty", "placing", self.random.choice(("one", "two")))
 
 
-def may_start(board):
+def may_start(leased_jobs):
     """The waves that may start, counted anew from the tasks alone."""
     found = set()
-    for job in board.jobs.values():
+    for job in leased_jobs.jobs.values():
         for key, wave in job.waves.items():
             waits = [task.state == "waiting" for task in wave.tasks]
             undone = [task.state != "done" for task in wave.tasks]
             before = [
                 task.state == "done" for one in wave.step.after for task in job.waves[(key[0], one)].tasks
             ]
-            whole = not wave.step.gang or sum(waits) == sum(undone)
-            if any(waits) and all(before) and whole:
+            complete = not wave.step.gang or sum(waits) == sum(undone)
+            if any(waits) and all(before) and complete:
                 found.add((job.identity, *key))
     return found
 
 
 @given("three records that apply the same {count:d} random operations of seed {seed:d}")
 def step_histories(context, count, seed):
-    records = [Record(), Record(), Record()]
+    records = [ClusterState(), ClusterState(), ClusterState()]
     chance = Chance(seed)
     operations = [("configure", 0, document(2), "first"), ("duty", "placing", "one")]
     context.unequal, context.ready, context.given, context.parts = [], [], set(), []
@@ -444,35 +448,39 @@
             100.0 if index % 100 == 0 else chance.random.choice((0.0, 0.05, 0.1, 0.5, 1.0))
         )
         if index % 97 == 0:
-            records[1] = Record.decode(Record.encode(records[1].image()))
+            records[1] = ClusterState.decode(ClusterState.encode(records[1].image()))
         if index == count // 2:
-            records[2] = Record.decode(Record.encode(records[2].image()))
+            records[2] = ClusterState.decode(ClusterState.encode(records[2].image()))
         # what goes through the log comes back as lists
-        told = [
+        reported = [
             one.apply(index, time, passed)
             for one, passed in zip(
                 records, (operation, cbor2.loads(cbor2.dumps(operation)), operation), strict=False
             )
         ]
-        kinds = {outcome[0] for outcome in told}
-        images = {cbor2.dumps(one.board.image()) for one in records}
+        kinds = {outcome[0] for outcome in reported}
+        images = {cbor2.dumps(one.leased_jobs.image()) for one in records}
         if len(kinds) != 1 or len(images) != 1:
-            context.unequal.append((index, operation, told))
-        context.ready.append([set(one.board.ready) for one in records] + [may_start(records[0].board)])
-        context.outcomes[(operation[0], told[0][0])] = context.outcomes.get((operation[0], told[0][0]), 0) + 1
-        context.states.update(one[0] for one in records[0].board.final.values())
-        if operation[0] == "job-assign" and told[0][0] == "assigned":
-            watch_placed(context, records[0].board, told[0][1])
+            context.unequal.append((index, operation, reported))
+        context.ready.append(
+            [set(one.leased_jobs.ready) for one in records] + [may_start(records[0].leased_jobs)]
+        )
+        context.outcomes[(operation[0], reported[0][0])] = (
+            context.outcomes.get((operation[0], reported[0][0]), 0) + 1
+        )
+        context.states.update(one[0] for one in records[0].leased_jobs.final.values())
+        if operation[0] == "job-assign" and reported[0][0] == "assigned":
+            watch_placed(context, records[0].leased_jobs, reported[0][1])
     context.records = records
 
 
-def watch_placed(context, board, placed):
+def watch_placed(context, leased_jobs, placed):
     gangs = {}
     for one in placed:
         key = (one.reference(), one.run)
         assert key not in context.given, f"{key} was given twice"
         context.given.add(key)
-        wave = board.jobs[one.job].waves[(one.time, one.number)]
+        wave = leased_jobs.jobs[one.job].waves[(one.time, one.number)]
         if wave.step.gang:
             gangs.setdefault((one.job, one.time, one.number), (wave, []))[1].append(one.run)
     context.parts.extend(
@@ -483,8 +491,8 @@
 @then("all along their images are equal, whichever of them was taken from an image between")
 def step_equal(context):
     assert not context.unequal, context.unequal[0]
-    first = context.records[0].board
-    again = Board.from_image(cbor2.loads(cbor2.dumps(first.image())))
+    first = context.records[0].leased_jobs
+    again = LeasedJobState.from_image(cbor2.loads(cbor2.dumps(first.image())))
     assert cbor2.dumps(again.image()) == cbor2.dumps(first.image())
     assert set(again.ready) == set(first.ready)
     assert context.states == {"completed", "failed", "cancelled"} and first.jobs and first.placements, (
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -13,7 +13,7 @@
 from pinepitch.simulation import simulator as simulators
 
 ROOT = os.path.join(os.path.dirname(__file__), "..", "..")
-DOOR = "10.0.0.99:7000"  # where nobody stands
+ADAPTER = "10.0.0.99:7000"  # where nobody stands
 HOST, JOB = "a.example", "/orders/5c0e7a21d94b36f8"
 CONFIGURATION = {
     "version": 1,
@@ -21,7 +21,7 @@
     "routes": [{"name": "orders", "host": HOST, "prefix": "/orders/", "service": "web", "attempts": 3}],
 }
 JOB_BODY = {"spec": "(text)", "steps": [{"count": 2, "cpu": 500, "mem_mb": 256, "est_ms": 900}]}
-TICKET = {"queue": "default", "tasks": [{"name": "a", "work": {"seconds": 60.0}}]}
+PUSHED_JOB = {"queue": "default", "tasks": [{"name": "a", "work": {"seconds": 60.0}}]}
 ASKED = {
     "a ticket": ("submit", None),  # its arguments are made by the product's own checks
     "a change of the setup": ("change", (None, "merge", {"notes": {"words": "one"}}, "operator", "a reason")),
@@ -38,12 +38,12 @@
 }
 
 
-class Accords:
+class ControlDaemons:
     """Three simulated accords and a door in the steps' hands. Invariant: answers holds what was
     answered to the door, by token."""
 
     def __init__(self):
-        self.simulator = simulators.Simulator(11, minions=())
+        self.simulator = simulators.Simulator(11, workers=())
         self.simulator.begin()
         self.answers = {}
         self.count = 0
@@ -52,8 +52,8 @@
         assert status == 200
 
     @property
-    def record(self):
-        return self.simulator.leader().core.record
+    def cluster_state(self):
+        return self.simulator.leader().core.cluster_state
 
     def wait_for_leader(self):
         found = self.simulator.until(
@@ -63,7 +63,7 @@
         self.simulator.run(2.5)  # members have told their levels, and what was asked is applied by all
 
     def _kept_send(self, simulator, node, address, message):
-        if address == DOOR:
+        if address == ADAPTER:
             assert message[0] == "answer", message
             self.answers.setdefault(message[1], []).append(message[2][:2])
         else:
@@ -80,7 +80,7 @@
         with mock.patch.dict(simulators.EFFECTS, {"send": self._kept_send}):
             for sending in range(1, times + 1):
                 self.simulator.give(
-                    self.simulator.leader(), ("ask", DOOR, token, call, arguments, sending, self.end())
+                    self.simulator.leader(), ("ask", ADAPTER, token, call, arguments, sending, self.end())
                 )
             self.simulator.run(0.5)
         return self.answers.get(token, [])
@@ -102,19 +102,19 @@
 
     def standing(self):
         """What calls can change of the record, moments left out."""
-        record = self.record
-        board = record.board
+        record = self.cluster_state
+        leased_jobs = record.leased_jobs
         return {
-            "versions": [tuple(line)[0] for line in record.setups.lines],
-            "notes": record.setup["notes"],
-            "tickets": (record.count, sorted(record.tickets)),
+            "versions": [tuple(line)[0] for line in record.queue_configurations.lines],
+            "notes": record.queue_configuration["notes"],
+            "tickets": (record.count, sorted(record.pushed_jobs)),
             "drafts": (record.draft_count, sorted(record.drafts)),
             "closed": (sorted(record.drained), sorted(record.emptied), dict(record.withdrawn)),
-            "jobs": sorted(board.jobs),
-            "final": {identity: one[0] for identity, one in board.final.items()},
-            "placements": json.dumps(board.image()[2]),
-            "configuration": board.configuration.document,
-            "evacuated": sorted(board.evacuated),
+            "jobs": sorted(leased_jobs.jobs),
+            "final": {identity: one[0] for identity, one in leased_jobs.final.items()},
+            "placements": json.dumps(leased_jobs.image()[2]),
+            "configuration": leased_jobs.configuration.document,
+            "evacuated": sorted(leased_jobs.evacuated),
         }
 
 
@@ -122,7 +122,7 @@
     """(call, arguments) as a door hands them on."""
     name, arguments = ASKED[call]
     if name == "submit":
-        plain, faults = tickets.checked(TICKET)
+        plain, faults = tickets.checked(PUSHED_JOB)
         assert not faults, faults
         arguments = ("a key", "a digest", plain)
     return name, arguments
@@ -130,25 +130,25 @@
 
 @given("accords that lead, with routes and a setup in force")
 def step_lead(context):
-    context.accords = Accords()
+    context.control_daemons = ControlDaemons()
 
 
 def prepared(context, call):
     """What must be there before a call can take effect."""
     if call == "a job's cancel":
-        assert context.accords.ask(*arguments_of("a job"))[0] == 200
-    context.before = context.accords.standing()
+        assert context.control_daemons.ask(*arguments_of("a job"))[0] == 200
+    context.before = context.control_daemons.standing()
     return arguments_of(call)
 
 
 @when("{call} is asked, and the same call again {when}")
 def step_again(context, call, when):
-    accords, (name, arguments) = context.accords, prepared(context, call)
-    context.first = accords.ask(name, arguments, "the token")
-    context.after_first = accords.standing()
+    control_daemons, (name, arguments) = context.control_daemons, prepared(context, call)
+    context.first = control_daemons.ask(name, arguments, "the token")
+    context.after_first = control_daemons.standing()
     if when == "after the leader fell":
-        accords.lose_leader()
-    context.second = accords.ask(name, arguments, "the token")
+        control_daemons.lose_leader()
+    context.second = control_daemons.ask(name, arguments, "the token")
     context.changes = call != "a minion's leaving"  # which is no entry, and counts once for its life
 
 
@@ -160,19 +160,21 @@
     else:
         assert context.second[0] == 200 and context.first[1]["ticket"] == context.second[1]["ticket"]
     assert (context.before != context.after_first) == context.changes, context.before
-    assert context.accords.standing() == context.after_first
+    assert context.control_daemons.standing() == context.after_first
 
 
 @when("{call} is asked twice in one moment")
 def step_twice(context, call):
     name, arguments = prepared(context, call)
-    context.told = context.accords.give(name, arguments, "the token", times=2)
+    context.answered_calls = context.control_daemons.give(name, arguments, "the token", times=2)
 
 
 @then("it is answered once, and the record holds one of it")
 def step_one(context):
-    assert len(context.told) == 1 and context.told[0][0] in (200, 201), context.told
-    before, after = context.before, context.accords.standing()
+    assert len(context.answered_calls) == 1 and context.answered_calls[0][0] in (200, 201), (
+        context.answered_calls
+    )
+    before, after = context.before, context.control_daemons.standing()
     assert len(after["versions"]) - len(before["versions"]) <= 1
     assert after["drafts"][0] - before["drafts"][0] <= 1
     assert after["tickets"][0] - before["tickets"][0] <= 1
@@ -183,7 +185,7 @@
 @then("docs/design/control/calls.md has one row for each call that is no mere reading")
 def step_page(context):
     with open(os.path.join(ROOT, "docs", "design", "control", "calls.md")) as file:
-        rows = re.findall(r"^\| `([a-z-]+)` \|", file.read(), re.M)
+        queue_settings = re.findall(r"^\| `([a-z-]+)` \|", file.read(), re.M)
     readings = {"job-read", "configuration", "job-explain", "workers", "evacuations"}  # under the lease
     wanted = {name for name, call in CALLS.items() if not call.reads} - readings
-    assert sorted(rows) == sorted(wanted), (set(rows) ^ wanted, rows)
+    assert sorted(queue_settings) == sorted(wanted), (set(queue_settings) ^ wanted, queue_settings)
--- a/features/steps/carrier.py
+++ b/features/steps/carrier.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
-from pinepitch.front.daemon import Verge
-from pinepitch.transport.forwarder import Carrier
+from pinepitch.front.daemon import FrontDaemon
+from pinepitch.transport.forwarder import Forwarder
 
 ADDRESS, LEADER, OTHER = "10.0.0.9:7000", "10.0.0.1:7000", "10.0.0.2:7000"
 CALL = ("job", ("a.example", "/orders/5c0e7a21d94b36f8", {"steps": [{}]}))
@@ -14,8 +14,8 @@
 @given("a call to be carried, with {seconds:d} second of patience")
 @given("a call to be carried, with {seconds:d} seconds of patience")
 def step_call(context, seconds):
-    context.carrier, context.now = Carrier("verge", ADDRESS, lambda number, **_: None), 100.0
-    context.token = context.carrier.begin(17, *CALL, context.now, seconds)
+    context.forwarder, context.now = Forwarder("verge", ADDRESS, lambda number, **_: None), 100.0
+    context.token = context.forwarder.begin(17, *CALL, context.now, seconds)
     context.until, context.replies = context.now + seconds, []
 
 
@@ -24,20 +24,20 @@
     open_sendings = []
     for one in history.split(", "):
         if one == "sent":
-            open_sendings.append(context.carrier.sent(context.token, LEADER, context.now))
+            open_sendings.append(context.forwarder.sent(context.token, LEADER, context.now))
         elif one == "sent to nobody":
-            context.carrier.sent(context.token, None, context.now)
+            context.forwarder.sent(context.token, None, context.now)
         elif one == "refused":
-            context.carrier.refused(context.token, open_sendings.pop(0))
+            context.forwarder.not_taken(context.token, open_sendings.pop(0))
         elif one == "refused again":
-            context.carrier.refused(context.token, 1)
+            context.forwarder.not_taken(context.token, 1)
         else:
             assert one == "in doubt", one
-            context.carrier.unsure(context.token)
+            context.forwarder.in_doubt(context.token)
 
 
 def wait(context, until):
-    due, effects = context.carrier.due(until)
+    due, effects = context.forwarder.due(until)
     context.replies.extend(effects)
     return due
 
@@ -57,15 +57,15 @@
 @when("its answer is {status:d}")
 def step_answered(context, status):
     context.replies.extend(
-        context.carrier.answered(context.token, (status, {"state": "queued"}, None), KEY, context.now)
+        context.forwarder.answered(context.token, (status, {"state": "queued"}, None), KEY, context.now)
     )
 
 
 @when("its answer is {status:d} and when to come back")
 def step_answered_again(context, status):
     context.replies.extend(
-        context.carrier.answered(
-            context.token, (status, {"state": "queued"}, constants.COME_BACK), KEY, context.now
+        context.forwarder.answered(
+            context.token, (status, {"state": "queued"}, constants.RETRY_AFTER), KEY, context.now
         )
     )
 
@@ -73,25 +73,25 @@
 @then("it is replied with {status:d}, {again}")
 def step_replied(context, status, again):
     assert len(context.replies) == 1, context.replies
-    kind, request, told, document, headers, *_ = context.replies[0]
-    assert (kind, request, told) == ("reply", 17, status), context.replies
-    expected = (("Retry-After", str(constants.COME_BACK)),) if again == "saying when to come back" else ()
+    kind, request, answer_status, document, headers, *_ = context.replies[0]
+    assert (kind, request, answer_status) == ("reply", 17, status), context.replies
+    expected = (("Retry-After", str(constants.RETRY_AFTER)),) if again == "saying when to come back" else ()
     assert tuple(headers) == expected, headers
     assert status < 500 or "message" in document["error"], document
-    assert context.token not in context.carrier.calls
+    assert context.token not in context.forwarder.calls
 
 
 @then("nothing more is replied, whatever is told later")
 def step_no_more(context):
-    context.carrier.refused(context.token, 1)
-    context.carrier.unsure(context.token)
-    assert not context.carrier.answered(context.token, (200, {}, None), KEY, context.now)
-    assert context.carrier.due(context.until + 1000) == ([], [])
+    context.forwarder.not_taken(context.token, 1)
+    context.forwarder.in_doubt(context.token)
+    assert not context.forwarder.answered(context.token, (200, {}, None), KEY, context.now)
+    assert context.forwarder.due(context.until + 1000) == ([], [])
 
 
 WHEN = {
-    "once an answer is overdue": constants.CARRY_AGAIN,
-    "as soon as one may be found": constants.CARRY_SEEK,
+    "once an answer is overdue": constants.FORWARD_RETRY,
+    "as soon as one may be found": constants.FORWARD_RETRY_UNTAKEN,
     "at once": 0.0,
 }
 
@@ -107,17 +107,20 @@
 
 @given("two calls to be carried, one with less patience")
 def step_two(context):
-    context.carrier = Carrier("verge", ADDRESS, lambda number, **_: None)
-    context.tokens = [context.carrier.begin(1, *CALL, 100.0, 0.5), context.carrier.begin(2, *CALL, 100.0, 1)]
+    context.forwarder = Forwarder("verge", ADDRESS, lambda number, **_: None)
+    context.tokens = [
+        context.forwarder.begin(1, *CALL, 100.0, 0.5),
+        context.forwarder.begin(2, *CALL, 100.0, 1),
+    ]
     assert len(set(context.tokens)) == 2
 
 
 @when("both are sent, and the second is answered")
 def step_second(context):
     for token in context.tokens:
-        context.carrier.sent(token, LEADER, 100.0)
-    context.replies = list(context.carrier.answered(context.tokens[1], (200, {}, None), KEY, 100.0))
-    context.replies.extend(context.carrier.due(100.6)[1])
+        context.forwarder.sent(token, LEADER, 100.0)
+    context.replies = list(context.forwarder.answered(context.tokens[1], (200, {}, None), KEY, 100.0))
+    context.replies.extend(context.forwarder.due(100.6)[1])
 
 
 @then("each has its own reply")
@@ -127,14 +130,17 @@
 
 # --- in a verge ----------------------------------------------------------------------
 @given("a verge that knows no accord")
-def step_verge(context):
-    context.verge, context.now = Verge("verge", ADDRESS, "north", (LEADER, OTHER, "10.0.0.3:7000")), 50.0
+def step_front(context):
+    context.front, context.now = (
+        FrontDaemon("verge", ADDRESS, "north", (LEADER, OTHER, "10.0.0.3:7000")),
+        50.0,
+    )
     context.asks, context.replies = [], []
 
 
 @given("a verge that follows a leader")
 def step_follows(context):
-    step_verge(context)
+    step_front(context)
     for identity, address in (("one", LEADER), ("two", OTHER)):
         step(
             context,
@@ -158,7 +164,7 @@
 def step(context, *message):
     """Steps the verge; tells what it asks about the call."""
     asks = []
-    for effect in context.verge.step(message, context.now, 1.7e9 + context.now):
+    for effect in context.front.step(message, context.now, 1.7e9 + context.now):
         if effect[0] == "send" and effect[2][0] == "ask" and effect[2][3] == CALL[0]:
             asks.append((effect[1], effect[2][2], effect[2][5]))  # (address, token, sending)
         elif effect[0] == "reply":
@@ -185,7 +191,7 @@
 
 
 @when("a client's call comes there and the leader is silent")
-def step_silent(context):
+def step_unresponsive(context):
     assert [one[0] for one in call(context)] == [LEADER]
     run(context, 1.1)
 
@@ -225,11 +231,11 @@
 
 
 @then("the client is told {status:d} once")
-def step_told(context, status):
+def step_notified(context, status):
     assert [one[1:3] for one in context.replies] == [(17, status)], context.replies
 
 
 @then("the client is told {status:d} once, and when to come back")
-def step_told_again(context, status):
-    step_told(context, status)
-    assert ("Retry-After", str(constants.COME_BACK)) in tuple(context.replies[0][4]), context.replies
+def step_notified_again(context, status):
+    step_notified(context, status)
+    assert ("Retry-After", str(constants.RETRY_AFTER)) in tuple(context.replies[0][4]), context.replies
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -6,14 +6,14 @@
 from behave import given, then, when
 
 from pinepitch.scheduling import requests
-from pinepitch.state.cluster_state import Record
+from pinepitch.state.cluster_state import ClusterState
 
 
 class Core:
     """As much of an accord as calls about the configuration ask of it."""
 
     def __init__(self):
-        self.record, self.index = Record(), 0
+        self.cluster_state, self.index = ClusterState(), 0
 
     def call(self, name, *arguments):
         """(status, document, retry) as the leader would answer."""
@@ -23,7 +23,7 @@
             return made[1]
         _, operation, shape, extra = made
         self.index += 1
-        outcome = self.record.apply(self.index, float(self.index), cbor2.loads(cbor2.dumps(operation)))
+        outcome = self.cluster_state.apply(self.index, float(self.index), cbor2.loads(cbor2.dumps(operation)))
         return requests.SHAPES[shape](self, outcome, extra, 0.0)
 
 
@@ -31,7 +31,7 @@
     return {"name": name, "host": host, "prefix": prefix, "service": service, "timeout_ms": 3000, **more}
 
 
-def whole(version):
+def complete_document(version):
     return {
         "version": version,
         "services": [{"name": "web", "guards": True, "elsewhere": 1}, {"name": "spare"}],
@@ -46,7 +46,7 @@
 
 
 def send(context, name, *arguments):
-    context.before = context.core.record.board.configuration.image()
+    context.before = context.core.cluster_state.leased_jobs.configuration.image()
     context.sent = (name, copy.deepcopy(arguments))
     context.answer = context.core.call(name, *arguments)
 
@@ -59,13 +59,13 @@
 @given("version 5 is in force with routes and services")
 def step_five(context):
     context.core = Core()
-    send(context, "configure", 0, whole(5))
+    send(context, "configure", 0, complete_document(5))
     assert context.answer[0] == 200, context.answer
 
 
 @when("version {version:d} is sent on top of {base:d}")
 def step_send(context, version, base):
-    send(context, "configure", base, whole(version))
+    send(context, "configure", base, complete_document(version))
 
 
 FAULTS = {
@@ -100,7 +100,7 @@
 
 @when("version {version:d} is sent on top of {base:d} with {fault}")
 def step_fault(context, version, base, fault):
-    document = whole(version)
+    document = complete_document(version)
     FAULTS[fault](document)
     send(context, "configure", base, document)
 
@@ -144,13 +144,13 @@
     call, _, another = call.partition(" with ")
     added = route("another" if another else "one", "a.example", "/another/" if another else "/one/")
     if call == "a whole one":
-        document = whole(version)
+        document = complete_document(version)
         document["routes"].append(added)
         context.document = context.document if another else document
         send(context, "configure", base, document)
     else:
         if not another:
-            context.document = whole(version)
+            context.document = complete_document(version)
             context.document["routes"].append(added)
         send(context, "amend", base, version, {"routes": [added]}, {})
 
@@ -164,7 +164,7 @@
 
 @when("version {version:d} with {count:d} routes is sent on top of {base:d}")
 def step_many(context, version, count, base):
-    document = whole(version)
+    document = complete_document(version)
     document["routes"] = [route(f"r{one}", f"h{one % 7}.example", f"/p{one}/") for one in range(count)]
     send(context, "configure", base, document)
 
@@ -193,8 +193,8 @@
 
 @then("all is as it was before")
 def step_same(context):
-    assert context.core.record.board.configuration.image() == context.before
-    assert context.core.call("configuration") == (200, whole(5), None)
+    assert context.core.cluster_state.leased_jobs.configuration.image() == context.before
+    assert context.core.call("configuration") == (200, complete_document(5), None)
     step_leads(context, "/orders/1", "a.example", "orders", "1")
     step_nowhere(context, "/fresh/1", "a.example")
 
@@ -203,18 +203,20 @@
 def step_in_force(context, version):
     status, document, _ = context.core.call("configuration")
     expected = (
-        context.document if getattr(context, "document", {}).get("version") == version else whole(version)
+        context.document
+        if getattr(context, "document", {}).get("version") == version
+        else complete_document(version)
     )
     assert status == 200 and document == expected, document
 
 
 @then("what is read back is what version 5 held, under version 12")
 def step_back(context):
-    assert context.core.call("configuration") == (200, whole(12), None)
+    assert context.core.call("configuration") == (200, complete_document(12), None)
 
 
 def found(context, host, path):
-    return context.core.record.board.configuration.find(host, path)
+    return context.core.cluster_state.leased_jobs.configuration.find(host, path)
 
 
 @then("no route is found for host {host} and path {path}")
@@ -224,10 +226,12 @@
 
 @then("path {path} of host {host} leads to route {name:w} and {rest}")
 def step_leads(context, path, host, name, rest):
-    told = found(context, host, path)
-    assert told is not None and told[0]["name"] == name and told[1] == ("" if rest == "nothing" else rest), (
-        told
-    )
+    described = found(context, host, path)
+    assert (
+        described is not None
+        and described[0]["name"] == name
+        and described[1] == ("" if rest == "nothing" else rest)
+    ), described
 
 
 @then("path {path} of host {host} leads nowhere")
@@ -253,7 +257,7 @@
 @then("version {version:d} is read back from an image of the record as it was")
 def step_image(context, version):
     before = context.core.call("configuration")
-    context.core.record = Record.decode(Record.encode(context.core.record.image()))
+    context.core.cluster_state = ClusterState.decode(ClusterState.encode(context.core.cluster_state.image()))
     assert context.core.call("configuration") == before and before[1]["version"] == version
     step_but(context, 1000)
     step_again(context)
--- a/features/steps/connections.py
+++ b/features/steps/connections.py
@@ -74,13 +74,13 @@
 
 @when("a client's call meets {before}, and the client calls again")
 def step_before(context, before):
-    context.told = curio.run(_two_calls, context.listener, *BEFORE[before])
+    context.exchanged = curio.run(_two_calls, context.listener, *BEFORE[before])
 
 
 @then("the second call gets its own answer")
 def step_own(context):
-    answer = context.told[1]
-    assert isinstance(answer, http.Response) and answer.document == {"words": "own"}, context.told
+    answer = context.exchanged[1]
+    assert isinstance(answer, http.Response) and answer.document == {"words": "own"}, context.exchanged
 
 
 # --- the server's side ----------------------------------------------------------------
@@ -218,14 +218,14 @@
 
 @when("connections are reset within the request, at every byte")
 def step_reset_requests(context):
-    whole = request_of("/cut")
+    request = request_of("/cut")
 
     async def act(port):
-        for place in range(len(whole)):
+        for place in range(len(request)):
             socket = await port.connect()
-            await socket.sendall(whole[:place])
+            await socket.sendall(request[:place])
             await reset(socket)
-        await _whole_one(context, port, 1)
+        await _complete_one(context, port, 1)
 
     context.port.run(act)
 
@@ -242,12 +242,12 @@
             while got < place:
                 got += len(await socket.recv(place - got))
             await reset(socket)
-        await _whole_one(context, port, 60)
+        await _complete_one(context, port, 60)
 
     context.port.run(act)
 
 
-async def _whole_one(context, port, number):
+async def _complete_one(context, port, number):
     socket = await port.connect()
     await socket.sendall(request_of("/whole"))
     await port.requested(number)
@@ -258,7 +258,7 @@
 
 
 @then("no half request was decided, and a whole one is answered after them")
-def step_whole(context):
+def step_complete(context):
     assert context.numbers == [context.expected], context.numbers
     assert all(one[4] == b"{}" for one in context.port.decider.requests)
     assert context.port.host.requests == {}, context.port.host.requests
@@ -266,7 +266,7 @@
 
 @when("a caller sends ten times the largest body before it reads")
 def step_large(context):
-    size = 10 * constants.BODY_MOST
+    size = 10 * constants.MAX_BODY_BYTES
 
     async def act(port):
         client = http.Client(*port.address)
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -24,8 +24,8 @@
 # --- trials --------------------------------------------------------------------------
 @when("a control machine meets {scenario} with seeds {first:d} to {last:d}")
 def step_try(context, scenario, first, last):
-    plant = getattr(context, "plant", "")
-    context.work = [(scenario, seed, plant) for seed in range(first, last + 1)]
+    injected_fault = getattr(context, "injected_fault", "")
+    context.work = [(scenario, seed, injected_fault) for seed in range(first, last + 1)]
 
 
 @then("no check of contact finds a fault")
@@ -58,20 +58,20 @@
 @when("readings of the leader's clock reach a daemon late, relayed and out of order")
 def step_readings(context):
     draw, moments = context.draw, []
-    relay, carrier = LeaderClock(), LeaderClock()
+    relay, forwarder = LeaderClock(), LeaderClock()
     for _ in range(400):
-        told = draw.uniform(0, 60)
-        moments.append((told + draw.choice((0.001, 0.3, 8.0)) * draw.random(), told))
+        notice = draw.uniform(0, 60)
+        moments.append((notice + draw.choice((0.001, 0.3, 8.0)) * draw.random(), notice))
     context.floors, context.ends = [], []
-    for heard, told in sorted(moments):
-        relay.hear(Reading(4, reads(context, "leader", told)), reads(context, "a", heard))
+    for heard, notice in sorted(moments):
+        relay.hear(Reading(4, reads(context, "leader", notice)), reads(context, "a", heard))
         passed = heard + draw.uniform(0, 0.05)
-        carrier.hear(relay.floor(reads(context, "a", heard)), reads(context, "b", passed))
+        forwarder.hear(relay.floor(reads(context, "a", heard)), reads(context, "b", passed))
         own, leads = reads(context, "b", passed), reads(context, "leader", passed)
-        context.floors.append((carrier.floor(own).seconds, leads))
+        context.floors.append((forwarder.floor(own).seconds, leads))
         until = passed + constants.CALL_PATIENCE
         context.ends.append(
-            (carrier.end(reads(context, "b", until), own).seconds, reads(context, "leader", until))
+            (forwarder.end(reads(context, "b", until), own).seconds, reads(context, "leader", until))
         )
 
 
@@ -110,16 +110,16 @@
 @given("a leader that serves")
 def step_leader(context):
     context.fleet = costs.Alone().begin()
-    context.version = context.fleet.core.record.board.configuration.version
+    context.version = context.fleet.core.cluster_state.leased_jobs.configuration.version
 
 
-def carry(context, end):
+def forward(context, end):
     """Carries one change to the leader; what it says of it."""
     fleet = context.fleet
-    document = {**fleet.core.record.board.configuration.document, "version": context.version + 1}
+    document = {**fleet.core.cluster_state.leased_jobs.configuration.document, "version": context.version + 1}
     fleet.sent.clear()
     fleet.give(("ask", CALLER, "token", "configure", (context.version, document), 1, end))
-    context.told = [one for one in fleet.sent if one[0] in ("answer", "elsewhere")]
+    context.answered_kinds = [one for one in fleet.sent if one[0] in ("answer", "elsewhere")]
 
 
 def end_of(context, end):
@@ -133,29 +133,31 @@
 
 
 @when("a change is carried to it {end}")
-def step_carry(context, end):
-    carry(context, end_of(context, end))
+def step_forward(context, end):
+    forward(context, end_of(context, end))
 
 
 @when("the same call is carried again with time left")
-def step_carry_again(context):
-    carry(context, end_of(context, "with time left"))
+def step_forward_again(context):
+    forward(context, end_of(context, "with time left"))
 
 
 @then("that change is taken")
 def step_taken(context):
-    assert [(one[0], one[2][0]) for one in context.told] == [("answer", 200)], context.told
-    assert context.fleet.core.record.board.configuration.version == context.version + 1
+    assert [(one[0], one[2][0]) for one in context.answered_kinds] == [("answer", 200)], (
+        context.answered_kinds
+    )
+    assert context.fleet.core.cluster_state.leased_jobs.configuration.version == context.version + 1
 
 
 @then("that change is not taken, and nothing comes of it")
 def step_not_taken(context):
-    ((kind, _, leader, _, reading),) = context.told
+    ((kind, _, leader, _, reading),) = context.answered_kinds
     fleet = context.fleet
-    assert (kind, leader) == ("elsewhere", fleet.core.address), context.told
+    assert (kind, leader) == ("elsewhere", fleet.core.address), context.answered_kinds
     assert reading == Reading(fleet.core.consensus.term, fleet.now), reading
     fleet.run(3.0)
-    assert fleet.core.record.board.configuration.version == context.version
+    assert fleet.core.cluster_state.leased_jobs.configuration.version == context.version
 
 
 # --- a leader whose lease is over --------------------------------------------------------
@@ -166,26 +168,26 @@
 
 
 @when("its followers fall silent for longer than its lease")
-def step_silent(context):
+def step_unresponsive(context):
     simulator = context.simulator
     context.leader = simulator.leader()
-    simulator.cut([context.leader.name], list(simulator.nodes))
-    simulator.run(constants.LEAD_LEASE + 0.05)
+    simulator.partition([context.leader.name], list(simulator.nodes))
+    simulator.run(constants.LEADER_LEASE + 0.05)
     assert context.leader.core.consensus.serving(), "it has given leadership up"
 
 
 @when("a change of the setup on an older version is carried to it")
 def step_old_change(context):
     core, now = context.leader.core, context.simulator.steady()
-    arguments = (core.record.version - 1, "merge", {"queues": {}}, "someone", "")
+    arguments = (core.cluster_state.version - 1, "merge", {"queues": {}}, "someone", "")
     end = Reading(core.consensus.term, now + 1.0)
     effects = core.step(("ask", CALLER, "token", "change", arguments, 1, end), now, now)
-    context.told = [one[2][0] for one in effects if one[0] == "send" and one[1] == CALLER]
+    context.answered_kinds = [one[2][0] for one in effects if one[0] == "send" and one[1] == CALLER]
 
 
 @then("the caller is sent elsewhere, and not refused")
-def step_elsewhere(context):
-    assert context.told == ["elsewhere"], context.told
+def step_not_taken_again(context):
+    assert context.answered_kinds == ["elsewhere"], context.answered_kinds
 
 
 # --- answers that come late ----------------------------------------------------------------
@@ -193,23 +195,23 @@
 def step_answer_comes(context, when):
     now = {"within": context.until - 0.01, "after": context.until}[when]
     answer = (200, {"state": "queued"}, None)
-    context.replies.extend(context.carrier.answered(context.token, answer, KEY, now))
+    context.replies.extend(context.forwarder.answered(context.token, answer, KEY, now))
 
 
 @when("the answer to a question for news is read {seconds:d} seconds after it was asked")
-def step_old_news(context, seconds):
-    verge, now = context.verge, context.now
-    verge.step(("tick",), now, now)
-    assert verge.news_token is not None
+def step_old_updates(context, seconds):
+    front, now = context.front, context.now
+    front.step(("tick",), now, now)
+    assert front.updates_token is not None
     body = {"setup_version": 1, "configuration": 1, "drained": [], "emptied": [], "withdrawn": []}
-    told = ("told", verge.news_token, (1, 0), body, (), (), 1.7e9, 0.0, (), "cohort")
-    verge.step(told, now + seconds, now + seconds)
-    verge.step(("tick",), now + seconds, now + seconds)
+    notice = ("told", front.updates_token, (1, 0), body, (), (), 1.7e9, 0.0, (), "cohort")
+    front.step(notice, now + seconds, now + seconds)
+    front.step(("tick",), now + seconds, now + seconds)
 
 
 @then("the verge says that it is stale")
 def step_stale(context):
-    assert context.verge.stale and context.verge.body is not None
+    assert context.front.stale and context.front.body is not None
 
 
 # --- the host ----------------------------------------------------------------------------
@@ -334,7 +336,7 @@
 
 
 @then("the one is told as unsure, and the other as it was decided")
-def step_unsure(context):
+def step_in_doubt(context):
     late, timely = context.responses
     assert late == http.Response(*stall_detector.LATE) and late.status == 504
     assert timely == http.Response(200, {"version": 3})
--- a/features/steps/control_faults.py
+++ b/features/steps/control_faults.py
@@ -10,13 +10,21 @@
 
 @given("the trials")
 def step_trials(context):
-    context.work = [(row["scenario"], int(row["seed"]), "") for row in context.table]
+    context.work = [
+        (queue_settings["scenario"], int(queue_settings["seed"]), "") for queue_settings in context.table
+    ]
 
 
 @given("the planted faults")
-def step_planted(context):
-    context.sought = {(row["scenario"], row["plant"]): row["fault"] for row in context.table}
-    context.first = {(row["scenario"], row["plant"]): int(row["seed"]) for row in context.table}
+def step_injected(context):
+    context.sought = {
+        (queue_settings["scenario"], queue_settings["plant"]): queue_settings["fault"]
+        for queue_settings in context.table
+    }
+    context.first = {
+        (queue_settings["scenario"], queue_settings["plant"]): int(queue_settings["seed"])
+        for queue_settings in context.table
+    }
 
 
 @then("none of the trials finds a fault")
@@ -37,10 +45,10 @@
     unseen, found = dict(context.sought), {}
     for turn in range(SEEDS):
         work = [(one[0], context.first[one] + turn, one[1]) for one in unseen]
-        for (scenario, _, plant), faults, _ in leased_job_trial.many(work):
-            if any(context.sought[scenario, plant] in fault for fault in faults):
-                unseen.pop((scenario, plant), None)
-            found.setdefault((scenario, plant), []).extend(faults)
+        for (scenario, _, injected_fault), faults, _ in leased_job_trial.many(work):
+            if any(context.sought[scenario, injected_fault] in fault for fault in faults):
+                unseen.pop((scenario, injected_fault), None)
+            found.setdefault((scenario, injected_fault), []).extend(faults)
         if not unseen:
             return
     raise AssertionError([(one, found[one][:4]) for one in unseen])
--- a/features/steps/door_fuzz.py
+++ b/features/steps/door_fuzz.py
@@ -44,7 +44,7 @@
     "upsertItems": {"services": [{"name": "more"}]},
     "removeNames": {"services": ["more"]},
 }
-BEAT = {
+HEARTBEAT = {
     "serviceName": "web",
     "address": "10.8.0.9:80",
     "zone": "a",
@@ -66,7 +66,7 @@
 # door -> (method, target, document or None, headers)
 REQUESTS = {
     "control": [
-        ("POST", "/api/Minions.Heartbeat/m1", BEAT, {}),
+        ("POST", "/api/Minions.Heartbeat/m1", HEARTBEAT, {}),
         ("POST", "/api/Minions.Leave/m2", None, {}),
         ("POST", "/api/Configuration.Replace", CONFIGURATION, {"x-based-on-version": "1"}),
         ("POST", "/api/Configuration.Amend", ITEMS, {"x-based-on-version": "1"}),
@@ -102,9 +102,9 @@
         place = draw.choice(list(places_of(document)))
         if not place:
             continue
-        *way, key = place
+        *parents, key = place
         parent = document
-        for one in way:
+        for one in parents:
             parent = parent[one]
         act = draw.choice(("change", "change", "take out", "add", "double"))
         if act == "change":
@@ -131,8 +131,8 @@
     )
 
 
-def distorted_request(draw, door):
-    method, target, document, headers = draw.choice(REQUESTS[door])
+def distorted_request(draw, adapter):
+    method, target, document, headers = draw.choice(REQUESTS[adapter])
     body = b"" if document is None else json.dumps(document).encode()
     if document is not None and draw.random() < 0.8:
         body = json.dumps(distorted_document(draw, document)).encode()
@@ -155,7 +155,7 @@
     call was replied, as the door writes it."""
 
     def __init__(self):
-        self.simulator = simulators.Simulator(5, minions=())
+        self.simulator = simulators.Simulator(5, workers=())
         self.simulator.begin()
         assert self.simulator.until(lambda: self.simulator.leader().core.epoch > 0, 20) is not None
         self.simulator.run(2)
@@ -178,8 +178,8 @@
 
     def send(self, kind, request, node=None):
         """One request to a daemon's door; its Response is noted."""
-        door = self.door(kind)
-        made = door.read(request)
+        adapter = self.door(kind)
+        made = adapter.read(request)
         if isinstance(made, Response):
             self.responses.append((request, made))
             return
@@ -190,7 +190,7 @@
             self.simulator.give(node, ("call", number, *made))
             self.simulator.until(lambda: number in self.replies, constants.CALL_PATIENCE + 1, 0.005)
         (reply,) = self.replies.pop(number)
-        response = door.write(made[0], reply)
+        response = adapter.write(made[0], reply)
         json.dumps(response.document)
         self.responses.append((request, response))
         if made[0] in ("configure", "amend") and response.status == 200:
@@ -205,13 +205,13 @@
     context.daemons = Daemons()
 
 
-@when("{count:d} requests that are distorted with seed {seed:d} come to the {door} door")
-def step_fuzz(context, count, seed, door):
+@when("{count:d} requests that are distorted with seed {seed:d} come to the {adapter} door")
+def step_fuzz(context, count, seed, adapter):
     draw, daemons = random.Random(seed), context.daemons
-    kind = "accord" if door == "control" else "verge"
+    kind = "accord" if adapter == "control" else "verge"
     nodes = [node for node in daemons.simulator.nodes.values() if node.kind == kind]
     for _ in range(count):
-        daemons.send(door, distorted_request(draw, door), draw.choice(nodes))
+        daemons.send(adapter, distorted_request(draw, adapter), draw.choice(nodes))
     context.count = count
 
 
@@ -227,7 +227,7 @@
 
 @then("a configuration came into force just where one was acknowledged")
 def step_configurations(context):
-    configuration = context.daemons.simulator.leader().core.record.board.configuration
+    configuration = context.daemons.simulator.leader().core.cluster_state.leased_jobs.configuration
     assert set(configuration.taken) == {1, *context.daemons.versions}, configuration.taken
 
 
@@ -236,5 +236,5 @@
     simulator = context.daemons.simulator
     simulator.run(2)
     assert not simulator.agreement(), simulator.agreement()
-    indexes = {node.core.record.index for node in simulator.nodes.values() if node.kind == "accord"}
+    indexes = {node.core.cluster_state.index for node in simulator.nodes.values() if node.kind == "accord"}
     assert len(indexes) == 1, indexes
--- a/features/steps/doors.py
+++ b/features/steps/doors.py
@@ -14,7 +14,7 @@
 from pinepitch.common import constants
 from pinepitch.scheduling import leased_job as jobs
 from pinepitch.scheduling import requests, worker
-from pinepitch.state.cluster_state import Record
+from pinepitch.state.cluster_state import ClusterState
 from pinepitch.transport import framing
 from pinepitch.transport.http import Request, Response
 
@@ -110,7 +110,7 @@
     "upsertItems": {"routes": [FRESH, {**ROUTES[1], "timeoutMs": 1}]},
     "removeNames": {"routes": ["r-a3hwrr6", "r-old"]},
 }
-BEAT = {
+HEARTBEAT = {
     "serviceName": "huvo11a",
     "address": "10.128.0.9:8080",
     "zone": "nave-norte",
@@ -143,16 +143,16 @@
 
 def framed(value):
     """What comes out of a frame between daemons that `value` is put into."""
-    source, told = framing.decode(framing.encode("here", ("ask", value))[framing.LENGTH.size :])
+    source, answered = framing.decode(framing.encode("here", ("ask", value))[framing.LENGTH.size :])
     assert source == "here"
-    return told[1]
+    return answered[1]
 
 
 class Core:
     """As much of an accord as calls about the record ask of it."""
 
     def __init__(self):
-        self.record, self.index = Record(), 0
+        self.cluster_state, self.index = ClusterState(), 0
 
     def trace(self, number, **fields):
         """Keeps no timeline."""
@@ -163,20 +163,20 @@
             return made
         call, arguments, _ = made
         arguments = framed(arguments)
-        told = requests.CALLS[call](self, "token", arguments, 0.0)
-        if told[0] == "answer":
-            status, document, retry = told[1]
+        answered = requests.CALLS[call](self, "token", arguments, 0.0)
+        if answered[0] == "answer":
+            status, document, retry = answered[1]
         else:
-            _, operation, shape, extra = told
+            _, operation, shape, extra = answered
             self.index += 1
             operation = framed(operation)
-            outcome = self.record.apply(self.index, float(self.index), operation)
+            outcome = self.cluster_state.apply(self.index, float(self.index), operation)
             status, document, retry = requests.SHAPES[shape](self, outcome, extra, 0.0)
         headers = () if retry is None else (("Retry-After", str(retry)),)
-        door = (
+        adapter = (
             adapters.Control(CONTROL) if call in ("configure", "amend", "configuration") else adapters.Front()
         )
-        return door.write(call, Response(status, document, headers))
+        return adapter.write(call, Response(status, document, headers))
 
 
 # --- words ---------------------------------------------------------------------------
@@ -198,14 +198,14 @@
     spec, steps, *times = context.plain
     assert spec == "(text)" and not any(times), context.plain
     first, second = (jobs.Step(one) for one in steps)
-    assert (first.count, first.room, first.est_ms, first.near, first.after) == (
+    assert (first.count, first.resources, first.est_ms, first.near, first.after) == (
         4,
         (500, 256, 0),
         900,
         "r1-3",
         (),
     )
-    assert (second.count, second.room, second.est_ms, second.after, second.saves) == (
+    assert (second.count, second.resources, second.est_ms, second.after, second.saves) == (
         20,
         (2000, 1024, 0),
         7000,
@@ -332,7 +332,7 @@
 
 
 # --- bodies --------------------------------------------------------------------------
-SAMPLES = {"job": JOB_BODY, "configuration": CONFIGURATION, "change": CHANGE, "beat": BEAT}
+SAMPLES = {"job": JOB_BODY, "configuration": CONFIGURATION, "change": CHANGE, "beat": HEARTBEAT}
 SPOT = {"job": '"taskSpec"', "configuration": '"limits"', "change": '"upsertItems"', "beat": '"labels"'}
 
 
@@ -386,7 +386,7 @@
     if kind == "job":
         context.made = front("POST", JOB, body)
     elif kind == "beat":
-        context.made = control("POST", adapters.BEAT + "i-7f3a91c2", body)
+        context.made = control("POST", adapters.HEARTBEAT + "i-7f3a91c2", body)
     else:
         target = adapters.REPLACE if kind == "configuration" else adapters.AMEND
         context.made = control("POST", target, body, x_based_on_version="0")
@@ -404,11 +404,11 @@
         assert context.made.status == 400, context.made
         return
     call, arguments, _ = context.made
-    told = framed(arguments)
+    answered = framed(arguments)
     if call in ("job", "beat"):
         return  # never written back
     words = vocabulary.JOB if call == "job" else vocabulary.CONFIGURATION
-    json.dumps(vocabulary.original(told, words), allow_nan=False).encode()
+    json.dumps(vocabulary.original(answered, words), allow_nan=False).encode()
 
 
 # --- jobs' names, headers, answers ---------------------------------------------------
@@ -421,7 +421,7 @@
 
 @then("that name is {outcome}")
 def step_outcome(context, outcome):
-    status, open_jobs = context.response.status, list(context.core.record.board.jobs)
+    status, open_jobs = context.response.status, list(context.core.cluster_state.leased_jobs.jobs)
     if outcome == "taken":
         assert status == 200 and open_jobs == [context.name], (status, open_jobs)
         asked = context.core.answer(front("GET", f"/lohu930/{context.name}"))
@@ -475,12 +475,12 @@
 @when("{method:w} {target} comes to the {port:w} port")
 def step_comes(context, method, target, port):
     request = Request(method, target, {"host": "nony24.example"}, b"{}")
-    door = {
+    adapter = {
         "front": adapters.Front(),
         "control": adapters.Control(CONTROL),
         "readiness": adapters.Readiness(),
     }[port]
-    context.made = door.read(request)
+    context.made = adapter.read(request)
 
 
 @when("the product answers a client {status:d} with an error and Retry-After")
@@ -494,7 +494,7 @@
 
 
 @then("the platform is told {status:d}, why, and the same Retry-After")
-def step_error_told(context, status):
+def step_error_notified(context, status):
     assert context.response == Response(
         status, {"errorMessage": "too many jobs are open"}, (("Retry-After", "1"),)
     ), context.response
@@ -507,57 +507,59 @@
 
 
 # --- beats and orders ----------------------------------------------------------------
-def beat_with(form):
-    beat = copy.deepcopy(BEAT)
+def heartbeat_with(form):
+    heartbeat = copy.deepcopy(HEARTBEAT)
     changes = {
         "in full": lambda: None,
-        "without lists": lambda: (beat.pop("running"), beat.pop("endedAt")),
-        "without labels": lambda: beat.pop("labels"),
-        "without room": lambda: beat.pop("freeRoom"),
-        "with part of its room": lambda: beat.update(freeRoom={"taskMemoryMb": 32768}),
-        "without a clock": lambda: beat.pop("clockMs"),
-        "that drains": lambda: beat.update(state="draining", leavesAtMs=2500),
-        "with members nobody knows": lambda: beat.update(news=[{"room": 1}], room=[9], running_since=1),
-        "with short lists": lambda: beat.update(
+        "without lists": lambda: (heartbeat.pop("running"), heartbeat.pop("endedAt")),
+        "without labels": lambda: heartbeat.pop("labels"),
+        "without room": lambda: heartbeat.pop("freeRoom"),
+        "with part of its room": lambda: heartbeat.update(freeRoom={"taskMemoryMb": 32768}),
+        "without a clock": lambda: heartbeat.pop("clockMs"),
+        "that drains": lambda: heartbeat.update(state="draining", leavesAtMs=2500),
+        "with members nobody knows": lambda: heartbeat.update(news=[{"room": 1}], room=[9], running_since=1),
+        "with short lists": lambda: heartbeat.update(
             running=[["5c0e7a21d94b36f8.0.1.17", 2]], endedAt=[[58, "5c0e7a21d94b36f8.0.1.9", 1, "done"]]
         ),
-        "without a serviceName": lambda: beat.pop("serviceName"),
-        "without an address": lambda: beat.pop("address"),
-        "without a zone": lambda: beat.pop("zone"),
-        "without a state": lambda: beat.pop("state"),
-        "without a callSequence": lambda: beat.pop("callSequence"),
-        "whose callSequence is a text": lambda: beat.update(callSequence="4"),
-        "whose clockMs is a text": lambda: beat.update(clockMs="now"),
-        "whose labels are a number": lambda: beat.update(labels=3),
-        "whose room is a number": lambda: beat.update(freeRoom=3),
-        "whose running is a number": lambda: beat.update(running=3),
-        "whose running holds a number": lambda: beat.update(running=[3]),
-        "whose running holds an empty entry": lambda: beat.update(running=[[]]),
-        "whose ends lack a number": lambda: beat.update(endedAt=[["5c0e7a21d94b36f8.0.1.9", 1, "done", ""]]),
-        "whose ends hold an empty entry": lambda: beat.update(endedAt=[[]]),
+        "without a serviceName": lambda: heartbeat.pop("serviceName"),
+        "without an address": lambda: heartbeat.pop("address"),
+        "without a zone": lambda: heartbeat.pop("zone"),
+        "without a state": lambda: heartbeat.pop("state"),
+        "without a callSequence": lambda: heartbeat.pop("callSequence"),
+        "whose callSequence is a text": lambda: heartbeat.update(callSequence="4"),
+        "whose clockMs is a text": lambda: heartbeat.update(clockMs="now"),
+        "whose labels are a number": lambda: heartbeat.update(labels=3),
+        "whose room is a number": lambda: heartbeat.update(freeRoom=3),
+        "whose running is a number": lambda: heartbeat.update(running=3),
+        "whose running holds a number": lambda: heartbeat.update(running=[3]),
+        "whose running holds an empty entry": lambda: heartbeat.update(running=[[]]),
+        "whose ends lack a number": lambda: heartbeat.update(
+            endedAt=[["5c0e7a21d94b36f8.0.1.9", 1, "done", ""]]
+        ),
+        "whose ends hold an empty entry": lambda: heartbeat.update(endedAt=[[]]),
     }
     changes[form]()
-    return beat
+    return heartbeat
 
 
 @when("the platform's example of a beat {form} comes to a control port")
-def step_beat(context, form):
-    context.sent = beat_with(form)
-    context.made = control("POST", adapters.BEAT + "i-7f3a91c2", body_of(context.sent))
+def step_heartbeat(context, form):
+    context.sent = heartbeat_with(form)
+    context.made = control("POST", adapters.HEARTBEAT + "i-7f3a91c2", body_of(context.sent))
 
 
 @then("the product can take the beat")
-def step_beat_taken(context):
+def step_heartbeat_taken(context):
     assert not isinstance(context.made, Response), context.made
     call, arguments, _ = context.made
-    identity, context.beat = framed(arguments)
-    assert (call, identity) == ("beat", "i-7f3a91c2") and worker.checked(context.beat), context.made
+    identity, context.heartbeat = framed(arguments)
+    assert (call, identity) == ("beat", "i-7f3a91c2") and worker.checked(context.heartbeat), context.made
     context.worker = worker.Worker(identity, 10.0)
-    assert context.worker.beat(context.beat, 10.0)
+    assert context.worker.take_heartbeat(context.heartbeat, 10.0)
 
 
-@then("what it holds is {told}")
-def step_beat_holds(context, told):
+@then("what it holds is {answered}")
+def step_heartbeat_holds(context, answered):
     sent, found = context.sent, context.worker
     assert (found.service, found.address, found.zone, found.state, found.sequence) == (
         sent["serviceName"],
@@ -566,24 +568,24 @@
         sent["state"],
         sent["callSequence"],
     )
-    room = sent.get("freeRoom", {})
-    assert found.room == tuple(room.get(one, 0) for one in ("cpuUnits", "taskMemoryMb", "gpuCount")), (
-        found.room
-    )
+    capacity = sent.get("freeRoom", {})
+    assert found.capacity == tuple(
+        capacity.get(one, 0) for one in ("cpuUnits", "taskMemoryMb", "gpuCount")
+    ), found.capacity
     assert found.labels == frozenset(sent.get("labels", ()))
-    assert context.beat["clock_ms"] == sent.get("clockMs", 0)
+    assert context.heartbeat["clock_ms"] == sent.get("clockMs", 0)
     assert found.running == {
         (one[0], one[1]): (*one[2:], *("", 0)[len(one) - 2 :]) for one in sent.get("running", ())
     }, found.running
     assert found.listed == {(one[1], one[2]) for one in sent.get("endedAt", ())}
-    assert [list(one) for one in context.beat["ended"]] == [
+    assert [list(one) for one in context.heartbeat["ended"]] == [
         [*one, ""][:5] for one in sent.get("endedAt", ())
-    ], context.beat
-    assert found.leaves_at == (10.0 + sent["leavesAtMs"] / 1000 if told == "when it leaves" else None)
+    ], context.heartbeat
+    assert found.leaves_at == (10.0 + sent["leavesAtMs"] / 1000 if answered == "when it leaves" else None)
 
 
 @then("the beat is refused with 400, at the door or behind it")
-def step_beat_refused(context):
+def step_heartbeat_refused(context):
     response = Core().answer(context.made)
     assert response.status == 400, response
 
@@ -596,7 +598,7 @@
     "stop": (("5c0e7a21d94b36f8.0.1.17", 2),),
     "again_ms": 200,
 }
-ORDERS_TOLD = {
+ORDERS_ANSWERED = {
     "holdMs": 4000,
     "lastSeen": 58,
     "fenceNumber": 7,
@@ -609,7 +611,7 @@
 def orders(context, document):
     response = adapters.Control(CONTROL).write("beat", Response(200, document))
     assert response.status == 200
-    context.told = json.loads(json.dumps(response.document))
+    context.answered_orders = json.loads(json.dumps(response.document))
 
 
 @when("the product answers a beat with orders, the leader being here")
@@ -618,7 +620,7 @@
 
 
 @when("the product answers a beat with orders, the leader being elsewhere")
-def step_orders_elsewhere(context):
+def step_orders_not_taken(context):
     orders(context, {**ORDERS, "home": "10.0.0.4:7000"})
 
 
@@ -628,18 +630,20 @@
 
 
 @then("the minion is told the same orders, and no other address")
-def step_told_orders(context):
-    assert context.told == ORDERS_TOLD, context.told
+def step_notified_orders(context):
+    assert context.answered_orders == ORDERS_ANSWERED, context.answered_orders
 
 
 @then("the minion is told the same orders, and the leader's control address")
-def step_told_address(context):
-    assert context.told == {**ORDERS_TOLD, "heartbeatAddress": "10.0.0.4:8080"}, context.told
+def step_notified_address(context):
+    assert context.answered_orders == {**ORDERS_ANSWERED, "heartbeatAddress": "10.0.0.4:8080"}, (
+        context.answered_orders
+    )
 
 
 @then("the minion is told nothing")
-def step_told_nothing(context):
-    assert context.told == {}, context.told
+def step_notified_nothing(context):
+    assert context.answered_orders == {}, context.answered_orders
 
 
 # --- settings ------------------------------------------------------------------------
@@ -686,7 +690,7 @@
     assert found.http == "10.1.0.38:7383", found
     assert found.seeds == ("10.1.0.41:7380", "10.2.0.43:7380", "10.3.0.8:7380"), found
     assert (found.front, found.readiness, found.control) == ("10.1.0.38:8149", "10.1.0.38:8141", None), found
-    assert (found.first_start, found.hold, found.grace, found.far, found.machines_lost) == (
+    assert (found.first_start, found.lease_duration, found.grace, found.far, found.machines_lost) == (
         True,
         4.0,
         6.0,
@@ -771,20 +775,23 @@
 def step_watched(context):
     context.watch = platform_settings.Watch("front", context.place[0])
     with mock.patch.dict(os.environ, {platform_settings.VARIABLE: context.path}):
-        context.told = [context.watch.changed()]
+        context.answered_orders = [context.watch.changed()]
         context.settings["seedAddresses"] = "10.9.0.1:8144,10.9.0.2:8144,10.9.0.3:8144"
         write(context)
-        context.told += [context.watch.changed(), context.watch.changed()]
+        context.answered_orders += [context.watch.changed(), context.watch.changed()]
         context.settings["seedAddresses"] = "nonsense"
         write(context)
-        context.told.append(context.watch.changed())
+        context.answered_orders.append(context.watch.changed())
 
 
 @then("they are told once, and settings that can't be read tell none")
 def step_seeds_once(context):
-    assert context.told == [None, ("10.9.0.1:7380", "10.9.0.2:7380", "10.9.0.3:7380"), None, None], (
-        context.told
-    )
+    assert context.answered_orders == [
+        None,
+        ("10.9.0.1:7380", "10.9.0.2:7380", "10.9.0.3:7380"),
+        None,
+        None,
+    ], context.answered_orders
 
 
 @then("Python's own platform module is found from the repository, with and without the folder")
--- a/features/steps/events.py
+++ b/features/steps/events.py
@@ -15,21 +15,21 @@
 @then("docs/events.md has one row for each event, with its level and text")
 def step_page(context):
     with open(os.path.join(ROOT, "docs", "events.md")) as file:
-        rows = re.findall(r"^\| (\d+) \| (\w+) \| ([^|]+?) \| [^|]+ \|$", file.read(), re.M)
-    assert [int(number) for number, _, _ in rows] == sorted(events.CATALOGUE), rows
-    for number, level, text in rows:
+        table_rows = re.findall(r"^\| (\d+) \| (\w+) \| ([^|]+?) \| [^|]+ \|$", file.read(), re.M)
+    assert [int(number) for number, _, _ in table_rows] == sorted(events.CATALOGUE), table_rows
+    for number, level, text in table_rows:
         assert events.CATALOGUE[int(number)] == (text, level), (number, level, text)
 
 
 @then("each event of the catalogue is told in the code")
-def step_told(context):
-    told = set()
+def step_notified(context):
+    reported = set()
     for path in glob.glob(os.path.join(ROOT, "src", "pinepitch", "**", "*.py"), recursive=True):
         with open(path) as file:
             for call in re.findall(r"(?:_event|emit|trace)\(([^\n]*)", file.read()):
-                told.update(map(int, re.findall(r"\b1\d\d\b", call)))
-                told.update(getattr(events, name) for name in re.findall(r"\bevents\.([A-Z_]+)", call))
-    assert not set(events.CATALOGUE) - told, set(events.CATALOGUE) - told
+                reported.update(map(int, re.findall(r"\b1\d\d\b", call)))
+                reported.update(getattr(events, name) for name in re.findall(r"\bevents\.([A-Z_]+)", call))
+    assert not set(events.CATALOGUE) - reported, set(events.CATALOGUE) - reported
 
 
 class FullLog:
--- a/features/steps/founding.py
+++ b/features/steps/founding.py
@@ -14,7 +14,7 @@
     context.simulator = Simulator(41)
     context.simulator.begin()
     context.simulator.run(2)
-    context.cohort = context.simulator.leader().core.cohort
+    context.cluster = context.simulator.leader().core.cluster
 
 
 def empty(context, nodes):
@@ -35,9 +35,9 @@
 def step_none(context, seconds):
     begun = context.simulator.now
     context.simulator.run(seconds)
-    assert all(node.core.cohort is None for node in of(context, "accord"))
-    told = {event[1] for event in context.simulator.trace if event[2] == 112 and event[0] > begun}
-    assert told == {node.name for node in of(context, "accord")}, told
+    assert all(node.core.cluster is None for node in of(context, "accord"))
+    informed = {event[1] for event in context.simulator.trace if event[2] == 112 and event[0] > begun}
+    assert informed == {node.name for node in of(context, "accord")}, informed
 
 
 @when("all its accords come back empty and all its verges start anew")
@@ -53,42 +53,42 @@
 @then("a cohort with another name is founded within {seconds:d} seconds")
 def step_founded(context, seconds):
     assert context.simulator.until(lambda: context.simulator.leader() is not None, seconds) is not None
-    cohorts = {node.core.cohort for node in of(context, "accord")}
-    assert len(cohorts) == 1 and cohorts != {context.cohort} and None not in cohorts, cohorts
+    clusters = {node.core.cluster for node in of(context, "accord")}
+    assert len(clusters) == 1 and clusters != {context.cluster} and None not in clusters, clusters
 
 
 @when("one accord comes back empty while cut off from all others")
 def step_alone(context):
     context.node = next(node for node in of(context, "accord") if node is not context.simulator.leader())
-    context.simulator.cut([context.node.name], list(context.simulator.nodes))
+    context.simulator.partition([context.node.name], list(context.simulator.nodes))
     empty(context, [context.node])
 
 
 @then("it founds nothing in {seconds:d} seconds, and joins the old cohort once it is back")
 def step_joins(context, seconds):
     context.simulator.run(seconds)
-    assert context.node.core.cohort is None
+    assert context.node.core.cluster is None
     context.simulator.heal()
     core = context.node.core
     assert (
         context.simulator.until(
-            lambda: core.consensus is not None and core.identity in core.consensus.cohort.members(), 20
+            lambda: core.consensus is not None and core.identity in core.consensus.membership.members(), 20
         )
         is not None
     )
-    assert core.cohort == context.cohort
+    assert core.cluster == context.cluster
 
 
 @when("a verge is cut off from every accord for {seconds:d} seconds")
-def step_cut(context, seconds):
+def step_partition(context, seconds):
     context.node = of(context, "verge")[0]
-    context.simulator.cut([context.node.name], [node.name for node in of(context, "accord")])
+    context.simulator.partition([context.node.name], [node.name for node in of(context, "accord")])
     context.simulator.run(seconds)
 
 
 def stale(context):
     return [
-        context.simulator.ask("GET", "/v1/health", verge=place)[1]["stale"]
+        context.simulator.ask("GET", "/v1/health", front=place)[1]["stale"]
         for place in range(len(of(context, "verge")))
     ]
 
--- a/features/steps/frames.py
+++ b/features/steps/frames.py
@@ -38,7 +38,7 @@
     return framing.LENGTH.pack(len(body)) + body
 
 
-WHOLE = framing.encode(SOURCE, ("leave", "whole"))
+COMPLETE_FRAME = framing.encode(SOURCE, ("leave", "whole"))
 STREAM = [
     framing.encode(SOURCE, greeting()),
     framing.encode(SOURCE, ("ask", SOURCE, "token", "beat-leave", ("minion",), 1, (1, 2.5))),
@@ -48,7 +48,7 @@
     "a frame of another version": length_and(
         cbor2.dumps((constants.WIRE_VERSION + 1, SOURCE, ("leave", "one")))
     ),
-    "a frame longer than any may be": framing.LENGTH.pack(constants.FRAME_MOST + 1),
+    "a frame longer than any may be": framing.LENGTH.pack(constants.MAX_FRAME_BYTES + 1),
     "a frame that is no array": length_and(cbor2.dumps({"leave": "one"})),
     "a message of an unknown kind": framing.encode(SOURCE, ("farewell", "one")),
     "a message of the daemon's own": framing.encode(SOURCE, ("saved", 7)),
@@ -117,15 +117,15 @@
 
 
 @when("a stream of three frames is reset at every byte")
-def step_cut(context):
-    whole = b"".join(STREAM)
-    context.port.throw([whole[:place] for place in range(len(whole))])
+def step_partition(context):
+    stream = b"".join(STREAM)
+    context.port.throw([stream[:place] for place in range(len(stream))])
     context.ends = [sum(len(frame) for frame in STREAM[: count + 1]) for count in range(len(STREAM))]
-    context.streams = len(whole)
+    context.streams = len(stream)
 
 
 @then("just the whole frames of each stream were heard, and nothing was told of the rest")
-def step_whole_heard(context):
+def step_complete_heard(context):
     kinds = [message[0] for message in context.port.heard]
     for kind, end in zip(("greet", "ask", "elsewhere"), context.ends, strict=True):
         assert kinds.count(kind) == context.streams - end, (kind, kinds.count(kind))
@@ -136,13 +136,13 @@
 @then("a whole frame is heard after them")
 def step_after(context):
     context.port.heard.clear()
-    context.port.throw([WHOLE])
+    context.port.throw([COMPLETE_FRAME])
     assert context.port.heard == [("leave", "whole")], context.port.heard
 
 
 @when("{frame} comes, and a whole frame behind it on the same connection")
 def step_frame(context, frame):
-    context.port.throw([FRAMES[frame] + WHOLE])
+    context.port.throw([FRAMES[frame] + COMPLETE_FRAME])
 
 
 @then("neither is heard, and the daemon tells of one frame refused")
--- a/features/steps/heartbeats.py
+++ b/features/steps/heartbeats.py
@@ -1,7 +1,7 @@
 """The heartbeat document of a worker, for steps that run workers without daemons."""
 
 
-def heartbeat(sequence, now, service, address, labels, room, running):
+def heartbeat(sequence, now, service, address, labels, capacity, running):
     """A ready worker's heartbeat as Worker.beat takes it; of runs [reference, run, saved, percent]."""
     return {
         "sequence": sequence,
@@ -11,7 +11,7 @@
         "zone": "north",
         "state": "ready",
         "labels": labels,
-        "room": room,
+        "room": capacity,
         "leaves_ms": None,
         "running": running,
         "ended": [],
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -15,12 +15,12 @@
 
 from pinepitch.common import constants
 from pinepitch.common.daemon_settings import split
-from pinepitch.front.daemon import Verge
+from pinepitch.front.daemon import FrontDaemon
 from pinepitch.model import contract, push_worker, pushed_job, queue_settings
 from pinepitch.runtime.host import Host
 from pinepitch.simulation.fleet import PLANS, Fleet
 from pinepitch.simulation.simulator import Simulator
-from pinepitch.state.cluster_state import Record
+from pinepitch.state.cluster_state import ClusterState
 from pinepitch.transport import framing, http
 
 PACKAGES = {"accord": "control", "verge": "front"}  # of each program
@@ -74,13 +74,13 @@
     assert path in context.ended.stderr, context.ended.stderr
 
 
-def one_ticket():
+def one_pushed_job():
     return {"queue": "default", "tasks": [{"name": "a"}, {"name": "b", "after": ["a"]}]}
 
 
 @when("a ticket with {fault} is checked")
-def step_ticket(context, fault):
-    document = one_ticket()
+def step_pushed_job(context, fault):
+    document = one_pushed_job()
     first, second = document["tasks"]
     if fault == "a cycle":
         first["after"] = ["b"]
@@ -105,12 +105,16 @@
 
 
 @when("a setup with {fault} is offered to the record")
-def step_setup(context, fault):
-    context.record = Record()
-    plain, _ = pushed_job.checked({**one_ticket(), "key": "k"})
-    context.record.apply(1, 1.0, ("ticket", "k", "", plain))
+def step_configuration(context, fault):
+    context.cluster_state = ClusterState()
+    plain, _ = pushed_job.checked({**one_pushed_job(), "key": "k"})
+    context.cluster_state.apply(1, 1.0, ("ticket", "k", "", plain))
     context.before = copy.deepcopy(
-        (context.record.version, context.record.setup, context.record.setups.image())
+        (
+            context.cluster_state.version,
+            context.cluster_state.queue_configuration,
+            context.cluster_state.queue_configurations.image(),
+        )
     )
     bent = {
         "a share over its limit": {"queues": {"default": {"share": 9, "limit": 8}}},
@@ -120,14 +124,20 @@
         "no queue": {"queues": {}},
         "a queue with live tickets gone": {"queues": {"other": {}}},
     }[fault]
-    context.outcome = context.record.apply(2, 2.0, ("setup", "mark", None, "whole", bent, "operator", ""))
+    context.outcome = context.cluster_state.apply(
+        2, 2.0, ("setup", "mark", None, "whole", bent, "operator", "")
+    )
 
 
 @then("the fault at {path} is named and the setup in force is unchanged")
 def step_unchanged(context, path):
     assert context.outcome[0] == "invalid", context.outcome
     assert path in [one[0] for one in context.outcome[1]], context.outcome
-    assert context.before == (context.record.version, context.record.setup, context.record.setups.image())
+    assert context.before == (
+        context.cluster_state.version,
+        context.cluster_state.queue_configuration,
+        context.cluster_state.queue_configurations.image(),
+    )
 
 
 @when("{count:d} seeded frames, whole, cut and bent, are decoded")
@@ -190,7 +200,7 @@
 def step_documents(context, count):
     draw = random.Random(2)
     goods = {
-        pushed_job.checked: {**one_ticket(), "key": "k", "due": 9, "not_before": 1, "urgency": 3},
+        pushed_job.checked: {**one_pushed_job(), "key": "k", "due": 9, "not_before": 1, "urgency": 3},
         queue_settings.checked: {
             "queues": {"default": {"share": 3, "limit": 9}, "b": {"lends": False}},
             "room": 50,
@@ -215,7 +225,7 @@
 
 @then("each is taken or refused with paths, and what is taken the record applies")
 def step_read(context):
-    record, taken = Record(), 0
+    record, taken = ClusterState(), 0
     for number, reader, plain, faults in context.read:
         assert (plain is None) == bool(faults), (reader, plain, faults)
         assert all(isinstance(path, str) and message for path, message in faults)
@@ -238,12 +248,12 @@
 def step_daemons(context):
     folder = tempfile.TemporaryDirectory(prefix="pinepitch-")
     context.add_cleanup(folder.cleanup)
-    plan = PLANS["small"]._replace(accords=("a",), verges=("a", "a"), founders=1)
+    plan = PLANS["small"]._replace(control_daemons=("a",), fronts=("a", "a"), founders=1)
     context.fleet = Fleet(plan, folder.name, "error")
     context.add_cleanup(context.fleet.stop)
-    context.fleet.start_accord(0)
-    context.fleet.start_verge(0)
-    context.fleet.start_verge(1)
+    context.fleet.start_control_daemon(0)
+    context.fleet.start_front(0)
+    context.fleet.start_front(1)
     curio.run(context.fleet.until, context.fleet.served, 30, "service")
 
 
@@ -262,7 +272,7 @@
 def step_garbage(context):
     draw = random.Random(3)
     fleet = context.fleet
-    for address in (fleet.accords[0][1], fleet.verges[0][1], fleet.verges[0][2]):
+    for address in (fleet.control_daemons[0][1], fleet.fronts[0][1], fleet.fronts[0][2]):
         for _ in range(40):
             throw(address, draw.randbytes(draw.randrange(1, 300)))
         throw(address, (2**31).to_bytes(4, "big") + b"x" * 100)
@@ -292,7 +302,7 @@
 
     assert status("POST", "/v1/tickets", [1]) == 400
     assert status("POST", "/v1/tickets", {"queue": "none", "tasks": [{"name": "a"}]}) == 422
-    assert status("POST", "/v1/tickets", {"pad": "x" * constants.BODY_MOST}) == 413
+    assert status("POST", "/v1/tickets", {"pad": "x" * constants.MAX_BODY_BYTES}) == 413
     assert status("GET", "/v1/tickets/t999") == 404
     assert status("GET", "/v2/anything") == 404
     assert status("PUT", "/v1/tickets") == 405
@@ -300,7 +310,7 @@
     assert status("PUT", "/v1/setup", {"queues": {}}, (("If-Match", '"1"'),)) == 422
     assert status("PATCH", "/v1/setup", {}, (("If-Match", '"99"'),)) == 409
     head = throw(
-        fleet.verges[0][2], b"POST /v1/tickets HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n{bad}"
+        fleet.fronts[0][2], b"POST /v1/tickets HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n{bad}"
     )
     assert b" 400 " in head.split(b"\r\n")[0], head
 
@@ -324,9 +334,9 @@
 @when("a verge gets a call with {fault}")
 def step_call(context, fault):
     method, target, body = CALLS[fault]
-    verge = Verge("v", "127.0.0.1:1", "a", ("127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
-    verge.leader = "127.0.0.1:2"
-    context.effects = verge.step(("http", 1, method, target, {"if-match": "*"}, body.encode()), 1.0, 1.0)
+    front = FrontDaemon("v", "127.0.0.1:1", "a", ("127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
+    front.leader = "127.0.0.1:2"
+    context.effects = front.step(("http", 1, method, target, {"if-match": "*"}, body.encode()), 1.0, 1.0)
 
 
 @then("it is answered with 400 at once and carries nothing")
@@ -350,23 +360,25 @@
     assert status == 201
     context.simulator.run(6)
     context.core = context.simulator.leader().core
-    context.minion = max(context.core.record.reserved, key=lambda one: len(context.core.record.reserved[one]))
+    context.worker_name = max(
+        context.core.cluster_state.reserved, key=lambda one: len(context.core.cluster_state.reserved[one])
+    )
 
 
 @when("a report of that minion comes with {how}")
 def step_contradicts(context, how):
     core, now = context.core, context.simulator.now + 1000.0
-    known = core.minions[context.minion].report
-    context.held = dict(core.record.reserved[context.minion])
-    context.room = known.room
+    known = core.push_workers[context.worker_name].report
+    context.reserved = dict(core.cluster_state.reserved[context.worker_name])
+    context.capacity = known.capacity
     if how == "a new start at another address":
         changed = known._replace(
             incarnation="other", address="10.9.9.9:1", running=(), ended=(), counter=1, heard=core._now(now)
         )
-        core.minions[context.minion].heard_at = now - 60.0  # the first one fell silent meanwhile
+        core.push_workers[context.worker_name].heard_at = now - 60.0  # the first one fell silent meanwhile
     elif how == "less room than is reserved":
-        changed = known._replace(counter=known.counter + 1, room=1, heard=core._now(now))
-        context.room = 1
+        changed = known._replace(counter=known.counter + 1, capacity=1, heard=core._now(now))
+        context.capacity = 1
     else:
         changed = known._replace(counter=known.counter - 1, running=(), ended=(), heard=core._now(now))
     context.ends, _, _ = core.take_report(changed, now)
@@ -374,17 +386,17 @@
 
 @then("nothing it ran is taken for ended and the record audits clean")
 def step_unbelieved(context):
-    assert len(context.held) >= 1 and not context.ends, context.ends
-    context.core.record.audit()
+    assert len(context.reserved) >= 1 and not context.ends, context.ends
+    context.core.cluster_state.audit()
     seats, free = context.core.placer._seats(
-        context.core.record, context.core.minions, context.simulator.now + 1000.0
+        context.core.cluster_state, context.core.push_workers, context.simulator.now + 1000.0
     )
-    assert context.room > 1 or free[context.minion] < 0, free
+    assert context.capacity > 1 or free[context.worker_name] < 0, free
 
 
 @given("a server whose requests may take {seconds:g} seconds")
 def step_patience(context, seconds):
-    patched = mock.patch.object(constants, "REQUEST_MOST", seconds)
+    patched = mock.patch.object(constants, "MAX_REQUEST_SECONDS", seconds)
     patched.start()
     context.add_cleanup(patched.stop)
 
@@ -408,7 +420,7 @@
 
 
 @then("the prompt one is read whole and the dripping one gets 408")
-def step_cut_off(context):
+def step_partition_off(context):
     assert isinstance(context.prompt, http.Request) and context.prompt.target == "/v1/health", context.prompt
     assert context.dripping == http.Fault(408, "slow"), context.dripping
 
@@ -430,7 +442,7 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen(1)
 
-        async def minion_side():
+        async def worker_side():
             connection, _ = await listener.accept()
             async with connection:
                 await connection.recv(65536)
@@ -439,7 +451,7 @@
                 except OSError:
                     pass
 
-        side = await curio.spawn(minion_side)
+        side = await curio.spawn(worker_side)
         host = Host(None, "127.0.0.1:1", None)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         await host._post_one(("t1/s", 1), address, "/v1/orders", {"task": "t1/s"})
--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -35,19 +35,21 @@
 ROOM = (4000, 4096, 0)
 
 
-def begin(simulator, name, arguments, verge=0):
+def begin(simulator, name, arguments, front=0):
     """Begins a call as a door hands it to a verge; the list that its answer will stand in."""
-    node = [node for node in simulator.nodes.values() if node.kind == "verge"][verge]
+    node = [node for node in simulator.nodes.values() if node.kind == "verge"][front]
     simulator.request_count += 1
     number, got = simulator.request_count, []
     simulator.requests[number] = ("call", "operator", 0, ("plain", got), node.name)
-    simulator.at(simulator.latency(), "give", node.name, node.life, ("call", number, name, arguments, 2.5))
+    simulator.at(
+        simulator.latency(), "give", node.name, node.incarnation, ("call", number, name, arguments, 2.5)
+    )
     return got
 
 
-def call(simulator, name, arguments, verge=0):
+def call(simulator, name, arguments, front=0):
     """The same, waited for: (status, document)."""
-    got = begin(simulator, name, arguments, verge)
+    got = begin(simulator, name, arguments, front)
     assert simulator.until(lambda: got, 8, 0.01) is not None
     return got[0][1:]
 
@@ -64,7 +66,7 @@
     def send(self):
         """Sends a beat; the list that its answer will stand in."""
         self.sequence += 1
-        beat = {
+        heartbeat = {
             "service": "lamps",
             "address": f"10.9.0.{self.identity[1:]}:80",
             "zone": self.zone,
@@ -77,7 +79,7 @@
             "running": [(*key, "", percent) for key, percent in self.running.items()],
             "ended": list(self.ended),
         }
-        return begin(self.simulator, "beat", (self.identity, beat))
+        return begin(self.simulator, "beat", (self.identity, heartbeat))
 
     def hear(self, status, answer):
         assert status == 200, (status, answer)
@@ -98,7 +100,7 @@
         self._ended(task, run, how)
 
 
-def beats(context, rounds=1, but=()):
+def send_heartbeats(context, rounds=1, but=()):
     """All workers beat at once, some rounds long: the beat of an idle one stays open for a while."""
     for _ in range(rounds):
         sent = [(worker, worker.send()) for worker in context.workers if worker not in but]
@@ -108,12 +110,12 @@
         context.simulator.run(0.1)
 
 
-def beats_until(context, wanted):
+def heartbeats_until(context, wanted):
     """All workers beat in turn until something holds."""
     for _ in range(12):
         if wanted():
             return
-        beats(context)
+        send_heartbeats(context)
     assert wanted(), [worker.running for worker in context.workers]
 
 
@@ -124,8 +126,8 @@
     assert status == 200, (status, answer)
 
 
-def explained(context, identity=ID, verge=0):
-    status, document = context.simulator.ask("GET", f"/v1/jobs/{identity}", verge=verge)
+def explained(context, identity=ID, front=0):
+    status, document = context.simulator.ask("GET", f"/v1/jobs/{identity}", front=front)
     assert status == 200, (status, document)
     return document
 
@@ -140,7 +142,7 @@
     context.simulator.begin()
     context.simulator.run(3)
     context.simulator.loss = 0.0
-    context.verges = sum(node.kind == "verge" for node in context.simulator.nodes.values())
+    context.fronts = sum(node.kind == "verge" for node in context.simulator.nodes.values())
     context.workers = []
 
 
@@ -156,20 +158,20 @@
     context.workers = [
         StandInWorker(context.simulator, f"w{place}", zone) for place, zone in enumerate("abc")
     ]
-    beats(context, rounds=3)
+    send_heartbeats(context, rounds=3)
 
 
 @then('the configuration is answered with {status:d} and "{code}"')
 def step_unconfigured(context, status, code):
-    for place in range(context.verges):
-        got = context.simulator.ask("GET", "/v1/configuration", verge=place)
+    for place in range(context.fronts):
+        got = context.simulator.ask("GET", "/v1/configuration", front=place)
         assert got[0] == status and got[1]["error"]["code"] == code, got
 
 
 @then("every verge answers the configuration as it was sent")
 def step_configured(context):
-    for place in range(context.verges):
-        assert context.simulator.ask("GET", "/v1/configuration", verge=place) == (200, CONFIGURATION)
+    for place in range(context.fronts):
+        assert context.simulator.ask("GET", "/v1/configuration", front=place) == (200, CONFIGURATION)
 
 
 # --- a job from its acceptance to its end ----------------------------------------------
@@ -181,8 +183,8 @@
 
 @then("it is queued, its first step has no worker that is open, and its second waits for the first")
 def step_queued(context):
-    for place in range(context.verges):
-        document = explained(context, verge=place)
+    for place in range(context.fronts):
+        document = explained(context, front=place)
         assert (
             document["state"] == "queued" and document["queue"] == "plans" and document["service"] == "lamps"
         )
@@ -197,8 +199,8 @@
 
 @when("the workers beat until all of its first step runs")
 def step_first_runs(context):
-    beats_until(context, lambda: len(all_running(context)) == 3)
-    beats(context, rounds=2)
+    heartbeats_until(context, lambda: len(all_running(context)) == 3)
+    send_heartbeats(context, rounds=2)
 
 
 @then("each placement names its run, worker, epoch and progress, as the workers have it")
@@ -207,8 +209,8 @@
     epoch = context.simulator.leader().core.epoch
     assert document["state"] == "running"
     assert document["waves"][0]["placed"] == 3 and document["waves"][0]["why"] == ""
-    told = {(one["task"], one["run"], one["minion"]) for one in document["placements"]}
-    assert told == {(*key, worker.identity) for worker in context.workers for key in worker.running}
+    answered = {(one["task"], one["run"], one["minion"]) for one in document["placements"]}
+    assert answered == {(*key, worker.identity) for worker in context.workers for key in worker.running}
     for one in document["placements"]:
         assert one["epoch"] == epoch and one["running"] and one["percent"] == 40 and one["stop"] == "", one
 
@@ -218,11 +220,11 @@
     failing = context.workers[0]
     key = next(iter(failing.running))
     failing.end(*key, "failed")
-    beats_until(context, lambda: (key[0], 2) in all_running(context))
+    heartbeats_until(context, lambda: (key[0], 2) in all_running(context))
     for worker in context.workers:
         for one in list(worker.running):
             worker.end(*one)
-    beats_until(context, lambda: len(all_running(context)) == 2)
+    heartbeats_until(context, lambda: len(all_running(context)) == 2)
 
 
 @then("the first step shows the failure and is done, and the second runs")
@@ -237,7 +239,7 @@
     for worker in context.workers:
         for one in list(worker.running):
             worker.end(*one)
-    beats(context, rounds=3)
+    send_heartbeats(context, rounds=3)
 
 
 @then("the job shows completed with nothing placed")
@@ -266,10 +268,10 @@
         worker._ended = lambda *rest: worker.running.setdefault(rest[:2], 1)  # it goes on running
     elif cause == "a limit of a step":
         step.update(cpu=100, apart=1)
-    beats(context, but=but)  # the leader hears of it before the job comes
+    send_heartbeats(context, but=but)  # the leader hears of it before the job comes
     submit(context, [{"count": 5, **step}])
     for _ in range(8):
-        beats(context, but=but)
+        send_heartbeats(context, but=but)
         context.simulator.run(0.15)
 
 
@@ -284,24 +286,24 @@
 
 @when("a job of more times than a page is handed in")
 def step_many_times(context):
-    times = constants.PAGE_MOST + 20
+    times = constants.MAX_PAGE_ROWS + 20
     status, answer = call(
         context.simulator,
         "job",
         (HOST, PREFIX + ID, {"steps": [{"cpu": 1000}], "first_ms": 0, "every_ms": 1, "times": times}),
     )
     assert status == 200, (status, answer)
-    beats_until(context, lambda: len(all_running(context)) == 12)
+    heartbeats_until(context, lambda: len(all_running(context)) == 12)
     for worker in context.workers:
         for one in list(worker.running):
             worker.end(*one)
-    beats_until(context, lambda: len(all_running(context)) == 12)
+    heartbeats_until(context, lambda: len(all_running(context)) == 12)
 
 
 @then("it is told up to a page, what is not done first, and how much is left out")
 def step_page(context):
     document = explained(context)
-    assert len(document["waves"]) == constants.PAGE_MOST and document["more_waves"] == 20
+    assert len(document["waves"]) == constants.MAX_PAGE_ROWS and document["more_waves"] == 20
     assert not [one for one in document["waves"] if one["done"]], "what is done came before what is not"
     times = [one["time"] for one in document["waves"]]
     assert times == sorted(times) and len(document["placements"]) == 12
@@ -311,7 +313,7 @@
 @when("a job runs and is cancelled")
 def step_cancelled(context):
     submit(context, [{"count": 3, "cpu": 3000}])
-    beats_until(context, lambda: len(all_running(context)) == 3)
+    heartbeats_until(context, lambda: len(all_running(context)) == 3)
     assert call(context.simulator, "job-cancel", (HOST, PREFIX + ID))[0] == 200
 
 
@@ -319,7 +321,7 @@
 def step_still_runs(context):
     document = explained(context)
     assert document["state"] == "cancelled" and len(document["placements"]) == 3, document
-    beats(context, rounds=4)
+    send_heartbeats(context, rounds=4)
     assert not all_running(context)
     document = explained(context)
     assert document["state"] == "cancelled" and document["placements"] == [], document
@@ -327,8 +329,8 @@
 
 @then('every verge answers a job that never was with {status:d} and "{code}"')
 def step_unknown(context, status, code):
-    for place in range(context.verges):
-        got = context.simulator.ask("GET", "/v1/jobs/ffffffffffffffff", verge=place)
+    for place in range(context.fronts):
+        got = context.simulator.ask("GET", "/v1/jobs/ffffffffffffffff", front=place)
         assert got[0] == status and got[1]["error"]["code"] == code, got
 
 
@@ -336,10 +338,10 @@
 @then("the workers are listed with service, zone, room and what is placed there")
 def step_listed(context):
     submit(context, [{"count": 1, "cpu": 3000, "mem_mb": 96, "lasts": True}])
-    beats_until(context, lambda: len(all_running(context)) == 1)
+    heartbeats_until(context, lambda: len(all_running(context)) == 1)
     context.workers[1].state = "draining"
-    beats(context, rounds=2)
-    status, document = context.simulator.ask("GET", "/v1/workers", verge=2)
+    send_heartbeats(context, rounds=2)
+    status, document = context.simulator.ask("GET", "/v1/workers", front=2)
     assert status == 200
     listed = {one["minion"]: one for one in document["workers"]}
     assert sorted(listed) == ["w0", "w1", "w2"]
@@ -367,14 +369,14 @@
     def listed(place):
         return [
             one["zone"]
-            for one in context.simulator.ask("GET", "/v1/evacuations", verge=place)[1]["evacuations"]
+            for one in context.simulator.ask("GET", "/v1/evacuations", front=place)[1]["evacuations"]
         ]
 
     assert listed(0) == []
     call(context.simulator, "evacuate", ("b", True), 1)
-    assert [listed(place) for place in range(context.verges)] == [["b"]] * context.verges
+    assert [listed(place) for place in range(context.fronts)] == [["b"]] * context.fronts
     call(context.simulator, "evacuate", ("b", False), 2)
-    assert [listed(place) for place in range(context.verges)] == [[]] * context.verges
+    assert [listed(place) for place in range(context.fronts)] == [[]] * context.fronts
 
 
 # --- metrics ---------------------------------------------------------------------------------
@@ -383,9 +385,9 @@
     simulator = context.simulator
     submit(context, [{"count": 2, "cpu": 100}, {"count": 1, "cpu": 100, "after": [0]}], "00000000000000aa")
     submit(context, [{"count": 4, "needs": "unheard-of"}], "00000000000000bb")
-    beats(context, rounds=4)
+    send_heartbeats(context, rounds=4)
     node = simulator.leader()
-    board, keeper = node.core.record.board, node.core.keeper
+    leased_jobs, assignments = node.core.cluster_state.leased_jobs, node.core.assignments
     effects = node.core.step(
         ("http", 1, "GET", "/v1/metrics", {}, b""), simulator.now + 1000.0, simulator.clock(node)
     )
@@ -399,12 +401,12 @@
     assert found["jobs_open"] == {("queued",): 1, ("running",): 1}, found["jobs_open"]
     assert found["jobs_final"] == {("cancelled",): 1, ("completed",): 0, ("failed",): 0}, found["jobs_final"]
     assert found["job_tasks_waiting"] == {("plans",): 4}, found["job_tasks_waiting"]
-    assert found["runs_placed"][()] == sum(map(len, board.placements.values())) == 2
+    assert found["runs_placed"][()] == sum(map(len, leased_jobs.placements.values())) == 2
     assert found["workers"][("ready",)] == 3 and found["configuration_version"][()] == 3
     assert found["zones_evacuated"][()] == 0
     assert (
         found["beats_total"][()]
-        == keeper.counts["beats"]
+        == assignments.counts["beats"]
         >= sum(worker.sequence for worker in context.workers) - 3
     )
     started = sum(len(worker.started) for worker in context.workers)
@@ -412,17 +414,17 @@
     assert found["run_stops_total"][()] >= 3, found["run_stops_total"]
     assert found["run_ends_total"] == {("stopped",): 3}, found["run_ends_total"]
     assert found["job_tasks_left"] == {("plans", "no room"): 4}, found["job_tasks_left"]
-    whole = sum(worker.room[0] for worker in keeper.workers.values())
-    taken = sum(room[0] for room in board.taken.values())
-    room = {place: amount for place, amount in found["worker_room"].items() if "cpu" in place}
-    assert sorted(room.values()) == sorted((taken, whole - taken)) and 0 < taken < whole, room
+    total = sum(worker.capacity[0] for worker in assignments.workers.values())
+    taken = sum(capacity[0] for capacity in leased_jobs.taken.values())
+    capacity = {place: amount for place, amount in found["worker_room"].items() if "cpu" in place}
+    assert sorted(capacity.values()) == sorted((taken, total - taken)) and 0 < taken < total, capacity
 
 
 # --- the command line --------------------------------------------------------------------------
-def told(context, entry, *arguments):
+def answered(context, entry, *arguments):
     """(what a command prints, its exit code), its calls going to the simulated fleet."""
 
-    def ask(verge, method, target, document=None, headers=()):
+    def ask(front, method, target, document=None, headers=()):
         return Response(*context.simulator.ask(method, target, document))
 
     out, code = io.StringIO(), 0
@@ -443,7 +445,7 @@
     context.name = "5e00000000000012"
     submit(context, [{"count": 2, "cpu": 3000}, {"count": 1, "needs": "unheard-of"}], context.name)
     submit(context, [{"cpu": 500}])
-    beats_until(context, lambda: len(all_running(context)) == 3)
+    heartbeats_until(context, lambda: len(all_running(context)) == 3)
 
 
 @then(
@@ -451,26 +453,26 @@
     'and "workers" and "configuration show" what there is'
 )
 def step_commands(context):
-    shown, code = told(context, commands.Commands, "job", "show", context.name)
-    assert code == 0 and told(context, explain.run, context.name) == (shown, 0), shown
+    shown, code = answered(context, commands.Commands, "job", "show", context.name)
+    assert code == 0 and answered(context, explain.run, context.name) == (shown, 0), shown
     assert "state: running" in shown and "(workers: 3 lacks unheard-of)" in shown, shown
     for worker in context.workers:
         for task, _ in worker.running:
             named = any(line.split()[:3] == [task, "1", worker.identity] for line in shown.splitlines())
             assert named == task.startswith(context.name), (task, shown)
-    shown, code = told(context, commands.Commands, "job", "show", context.name, "--json")
+    shown, code = answered(context, commands.Commands, "job", "show", context.name, "--json")
     assert code == 0 and json.loads(shown)["job"] == context.name
-    shown, code = told(context, commands.Commands, "workers")
+    shown, code = answered(context, commands.Commands, "workers")
     assert code == 0 and [line.split()[0] for line in shown.splitlines()] == ["minion", "w0", "w1", "w2"], (
         shown
     )
     assert "4000/4096/0" in shown and "1000/4096/0" in shown, shown
-    shown, code = told(context, commands.Commands, "configuration", "show")
+    shown, code = answered(context, commands.Commands, "configuration", "show")
     assert code == 0 and json.loads(shown) == CONFIGURATION
-    assert told(context, commands.Commands, "evacuations") == ("(none)\n", 0)
+    assert answered(context, commands.Commands, "evacuations") == ("(none)\n", 0)
 
 
 @then("a job that never was ends the command with {code:d}")
 def step_command_unknown(context, code):
-    shown, got = told(context, commands.Commands, "job", "show", "0000000000000000")
+    shown, got = answered(context, commands.Commands, "job", "show", "0000000000000000")
     assert got == code and "unknown_job" in shown, (shown, got)
--- a/features/steps/keeper.py
+++ b/features/steps/keeper.py
@@ -5,9 +5,9 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
-from pinepitch.control.daemon import Accord
+from pinepitch.control.daemon import ControlDaemon
 
-ADDRESS, DOOR = "10.0.0.1:7000", "10.0.0.9:7000"
+ADDRESS, ADAPTER = "10.0.0.1:7000", "10.0.0.9:7000"
 JOB = "5c0e7a21d94b36f8"
 TASK = f"{JOB}.0.0.0"
 HOST, PREFIX = "a.example", "/orders/"
@@ -27,7 +27,7 @@
 }
 
 
-class Minion:
+class SimulatedWorker:
     """What one life of a minion says of itself."""
 
     def __init__(self, identity, address):
@@ -60,7 +60,7 @@
         )
 
 
-class Cohort:
+class SimulatedCluster:
     """One accord and its disk. Invariant: what is not saved is not told as saved."""
 
     def __init__(self):
@@ -71,10 +71,10 @@
         self.begin()
 
     def begin(self):
-        self.accord = Accord(
-            "one", ADDRESS, "north", (ADDRESS, "10.0.0.2:7000", "10.0.0.3:7000"), founders=1, seed=7
+        self.accord = ControlDaemon(
+            "one", ADDRESS, "north", (ADDRESS, "10.0.0.2:7000", "10.0.0.3:7000"), bootstrap_members=1, seed=7
         )
-        self.accord.hold = 4.0
+        self.accord.lease_duration = 4.0
         self.accord.restore(None, self.disk)
         self.until(lambda: self.accord.epoch > 0 and self.accord.common_level() > 1, 15)
 
@@ -84,7 +84,7 @@
                 self.unsaved.append((effect[1], [["raft", effect[2]]]))
             elif effect[0] == "note":
                 self.disk.append([["note", effect[1]]])
-            elif effect[0] == "send" and effect[1] == DOOR:
+            elif effect[0] == "send" and effect[1] == ADAPTER:
                 kind, token, *rest = effect[2]
                 assert token not in self.answers, "a call was answered twice"
                 self.answers[token] = (kind, *rest)
@@ -113,7 +113,7 @@
         token = f"t{self.count}"
         consensus = self.accord.consensus
         end = (consensus.term, self.now + constants.CALL_PATIENCE) if consensus is not None else None
-        self.step("ask", DOOR, token, call, arguments, 1, end)
+        self.step("ask", ADAPTER, token, call, arguments, 1, end)
         return token
 
     def told(self, call, *arguments):
@@ -127,69 +127,74 @@
     def placed(self):
         """(minion, reference, run) of every run whose end is not proven."""
         return [
-            (minion, *key) for minion, held in self.accord.record.board.placements.items() for key in held
+            (worker, *key)
+            for worker, placements_there in self.accord.cluster_state.leased_jobs.placements.items()
+            for key in placements_there
         ]
 
 
 @given("an accord that leads alone, with routes in force and holds of 4 seconds")
 def step_lead(context):
-    context.cohort = Cohort()
-    assert context.cohort.told("configure", 0, CONFIGURATION) == (200, {"version": 1})
-    context.cohort.run(constants.GATHER)
-    context.minions = {"one": Minion("one", "10.8.0.1:80"), "two": Minion("two", "10.8.0.2:80")}
-    context.minion = context.minions["one"]
+    context.cluster = SimulatedCluster()
+    assert context.cluster.told("configure", 0, CONFIGURATION) == (200, {"version": 1})
+    context.cluster.run(constants.REPORT_GATHERING)
+    context.simulated_workers = {
+        "one": SimulatedWorker("one", "10.8.0.1:80"),
+        "two": SimulatedWorker("two", "10.8.0.2:80"),
+    }
+    context.simulated_worker = context.simulated_workers["one"]
 
 
 # --- beats ---------------------------------------------------------------------------
 def send(context, name):
-    minion = context.minion = context.minions[name]
-    context.beaten = context.cohort.now
-    context.token = context.cohort.ask("beat", *minion.beat(context.cohort.now))
+    worker = context.simulated_worker = context.simulated_workers[name]
+    context.beaten = context.cluster.now
+    context.token = context.cluster.ask("beat", *worker.beat(context.cluster.now))
 
 
 def hear(context):
     """Waits for the answer to the beat that was sent, and lets the minion remember it."""
-    cohort, minion = context.cohort, context.minion
-    cohort.until(lambda: context.token in cohort.answers, 2)
-    kind, *rest = cohort.answers[context.token]
+    cluster, worker = context.cluster, context.simulated_worker
+    cluster.until(lambda: context.token in cluster.answers, 2)
+    kind, *rest = cluster.answers[context.token]
     context.heard = (kind, *rest)
-    minion.told = rest[0][1] if kind == "answer" else {}
-    minion.starts.extend(minion.told.get("start", ()))
-    if kind == "answer" and "hold_ms" in minion.told:
+    worker.told = rest[0][1] if kind == "answer" else {}
+    worker.starts.extend(worker.told.get("start", ()))
+    if kind == "answer" and "hold_ms" in worker.told:
         context.answered_at = context.beaten
-        seen = minion.told["seen"]
-        minion.ended = [one for one in minion.ended if one[0] > seen]
+        seen = worker.told["seen"]
+        worker.ended = [one for one in worker.ended if one[0] > seen]
 
 
-def beats(context, name):
+def heartbeat(context, name):
     send(context, name)
     hear(context)
-    context.cohort.run(0.05)
+    context.cluster.run(0.05)
 
 
 def until_start(context, name, seconds=20):
-    end = context.cohort.now + seconds
-    context.began = context.cohort.now
-    beats(context, name)
-    while not context.minion.told.get("start"):
-        assert context.cohort.now < end, f"no start in {seconds} seconds"
-        beats(context, name)
+    end = context.cluster.now + seconds
+    context.began = context.cluster.now
+    heartbeat(context, name)
+    while not context.simulated_worker.told.get("start"):
+        assert context.cluster.now < end, f"no start in {seconds} seconds"
+        heartbeat(context, name)
 
 
 def begins(context):
-    for reference, run, _, saved in context.minion.told["start"]:
-        context.minion.running[(reference, run)] = saved or f"s{run}"
+    for reference, run, _, saved in context.simulated_worker.told["start"]:
+        context.simulated_worker.running[(reference, run)] = saved or f"s{run}"
 
 
 @when("minion {name:w} beats")
-def step_beats(context, name):
-    beats(context, name)
+def step_heartbeats(context, name):
+    heartbeat(context, name)
 
 
 @when("minion {name:w} beats {count:d} times")
-def step_beats_often(context, name, count):
+def step_heartbeats_often(context, name, count):
     for _ in range(count):
-        beats(context, name)
+        heartbeat(context, name)
 
 
 @when("minion {name:w} beats until it is told a start")
@@ -204,48 +209,48 @@
 
 @when("minion {name:w} sends a beat without a zone")
 def step_malformed(context, name):
-    identity, document = context.minions[name].beat(context.cohort.now)
+    identity, document = context.simulated_workers[name].beat(context.cluster.now)
     del document["zone"]
-    context.token = context.cohort.ask("beat", identity, document)
+    context.token = context.cluster.ask("beat", identity, document)
 
 
 @then("the beat is answered with {status:d}")
-def step_beat_status(context, status):
-    context.cohort.until(lambda: context.token in context.cohort.answers, 2)
-    kind, answer, *_ = context.cohort.answers[context.token]
+def step_heartbeat_status(context, status):
+    context.cluster.until(lambda: context.token in context.cluster.answers, 2)
+    kind, answer, *_ = context.cluster.answers[context.token]
     assert kind == "answer" and answer[0] == status, answer
 
 
 @when("minion {name:w} beats, which takes {seconds:g} seconds to arrive")
 def step_late(context, name, seconds):
-    minion = context.minion = context.minions[name]
-    identity, document = minion.beat(context.cohort.now)
-    context.cohort.run(seconds)
-    context.beaten = context.cohort.now
-    context.token = context.cohort.ask("beat", identity, document)
+    worker = context.simulated_worker = context.simulated_workers[name]
+    identity, document = worker.beat(context.cluster.now)
+    context.cluster.run(seconds)
+    context.beaten = context.cluster.now
+    context.token = context.cluster.ask("beat", identity, document)
     hear(context)
 
 
 @given("a beat of minion one is on its way")
-def step_on_its_way(context):
-    context.late = context.minions["one"].beat(context.cohort.now)
+def step_in_transit(context):
+    context.late = context.simulated_workers["one"].beat(context.cluster.now)
 
 
 @given("a beat of minion one that lists nothing is on its way")
-def step_empty_on_its_way(context):
-    context.late = context.minions["one"].beat(context.cohort.now)
+def step_empty_in_transit(context):
+    context.late = context.simulated_workers["one"].beat(context.cluster.now)
     context.late[1]["running"] = []
 
 
 @when("the beat of minion one arrives")
 def step_arrives(context):
-    context.cohort.ask("beat", *context.late)
-    context.cohort.run(0.3)
+    context.cluster.ask("beat", *context.late)
+    context.cluster.run(0.3)
 
 
 @when("the beat arrives after newer ones")
 def step_after_newer(context):
-    context.token = context.cohort.ask("beat", *context.late)
+    context.token = context.cluster.ask("beat", *context.late)
     hear(context)
 
 
@@ -258,29 +263,29 @@
 @then("it is answered without a hold, a start or a stop")
 def step_bare(context):
     assert context.heard[0] == "answer" and context.heard[1][0] == 200, context.heard
-    told = context.heard[1][1]
-    assert not {"hold_ms", "start", "stop", "seen"} & set(told), told
+    answered = context.heard[1][1]
+    assert not {"hold_ms", "start", "stop", "seen"} & set(answered), answered
 
 
 @when("minion one does not get that answer")
 def step_not_got(context):
-    assert not context.minions["one"].running
+    assert not context.simulated_workers["one"].running
 
 
 @when("minion {name:w} begins what it was told")
 def step_begins(context, name):
-    context.minion = context.minions[name]
+    context.simulated_worker = context.simulated_workers[name]
     begins(context)
 
 
 @given("minion one runs run 1 of a job of 1 task")
 def step_runs(context):
-    beats(context, "one")
+    heartbeat(context, "one")
     step_job(context)
     until_start(context, "one")
     begins(context)
-    assert list(context.minion.running) == [(TASK, 1)], context.minion.running
-    beats(context, "one")
+    assert list(context.simulated_worker.running) == [(TASK, 1)], context.simulated_worker.running
+    heartbeat(context, "one")
 
 
 @when("run {run:d} ends {how:w} at minion {name:w}")
@@ -290,75 +295,75 @@
 
 @when('run {run:d} ends {how:w} at minion {name:w} with "{saved}" saved')
 def step_ends_saved(context, run, how, name, saved):
-    minion = context.minions[name]
-    del minion.running[(TASK, run)]
-    minion.ended.append([1, TASK, run, how, saved])
+    worker = context.simulated_workers[name]
+    del worker.running[(TASK, run)]
+    worker.ended.append([1, TASK, run, how, saved])
 
 
 @when("minion one also runs {what}")
 def step_stray(context, what):
-    context.minions["one"].running[STRAYS[what]] = ""
+    context.simulated_workers["one"].running[STRAYS[what]] = ""
 
 
 @when("minion one tells an end of {what}")
 def step_stray_end(context, what):
-    context.minions["one"].ended.append([1, *STRAYS[what], "done", ""])
+    context.simulated_workers["one"].ended.append([1, *STRAYS[what], "done", ""])
 
 
 @given("minion two has no room")
-def step_no_room(context):
-    context.minions["two"].room = [0, 0, 0]
+def step_no_capacity(context):
+    context.simulated_workers["two"].room = [0, 0, 0]
 
 
 @when("minion two has room")
-def step_room(context):
-    context.minions["two"].room = [4000, 4096, 0]
+def step_capacity(context):
+    context.simulated_workers["two"].room = [4000, 4096, 0]
 
 
 @when("minion one is draining")
 def step_draining(context):
-    context.minions["one"].state = "draining"
+    context.simulated_workers["one"].state = "draining"
 
 
 @when("minion one is in an emptied zone")
 def step_evacuated(context):
-    confirmed = context.cohort.accord.record.index
-    assert context.cohort.told("evacuate", "zone-one", True, confirmed)[0] == 200
+    confirmed = context.cluster.accord.cluster_state.index
+    assert context.cluster.told("evacuate", "zone-one", True, confirmed)[0] == 200
 
 
 @when("the evacuation is taken back")
 def step_taken_back(context):
-    confirmed = context.cohort.accord.record.index
-    assert context.cohort.told("evacuate", "zone-one", False, confirmed)[0] == 200
+    confirmed = context.cluster.accord.cluster_state.index
+    assert context.cluster.told("evacuate", "zone-one", False, confirmed)[0] == 200
 
 
 @when("minion two beats from the address of minion one until it is told a start")
 def step_reborn(context):
-    context.minions["two"].address = context.minions["one"].address
-    context.silent_since = context.answered_at
+    context.simulated_workers["two"].address = context.simulated_workers["one"].address
+    context.unresponsive_since = context.answered_at
     until_start(context, "two")
 
 
 @when("minion one says that it ends")
 def step_leaves(context):
-    assert context.cohort.told("beat-leave", "one")[0] == 200
+    assert context.cluster.told("beat-leave", "one")[0] == 200
 
 
 # --- a gang --------------------------------------------------------------------------
 @given("minions one, two, three and four have room for one task each")
 def step_narrow(context):
     for place, name in enumerate(("one", "two", "three", "four"), 1):
-        minion = context.minions.setdefault(name, Minion(name, f"10.8.0.{place}:80"))
-        minion.room = [100, 4096, 0]
+        worker = context.simulated_workers.setdefault(name, SimulatedWorker(name, f"10.8.0.{place}:80"))
+        worker.room = [100, 4096, 0]
 
 
-def both_told(context, first, second):
+def both_notified(context, first, second):
     """Beats of two minions in turn until both were told starts."""
     left = {first, second}
     for _ in range(200):
         for name in sorted(left):
-            beats(context, name)
-            if context.minion.told.get("start"):
+            heartbeat(context, name)
+            if context.simulated_worker.told.get("start"):
                 begins(context)
                 left.discard(name)
         if not left:
@@ -368,75 +373,75 @@
 
 @given("minions one and two run a gang, and fall silent until it is placed at three and four")
 def step_gang(context):
-    beats(context, "one")
-    beats(context, "two")
-    status, _ = context.cohort.told(
+    heartbeat(context, "one")
+    heartbeat(context, "two")
+    status, _ = context.cluster.told(
         "job",
         HOST,
         PREFIX + JOB,
         {"spec": "do it", "steps": [{"count": 2, "cpu": 100, "gang": True, "saves": True}]},
     )
     assert status == 200
-    both_told(context, "one", "two")
-    beats(context, "one")
-    beats(context, "two")
-    cohort, lapse = context.cohort, context.cohort.now + span(context)
-    while cohort.now < lapse - 0.5:
-        beats(context, "three")
-        beats(context, "four")
-    cohort.until(lambda: {one[0] for one in cohort.placed()} == {"three", "four"}, 1.5)
+    both_notified(context, "one", "two")
+    heartbeat(context, "one")
+    heartbeat(context, "two")
+    cluster, lapse = context.cluster, context.cluster.now + span(context)
+    while cluster.now < lapse - 0.5:
+        heartbeat(context, "three")
+        heartbeat(context, "four")
+    cluster.until(lambda: {one[0] for one in cluster.placed()} == {"three", "four"}, 1.5)
 
 
 @when("minion {name:w} is told its start")
-def step_told_start(context, name):
-    context.minion = context.minions[name]
-    if not context.minion.starts:  # an idle minion's beat stays open and may have told it already
+def step_notified_start(context, name):
+    context.simulated_worker = context.simulated_workers[name]
+    if not context.simulated_worker.starts:  # an idle minion's beat stays open and may have told it already
         until_start(context, name, 2)
 
 
 @when('minion one tells how its run of the gang ended, with "{saved}" saved')
 def step_gang_end(context, saved):
-    minion = context.minions["one"]
-    ((reference, run),) = minion.running
-    minion.running.clear()
-    minion.ended.append([1, reference, run, "lapsed", saved])
-    beats(context, "one")
-    beats(context, "one")
-    assert minion.told["seen"] == 1, minion.told
+    worker = context.simulated_workers["one"]
+    ((reference, run),) = worker.running
+    worker.running.clear()
+    worker.ended.append([1, reference, run, "lapsed", saved])
+    heartbeat(context, "one")
+    heartbeat(context, "one")
+    assert worker.told["seen"] == 1, worker.told
 
 
 @then("both were told the same run and the same text")
 def step_one_text(context):
-    told = [context.minions[name].starts for name in ("three", "four")]
-    assert [len(one) for one in told] == [1, 1], told
-    assert told[0][0][1] == told[1][0][1] == 2, told
-    assert told[0][0][3] == told[1][0][3], told
+    answered = [context.simulated_workers[name].starts for name in ("three", "four")]
+    assert [len(one) for one in answered] == [1, 1], answered
+    assert answered[0][0][1] == answered[1][0][1] == 2, answered
+    assert answered[0][0][3] == answered[1][0][3], answered
 
 
 # --- jobs, lease, disk and time ------------------------------------------------------
 @when("a job of 1 task is handed in")
 def step_job(context):
-    context.job = context.cohort.ask(
+    context.job = context.cluster.ask(
         "job", HOST, PREFIX + JOB, {"spec": "do it", "steps": [{"count": 1, "cpu": 100}]}
     )
-    if context.cohort.saving:
-        context.cohort.until(lambda: context.job in context.cohort.answers, 2)
-        assert context.cohort.answers[context.job][1][0] == 200, context.cohort.answers[context.job]
+    if context.cluster.saving:
+        context.cluster.until(lambda: context.job in context.cluster.answers, 2)
+        assert context.cluster.answers[context.job][1][0] == 200, context.cluster.answers[context.job]
 
 
 @when("the job is cancelled")
 def step_cancel(context):
-    assert context.cohort.told("job-cancel", HOST, PREFIX + JOB) == (200, {"state": "cancelled"})
+    assert context.cluster.told("job-cancel", HOST, PREFIX + JOB) == (200, {"state": "cancelled"})
 
 
 @then("the job is shown as {state:w}")
 def step_shown(context, state):
-    assert context.cohort.told("job-read", HOST, PREFIX + JOB) == (200, {"state": state})
+    assert context.cluster.told("job-read", HOST, PREFIX + JOB) == (200, {"state": state})
 
 
 @when("the leader's lease runs out")
 def step_lease_out(context):
-    context.lease = mock.patch.object(context.cohort.accord.consensus, "leased", lambda now: False)
+    context.lease = mock.patch.object(context.cluster.accord.consensus, "leased", lambda now: False)
     context.lease.start()
 
 
@@ -447,30 +452,30 @@
 
 @when("the disk does not save")
 def step_no_saves(context):
-    context.cohort.saving = False
+    context.cluster.saving = False
 
 
 @when("the disk saves again")
 def step_saves(context):
-    context.cohort.saving = True
-    context.cohort.step("tick")
+    context.cluster.saving = True
+    context.cluster.step("tick")
 
 
 @when("{seconds:g} seconds pass without a beat")
 def step_pass(context, seconds):
-    context.cohort.sent.clear()
-    context.cohort.run(seconds)
+    context.cluster.sent.clear()
+    context.cluster.run(seconds)
 
 
 @when("the accord starts again from its disk")
 def step_restart(context):
-    context.cohort.begin()
-    context.answered_at = context.cohort.now  # a hold may have been given until just before
+    context.cluster.begin()
+    context.answered_at = context.cluster.now  # a hold may have been given until just before
 
 
 @when("only minion two beats")
 def step_only_two(context):
-    context.silent_since = context.answered_at
+    context.unresponsive_since = context.answered_at
     until_start(context, "two")
 
 
@@ -481,33 +486,33 @@
 
 @when("its hold runs out while the disk does not save")
 def step_lapses(context):
-    cohort = context.cohort
-    cohort.run(context.answered_at + span(context) - 0.1 - cohort.now)
-    assert cohort.placed(), "the hold ran out too early"
-    cohort.saving = False
-    cohort.run(2 * constants.WATCH_EVERY)
-    assert cohort.placed()
+    cluster = context.cluster
+    cluster.run(context.answered_at + span(context) - 0.1 - cluster.now)
+    assert cluster.placed(), "the hold ran out too early"
+    cluster.saving = False
+    cluster.run(2 * constants.WATCH_EVERY)
+    assert cluster.placed()
 
 
 @when("minion one beats until its end is seen")
 def step_until_seen(context):
     for _ in range(40):
-        beats(context, "one")
-        if context.minion.told.get("seen", 0) >= 1:
+        heartbeat(context, "one")
+        if context.simulated_worker.told.get("seen", 0) >= 1:
             return
     raise AssertionError("the end is never seen")
 
 
 def span(context):
     """What must pass after a beat that was answered with a hold."""
-    return context.cohort.accord.hold * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN
+    return context.cluster.accord.lease_duration * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN
 
 
 # --- what is told --------------------------------------------------------------------
 @then("nothing was sent to any minion meanwhile")
 def step_nothing_sent(context):
-    addresses = {minion.address for minion in context.minions.values()}
-    assert not [one for one in context.cohort.sent if one[1] in addresses], context.cohort.sent
+    addresses = {worker.address for worker in context.simulated_workers.values()}
+    assert not [one for one in context.cluster.sent if one[1] in addresses], context.cluster.sent
 
 
 @then("the beat was not taken")
@@ -517,49 +522,49 @@
 
 @then("the beat has no answer with a hold")
 def step_no_answer(context):
-    found = context.cohort.answers.get(context.token)
+    found = context.cluster.answers.get(context.token)
     assert found is None or found[0] != "answer" or "hold_ms" not in found[1][1], found
 
 
 @then("it is told to start run {run:d} with the job's text, under a hold and a fence")
 def step_start(context, run):
-    told = context.minion.told
-    assert [list(one) for one in told["start"]] == [[TASK, run, "do it", ""]], told
-    assert 0 < told["hold_ms"] <= 4000 and told["fence"] >= 1, told
+    answered = context.simulated_worker.told
+    assert [list(one) for one in answered["start"]] == [[TASK, run, "do it", ""]], answered
+    assert 0 < answered["hold_ms"] <= 4000 and answered["fence"] >= 1, answered
 
 
 @then('it is told to start run {run:d} of the task from "{saved}"')
 def step_start_from(context, run, saved):
-    assert [list(one) for one in context.minion.told["start"]] == [[TASK, run, "do it", saved]], (
-        context.minion.told
+    assert [list(one) for one in context.simulated_worker.told["start"]] == [[TASK, run, "do it", saved]], (
+        context.simulated_worker.told
     )
 
 
 @then("it is told to start a run above {run:d}")
 def step_start_above(context, run):
-    assert [one[0] for one in context.minion.told["start"]] == [TASK], context.minion.told
-    assert context.minion.told["start"][0][1] > run, context.minion.told
+    assert [one[0] for one in context.simulated_worker.told["start"]] == [TASK], context.simulated_worker.told
+    assert context.simulated_worker.told["start"][0][1] > run, context.simulated_worker.told
 
 
 @then("it is told no start")
 def step_no_start(context):
-    assert not context.minion.told.get("start"), context.minion.told
+    assert not context.simulated_worker.told.get("start"), context.simulated_worker.told
 
 
 @then("it is told no start and no stop")
 def step_quiet(context):
     step_no_start(context)
-    assert not context.minion.told.get("stop"), context.minion.told
+    assert not context.simulated_worker.told.get("stop"), context.simulated_worker.told
 
 
 @then("minion one was told no start at all")
 def step_never(context):
-    assert not context.minions["one"].starts, context.minions["one"].starts
+    assert not context.simulated_workers["one"].starts, context.simulated_workers["one"].starts
 
 
 @then("it is told that its ends up to {number:d} are seen")
 def step_seen(context, number):
-    assert context.minion.told["seen"] == number, context.minion.told
+    assert context.simulated_worker.told["seen"] == number, context.simulated_worker.told
 
 
 @then("it is told that its ends up to {number:d} are seen, and no start")
@@ -570,34 +575,43 @@
 
 @then("it is told to stop run {run:d}")
 def step_stop(context, run):
-    assert [list(one) for one in context.minion.told["stop"]] == [[TASK, run]], context.minion.told
+    assert [list(one) for one in context.simulated_worker.told["stop"]] == [[TASK, run]], (
+        context.simulated_worker.told
+    )
 
 
 @then("it is told to stop {what} and nothing else")
 def step_stop_stray(context, what):
-    assert [list(one) for one in context.minion.told["stop"]] == [list(STRAYS[what])], context.minion.told
+    assert [list(one) for one in context.simulated_worker.told["stop"]] == [list(STRAYS[what])], (
+        context.simulated_worker.told
+    )
 
 
 @then("run {run:d} is the only one placed")
 def step_placed(context, run):
-    assert [one[1:] for one in context.cohort.placed()] == [(TASK, run)], context.cohort.placed()
+    assert [one[1:] for one in context.cluster.placed()] == [(TASK, run)], context.cluster.placed()
 
 
 @then("minion two is told no start before the hold and its margins are over")
 def step_not_before(context):
-    assert context.cohort.now - context.silent_since >= span(context), (
-        context.cohort.now - context.silent_since
+    assert context.cluster.now - context.unresponsive_since >= span(context), (
+        context.cluster.now - context.unresponsive_since
     )
 
 
 @then("minion two is told to start run 2 soon after")
 def step_soon_after(context):
-    assert [one[:2] for one in map(list, context.minion.told["start"])] == [[TASK, 2]], context.minion.told
-    late = context.cohort.now - context.silent_since - span(context)
+    assert [one[:2] for one in map(list, context.simulated_worker.told["start"])] == [[TASK, 2]], (
+        context.simulated_worker.told
+    )
+    late = context.cluster.now - context.unresponsive_since - span(context)
     assert late <= constants.ELECTION_TIMEOUT + 1.0, late
 
 
 @then("either no end is seen or the job is shown as completed")
 def step_either(context):
-    state = context.cohort.accord.record.board.state(JOB)
-    assert context.minion.told.get("seen", 0) == 0 or state == "completed", (context.minion.told, state)
+    state = context.cluster.accord.cluster_state.leased_jobs.state(JOB)
+    assert context.simulated_worker.told.get("seen", 0) == 0 or state == "completed", (
+        context.simulated_worker.told,
+        state,
+    )
--- a/features/steps/learners.py
+++ b/features/steps/learners.py
@@ -7,14 +7,14 @@
 
 
 @given("a cohort of three accords")
-def step_cohort(context):
-    context.simulator = Simulator(5, minions=())
+def step_cluster(context):
+    context.simulator = Simulator(5, workers=())
     context.simulator.begin()
 
 
-def newcomer(simulator, name, area):
+def newcomer(simulator, name, zone):
     """Starts an empty accord at a new address."""
-    simulator.add(name, "accord", area)
+    simulator.add(name, "accord", zone)
     simulator.start(name)
     return simulator.nodes[name]
 
@@ -22,7 +22,7 @@
 @when("as many newcomers as may learn at once come one after another and are lost for good")
 def step_lost(context):
     simulator = context.simulator
-    for place in range(constants.COHORT_MOST):
+    for place in range(constants.MAX_CLUSTER_MEMBERS):
         node = newcomer(simulator, f"lost{place}", "a")
         identity = node.core.identity
         learns = simulator.until(
@@ -31,7 +31,7 @@
         assert learns is not None, f"newcomer {place} was not let learn"
         simulator.kill(node.name)
     simulator.run(2 * constants.SESSION_LASTS)
-    assert len(simulator.leader().core.consensus.learners) == constants.COHORT_MOST
+    assert len(simulator.leader().core.consensus.learners) == constants.MAX_CLUSTER_MEMBERS
 
 
 @when("one of the three is lost for good and a newcomer comes in its area")
@@ -43,13 +43,13 @@
         if node.core is not None and node is not simulator.leader() and node.kind == "accord"
     )
     simulator.kill(former.name)
-    context.newcomer = newcomer(simulator, "late", former.area)
+    context.newcomer = newcomer(simulator, "late", former.zone)
 
 
 @then("that newcomer has the seat within {seconds:d} seconds")
 def step_seat(context, seconds):
     simulator, identity = context.simulator, context.newcomer.core.identity
     found = simulator.until(
-        lambda: identity in simulator.leader().core.consensus.cohort.now.members, seconds, 0.02
+        lambda: identity in simulator.leader().core.consensus.membership.now.members, seconds, 0.02
     )
     assert found is not None, simulator.leader().core.consensus.learners
