--- a/features/steps/lease.py
+++ b/features/steps/lease.py
@@ -10,7 +10,7 @@
 from pinepitch.runtime.host import Host
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
-WAITS = {"lease": constants.LEAD_LEASE * constants.LEASE_STRETCH, "time-out": constants.ELECTION_TIMEOUT}
+WAITS = {"lease": constants.LEADER_LEASE * constants.LEASE_STRETCH, "time-out": constants.ELECTION_TIMEOUT}
 
 
 def restored(identity):
@@ -36,22 +36,22 @@
 @given("an accord with a log that starts anew")
 def step_anew(context):
     context.now = 100.0
-    context.accord = begun("b", context.now)
+    context.consensus_under_test = begun("b", context.now)
 
 
 @given("an accord with a log that starts anew, and has not looked at its clock yet")
 def step_not_looked(context):
     context.now = 100.0
-    context.accord = restored("b")
+    context.consensus_under_test = restored("b")
 
 
 @when("it is asked for a pre-vote at once, as a lease ends by its own clock, and once it has ended by any")
 def step_pre_votes(context, since=0.0):
-    context.told = []
-    longest = constants.LEAD_LEASE * (1 + constants.CLOCK_DRIFT) / (1 - constants.CLOCK_DRIFT)
-    for after in (0.01, since + constants.LEAD_LEASE + 0.01, since + longest + 0.01):
-        effects = context.accord.step("c", ("prevote", 4, 1, 3), context.now + after)
-        context.told.append(answers(effects, "prevoted"))
+    context.observed = []
+    longest = constants.LEADER_LEASE * (1 + constants.CLOCK_DRIFT) / (1 - constants.CLOCK_DRIFT)
+    for after in (0.01, since + constants.LEADER_LEASE + 0.01, since + longest + 0.01):
+        effects = context.consensus_under_test.step("c", ("prevote", 4, 1, 3), context.now + after)
+        context.observed.append(answers(effects, "prevoted"))
 
 
 @when("it is asked for pre-votes that begin its life, and until a lease from then has ended by any clock")
@@ -61,30 +61,32 @@
 
 @then("it refuses at first and grants then")
 def step_refused_granted(context):
-    *early, late = context.told
-    assert all(not one[2] for told in early for one in told), early
+    *early, late = context.observed
+    assert all(not one[2] for sent_before in early for one in sent_before), early
     assert [one[2] for one in late] == [True], late
 
 
 @given("an accord with a log that heard its leader just now")
 def step_heard(context):
     context.now = 100.0
-    context.accord = begun("b", context.now - 10)
-    context.accord.step("a", ("append", 3, 1, 3, (), 1, 1), context.now)
+    context.consensus_under_test = begun("b", context.now - 10)
+    context.consensus_under_test.step("a", ("append", 3, 1, 3, (), 1, 1), context.now)
 
 
 @when("it is asked for a vote in a later term at once, and again once a {wait} is over")
 def step_votes(context, wait):
-    context.told = []
+    context.observed = []
     for after in (0.01, WAITS[wait] + 0.02):
-        effects = context.accord.step("c", ("vote", 4, 1, 3), context.now + after)
-        effects += context.accord.saved(context.accord.sequence, context.now + after)
-        context.told.append(answers(effects, "voted"))
+        effects = context.consensus_under_test.step("c", ("vote", 4, 1, 3), context.now + after)
+        effects += context.consensus_under_test.saved(
+            context.consensus_under_test.sequence, context.now + after
+        )
+        context.observed.append(answers(effects, "voted"))
 
 
 @then("it says nothing at first and grants then")
 def step_nothing_granted(context):
-    first, second = context.told
+    first, second = context.observed
     assert first == [], first
     assert [one[2] for one in second] == [True], second
 
@@ -100,22 +102,24 @@
     assert leader.role == "leader"
     leader._broadcast(context.now)
     for follower in ("b", "c"):
-        leader.step(follower, ("appended", 4, True, leader.last_index(), leader.beat), context.now + 0.05)
+        leader.step(
+            follower, ("appended", 4, True, leader.last_index(), leader.heartbeat), context.now + 0.05
+        )
 
 
-@then("its lease stands until LEAD_LEASE after that beat was sent, and not longer")
+@then("its lease stands until LEADER_LEASE after that beat was sent, and not longer")
 def step_stands(context):
-    assert context.leader.leased(context.now + constants.LEAD_LEASE - 0.01)
-    assert not context.leader.leased(context.now + constants.LEAD_LEASE + 0.01)
+    assert context.leader.leased(context.now + constants.LEADER_LEASE - 0.01)
+    assert not context.leader.leased(context.now + constants.LEADER_LEASE + 0.01)
 
 
 @then("the constants leave a lease no room beside an election")
 def step_constants(context):
     longest = constants.ELECTION_TIMEOUT * (1 + constants.ELECTION_JITTER)
-    assert constants.HEARTBEAT < constants.LEAD_LEASE < constants.ELECTION_TIMEOUT
+    assert constants.HEARTBEAT < constants.LEADER_LEASE < constants.ELECTION_TIMEOUT
     assert constants.CHECK_QUORUM <= constants.ELECTION_TIMEOUT
-    assert 2 * longest < constants.HOLD
-    assert constants.LEAD_LEASE + 1.0 < constants.ELECTION_TIMEOUT + constants.GATHER
+    assert 2 * longest < constants.LEASE_DURATION
+    assert constants.LEADER_LEASE + 1.0 < constants.ELECTION_TIMEOUT + constants.REPORT_GATHERING
 
 
 def lease_is_safe(drift, lease, timeout, stretch):
@@ -129,13 +133,13 @@
 @then("the constants allow each steady clock the drift that a worker's may have")
 def step_drift(context):
     assert lease_is_safe(
-        constants.CLOCK_DRIFT, constants.LEAD_LEASE, constants.ELECTION_TIMEOUT, constants.LEASE_STRETCH
+        constants.CLOCK_DRIFT, constants.LEADER_LEASE, constants.ELECTION_TIMEOUT, constants.LEASE_STRETCH
     )
 
 
 @then("a lease as long as the time-out, or a restart that waits for no drift, would allow none")
 def step_no_drift(context):
-    lease, timeout = constants.LEAD_LEASE, constants.ELECTION_TIMEOUT
+    lease, timeout = constants.LEADER_LEASE, constants.ELECTION_TIMEOUT
     assert not lease_is_safe(constants.CLOCK_DRIFT, timeout, timeout, constants.LEASE_STRETCH)
     assert not lease_is_safe(constants.CLOCK_DRIFT, lease, timeout, 1.0)
 
@@ -176,33 +180,33 @@
 
 
 @then("its decider is told the clock that went on, both times")
-def step_told(context):
+def step_notified(context):
     assert context.core.told == [context.clocks[time.CLOCK_BOOTTIME]] * 2, context.core.told
 
 
 @given("an accord with a log that was not stepped yet")
 def step_unstepped(context):
     context.now = 100.0
-    context.accord = Consensus("b", 7, MEMBERS)
-    context.accord.restore(None, [([3, "a", 3, {}], None, 1, [(3, 0.0, ("noop",))])])
+    context.consensus_under_test = Consensus("b", 7, MEMBERS)
+    context.consensus_under_test.restore(None, [([3, "a", 3, {}], None, 1, [(3, 0.0, ("noop",))])])
 
 
 @when("it hands over while its successor lacks an entry")
 def step_hands_over(context):
     leader, now = context.leader, context.now + 0.06
-    context.beats = leader.beat
+    context.heartbeats = leader.heartbeat
     _, effects = leader.propose([("noop",)], 0.0, now)
     effects += leader.saved(leader.sequence, now)
-    effects += leader.hand_over({"b", "c"}, now)
-    context.told = [answers(effects, "handover"), leader.role, leader.leased(now)]
+    effects += leader.transfer_leadership({"b", "c"}, now)
+    context.observed = [answers(effects, "handover"), leader.role, leader.leased(now)]
 
 
 @then("it leads on, and names the successor once all is held, without a lease by then")
 def step_names(context):
     leader, now = context.leader, context.now + 0.07
-    assert context.told == [[], "leader", True], context.told
+    assert context.observed == [[], "leader", True], context.observed
     target = leader.handover.target
-    effects = leader.step(target, ("appended", 4, True, leader.last_index(), leader.beat), now)
+    effects = leader.step(target, ("appended", 4, True, leader.last_index(), leader.heartbeat), now)
     assert answers(effects, "handover") == [("handover", 4, {})], effects
     kinds = [effect[0] for effect in effects]
     assert kinds.index("unlead") < kinds.index("send"), kinds
@@ -211,11 +215,13 @@
 
 @when("it is asked for a takeover of the term before, and then of that leader's")
 def step_takeovers(context):
-    context.told = []
+    context.observed = []
     for released in (2, 3):
-        effects = context.accord.step("c", ("takeover", 4, 1, 3, released), context.now + 0.01)
-        effects += context.accord.saved(context.accord.sequence, context.now + 0.01)
-        context.told.append(answers(effects, "voted"))
+        effects = context.consensus_under_test.step("c", ("takeover", 4, 1, 3, released), context.now + 0.01)
+        effects += context.consensus_under_test.saved(
+            context.consensus_under_test.sequence, context.now + 0.01
+        )
+        context.observed.append(answers(effects, "voted"))
 
 
 def campaigns(effects):
@@ -224,8 +230,8 @@
 
 @when("others than its leader, and an older leader, name it successor")
 def step_named(context):
-    context.effects = context.accord.step("c", ("handover", 3, {}), context.now + 0.01)
-    context.effects += context.accord.step("a", ("handover", 2, {}), context.now + 0.01)
+    context.effects = context.consensus_under_test.step("c", ("handover", 3, {}), context.now + 0.01)
+    context.effects += context.consensus_under_test.step("a", ("handover", 2, {}), context.now + 0.01)
 
 
 @then("it begins no election")
@@ -235,7 +241,7 @@
 
 @then("it does, without a pre-vote, once its leader names it")
 def step_election(context):
-    effects = context.accord.step("a", ("handover", 3, {}), context.now + 0.01)
+    effects = context.consensus_under_test.step("a", ("handover", 3, {}), context.now + 0.01)
     assert [event[1] for event in campaigns(effects)] == [121], effects
-    effects = context.accord.saved(context.accord.sequence, context.now + 0.02)
+    effects = context.consensus_under_test.saved(context.consensus_under_test.sequence, context.now + 0.02)
     assert answers(effects, "takeover") == [("takeover", 4, 1, 3, 3)] * 2, effects
--- a/features/steps/lives.py
+++ b/features/steps/lives.py
@@ -6,14 +6,14 @@
 
 from pinepitch.consensus.leader_clock import Reading
 from pinepitch.simulation import simulator as simulators
-from pinepitch.transport.forwarder import Carrier
+from pinepitch.transport.forwarder import Forwarder
 
 ANSWER_TO_NOBODY, ANSWER_TO_ANOTHER_CALL = 144, 145
 PATIENCE = 2.0  # seconds
-MINION_ONE, MINION_TWO = 1, 2  # numbers of the requests of their beats
+WORKER_ONE, WORKER_TWO = 1, 2  # numbers of the requests of their beats
 
 
-def beat_of(identity):
+def heartbeat_of(identity):
     """The arguments of a first beat."""
     return (
         identity,
@@ -33,11 +33,11 @@
     )
 
 
-class Cohort:
+class SimulatedCluster:
     """Three simulated accords whose answers to carried calls are kept instead of delivered."""
 
     def __init__(self):
-        self.simulator = simulators.Simulator(7, minions=())
+        self.simulator = simulators.Simulator(7, workers=())
         self.simulator.begin()
         self.simulator.until(lambda: self.leader.core.epoch > 0, 20)
         self.follower = next(
@@ -101,20 +101,20 @@
 
 @given("a follower that was started again while the leader had a beat of one minion from it")
 def step_restarted(context):
-    context.cohort = Cohort()
-    context.former = context.cohort.carried(MINION_ONE, "beat", beat_of("one"))
-    context.cohort.restart()
+    context.cluster = SimulatedCluster()
+    context.former = context.cluster.carried(WORKER_ONE, "beat", heartbeat_of("one"))
+    context.cluster.restart()
 
 
 @when("its new life carries a beat of another minion")
-def step_new_beat(context):
-    context.newer = context.cohort.carried(MINION_TWO, "beat", beat_of("another"))
+def step_new_heartbeat(context):
+    context.newer = context.cluster.carried(WORKER_TWO, "beat", heartbeat_of("another"))
 
 
 @when("the leader's answer to the former life's beat arrives")
 def step_former_answer(context):
-    (answer,) = context.cohort.ask_leader(context.former)
-    context.effects = context.cohort.follower_hears(answer)
+    (answer,) = context.cluster.ask_leader(context.former)
+    context.effects = context.cluster.follower_hears(answer)
 
 
 @then("no caller is told anything, and the follower tells of an answer to nobody")
@@ -125,21 +125,21 @@
 
 @when("the leader's answer to the new life's beat arrives")
 def step_newer_answer(context):
-    (answer,) = context.cohort.ask_leader(context.newer)
-    context.effects = [*context.cohort.follower_hears(answer), *context.cohort.follower_hears(answer)]
+    (answer,) = context.cluster.ask_leader(context.newer)
+    context.effects = [*context.cluster.follower_hears(answer), *context.cluster.follower_hears(answer)]
 
 
 @then("the other minion is told it once")
-def step_told_once(context):
-    assert [one[1:3] for one in replies(context.effects)] == [(MINION_TWO, 200)], context.effects
+def step_notified_once(context):
+    assert [one[1:3] for one in replies(context.effects)] == [(WORKER_TWO, 200)], context.effects
 
 
 @then("the leader answers both beats, each once")
 def step_both(context):
-    answers = context.cohort.ask_leader(context.former, context.newer)
-    told = sorted(answer[1] for answer in answers)
-    assert told == sorted([context.former[2], context.newer[2]]), answers
-    assert len(set(told)) == 2, "both lives use one token"
+    answers = context.cluster.ask_leader(context.former, context.newer)
+    reported = sorted(answer[1] for answer in answers)
+    assert reported == sorted([context.former[2], context.newer[2]]), answers
+    assert len(set(reported)) == 2, "both lives use one token"
 
 
 def change_of(words):
@@ -148,22 +148,22 @@
 
 @given("a follower whose former life has carried a change of the setup to its end")
 def step_changed(context):
-    context.cohort = cohort = Cohort()
-    (answer,) = cohort.ask_leader(cohort.carried(1, "change", change_of("former")))
+    context.cluster = cluster = SimulatedCluster()
+    (answer,) = cluster.ask_leader(cluster.carried(1, "change", change_of("former")))
     context.former_version = answer[2][1]["version"]
-    cohort.restart()
+    cluster.restart()
 
 
 @when("its new life carries another change")
 def step_other_change(context):
-    cohort = context.cohort
-    (context.answer,) = cohort.ask_leader(cohort.carried(1, "change", change_of("newer")))
+    cluster = context.cluster
+    (context.answer,) = cluster.ask_leader(cluster.carried(1, "change", change_of("newer")))
 
 
 @then("the other change is in force, and its answer tells the version that it made")
 def step_in_force(context):
-    record = context.cohort.leader.core.record
-    assert record.setup["notes"] == {"words": "newer"}, record.setup
+    record = context.cluster.leader.core.cluster_state
+    assert record.queue_configuration["notes"] == {"words": "newer"}, record.queue_configuration
     assert context.answer[2][:2] == (200, {"version": context.former_version + 1}), context.answer
 
 
@@ -171,9 +171,9 @@
 @given("a daemon that carries a beat of one minion")
 def step_daemon(context):
     context.events = []
-    context.carrier = Carrier("life", "10.0.0.9:7000", lambda number, **_: context.events.append(number))
-    context.token = context.carrier.begin(MINION_ONE, "beat", beat_of("one"), 100.0, PATIENCE)
-    context.carrier.sent(context.token, "10.0.0.1:7000", 100.0)
+    context.forwarder = Forwarder("life", "10.0.0.9:7000", lambda number, **_: context.events.append(number))
+    context.token = context.forwarder.begin(WORKER_ONE, "beat", heartbeat_of("one"), 100.0, PATIENCE)
+    context.forwarder.sent(context.token, "10.0.0.1:7000", 100.0)
 
 
 OTHER_CALLS = {
@@ -184,7 +184,7 @@
 
 @when("an answer under that beat's token tells of {another}")
 def step_other_answer(context, another):
-    context.effects = context.carrier.answered(context.token, (200, {}, None), OTHER_CALLS[another], 100.0)
+    context.effects = context.forwarder.answered(context.token, (200, {}, None), OTHER_CALLS[another], 100.0)
 
 
 @then("no caller is told anything, and the daemon tells of an answer to another call")
@@ -197,16 +197,16 @@
 
 @when("its own answer comes")
 def step_own_answer(context):
-    context.effects = context.carrier.answered(context.token, (200, {}, None), ("beat", "one"), 100.0)
+    context.effects = context.forwarder.answered(context.token, (200, {}, None), ("beat", "one"), 100.0)
 
 
 @then("the minion is told it once")
-def step_minion_told(context):
-    assert [one[1:3] for one in replies(context.effects)] == [(MINION_ONE, 200)], context.effects
+def step_worker_notified(context):
+    assert [one[1:3] for one in replies(context.effects)] == [(WORKER_ONE, 200)], context.effects
 
 
 # --- an index that is used again -------------------------------------------------------
-class CutCohort(Cohort):
+class PartitionedCluster(SimulatedCluster):
     """Keeps what the first leader tells about one token."""
 
     def __init__(self):
@@ -240,55 +240,55 @@
 
 
 @given("a leader that is cut off, with a change from a follower in its log")
-def step_cut_off(context):
-    context.cohort = cohort = CutCohort()
-    ask = cohort.carried(1, "change", change_of("cut off"))
-    cohort.token = ask[2]
-    rest = [name for name in cohort.simulator.nodes if name != cohort.first.name]
-    cohort.simulator.cut([cohort.first.name], rest)
-    cohort.simulator.give(cohort.first, ask)
-    cohort.follower.core.carrier.calls.clear()  # the follower gives it up
-    context.index = cohort.first.core.consensus.last_index()
-    assert cohort.first.core.consensus.commit < context.index
+def step_partition_off(context):
+    context.cluster = cluster = PartitionedCluster()
+    ask = cluster.carried(1, "change", change_of("cut off"))
+    cluster.token = ask[2]
+    rest = [name for name in cluster.simulator.nodes if name != cluster.first.name]
+    cluster.simulator.partition([cluster.first.name], rest)
+    cluster.simulator.give(cluster.first, ask)
+    cluster.follower.core.forwarder.calls.clear()  # the follower gives it up
+    context.index = cluster.first.core.consensus.last_index()
+    assert cluster.first.core.consensus.commit < context.index
 
 
 @when("another leader agrees on other changes, and the first leads again after the cut")
 def step_leads_again(context):
-    cohort = context.cohort
-    cohort.other_leads(cohort.first)
+    cluster = context.cluster
+    cluster.other_leads(cluster.first)
     for turn in range(3):
         ask = (
             "ask",
-            cohort.leader.address,
+            cluster.leader.address,
             f"turn{turn}",
             "change",
             change_of(f"turn {turn}"),
             1,
-            cohort.end(),
+            cluster.end(),
         )
-        cohort.simulator.give(cohort.leader, ask)
-    cohort.until(lambda: cohort.leader.core.consensus.commit >= context.index + 1)
-    cohort.simulator.heal()
-    cohort.until(lambda: cohort.first.core.consensus.commit >= context.index + 1)
+        cluster.simulator.give(cluster.leader, ask)
+    cluster.until(lambda: cluster.leader.core.consensus.commit >= context.index + 1)
+    cluster.simulator.heal()
+    cluster.until(lambda: cluster.first.core.consensus.commit >= context.index + 1)
     for _ in range(20):
-        former = cohort.leader
-        if former is cohort.first:
+        former = cluster.leader
+        if former is cluster.first:
             break
-        cohort.simulator.kill(former.name)
-        cohort.other_leads(former)
-        cohort.simulator.start(former.name)
-        cohort.until(lambda former=former: former.core.consensus.following is not None)
-    assert cohort.leader is cohort.first
+        cluster.simulator.kill(former.name)
+        cluster.other_leads(former)
+        cluster.simulator.start(former.name)
+        cluster.until(lambda former=former: former.core.consensus.following is not None)
+    assert cluster.leader is cluster.first
 
 
 @then("the change is told as unsure, once, and nothing more")
-def step_unsure(context):
-    assert context.cohort.told == ["unsure"], context.cohort.told
+def step_in_doubt(context):
+    assert context.cluster.told == ["unsure"], context.cluster.told
 
 
 @then("the change is not in force")
 def step_not_in_force(context):
-    notes = context.cohort.first.core.record.setup["notes"]
+    notes = context.cluster.first.core.cluster_state.queue_configuration["notes"]
     assert notes == {"words": "turn 2"}, notes
 
 
@@ -299,14 +299,14 @@
 
 @given("a follower of a cohort that serves")
 def step_follower(context):
-    context.cohort = Cohort()
+    context.cluster = SimulatedCluster()
 
 
-def message_for_other(cohort, name):
+def message_for_other(cluster, name):
     """A message as another cohort, or another receiver's peer, would send it."""
-    follower, leader = cohort.follower.core, cohort.leader.core
+    follower, leader = cluster.follower.core, cluster.leader.core
     append = ("append", NEWEST_TERM, 0, 0, (), 0, 1)
-    told = ("told", "token", (1, 1), None, (), (), 1.0, 0.1, (), "another")
+    reported = ("told", "token", (1, 1), None, (), (), 1.0, 0.1, (), "another")
     return {
         "an append of another cohort": ("raft", "another", leader.identity, follower.identity, append),
         "a vote asked for by another cohort": (
@@ -318,23 +318,23 @@
         ),
         "an append to an identity that was wiped": (
             "raft",
-            follower.cohort,
+            follower.cluster,
             leader.identity,
             "wiped",
             append,
         ),
-        "news for a front": told,
+        "news for a front": reported,
     }[name]
 
 
 @when("{message} comes to it")
 def step_message(context, message):
-    cohort = context.cohort
-    context.term = cohort.follower.core.consensus.term
-    context.effects = cohort.follower_hears(message_for_other(cohort, message))
+    cluster = context.cluster
+    context.term = cluster.follower.core.consensus.term
+    context.effects = cluster.follower_hears(message_for_other(cluster, message))
 
 
 @then("it tells of a message that is not for it, and does nothing else")
 def step_not_for_it(context):
     assert [effect[:2] for effect in context.effects] == [("event", NOT_FOR_IT)], context.effects
-    assert context.cohort.follower.core.consensus.term == context.term
+    assert context.cluster.follower.core.consensus.term == context.term
--- a/features/steps/log.py
+++ b/features/steps/log.py
@@ -15,8 +15,8 @@
 from pinepitch.consensus.log import measured
 from pinepitch.consensus.replica import Consensus
 from pinepitch.simulation import leased_job_trial
-from pinepitch.simulation.changes import BODY, Cohort, document_of, missed, planted
-from pinepitch.simulation.link_rates import Ways
+from pinepitch.simulation.changes import BODY, ControlCluster, document_of, missed, planted
+from pinepitch.simulation.link_rates import LinkRates
 from pinepitch.simulation.steady import Day
 from pinepitch.transport import framing
 from pinepitch.transport.link import Lane, Link
@@ -27,21 +27,21 @@
 
 
 @given("a cohort on machines of {memory:d} MB of memory and {disk:d} MB of disk")
-def step_cohort(context, memory, disk):
+def step_cluster(context, memory, disk):
     context.limits = Limits(memory * MEGA, disk * MEGA)
     context.rate = float("inf")
 
 
 @given("a cohort on machines of {memory:d} MB of memory and {disk:d} MB of disk, on links of {rate:d} Mbit/s")
-def step_cohort_slow(context, memory, disk, rate):
+def step_cluster_slow(context, memory, disk, rate):
     context.limits = Limits(memory * MEGA, disk * MEGA)
     context.rate = rate * MEGA / 8
 
 
 def cohort_of(context, size, seed=3):
     """A cohort that serves, on the machines and links of the scenario."""
-    simulator = context.simulator = Cohort(seed, limits=context.limits, size=size)
-    simulator.ways = Ways(context.rate)
+    simulator = context.simulator = ControlCluster(seed, limits=context.limits, size=size)
+    simulator.link_rates = LinkRates(context.rate)
     simulator.begin()
     context.leader = simulator.leader().name
     context.others = [name for name in simulator.nodes if name != context.leader]
@@ -64,21 +64,21 @@
 
 @then("no log held more than the limits allow, and no folder more than a quarter of the disk")
 def step_bounded(context):
-    held, limits = context.simulator.held, context.limits
-    assert 2 * BODY < held.log <= limits.since_base + limits.tail + 4 * BODY, held.log
-    assert held.disk <= limits.disk // 4, held.disk
+    stored, limits = context.simulator.maxima, context.limits
+    assert 2 * BODY < stored.log <= limits.since_base + limits.tail + 4 * BODY, stored.log
+    assert stored.disk <= limits.disk // 4, stored.disk
 
 
 @then("no message between members was larger than one change and its envelope")
 def step_frames(context):
-    largest = context.simulator.ways.largest
+    largest = context.simulator.link_rates.largest
     assert largest <= max(constants.APPEND_BYTES, context.simulator.size) + ENVELOPE, largest
 
 
 @then("all members hold the same record")
 def step_same(context):
     assert not context.simulator.faults(), context.simulator.faults()
-    indexes = {node.core.record.index for node in context.simulator.nodes.values()}
+    indexes = {node.core.cluster_state.index for node in context.simulator.nodes.values()}
     assert len(indexes) == 1, indexes
 
 
@@ -169,7 +169,7 @@
 def step_newer(context):
     simulator = cohort_of(context, 1_000 * KILO)
     name = context.others[0]
-    simulator.ways.slow = name
+    simulator.link_rates.slow = name
     simulator.kill(name)
     simulator.stream(10, 0.2)
     simulator.wipe(name)
@@ -201,15 +201,15 @@
     simulator.run(1.0)
     for name in context.others:
         simulator.nodes[name].disk.stalled = True
-    context.told = {}
+    context.answers_by_version = {}
     leader = simulator.leader()
     for version in range(2, count + 2):
         number = simulator.request_count = simulator.request_count + 1
 
-        def told(status, answer, version=version):
-            context.told[version] = status
+        def answered(status, answer, version=version):
+            context.answers_by_version[version] = status
 
-        simulator.requests[number] = ("call", "operator", 0, ("told", told), leader.name)
+        simulator.requests[number] = ("call", "operator", 0, ("told", answered), leader.name)
         arguments = (version - 1, document_of(version, simulator.size))
         simulator.give(leader, ("call", number, "configure", arguments, 1.0))
     context.proposed = leader.core.consensus.last_index()
@@ -224,8 +224,8 @@
 
 @then("what was held back is answered as not taken, and never takes effect")
 def step_not_taken(context):
-    context.refused = [version for version, status in context.told.items() if status == 503]
-    assert context.refused, context.told
+    context.refused = [version for version, status in context.answers_by_version.items() if status == 503]
+    assert context.refused, context.answers_by_version
     assert context.simulator.nodes[context.leader].core.consensus.last_index() == context.proposed
 
 
@@ -239,7 +239,7 @@
 @then("what was proposed takes effect, and the log shrinks to what a base leaves")
 def step_shrunk(context):
     core = context.simulator.leader().core
-    assert core.record.board.configuration.version == min(context.refused) - 1
+    assert core.cluster_state.leased_jobs.configuration.version == min(context.refused) - 1
     assert core.consensus.log.size <= context.limits.since_base + context.limits.tail + 4 * BODY
     assert not context.simulator.faults(), context.simulator.faults()
 
@@ -257,9 +257,9 @@
     large, small = (measured(one)[0] for one in context.operations)
     assert type(large) is Packed and small is context.operations[1]
     plain = [(1, 2.0, one) for one in context.operations]
-    held = [(1, 2.0, large), (1, 2.0, small)]
-    assert dumps(held) == cbor2.dumps(plain)
-    assert framing.encode("10.0.0.1:1", ("append", held)) == framing.encode("10.0.0.1:1", ("append", plain))
+    stored = [(1, 2.0, large), (1, 2.0, small)]
+    assert dumps(stored) == cbor2.dumps(plain)
+    assert framing.encode("10.0.0.1:1", ("append", stored)) == framing.encode("10.0.0.1:1", ("append", plain))
 
 
 @then("decoding the large one gives the operation back")
@@ -296,7 +296,7 @@
 def step_receiver(context):
     context.large = b"L" * (4 * MEGA)
     context.small = b"S" * 100
-    for name, value in (("ELECTION_TIMEOUT", 30.0), ("PROBE_AFTER", 30_000)):
+    for name, value in (("ELECTION_TIMEOUT", 30.0), ("PEER_TIMEOUT_MS", 30_000)):
         patience = mock.patch.object(constants, name, value)  # else a new connection would bring it
         patience.start()
         context.add_cleanup(patience.stop)
@@ -362,23 +362,23 @@
 def step_sending(context):
     leader = context.consensus = Consensus("a", 7, {"a": "north", "b": "south", "c": "west"})
     image = b"i" * (4 * constants.APPEND_START)
-    base = [[3, "a", 3, {}], [9, 3, leader.base_cohort.image(), image, (1, 0)], 10, []]
+    base = [[3, "a", 3, {}], [9, 3, leader.base_membership.image(), image, (1, 0)], 10, []]
     leader.restore(base, [])
     leader.archive = None
     leader.tick(100.0)
     leader.term = 4
-    leader._lead(110.0)
+    leader._become_leader(110.0)
     leader._done(110.0)
     leader.saved(leader.sequence, 110.0)
     leader.followers["b"].next = 1
     context.now = 110.2
-    asked = pieces(leader.tick(context.now))
+    asked = chunks_of(leader.tick(context.now))
     assert [one[5] for one in asked] == [-1], asked
-    first = pieces(leader.step("b", ("pieced", 4, 9, -1, 0, 1), context.now + 0.01))
+    first = chunks_of(leader.step("b", ("pieced", 4, 9, -1, 0, 1), context.now + 0.01))
     assert [one[5] for one in first] == [0], first
 
 
-def pieces(effects):
+def chunks_of(effects):
     """The pieces sent to b."""
     return [one[2] for one in effects if one[0] == "send" and one[1] == "b" and one[2][0] == "piece"]
 
@@ -387,14 +387,14 @@
 def step_twice(context):
     answer = ("pieced", 4, 9, constants.APPEND_START, 0, 1)
     context.sent = [
-        piece
+        chunk
         for after in (0.02, 0.03)
-        for piece in pieces(context.consensus.step("b", answer, context.now + after))
+        for chunk in chunks_of(context.consensus.step("b", answer, context.now + after))
     ]
 
 
 @then("one further piece is sent")
-def step_one_piece(context):
+def step_one_chunk(context):
     assert [one[5] for one in context.sent] == [constants.APPEND_START], [one[5] for one in context.sent]
 
 
@@ -446,9 +446,9 @@
         assert found is None and "memory_mb" in faults[0], (value, faults)
 
 
-@given("the planted fault {plant} among large changes")
-def step_planted(context, plant):
-    fault = planted(plant)
+@given("the planted fault {injected_fault} among large changes")
+def step_injected(context, injected_fault):
+    fault = planted(injected_fault)
     fault.__enter__()
     context.add_cleanup(fault.__exit__, None, None, None)
 
--- a/features/steps/metrics.py
+++ b/features/steps/metrics.py
@@ -5,7 +5,7 @@
 
 from pinepitch.simulation import pushed_job_trial
 from pinepitch.simulation.simulator import Simulator
-from pinepitch.state.cluster_state import Record
+from pinepitch.state.cluster_state import ClusterState
 
 
 def read(simulator, node, target="/v1/metrics", method="GET"):
@@ -39,13 +39,13 @@
 def step_leader(context):
     leader = context.simulator.leader()
     found, _, _ = figures(context.simulator, leader)
-    record = leader.core.record
+    record = leader.core.cluster_state
     assert found["pinepitch_leading"][()] == 1
-    for queue in record.rows:
+    for queue in record.queue_settings:
         label = (("queue", queue),)
-        assert found["pinepitch_units_running"][label] == record.used.get(queue, 0)
-        assert found["pinepitch_credits_out"][label] == record.outstanding.get(queue, 0)
-        assert found["pinepitch_tasks_waiting"][label] == record.waiting.get(queue, 0)
+        assert found["pinepitch_units_running"][label] == record.used_units.get(queue, 0)
+        assert found["pinepitch_credits_out"][label] == record.outstanding_credits.get(queue, 0)
+        assert found["pinepitch_tasks_waiting"][label] == record.waiting_counts.get(queue, 0)
     ends = found["pinepitch_task_ends_total"]
     assert ends[(("how", "done"),)] > 20 and ends[(("how", "failed"),)] > 0
     assert found["pinepitch_wait_seconds_count"][(("queue", "default"),)] > 20
@@ -74,21 +74,21 @@
 
 
 @then("each verge's figures add up to the orders that minions started or refused")
-def step_verges(context):
+def step_fronts(context):
     simulator = context.simulator
     orders = sum(
         figures(simulator, node)[0]["pinepitch_verge_orders_total"][()]
         for node in simulator.nodes.values()
         if node.kind == "verge"
     )
-    started = sum(event[0] == "start" for event in simulator.minion_history)
+    started = sum(event[0] == "start" for event in simulator.worker_history)
     assert started > 50 and started <= orders <= started * 1.1, (started, orders)
 
 
 @then("any other call at its port gets 404 and changes nothing")
 def step_other(context):
     leader = context.simulator.leader()
-    before = leader.core.record.image()
+    before = leader.core.cluster_state.image()
     for method, target in (
         ("POST", "/v1/tickets"),
         ("POST", "/v1/metrics"),
@@ -96,15 +96,15 @@
         ("DELETE", "/v1/health"),
     ):
         assert read(context.simulator, leader, target, method)[0] == 404
-    assert leader.core.record.image() == before
+    assert leader.core.cluster_state.image() == before
 
 
 @when("a record is given an operation that it does not know")
 def step_unknown(context):
-    context.record = Record()
-    context.before = Record.encode(context.record.image())
+    context.cluster_state = ClusterState()
+    context.before = ClusterState.encode(context.cluster_state.image())
     try:
-        context.record.apply(1, 1.0, ("from-the-future", 1))
+        context.cluster_state.apply(1, 1.0, ("from-the-future", 1))
     except AssertionError as fault:
         context.fault = str(fault)
 
@@ -112,11 +112,13 @@
 @then("it raises, and its state is as before")
 def step_raises(context):
     assert "from-the-future" in context.fault
-    assert context.record.tickets == Record().tickets and context.record.version == 1
+    assert (
+        context.cluster_state.pushed_jobs == ClusterState().pushed_jobs and context.cluster_state.version == 1
+    )
 
 
 @when("a minion with long work falls silent")
-def step_silent(context):
+def step_unresponsive(context):
     simulator = context.simulator
     status, _ = simulator.persist(
         "POST",
@@ -125,16 +127,16 @@
     )
     assert status == 201
     simulator.run(2)
-    reserved = simulator.leader().core.record.reserved
-    context.silent = max(reserved, key=lambda one: len(reserved[one]))
-    simulator.freeze(context.silent)
+    reserved = simulator.leader().core.cluster_state.reserved
+    context.unresponsive = max(reserved, key=lambda one: len(reserved[one]))
+    simulator.freeze(context.unresponsive)
     simulator.run(4)
 
 
 @then("its leader tells one silent minion and the tasks held there")
-def step_told_silent(context):
+def step_notified_unresponsive(context):
     leader = context.simulator.leader()
     found, _, _ = figures(context.simulator, leader)
     assert found["pinepitch_minions"][(("state", "silent"),)] == 1, found["pinepitch_minions"]
-    held = len(leader.core.record.reserved[context.silent])
-    assert found["pinepitch_tasks_held"][()] == held > 0
+    reserved_count = len(leader.core.cluster_state.reserved[context.unresponsive])
+    assert found["pinepitch_tasks_held"][()] == reserved_count > 0
--- a/features/steps/models.py
+++ b/features/steps/models.py
@@ -53,11 +53,11 @@
 def replaced_without_second(fleet):
     """The leader's consensus after a replacement was begun, carried on by all but b."""
     with conditions(fleet):
-        world = fleets.started(fleet._replace(budget=fleets.Budget(beats=10, changes=1)))
-        world = script.act("change", "a", REPLACING)(world)
+        state = fleets.started(fleet._replace(budget=fleets.Budget(beats=10, changes=1)))
+        state = script.act("change", "a", REPLACING)(state)
         for _ in range(6):
-            world = script.act("beat", "a")(script.quiet_without("b")(world))
-    return world.replicas["a"].consensus
+            state = script.act("beat", "a")(script.quiet_without("b")(state))
+    return state.replicas["a"].consensus
 
 
 @when("all messages between the others arrive")
@@ -67,8 +67,8 @@
 
 @then("the change is committed by the first, the third and the spare")
 def step_committed(context):
-    assert context.leader.cohort.coming is None, context.leader.cohort
-    assert dict(REPLACING) == context.leader.cohort.members()
+    assert context.leader.membership.coming is None, context.leader.membership
+    assert dict(REPLACING) == context.leader.membership.members()
     assert context.leader.commit == context.leader.last_index()
 
 
@@ -76,7 +76,7 @@
 def step_not_committed(context):
     with injected("coming-voter-ignored"):
         leader = replaced_without_second(context.fleet)
-    assert leader.cohort.coming is not None
+    assert leader.membership.coming is not None
 
 
 def events():
--- a/features/steps/moves.py
+++ b/features/steps/moves.py
@@ -19,42 +19,44 @@
     return answer["ticket"]
 
 
-def runs(context, ticket):
+def runs(context, job):
     """(start, end or None, minion) of each run of a ticket's tasks, in order."""
-    starts, ends = checks.starts_and_ends(context.simulator.minion_history)
-    told = []
+    starts, ends = checks.starts_and_ends(context.simulator.worker_history)
+    started = []
     for ref, found in starts.items():
-        if ref.partition("/")[0] == ticket:
-            for moment, minion, _, attempt, _ in found:
+        if ref.partition("/")[0] == job:
+            for moment, worker, _, attempt, _ in found:
                 over = ends.get((ref, attempt))
-                told.append((moment, over[0][0] if over else None, minion))
-    return sorted(told)
+                started.append((moment, over[0][0] if over else None, worker))
+    return sorted(started)
 
 
-def until_runs(context, ticket, count, seconds):
-    took = context.simulator.until(lambda: len(runs(context, ticket)) >= count, seconds, 0.05)
-    assert took is not None, runs(context, ticket)
+def until_runs(context, job, count, seconds):
+    took = context.simulator.until(lambda: len(runs(context, job)) >= count, seconds, 0.05)
+    assert took is not None, runs(context, job)
     return took
 
 
 def feed(context):
-    context.ticket = submit(context, {"queue": "feeds", "kind": "feed", "tasks": [{"name": "f", "work": {}}]})
-    until_runs(context, context.ticket, 1, 5)
-    context.minion = runs(context, context.ticket)[0][2]
+    context.pushed_job = submit(
+        context, {"queue": "feeds", "kind": "feed", "tasks": [{"name": "f", "work": {}}]}
+    )
+    until_runs(context, context.pushed_job, 1, 5)
+    context.worker_name = runs(context, context.pushed_job)[0][2]
 
 
 @when("a feed runs and its minion is drained")
 def step_drained(context):
     feed(context)
-    assert context.simulator.persist("POST", f"/v1/minions/{context.minion}/drain")[0] == 200
+    assert context.simulator.persist("POST", f"/v1/minions/{context.worker_name}/drain")[0] == 200
 
 
 @when("a feed runs and its area is emptied and taken back")
 def step_emptied(context):
     feed(context)
-    context.area = context.simulator.nodes[context.minion].area
+    context.area = context.simulator.nodes[context.worker_name].zone
     assert context.simulator.persist("POST", f"/v1/areas/{context.area}/empty")[0] == 200
-    until_runs(context, context.ticket, 2, 5)
+    until_runs(context, context.pushed_job, 2, 5)
     assert context.simulator.persist("POST", f"/v1/areas/{context.area}/take-back")[0] == 200
     context.simulator.run(3)
 
@@ -62,13 +64,13 @@
 @then("it runs on another minion within {seconds:d} seconds, its first run over before the second began")
 @then("it runs in another area within {seconds:d} seconds, its first run over before the second began")
 def step_moved(context, seconds):
-    until_runs(context, context.ticket, 2, seconds)
-    first, second = runs(context, context.ticket)[:2]
+    until_runs(context, context.pushed_job, 2, seconds)
+    first, second = runs(context, context.pushed_job)[:2]
     assert first[1] is not None and first[1] <= second[0], (first, second)
-    assert second[2] != context.minion and second[1] is None
-    area = getattr(context, "area", None)
-    assert area is None or context.simulator.nodes[second[2]].area != area
-    assert len(runs(context, context.ticket)) == 2
+    assert second[2] != context.worker_name and second[1] is None
+    zone = getattr(context, "area", None)
+    assert zone is None or context.simulator.nodes[second[2]].zone != zone
+    assert len(runs(context, context.pushed_job)) == 2
 
 
 @when("a feed runs, all other room is taken, and its minion is drained")
@@ -88,22 +90,22 @@
     )
     until_runs(context, context.filler, 47, 10)
     context.since = simulator.now
-    assert simulator.persist("POST", f"/v1/minions/{context.minion}/drain")[0] == 200
+    assert simulator.persist("POST", f"/v1/minions/{context.worker_name}/drain")[0] == 200
 
 
 @then("it runs on there after {seconds:d} seconds, and moves once room is free")
 def step_stays(context, seconds):
     context.simulator.run(seconds)
-    assert [one[1:] for one in runs(context, context.ticket)] == [(None, context.minion)]
-    until_runs(context, context.ticket, 2, 15)
-    first, second = runs(context, context.ticket)
-    assert first[1] <= second[0] and second[2] != context.minion
+    assert [one[1:] for one in runs(context, context.pushed_job)] == [(None, context.worker_name)]
+    until_runs(context, context.pushed_job, 2, 15)
+    first, second = runs(context, context.pushed_job)
+    assert first[1] <= second[0] and second[2] != context.worker_name
 
 
 @when("a feed runs and its minion is cut off for {seconds:d} seconds")
-def step_cut(context, seconds):
+def step_partition(context, seconds):
     feed(context)
-    context.simulator.cut([context.minion], list(context.simulator.nodes))
+    context.simulator.partition([context.worker_name], list(context.simulator.nodes))
     context.simulator.run(seconds)
     context.simulator.heal()
     context.simulator.run(5)
@@ -111,7 +113,7 @@
 
 @then("it was started once, and runs on")
 def step_once(context):
-    assert [one[1:] for one in runs(context, context.ticket)] == [(None, context.minion)]
+    assert [one[1:] for one in runs(context, context.pushed_job)] == [(None, context.worker_name)]
 
 
 @when("all room is taken by work that yields and an urgent ticket comes")
@@ -131,7 +133,7 @@
     filled = len(runs(context, context.filler))
     context.filled = filled
     context.since = START + simulator.now
-    context.ticket = submit(
+    context.pushed_job = submit(
         context,
         {
             "queue": "urgent",
@@ -144,7 +146,7 @@
     "the urgent ticket starts within {seconds:d} seconds, and what yielded runs again with no failure counted"
 )
 def step_yielded(context, seconds):
-    until_runs(context, context.ticket, 6, seconds)
+    until_runs(context, context.pushed_job, 6, seconds)
     simulator = context.simulator
     status, document = simulator.persist("GET", f"/v1/tickets/{context.filler}")
     assert simulator.until(
@@ -153,14 +155,14 @@
     status, document = simulator.persist("GET", f"/v1/tickets/{context.filler}")
     assert document["state"] == "finished", document["state"]
     again = [one for one in document["tasks"] if one["attempt"] > 1]
-    killed = [event for event in simulator.minion_history if event[0] == "end" and event[6] == "killed"]
+    killed = [event for event in simulator.worker_history if event[0] == "end" and event[6] == "killed"]
     assert len(killed) == len(again) and all(one["failures"] == 0 for one in again), (killed, again)
     assert killed, "nothing had to yield: the room was not taken"
 
 
 @when("a task with a limit of {limit:d} second and {attempts:d} attempts would run for {length:d}")
 def step_limit(context, limit, attempts, length):
-    context.ticket = submit(
+    context.pushed_job = submit(
         context,
         {
             "queue": "default",
@@ -174,10 +176,10 @@
     simulator = context.simulator
     assert (
         simulator.until(
-            lambda: simulator.persist("GET", f"/v1/tickets/{context.ticket}")[1]["state"] == "failed", 20
+            lambda: simulator.persist("GET", f"/v1/tickets/{context.pushed_job}")[1]["state"] == "failed", 20
         )
         is not None
     )
-    found = runs(context, context.ticket)
+    found = runs(context, context.pushed_job)
     assert len(found) == 2 and all(one[1] - one[0] < most for one in found), found
-    assert [event[6] for event in simulator.minion_history if event[0] == "end"] == ["killed", "killed"]
+    assert [event[6] for event in simulator.worker_history if event[0] == "end"] == ["killed", "killed"]
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -20,11 +20,11 @@
 )
 
 from pinepitch.common import constants
-from pinepitch.control.daemon import Accord
+from pinepitch.control.daemon import ControlDaemon
 from pinepitch.scheduling import requests
 from pinepitch.simulation import order_fleet, order_rules
 from pinepitch.simulation.jobs import injected_faults
-from pinepitch.state.cluster_state import Record
+from pinepitch.state.cluster_state import ClusterState
 from pinepitch.transport.http import Request, Response, Server
 
 FOLDER = os.path.join(
@@ -86,7 +86,7 @@
     """As much of an accord as calls about the configuration ask of it."""
 
     def __init__(self):
-        self.record, self.index = Record(), 0
+        self.cluster_state, self.index = ClusterState(), 0
 
     def call(self, name, *arguments):
         made = requests.CALLS[name](self, "token", arguments, 0.0)
@@ -94,14 +94,14 @@
             return made[1]
         _, operation, shape, extra = made
         self.index += 1
-        outcome = self.record.apply(self.index, float(self.index), json.loads(json.dumps(operation)))
+        outcome = self.cluster_state.apply(self.index, float(self.index), json.loads(json.dumps(operation)))
         return requests.SHAPES[shape](self, outcome, extra, 0.0)
 
     def restart(self):
-        self.record = Record.decode(Record.encode(self.record.image()))
+        self.cluster_state = ClusterState.decode(ClusterState.encode(self.cluster_state.image()))
 
 
-def at_the_door(order, document):
+def at_the_adapter(order, document):
     """What a control port makes of an order: a response, or the call to carry."""
     request = Request(
         "POST",
@@ -127,7 +127,7 @@
         self.answer(order, document)
 
     def answer(self, order, document):
-        found = at_the_door(order, document)
+        found = at_the_adapter(order, document)
         if isinstance(found, Response):
             status = found.status
         else:
@@ -215,7 +215,7 @@
 
     @invariant()
     def read_back(self):
-        found = self.core.record.board.configuration.document
+        found = self.core.cluster_state.leased_jobs.configuration.document
         plain = None if found is None else vocabulary.original(found, vocabulary.CONFIGURATION)
         found, expected = (json.dumps(one, sort_keys=True) for one in (plain, self.reference.document))
         assert found == expected, f"{found} is read back, not {expected}"
@@ -227,20 +227,20 @@
         run_state_machine_as_test(OrdersAtARecord, settings=BOUNDED)
 
 
-def must_find(plant, model):
+def must_find(injected_fault, model):
     """Fails unless a model fails by what it checks, with a fault planted."""
-    with injected_faults.planted(plant):
+    with injected_faults.planted(injected_fault):
         try:
             model()
         except AssertionError as found:
             assert str(found), "an invariant of the code broke, not a check of the model"
             return
-    raise AssertionError(f"the planted fault {plant} went unseen")
+    raise AssertionError(f"the planted fault {injected_fault} went unseen")
 
 
 @then("random orders are not answered as the rules say")
 def step_record_model_fails(context):
-    must_find(context.plant, lambda: step_record_model(context))
+    must_find(context.injected_fault, lambda: step_record_model(context))
 
 
 # --- more changes than are remembered ----------------------------------------------------
@@ -265,7 +265,7 @@
 
 
 def send_changed(context, name, arguments):
-    context.before = context.core.record.board.configuration.image()
+    context.before = context.core.cluster_state.leased_jobs.configuration.image()
     context.core.restart()
     context.answer = context.core.call(name, *arguments)
 
@@ -291,7 +291,7 @@
 @then("it is answered with {status:d}, and nothing has changed")
 def step_answered(context, status):
     assert context.answer[0] == status, context.answer
-    assert repr(context.core.record.board.configuration.image()) == repr(
+    assert repr(context.core.cluster_state.leased_jobs.configuration.image()) == repr(
         (context.before[0], tuple(tuple(one) for one in context.before[1]))
     )
 
@@ -309,8 +309,8 @@
 
 
 @given("a cohort that takes orders")
-def step_cohort(context):
-    planted = injected_faults.planted(getattr(context, "plant", ""))
+def step_cluster(context):
+    planted = injected_faults.planted(getattr(context, "injected_fault", ""))
     planted.__enter__()
     context.add_cleanup(planted.__exit__, None, None, None)
     context.fleet = fleet_of_orders()
@@ -318,39 +318,39 @@
     context.fleet.run(1)
 
 
-def hold_back(fleet, held, name):
+def hold_back(fleet, delay, name):
     """Holds a daemon back as a case says; what lets it go on."""
-    if "freezes" in held:
+    if "freezes" in delay:
         fleet.freeze(name)
         return lambda: fleet.thaw(name)
-    fleet.cut([name], [one for one in fleet.names() if one != name])
+    fleet.partition([name], [one for one in fleet.names() if one != name])
     return fleet.heal
 
 
-@when("a Begin is {held}, {ending} and finished, and then let go on")
-def step_late(context, held, ending):
+@when("a Begin is {delay}, {ending} and finished, and then let go on")
+def step_late(context, delay, ending):
     fleet = context.fleet
-    by_leader = "leader" in held
+    by_leader = "leader" in delay
     name = fleet.leader().name if by_leader else fleet.followers()[0]
     operator = context.operator = order_fleet.ZoneOperator(fleet, "a")
-    if "read 0.8 s late" in held:
+    if "read 0.8 s late" in delay:
         fleet.freeze(name)
         operator.give(True, name)
         fleet.run(0.8)
-        go_on = hold_back(fleet, held, name)
+        go_on = hold_back(fleet, delay, name)
         fleet.thaw(name)
-    elif "confirmed" in held:
+    elif "confirmed" in delay:
         operator.give(True, name)
-        assert fleet.until(lambda: on_its_way(fleet.nodes[name].core), 0.5, 0.001) is not None
-        go_on = hold_back(fleet, held, name)
-    elif "freezes" in held:  # before what it sent was heard
-        fleet.cut([name], [one for one in fleet.names() if one != name])
+        assert fleet.until(lambda: in_transit(fleet.nodes[name].core), 0.5, 0.001) is not None
+        go_on = hold_back(fleet, delay, name)
+    elif "freezes" in delay:  # before what it sent was heard
+        fleet.partition([name], [one for one in fleet.names() if one != name])
         operator.give(True, name)
-        assert fleet.until(lambda: fleet.nodes[name].core.carrier.calls, 0.5, 0.0005) is not None
-        go_on = hold_back(fleet, held, name)
+        assert fleet.until(lambda: fleet.nodes[name].core.forwarder.calls, 0.5, 0.0005) is not None
+        go_on = hold_back(fleet, delay, name)
         fleet.heal()
     else:
-        go_on = hold_back(fleet, held, name)
+        go_on = hold_back(fleet, delay, name)
         operator.give(True, name)
     if ending == "given up":
         operator.instead = False
@@ -361,9 +361,9 @@
     go_on()
 
 
-def on_its_way(core):
+def in_transit(core):
     """Whether a daemon carries an evacuation that was confirmed to it."""
-    return any(call.call == "evacuate" for call in core.carrier.calls.values())
+    return any(call.call == "evacuate" for call in core.forwarder.calls.values())
 
 
 @then("the zone stays free, and an order for it is taken anew")
@@ -385,7 +385,7 @@
     except AssertionError as found:
         assert "is undone" in str(found), found
         return
-    raise AssertionError(f"the planted fault {context.plant} went unseen")
+    raise AssertionError(f"the planted fault {context.injected_fault} went unseen")
 
 
 @when("{count:d} orders are given one after another at daemons of all roles")
@@ -407,7 +407,7 @@
 
 # --- random orders at a cohort -------------------------------------------------------------
 FLEET_BOUNDED = hypothesis.settings(BOUNDED, max_examples=30, stateful_step_count=50)
-UNDER_WAY = 8  # orders at once
+IN_FLIGHT = 8  # orders at once
 ZONES = ("a", "b")
 SNAPSHOTS = {"SNAPSHOT_ENTRIES": 8, "SNAPSHOT_TAIL": 2}  # entries; so that some come in each run
 
@@ -423,7 +423,7 @@
         self.fleet.answer_loss = 0.2
         self.operators = order_fleet.ChangeOperators(self.fleet)
         self.zones = [order_fleet.ZoneOperator(self.fleet, zone) for zone in ZONES]
-        self.trouble = None  # (kind, name) of the daemon in trouble
+        self.fault = None  # (kind, name) of the daemon in trouble
 
     # --- orders
     def document(self, version, text):
@@ -442,19 +442,19 @@
 
     def give(self, kind, document, place):
         base = str(self.known_version())
-        call, arguments, _ = at_the_door(order_rules.order_of(kind, base, document), document)
+        call, arguments, _ = at_the_adapter(order_rules.order_of(kind, base, document), document)
         change = order_fleet.Change(order_rules.order_of(kind, base, document), call, arguments)
         if all(change.order != one.order for one in self.operators.changes):
             self.operators.give(change, self.fleet.names()[place])
 
-    @precondition(lambda self: self.operators.under_way() < UNDER_WAY)
+    @precondition(lambda self: self.operators.under_way() < IN_FLIGHT)
     @rule(
         step=strategies.integers(0, 2), text=strategies.sampled_from("xyz"), place=strategies.integers(0, 2)
     )
     def replace(self, step, text, place):
         self.give(order_rules.REPLACE, self.document(self.known_version() + step, text), place)
 
-    @precondition(lambda self: self.operators.under_way() < UNDER_WAY)
+    @precondition(lambda self: self.operators.under_way() < IN_FLIGHT)
     @rule(
         step=strategies.integers(0, 2), name=strategies.sampled_from("xyz"), place=strategies.integers(0, 2)
     )
@@ -466,7 +466,7 @@
         }
         self.give(order_rules.AMEND, change, place)
 
-    @precondition(lambda self: self.operators.changes and self.operators.under_way() < UNDER_WAY)
+    @precondition(lambda self: self.operators.changes and self.operators.under_way() < IN_FLIGHT)
     @rule(data=strategies.data(), place=strategies.integers(0, 2))
     def again(self, data, place):
         """A change whose answer was lost, sent again, also after others."""
@@ -499,12 +499,12 @@
         leader = self.fleet.leader()
         if leader is None or any(node.core is None for node in self.fleet.nodes.values()):
             return False
-        cohort = leader.core.consensus.cohort
-        return cohort.coming is None and {node.core.identity for node in self.fleet.nodes.values()} == set(
-            cohort.members()
-        )
+        membership = leader.core.consensus.membership
+        return membership.coming is None and {
+            node.core.identity for node in self.fleet.nodes.values()
+        } == set(membership.members())
 
-    @precondition(lambda self: self.trouble is None)
+    @precondition(lambda self: self.fault is None)
     @rule(
         kind=strategies.sampled_from(["kill", "freeze", "cut", "wipe"]),
         leads=strategies.booleans(),
@@ -513,26 +513,26 @@
         if self.whole():
             self.strike(kind, self.fleet.leader().name if leads else self.fleet.followers()[0])
 
-    @precondition(lambda self: self.trouble is None)
+    @precondition(lambda self: self.fault is None)
     @rule(
         zone=strategies.integers(0, 1),
         kind=strategies.sampled_from(["freeze", "cut"]),
         place=strategies.integers(0, 2),
         after=strategies.sampled_from([None, None, 0.0, 0.003, 0.03]),
     )
-    def strike_carrier(self, zone, kind, place, after):
+    def strike_forwarder(self, zone, kind, place, after):
         """An order for a zone, and then trouble for the daemon that carries it."""
         operator = self.zones[zone]
         if self.whole() and (operator.order == 0 or operator.standing is not None):
             operator.give(operator.standing is not True, self.fleet.names()[place])
             name = self.fleet.names()[place]
             if after is None:  # as soon as the order is confirmed
-                self.fleet.until(lambda: on_its_way(self.fleet.nodes[name].core), 0.05, 0.001)
+                self.fleet.until(lambda: in_transit(self.fleet.nodes[name].core), 0.05, 0.001)
             else:
                 self.run(after)
             self.strike(kind, name)
 
-    @precondition(lambda self: self.trouble is not None)
+    @precondition(lambda self: self.fault is not None)
     @rule(zone=strategies.integers(0, 1), place=strategies.integers(0, 2), given_up=strategies.booleans())
     def turn_and_end(self, zone, place, given_up):
         """The opposite order once the last is acknowledged or given up, and then the end of the
@@ -546,24 +546,24 @@
         if operator.standing is not None and not given_up:
             operator.give(not operator.standing, self.fleet.names()[place])
             self.fleet.until(lambda: operator.standing is not None, 1, 0.01)
-        self.end_trouble()
+        self.end_fault()
 
     def strike(self, kind, name):
-        self.trouble = (kind, name)
+        self.fault = (kind, name)
         if kind == "freeze":
             self.fleet.freeze(name)
         elif kind == "cut":
-            self.fleet.cut([name], [one for one in self.fleet.names() if one != name])
+            self.fleet.partition([name], [one for one in self.fleet.names() if one != name])
         else:
             self.fleet.kill(name)
         if kind == "wipe":
             self.fleet.wipe(name)
 
-    @precondition(lambda self: self.trouble is not None)
+    @precondition(lambda self: self.fault is not None)
     @rule()
-    def end_trouble(self):
+    def end_fault(self):
         self.fleet.restore()
-        self.trouble = None
+        self.fault = None
 
     # --- the end
     def teardown(self):
@@ -610,7 +610,7 @@
 
 
 @then("random orders at a cohort that loses answers, daemons and disks keep the rules")
-def step_cohort_model(context):
+def step_cluster_model(context):
     with contextlib.ExitStack() as patches:
         for name, value in SNAPSHOTS.items():
             patches.enter_context(mock.patch.object(constants, name, value))
@@ -618,70 +618,70 @@
 
 
 @then("random orders at a cohort do not keep the rules")
-def step_cohort_model_fails(context):
-    must_find(context.plant, lambda: step_cohort_model(context))
+def step_cluster_model_fails(context):
+    must_find(context.injected_fault, lambda: step_cluster_model(context))
 
 
 # --- changes of the setup ------------------------------------------------------------------
-def setup_change(core, verge, number):
+def configuration_change(core, front, number):
     """One change of the setup that builds on no version; its outcome."""
     patch = {"queues": {"default": {"limit": 10 + number % 7}}}
     core.index += 1
-    operation = ("setup", f"{verge}-{number}", None, "merge", patch, "operator", "")
-    return core.record.apply(core.index, float(core.index), operation)
+    operation = ("setup", f"{front}-{number}", None, "merge", patch, "operator", "")
+    return core.cluster_state.apply(core.index, float(core.index), operation)
 
 
-def setup_core():
+def configuration_core():
     core = RecordCore()
-    core.record.apply(1, 1.0, ("level", constants.RECORD_LEVEL))
+    core.cluster_state.apply(1, 1.0, ("level", constants.RECORD_LEVEL))
     queues = {"queues": {"default": {"share": 8, "limit": 10, "urgency": 4}}}
-    core.record.apply(2, 2.0, ("setup", "first-1", None, "whole", queues, "operator", ""))
+    core.cluster_state.apply(2, 2.0, ("setup", "first-1", None, "whole", queues, "operator", ""))
     core.index = 2
     return core
 
 
 @given("{count:d} changes of the setup that build on no version, of one verge")
-def step_setups(context, count):
-    context.core, context.count = setup_core(), count
-    context.outcomes = [setup_change(context.core, "v1a2.verge0", one) for one in range(1, count + 1)]
+def step_configurations(context, count):
+    context.core, context.count = configuration_core(), count
+    context.outcomes = [configuration_change(context.core, "v1a2.verge0", one) for one in range(1, count + 1)]
     assert all(outcome[0] == "setup" for outcome in context.outcomes), context.outcomes[:2]
 
 
 @then("the first one sent again is neither made nor refused, also after a restart")
-def step_setup_again(context):
+def step_configuration_again(context):
     for _ in range(2):
-        version = context.core.record.version
-        outcome = setup_change(context.core, "v1a2.verge0", 1)
+        version = context.core.cluster_state.version
+        outcome = configuration_change(context.core, "v1a2.verge0", 1)
         assert outcome[0] == "forgotten", outcome
-        assert context.core.record.version == version
+        assert context.core.cluster_state.version == version
         context.core.restart()
 
 
 @then("the newest {count:d} sent again are answered as they were")
-def step_setups_again(context, count):
+def step_configurations_again(context, count):
     for number in range(context.count - count + 1, context.count + 1):
-        outcome = setup_change(context.core, "v1a2.verge0", number)
+        outcome = configuration_change(context.core, "v1a2.verge0", number)
         assert outcome == context.outcomes[number - 1], outcome
 
 
 @then("a new one of that verge, and the first one of another, are made")
-def step_setups_new(context):
-    assert setup_change(context.core, "v1a2.verge0", context.count + 1)[0] == "setup"
-    assert setup_change(context.core, "v9.verge0", 1)[0] == "setup"
+def step_configurations_new(context):
+    assert configuration_change(context.core, "v1a2.verge0", context.count + 1)[0] == "setup"
+    assert configuration_change(context.core, "v9.verge0", 1)[0] == "setup"
 
 
-@given("{count:d} changes of the setup of each of {verges:d} verges")
-def step_setups_many(context, count, verges):
-    context.core = setup_core()
-    for verge in range(verges):
+@given("{count:d} changes of the setup of each of {fronts:d} verges")
+def step_configurations_many(context, count, fronts):
+    context.core = configuration_core()
+    for front in range(fronts):
         for number in range(1, count + 1):
-            assert setup_change(context.core, f"v{verge}.verge", number)[0] == "setup"
+            assert configuration_change(context.core, f"v{front}.verge", number)[0] == "setup"
 
 
-@then("no more than {outcomes:d} outcomes and {verges:d} verges are remembered")
-def step_setups_bounded(context, outcomes, verges):
-    kept, forgotten = context.core.record.marks.image()
-    assert len(kept) == outcomes and len(forgotten) == verges, (len(kept), len(forgotten))
+@then("no more than {outcomes:d} outcomes and {fronts:d} verges are remembered")
+def step_configurations_bounded(context, outcomes, fronts):
+    kept, forgotten = context.core.cluster_state.marks.image()
+    assert len(kept) == outcomes and len(forgotten) == fronts, (len(kept), len(forgotten))
 
 
 # --- old changes that were never taken -------------------------------------------------------
@@ -721,8 +721,8 @@
 
 SIZES = {
     "262144 bytes": 262_144,
-    "as many bytes as are allowed": constants.BODY_MOST,
-    "one byte more than allowed": constants.BODY_MOST + 1,
+    "as many bytes as are allowed": constants.MAX_BODY_BYTES,
+    "one byte more than allowed": constants.MAX_BODY_BYTES + 1,
 }
 
 
@@ -748,18 +748,21 @@
     assert context.status == 200
     context.fleet.run(1)
     for node in context.fleet.nodes.values():
-        found = node.core.record.board.configuration.document
+        found = node.core.cluster_state.leased_jobs.configuration.document
         assert vocabulary.original(found, vocabulary.CONFIGURATION) == context.document
 
 
 @then("it is not taken everywhere")
 def step_large_refused(context):
     assert context.status == 413
-    assert all(node.core.record.board.configuration.version == 0 for node in context.fleet.nodes.values())
+    assert all(
+        node.core.cluster_state.leased_jobs.configuration.version == 0
+        for node in context.fleet.nodes.values()
+    )
 
 
 # --- levels ------------------------------------------------------------------------------------
-class LevelTwo(Accord):
+class LevelTwo(ControlDaemon):
     """A daemon that tells level 2."""
 
     level = 2
@@ -773,7 +776,7 @@
     context.old.make = LevelTwo
     fleet.start("accord1")
     fleet.begin()
-    assert fleet.until(lambda: fleet.leader().core.record.level == 2, 10) is not None
+    assert fleet.until(lambda: fleet.leader().core.cluster_state.level == 2, 10) is not None
 
 
 @when("an evacuation is begun and finished")
@@ -801,27 +804,29 @@
     fleet.kill(context.old.name)
     context.old.make = None
     fleet.start(context.old.name)
-    assert fleet.until(lambda: fleet.leader() and fleet.leader().core.record.level == 3, 20) is not None
+    assert (
+        fleet.until(lambda: fleet.leader() and fleet.leader().core.cluster_state.level == 3, 20) is not None
+    )
 
 
 @then("the newest order of the zone is remembered by every member")
 def step_remembered(context):
     context.fleet.run(1)
-    found = [node.core.record.board.evacuations.newest for node in context.fleet.nodes.values()]
+    found = [node.core.cluster_state.leased_jobs.evacuations.newest for node in context.fleet.nodes.values()]
     assert found[0] == found[1] == found[2] and not found[0]["a"].begun, found
 
 
 # --- ever new zones ------------------------------------------------------------------------------
 def order_zone(context, zone, begun, confirmed=None):
     """The outcome of an order that was confirmed at an index, by default the newest."""
-    record, context.index = context.record, context.index + 1
+    record, context.index = context.cluster_state, context.index + 1
     confirmed = context.index - 1 if confirmed is None else confirmed
     return record.apply(context.index, float(context.index), ("evacuation", zone, begun, confirmed))
 
 
 @given("a record of orders for zones")
 def step_zones(context):
-    context.record, context.index = Record(), 1
+    context.cluster_state, context.index = ClusterState(), 1
 
 
 @when("the evacuations of {count:d} zones are begun and finished")
@@ -833,8 +838,8 @@
 
 @then("the orders of no more than {count:d} zones are remembered")
 def step_zones_bounded(context, count):
-    context.record = Record.decode(Record.encode(context.record.image()))
-    assert len(context.record.board.evacuations.newest) == count
+    context.cluster_state = ClusterState.decode(ClusterState.encode(context.cluster_state.image()))
+    assert len(context.cluster_state.leased_jobs.evacuations.newest) == count
 
 
 @then("a late Begin for the first zone is superseded, a late Finish acknowledged, a new Begin taken")
@@ -842,7 +847,7 @@
     assert order_zone(context, "z0", True, 1) == ("superseded",)
     assert order_zone(context, "z0", False, 1) == ("ok",)
     assert order_zone(context, "z0", True) == ("ok",)
-    assert list(context.record.board.evacuated) == ["z0"]
+    assert list(context.cluster_state.leased_jobs.evacuated) == ["z0"]
     assert order_zone(context, "z0", False) == ("ok",)
 
 
@@ -857,4 +862,4 @@
     assert order_zone(context, "one-more", True) == ("full",)
     assert order_zone(context, "more7", False) == ("ok",)
     assert order_zone(context, "one-more", True) == ("ok",)
-    assert len(context.record.board.evacuations.newest) <= 2 * constants.EVACUATED_MOST
+    assert len(context.cluster_state.leased_jobs.evacuations.newest) <= 2 * constants.MAX_EVACUATED_ZONES
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -15,15 +15,15 @@
 
 from pinepitch.common import constants
 from pinepitch.consensus.replica import Consensus
-from pinepitch.control.daemon import Accord
-from pinepitch.front.daemon import Verge
+from pinepitch.control.daemon import ControlDaemon
+from pinepitch.front.daemon import FrontDaemon
 from pinepitch.runtime.host import Link
 from pinepitch.simulation import outage
 from pinepitch.storage.folder_lock import FolderLock
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
 WATCHED = 3.0  # seconds from the last start
-LEASE = constants.LEAD_LEASE * (1 + constants.CLOCK_DRIFT)  # of a leader whose clock runs slow
+LEASE = constants.LEADER_LEASE * (1 + constants.CLOCK_DRIFT)  # of a leader whose clock runs slow
 
 
 def restarted(identity):
@@ -40,7 +40,7 @@
 
 @then("half of them have a leader within {half:g} of a lease, and all within {most:g}")
 def step_leaders(context, half, most):
-    spans = [one.leader / constants.LEAD_LEASE for one in context.outages]
+    spans = [one.leader / constants.LEADER_LEASE for one in context.outages]
     assert statistics.median(spans) <= half and max(spans) <= most, spans
 
 
@@ -53,7 +53,7 @@
 
 @given("two accords with a log that start anew, the second {late:g} s after the first")
 def step_two(context, late):
-    context.accords = {"a": restarted("a"), "b": restarted("b")}
+    context.control_daemons = {"a": restarted("a"), "b": restarted("b")}
     context.starts = {"a": 100.0, "b": 100.0 + late}
     context.lost = set()
 
@@ -74,12 +74,12 @@
     The second only votes, as its own campaign would hide how soon the first is heard."""
     now = context.starts["a"]
     while now < 103.0:
-        for identity, accord in context.accords.items():
+        for identity, replica in context.control_daemons.items():
             if now >= context.starts[identity]:
-                deliver(context, identity, accord.tick(now), now)
+                deliver(context, identity, replica.tick(now), now)
                 if identity == "b":
-                    accord.election_at = now + 10.0
-        if context.accords["a"].role == "leader":
+                    replica.election_at = now + 10.0
+        if context.control_daemons["a"].role == "leader":
             return now
         now += constants.TICK
     return None
@@ -89,12 +89,14 @@
     """Hands messages over and calls saves done, until nothing is left to do."""
     for effect in effects:
         if effect[0] == "save":
-            deliver(context, sender, context.accords[sender].saved(effect[1], now), now)
-        elif effect[0] == "send" and effect[1] in context.accords and now >= context.starts[effect[1]]:
+            deliver(context, sender, context.control_daemons[sender].saved(effect[1], now), now)
+        elif (
+            effect[0] == "send" and effect[1] in context.control_daemons and now >= context.starts[effect[1]]
+        ):
             if effect[2][0] in context.lost:
                 context.lost.remove(effect[2][0])
                 continue
-            answers = context.accords[effect[1]].step(sender, effect[2], now)
+            answers = context.control_daemons[effect[1]].step(sender, effect[2], now)
             deliver(context, effect[1], answers, now)
 
 
@@ -108,27 +110,27 @@
 @given("a candidate whose voters chose another")
 def step_split(context):
     context.now = 100.0
-    context.accord = restarted("a")
-    context.accord.tick(context.now)
-    context.accord._campaign("candidate", context.now + 1.0)
-    context.accord.saved(context.accord.sequence, context.now + 1.0)
+    context.consensus_under_test = restarted("a")
+    context.consensus_under_test.tick(context.now)
+    context.consensus_under_test._campaign("candidate", context.now + 1.0)
+    context.consensus_under_test.saved(context.consensus_under_test.sequence, context.now + 1.0)
     for voter in ("b", "c"):
-        context.accord.step(voter, ("voted", 4, False, "c", 3, {4: "c"}), context.now + 1.01)
+        context.consensus_under_test.step(voter, ("voted", 4, False, "c", 3, {4: "c"}), context.now + 1.01)
 
 
 @then("it asks for pre-votes within {most:g} s, under the term it has")
 def step_pre_votes(context, most):
     now = context.now + 1.01
-    while context.accord.role != "prospect" and now < context.now + 1.01 + most:
+    while context.consensus_under_test.role != "prospect" and now < context.now + 1.01 + most:
         now += constants.TICK
-        context.accord.tick(now)
-    assert context.accord.role == "prospect" and context.accord.term == 4
+        context.consensus_under_test.tick(now)
+    assert context.consensus_under_test.role == "prospect" and context.consensus_under_test.term == 4
 
 
 @given("an accord with a log whose process began {before:g} s before its first tick")
 def step_began(context, before):
     context.now = 100.0
-    core = Accord("b", "10.0.0.2:1", "south", ("10.0.0.1:1",))
+    core = ControlDaemon("b", "10.0.0.2:1", "south", ("10.0.0.1:1",))
     core.begun_at = context.now - before
     core.restore(
         None,
@@ -137,19 +139,19 @@
             [("raft", [[3, "c", 3, {}], None, 1, [(3, 0.0, ("noop",))]])],
         ],
     )
-    context.accord = core.consensus
-    context.accord.tick(context.now)
+    context.consensus_under_test = core.consensus
+    context.consensus_under_test.tick(context.now)
     context.wait_over = context.now - before + LEASE
 
 
 def granted(context, at):
-    effects = context.accord.step("a", ("prevote", 4, 1, 3), at)
+    effects = context.consensus_under_test.step("a", ("prevote", 4, 1, 3), at)
     return [effect[2][2] for effect in effects if effect[0] == "send" and effect[2][0] == "prevoted"]
 
 
 @then("it gives no vote before a lease from the begin of the process is over")
 def step_none(context):
-    assert context.accord.election_at >= context.wait_over
+    assert context.consensus_under_test.election_at >= context.wait_over
     assert granted(context, context.wait_over - 0.01) == [False]
 
 
@@ -201,7 +203,7 @@
 
 
 @then("no try is held longer than {most:g} s, and on average none over {average:g} s")
-def step_held(context, most, average):
+def step_deferred(context, most, average):
     for one in context.outages:
         assert one.longest_held <= most, one
         assert one.held <= average * (one.refused + one.unsure), one
@@ -213,41 +215,41 @@
         assert one.refused >= 0.9 * (one.refused + one.unsure) > 0, one
 
 
-VERGE, LEADER = "10.0.0.9:7000", "10.0.0.1:7000"
+FRONT, LEADER = "10.0.0.9:7000", "10.0.0.1:7000"
 
 
-@given("a verge that last heard its leader {silent:g} s ago")
-def step_verge(context, silent):
-    context.verge, context.now = Verge("verge", VERGE, "north", (LEADER,)), 50.0
-    context.verge.step(("tick",), context.now, 0.0)
-    context.verge.leader = LEADER
-    context.verge.accords = {"a": ("north", LEADER, context.now)}
-    context.verge.news_at = context.now - silent
+@given("a verge that last heard its leader {unresponsive_for:g} s ago")
+def step_front(context, unresponsive_for):
+    context.front, context.now = FrontDaemon("verge", FRONT, "north", (LEADER,)), 50.0
+    context.front.step(("tick",), context.now, 0.0)
+    context.front.leader = LEADER
+    context.front.control_daemons = {"a": ("north", LEADER, context.now)}
+    context.front.updated_at = context.now - unresponsive_for
 
 
-@when("a call of {patience:g} s comes that {way}")
-def step_call_comes(context, patience, way):
+@when("a call of {patience:g} s comes that {outcome}")
+def step_call_comes(context, patience, outcome):
     context.replies, begun = [], context.now
-    effects = context.verge.step(("call", 1, "job", (), patience), context.now, 0.0)
+    effects = context.front.step(("call", 1, "job", (), patience), context.now, 0.0)
     while not context.replies and context.now < begun + patience + 1:
         for effect in effects:
             if effect[0] == "send" and effect[2][0] == "ask":
-                told = {"nobody takes": ("elsewhere", effect[2][2], None, effect[2][5], None)}
-                told["reaches nobody"] = ("undelivered", effect[2][2], effect[2][5])
-                if way in told:
-                    context.verge.step(told[way], context.now, 0.0)
+                answered = {"nobody takes": ("elsewhere", effect[2][2], None, effect[2][5], None)}
+                answered["reaches nobody"] = ("undelivered", effect[2][2], effect[2][5])
+                if outcome in answered:
+                    context.front.step(answered[outcome], context.now, 0.0)
         context.now += constants.TICK
-        effects = context.verge.step(("tick",), context.now, 0.0)
+        effects = context.front.step(("tick",), context.now, 0.0)
         context.replies = [effect for effect in effects if effect[0] == "reply"]
-    context.held = context.now - begun
+    context.waited = context.now - begun
 
 
-@then("it is answered {status:d} after {held:g} s")
-def step_answered(context, status, held):
-    ((_, _, told, _, headers),) = context.replies
-    assert told == status, context.replies
-    assert (("Retry-After", str(constants.COME_BACK)) in headers) == (status == 503), headers
-    assert held <= context.held + 0.001 and context.held <= held + 2 * constants.TICK, context.held
+@then("it is answered {status:d} after {waited:g} s")
+def step_answered(context, status, waited):
+    ((_, _, answered, _, headers),) = context.replies
+    assert answered == status, context.replies
+    assert (("Retry-After", str(constants.RETRY_AFTER)) in headers) == (status == 503), headers
+    assert waited <= context.waited + 0.001 and context.waited <= waited + 2 * constants.TICK, context.waited
 
 
 @given("a link to a port where nobody listens")
@@ -270,7 +272,7 @@
     while not context.undelivered:
         await curio.sleep(0)
     await link.put(b"second", "two")
-    context.told_at_once = list(context.undelivered)
+    context.delivered_at_once = list(context.undelivered)
     server = curio.socket.socket()
     server.setsockopt(curio.socket.SOL_SOCKET, curio.socket.SO_REUSEADDR, 1)
     server.bind(("127.0.0.1", context.port))
@@ -293,7 +295,7 @@
 
 @then("both calls are told as undelivered, the second at once")
 def step_both(context):
-    assert context.told_at_once == ["one", "two"], context.told_at_once
+    assert context.delivered_at_once == ["one", "two"], context.delivered_at_once
 
 
 @when("a peer listens there and two calls more are put into it")
--- a/features/steps/path.py
+++ b/features/steps/path.py
@@ -38,9 +38,9 @@
 
 @then("a ticket is read back at every verge")
 def step_read(context):
-    ticket = next(iter(context.traffic.caller.accepted))
-    for place in range(len(context.fleet.verges)):
-        answer = curio.run(context.fleet.call, "GET", f"/v1/tickets/{ticket}", None, (), place)
+    job = next(iter(context.traffic.caller.accepted))
+    for place in range(len(context.fleet.fronts)):
+        answer = curio.run(context.fleet.call, "GET", f"/v1/tickets/{job}", None, (), place)
         assert isinstance(answer, http.Response) and answer.status == 200, answer
 
 
@@ -55,10 +55,10 @@
         assert time.monotonic() - begun <= seconds, name
 
 
-@when("a small fleet suffers {disturbance} under its traffic")
-def step_suffers(context, disturbance):
+@when("a small fleet suffers {fault} under its traffic")
+def step_suffers(context, fault):
     with tempfile.TemporaryDirectory(prefix="pinepitch-") as folder:
-        context.result = curio.run(run, Fleet(PLANS["small"], folder), 4, 1.0, 0, disturbance)
+        context.result = curio.run(run, Fleet(PLANS["small"], folder), 4, 1.0, 0, fault)
 
 
 @then("no check of the run finds a fault and every ticket became final")
--- a/features/steps/placing.py
+++ b/features/steps/placing.py
@@ -17,10 +17,12 @@
 class Yard(rehearsal.Replay):
     """A replay whose work takes just what it is told to. Invariant: as of Replay."""
 
-    def __init__(self, minions, queues=None, room=8):
+    def __init__(self, workers, queues=None, capacity=8):
         super().__init__(
             {"queues": queues or QUEUES},
-            minions if isinstance(minions, list) else [(f"m{one}", "a", room, []) for one in range(minions)],
+            workers
+            if isinstance(workers, list)
+            else [(f"m{one}", "a", capacity, []) for one in range(workers)],
             rehearsal.Work(()),
         )
         self.made = 0
@@ -41,7 +43,7 @@
     ):
         """Hands in a ticket of `count` alike tasks; its identity, or None when refused."""
         self.made += 1
-        before = self.record.count
+        before = self.cluster_state.count
         self.arrive(
             now,
             (
@@ -57,7 +59,7 @@
             ),
             self.made,
         )
-        return f"t{self.record.count}" if self.record.count > before else None
+        return f"t{self.cluster_state.count}" if self.cluster_state.count > before else None
 
     def until(self, now, end, stream=()):
         """Runs to `end`; `stream` holds (when, keywords of put) still to come."""
@@ -82,15 +84,15 @@
         return sorted(first.values())
 
 
-@given("{count:d} minions with room {room:d}")
-def step_minions(context, count, room):
-    context.yard = Yard(count, room=room)
+@given("{count:d} minions with room {capacity:d}")
+def step_workers(context, count, capacity):
+    context.yard = Yard(count, capacity=capacity)
 
 
-@given("{count:d} minions with room {room:d}, all of it taken")
-def step_taken(context, count, room):
-    context.yard = Yard(count, {"main": {**QUEUES["main"], "share": count * room}})
-    context.yard.put(0.0, units=room, seconds=1e9, count=count)
+@given("{count:d} minions with room {capacity:d}, all of it taken")
+def step_taken(context, count, capacity):
+    context.yard = Yard(count, {"main": {**QUEUES["main"], "share": count * capacity}})
+    context.yard.put(0.0, units=capacity, seconds=1e9, count=count)
     context.yard.until(0.0, 1.0)
     assert len(context.yard.starts) == count
 
@@ -108,13 +110,13 @@
 
 @when("a ticket comes that may start now")
 def step_now(context):
-    context.ticket = context.yard.put(1.0)
+    context.pushed_job = context.yard.put(1.0)
 
 
 @then("it is started in the first round")
 def step_first(context):
     context.yard.until(1.0, 1.0)
-    assert context.yard.begun(context.ticket) == [1.0], context.yard.starts
+    assert context.yard.begun(context.pushed_job) == [1.0], context.yard.starts
 
 
 @when("an hour has passed")
@@ -145,7 +147,7 @@
             yard.put(2.0, units=1 + put % shapes)
             put += 1
         context.looks.append(0)
-        yard.placer.round(yard.record, yard.minions, [("verge", "")], 2.0, 2.0)
+        yard.placer.round(yard.cluster_state, yard.workers, [("verge", "")], 2.0, 2.0)
 
 
 @then("a round looks at no more units at {many:d} than at {few:d}")
@@ -169,7 +171,7 @@
 def step_due_stream(context):
     context.yard.put(0.0, seconds=5.0, due=30.0)
     context.yard.until(0.0, 1.0)
-    context.ticket = context.yard.put(1.0)
+    context.pushed_job = context.yard.put(1.0)
     context.since = 1.0
     context.yard.until(1.0, 7200.0, [(1.0 + one * 4.9, {"seconds": 5.0, "due": 30.0}) for one in range(1400)])
 
@@ -177,7 +179,7 @@
 @then("it waits no longer than {most:g} seconds")
 @then("it starts within {most:g} seconds")
 def step_bounded(context, most):
-    begun = context.yard.begun(context.ticket)
+    begun = context.yard.begun(context.pushed_job)
     assert begun, "it never started"
     assert begun[-1] - context.since <= most, begun[-1] - context.since
 
@@ -198,7 +200,7 @@
             "planning": {"share": 8, "limit": 33, "urgency": 2, "retries": 5},
             "lab": {"share": 8, "limit": 33, "urgency": 3, "retries": 5},
         },
-        room=4,
+        capacity=4,
     )
 
 
@@ -228,7 +230,7 @@
 def step_met(context):
     missed = [
         one.identity
-        for one in context.yard.record.tickets.values()
+        for one in context.yard.cluster_state.pushed_jobs.values()
         if one.due and (one.state != "finished" or one.ended_at > one.due)
     ]
     waits = sorted(context.yard.waits["counter"])
@@ -251,17 +253,17 @@
         moment += draw.expovariate(0.95 * 48 / 2 / 2.0)  # two units each, two seconds
         stream.append((moment, {"units": 2, "seconds": draw.uniform(1.0, 3.0)}))
     context.yard.until(0.0, 10.0, [one for one in stream if one[0] <= 10.0])
-    context.ticket, context.since = context.yard.put(10.0, seconds=1.0, **WHAT[what]), 10.0
+    context.pushed_job, context.since = context.yard.put(10.0, seconds=1.0, **WHAT[what]), 10.0
     context.yard.until(10.0, seconds, [one for one in stream if one[0] > 10.0])
 
 
 @when("a gang of {count:d} starts and one minion refuses its member")
 def step_refused(context, count):
     yard = context.yard
-    context.ticket = yard.put(0.0, units=8, seconds=5.0, count=count, gang="g")
+    context.pushed_job = yard.put(0.0, units=8, seconds=5.0, count=count, gang="g")
     yard.until(0.0, 0.0)
-    assert len(yard.begun(context.ticket)) == count
-    yard.step(0.05, "end", f"{context.ticket}/s1", 1, "refused")
+    assert len(yard.begun(context.pushed_job)) == count
+    yard.step(0.05, "end", f"{context.pushed_job}/s1", 1, "refused")
     yard.until(0.06, 20.0)
 
 
@@ -269,8 +271,8 @@
 def step_together(context):
     again = [(moment, ref) for moment, ref, attempt, _ in context.yard.starts if attempt == 2]
     assert len(again) == 3 and len({moment for moment, _ in again}) == 1, context.yard.starts
-    ticket = context.yard.record.tickets[context.ticket]
-    assert ticket.state == "finished" and all(one.failures == 0 for one in ticket.standings.values())
+    job = context.yard.cluster_state.pushed_jobs[context.pushed_job]
+    assert job.state == "finished" and all(one.failures == 0 for one in job.standings.values())
 
 
 @when("{count:d} random tables meet random work, changes and ends")
@@ -312,24 +314,26 @@
             elif act < 0.7:
                 yard.apply(moment, ("setup", f"{seed}-{moment}", None, "merge", {"queues": table()}, "", ""))
             yard.until(moment, moment + 0.1)
-            record = yard.record
+            record = yard.cluster_state
             record.audit()
-            for queue, row in record.rows.items():
+            for queue, queue_settings in record.queue_settings.items():
                 context.tried += 1
                 out = sum(
                     credits
-                    for held in record.reserved.values()
-                    for ref in held
+                    for reserved in record.reserved.values()
+                    for ref in reserved
                     for lender, credits in record.find(ref)[2].charges
                     if lender == queue
                 )
-                if record.balance(queue) + out != row.share:
+                if record.balance(queue) + out != queue_settings.share:
                     context.faults.append(
-                        f"{seed}: {queue} has {record.balance(queue)} and {out} out of {row.share}"
+                        f"{seed}: {queue} has {record.balance(queue)} and {out} out of {queue_settings.share}"
                     )
                 fresh = {record.find(ref)[0].queue for _, ref, *_ in yard.starts[before:] if record.find(ref)}
-                if queue in fresh and record.used.get(queue, 0) > row.limit:
-                    context.faults.append(f"{seed}: {queue} uses {record.used[queue]} of {row.limit}")
+                if queue in fresh and record.used_units.get(queue, 0) > queue_settings.limit:
+                    context.faults.append(
+                        f"{seed}: {queue} uses {record.used_units[queue]} of {queue_settings.limit}"
+                    )
 
 
 @then("at every step credits add up and no limit is passed by a new placement")
@@ -344,7 +348,7 @@
     for _ in range(40):
         yard.put(0.0, seconds=3.0)
     yard.until(0.0, 1.0)
-    assert yard.record.balance("idle") == 0 and yard.record.used["main"] == 32
+    assert yard.cluster_state.balance("idle") == 0 and yard.cluster_state.used_units["main"] == 32
     for _ in range(30):
         yard.put(1.0, "idle", seconds=30.0)
         yard.put(1.0, seconds=3.0)
@@ -353,20 +357,20 @@
 
 @then("it has its share back once what it lent for has ended")
 def step_back(context):
-    record = context.yard.record
-    assert record.used["idle"] == 16, record.used
-    assert record.used["main"] <= 16, record.used
+    record = context.yard.cluster_state
+    assert record.used_units["idle"] == 16, record.used_units
+    assert record.used_units["main"] <= 16, record.used_units
 
 
 @when("feeds of a queue without share meet idle lenders")
 def step_feeds(context):
     context.yard = Yard(4, {"main": {"share": 16, "limit": 32}, "poor": {"share": 0, "limit": 32}})
-    context.ticket = context.yard.put(0.0, "poor", kind="feed")
+    context.pushed_job = context.yard.put(0.0, "poor", kind="feed")
     context.yard.until(0.0, 5.0)
 
 
 @then('none starts, and the reason is "{why}"')
 def step_reason(context, why):
-    record = context.yard.record
+    record = context.yard.cluster_state
     assert not context.yard.starts
-    assert context.yard.placer.reason(record, record.tickets[context.ticket], "s0") == why
+    assert context.yard.placer.reason(record, record.pushed_jobs[context.pushed_job], "s0") == why
--- a/features/steps/progress.py
+++ b/features/steps/progress.py
@@ -8,7 +8,7 @@
 
 from pinepitch.common import constants
 from pinepitch.scheduling import leased_job as jobs
-from pinepitch.scheduling.leased_job_state import Board
+from pinepitch.scheduling.leased_job_state import LeasedJobState
 from pinepitch.scheduling.progress import ProgressWatch
 from pinepitch.scheduling.run_speed import Pace
 from pinepitch.scheduling.worker import Worker
@@ -26,10 +26,10 @@
 class Member:
     """One task on a worker of its own. Invariant: it goes on only once all of its gang have come."""
 
-    def __init__(self, length, speed, comes_at, beat_every):
+    def __init__(self, length, speed, comes_at, heartbeat_interval):
         self.length, self.speed = length, speed
-        self.comes_at, self.beat_every = comes_at, beat_every
-        self.done, self.next_beat = 0.0, comes_at
+        self.comes_at, self.heartbeat_interval = comes_at, heartbeat_interval
+        self.done, self.next_heartbeat = 0.0, comes_at
         self.hangs_at = None  # part of its work
         self.hung_since = None
 
@@ -45,17 +45,17 @@
 
 def one_step(now, workers, gang, guess):
     """(board, placements) of a job of one step; `workers`: whom each of its tasks is placed at."""
-    board = Board()
+    leased_jobs = LeasedJobState()
     route = {"name": "work", "host": "a", "prefix": "/w/", "service": SERVICE, "attempts": 3}
     document = {"version": 1, "services": [{"name": SERVICE}], "routes": [route]}
-    assert board.configure(now, 0, document, "first") == ("configured", 1)
+    assert leased_jobs.configure(now, 0, document, "first") == ("configured", 1)
     step = {"count": len(workers), "cpu": 100, "est_ms": guess * 1000, "gang": gang}
     plain, faults = jobs.checked({"steps": [step]})
     assert not faults, faults
-    assert board.accept(now, JOB, "work", plain) == ("accepted", JOB)
-    placements = board.assign(now, 1, ((JOB, 0, 0, tuple(enumerate(workers))),))
+    assert leased_jobs.accept(now, JOB, "work", plain) == ("accepted", JOB)
+    placements = leased_jobs.assign(now, 1, ((JOB, 0, 0, tuple(enumerate(workers))),))
     assert len(placements) == len(workers)
-    return board, placements
+    return leased_jobs, placements
 
 
 class Runs:
@@ -64,7 +64,7 @@
     def __init__(self, members, gang, guess):
         self.members, self.gang, self.now = members, gang, 100.0
         names = [f"w{place}" for place in range(len(members))]
-        self.board, _ = one_step(self.now, names, gang, guess)
+        self.leased_jobs, _ = one_step(self.now, names, gang, guess)
         self.watch = ProgressWatch(Pace(2.0))
         self.workers = {name: Worker(name, self.now) for name in names}
         self.sequence, self.stops = 0, {}  # worker -> when its run was stopped as stalled
@@ -81,8 +81,8 @@
                 if not self.gang or len(here) == len(self.members):
                     one.go_on(self.now)
             for place, one in enumerate(self.members):
-                if since >= one.next_beat:
-                    one.next_beat += one.beat_every
+                if since >= one.next_heartbeat:
+                    one.next_heartbeat += one.heartbeat_interval
                     self._beat(f"w{place}", place, one)
             self._look()
 
@@ -102,12 +102,12 @@
         self.sequence += 1
         ended = not self.gang and member.done >= member.length
         running = [] if ended else [[f"{JOB}.0.0.{place}", 1, "", member.percent()]]
-        beat = heartbeat(self.sequence, self.now, SERVICE, identity, LABELS, ROOM, running)
-        assert self.workers[identity].beat(beat, self.now)
+        heartbeat_arguments = heartbeat(self.sequence, self.now, SERVICE, identity, LABELS, ROOM, running)
+        assert self.workers[identity].take_heartbeat(heartbeat_arguments, self.now)
 
     def _look(self):
         stopping = {(f"{JOB}.0.0.{identity[1:]}", 1) for identity in self.stops}
-        for stop in self.watch.look(self.workers, self.board, stopping, self.now):
+        for stop in self.watch.look(self.workers, self.leased_jobs, stopping, self.now):
             if stop.why == "stalled":
                 self.stops.setdefault(stop.worker, self.now)
             else:
@@ -154,7 +154,9 @@
 def patience(member):
     """Seconds within which a hung run is to be found: its last progress is told a beat late."""
     per_cent = 2 * member.length / min(SPEEDS) / 100
-    return constants.STALLED + constants.STALLED_STEPS * per_cent + 2 * member.beat_every + LOOK_MARGIN
+    return (
+        constants.STALLED + constants.STALLED_STEPS * per_cent + 2 * member.heartbeat_interval + LOOK_MARGIN
+    )
 
 
 @then("each time its run was stopped in time, and no other")
@@ -217,7 +219,9 @@
         """`lengths`: seconds of each task; `speeds`: of each worker, beside the usual 1; `placed_at`: the
         worker of each task, one of its own where nothing is said."""
         self.now, self.sequence, self.lengths, self.speeds = 100.0, 0, lengths, speeds
-        self.board, placements = one_step(self.now, placed_at or list(speeds)[: len(lengths)], False, GUESS)
+        self.leased_jobs, placements = one_step(
+            self.now, placed_at or list(speeds)[: len(lengths)], False, GUESS
+        )
         self.watch = ProgressWatch(Pace(2.0))
         self.workers = {name: Worker(name, self.now) for name in speeds}
         self.at, self.done, self.slow = {}, {}, []  # task -> worker; task -> seconds of work; RunStop
@@ -225,39 +229,41 @@
             self._begin(placement)
 
     def start(self, task, worker):
-        placed = self.board.assign(self.now, 1, ((JOB, 0, 0, ((task, worker),)),))
+        placed = self.leased_jobs.assign(self.now, 1, ((JOB, 0, 0, ((task, worker),)),))
         self._begin(placed[0])
 
     def _begin(self, placement):
-        self.at[placement.index], self.done[placement.index] = placement.minion, 0.0
-        key = (placement.minion, placement.reference(), placement.run)
+        self.at[placement.index], self.done[placement.index] = placement.worker_id, 0.0
+        key = (placement.worker_id, placement.reference(), placement.run)
         self.watch.pace.start(*key, False, self.now)
 
     def run_of(self, task):
-        return self.board.jobs[JOB].waves[(0, 0)].tasks[task].run
+        return self.leased_jobs.jobs[JOB].waves[(0, 0)].tasks[task].run
 
-    def run(self, seconds, elsewhere):
+    def run(self, seconds, other_queue):
         end = self.now + seconds
-        while self.now < end and JOB in self.board.jobs:
+        while self.now < end and JOB in self.leased_jobs.jobs:
             self.now += STEP
             for task, worker in self.at.items():
                 self.done[task] += STEP * self.speeds[worker]
             self._end()
             for worker in self.workers:
                 self._beat(worker)
-            for stop in self.watch.look(self.workers, self.board, set(), self.now):
+            for stop in self.watch.look(self.workers, self.leased_jobs, set(), self.now):
                 self.slow.append(stop)
                 task = int(stop.reference.rpartition(".")[2])
-                self.board.end(self.now, ((stop.worker, stop.reference, stop.run, "stopped", "", True),))
-                self.start(task, elsewhere(task))
+                self.leased_jobs.end(
+                    self.now, ((stop.worker, stop.reference, stop.run, "stopped", "", True),)
+                )
+                self.start(task, other_queue(task))
 
     def _end(self):
         for task in [one for one, done in self.done.items() if done >= self.lengths[one]]:
             worker, reference, run = self.at.pop(task), f"{JOB}.0.0.{task}", self.run_of(task)
             del self.done[task]
-            wave = self.board.jobs[JOB].waves[(0, 0)]
+            wave = self.leased_jobs.jobs[JOB].waves[(0, 0)]
             self.watch.pace.end(self.workers[worker], wave, reference, run, "done", self.now)
-            self.board.end(self.now, ((worker, reference, run, "done", "", True),))
+            self.leased_jobs.end(self.now, ((worker, reference, run, "done", "", True),))
             self.watch.ended(worker, reference, run, "done")
 
     def _beat(self, worker):
@@ -267,8 +273,8 @@
             for task, at in self.at.items()
             if at == worker
         ]
-        beat = heartbeat(self.sequence, self.now, SERVICE, worker, LABELS, ROOM, running)
-        assert self.workers[worker].beat(beat, self.now)
+        heartbeat_arguments = heartbeat(self.sequence, self.now, SERVICE, worker, LABELS, ROOM, running)
+        assert self.workers[worker].take_heartbeat(heartbeat_arguments, self.now)
 
 
 @given("a step of {count:d} tasks of {seconds:d} seconds, one of them {times:d} times as long")
@@ -288,7 +294,7 @@
 def step_once(context):
     stopped = [(stop.reference, stop.why) for stop in context.restarts.slow]
     assert stopped == [(f"{JOB}.0.0.0", "slow")], stopped
-    assert context.restarts.board.state(JOB) == "completed"
+    assert context.restarts.leased_jobs.state(JOB) == "completed"
 
 
 @given("a step of 8 tasks of 8 seconds, two of them on one worker that is 6 times as slow, one on another")
@@ -304,25 +310,25 @@
     sound = iter(("w7", "w8", "w9", "w10"))
     first = []
 
-    def elsewhere(task):
+    def other_queue(task):
         first.append(task)
         return "w1" if first == [0] else next(sound)
 
-    context.restarts.run(60, elsewhere)
+    context.restarts.run(60, other_queue)
 
 
 @then("both that run there are stopped, too, and all are done")
 def step_both_stopped(context):
     stopped = sorted((stop.worker, stop.reference.rpartition(".")[2]) for stop in context.restarts.slow)
     assert stopped == [("w0", "0"), ("w0", "1"), ("w1", "0"), ("w1", "2")], stopped
-    assert context.restarts.board.state(JOB) == "completed"
+    assert context.restarts.leased_jobs.state(JOB) == "completed"
 
 
 # --- what is known of lengths --------------------------------------------------------------
 @when("{count:d} waves of jobs that end soon after are learnt, {most:d} of them open at a time")
 def step_learnt(context, count, most):
-    pace, board = Pace(2.0), one_step(100.0, ["w0"], False, GUESS)[0]
-    wave = board.jobs[JOB].waves[(0, 0)]
+    pace, leased_jobs = Pace(2.0), one_step(100.0, ["w0"], False, GUESS)[0]
+    wave = leased_jobs.jobs[JOB].waves[(0, 0)]
     jobs_open, context.most, context.lost = collections.deque(), 0, []
     for place in range(count):
         wave.job.identity = f"{place:016x}"
--- a/features/steps/promises.py
+++ b/features/steps/promises.py
@@ -18,15 +18,15 @@
 
 
 @then("no weather and no planted fault is missing from the registry")
-def step_whole(context):
-    assert len(guarantees.PROMISES) >= 12 and len(guarantees.FAILURES) >= 15
+def step_complete(context):
+    assert len(guarantees.GUARANTEES) >= 12 and len(guarantees.FAILURES) >= 15
     assert not guarantees.missing(), guarantees.missing()
 
 
 @then("features/trial.feature tries every planted fault and every weather")
 def step_tried(context):
     words = set(re.findall(r"[a-z-]+", text_of("features", "trial.feature")))
-    lacking = (set(guarantees.PLANTS) | set(guarantees.WEATHERS)) - words
+    lacking = (set(guarantees.INJECTED_FAULTS) | set(guarantees.FAULT_SCENARIOS)) - words
     assert not lacking, lacking
 
 
@@ -40,8 +40,8 @@
 @then("each check named by a promise is found in the code")
 def step_checks(context):
     owners = (checks, pushed_job_trial, Operator, Simulator)
-    for promise in guarantees.PROMISES:
-        for name in promise.checks:
+    for guarantee in guarantees.GUARANTEES:
+        for name in guarantee.checks:
             if re.fullmatch(r"[A-Za-z_.]+", name):
                 found = name.rpartition(".")[2]
                 assert any(hasattr(one, found) for one in owners), name
--- a/features/steps/quorum.py
+++ b/features/steps/quorum.py
@@ -5,16 +5,18 @@
 
 from behave import given, then, when
 
-from pinepitch.consensus.quorum import Cohort, Quorum, Reply
+from pinepitch.consensus.quorum import Membership, Quorum, Reply
 from pinepitch.simulation.fleet import PLANS
 
 
-def spreads(accords, areas):
+def spreads(daemon_count, zones):
     found = set()
-    for count in range(1, accords + 1):
-        for choice in itertools.product(range(areas), repeat=count):
+    for count in range(1, daemon_count + 1):
+        for choice in itertools.product(range(zones), repeat=count):
             found.add(tuple(sorted(choice)))
-    return [{f"m{place}": f"a{area}" for place, area in enumerate(spread)} for spread in sorted(found)]
+    return [
+        {f"m{place}": f"a{zone}" for place, zone in enumerate(distribution)} for distribution in sorted(found)
+    ]
 
 
 def subsets(members):
@@ -40,9 +42,9 @@
     return minimal([one for one in subsets(quorum.members) if elected_by(quorum, one)])
 
 
-@given("every way to spread 1 to {accords:d} accords over 1 to {areas:d} areas")
-def step_spreads(context, accords, areas):
-    context.spreads = spreads(accords, areas)
+@given("every way to spread 1 to {daemon_count:d} accords over 1 to {zones:d} areas")
+def step_spreads(context, daemon_count, zones):
+    context.spreads = spreads(daemon_count, zones)
 
 
 @when("every commit and election quorum in {mode} mode is listed")
@@ -83,20 +85,20 @@
 def step_deployments(context):
     context.quorums = []
     for name in ("nkansah", "pinturas"):
-        members = {f"m{place}": area for place, area in enumerate(PLANS[name].accords)}
+        members = {f"m{place}": zone for place, zone in enumerate(PLANS[name].control_daemons)}
         context.quorums.append(Quorum(members, "static"))
 
 
 @then("in each the accords left without any one area commit and elect")
-def step_area(context):
+def step_zone(context):
     for quorum in context.quorums:
-        for area in set(quorum.members.values()):
-            left = [one for one, place in quorum.members.items() if place != area]
-            assert quorum.commits(left, left[0]) and elected_by(quorum, left), (quorum, area)
+        for zone in set(quorum.members.values()):
+            left = [one for one, place in quorum.members.items() if place != zone]
+            assert quorum.commits(left, left[0]) and elected_by(quorum, left), (quorum, zone)
 
 
 @then("in each the accords left without any one accord commit and elect")
-def step_accord(context):
+def step_control_daemon(context):
     for quorum in context.quorums:
         for lost in quorum.members:
             left = [one for one in quorum.members if one != lost]
@@ -107,51 +109,53 @@
 def step_joint(context):
     context.joints = []
     for members in context.spreads:
-        areas = sorted(set(members.values()))
-        changes = [{**members, "new": area} for area in (*areas, "elsewhere")]
+        zones = sorted(set(members.values()))
+        changes = [{**members, "new": zone} for zone in (*zones, "elsewhere")]
         for lost in members:
-            rest = {one: area for one, area in members.items() if one != lost}
+            rest = {one: zone for one, zone in members.items() if one != lost}
             if rest:
                 changes.append(rest)
             changes.append({**rest, "new": members[lost]})
         for change in changes:
-            context.joints.append(Cohort(Quorum(members, "static"), Quorum(change, "static")))
+            context.joints.append(Membership(Quorum(members, "static"), Quorum(change, "static")))
 
 
 @then("joint quorums meet the quorums of both the old and the new members")
 def step_joint_meet(context):
     assert len(context.joints) > 100
-    for cohort in context.joints:
-        every = list(subsets(cohort.members()))
-        commits = minimal([one for one in every if cohort.commits(one, sorted(cohort.now.members)[0])])
+    for membership in context.joints:
+        every = list(subsets(membership.members()))
+        commits = minimal(
+            [one for one in every if membership.commits(one, sorted(membership.now.members)[0])]
+        )
         elects = minimal(
             [
                 one
                 for one in every
-                if cohort.elects({name: Reply(True, None, 0, {}) for name in one}, 1, None, 0).satisfied
+                if membership.elects({name: Reply(True, None, 0, {}) for name in one}, 1, None, 0).satisfied
             ]
         )
-        for quorum in cohort.quorums():
+        for quorum in membership.quorums():
             for one in commits:
-                assert all(one & other for other in elect_sets(quorum)), cohort
+                assert all(one & other for other in elect_sets(quorum)), membership
             for one in elects:
-                assert all(one & other for other in commit_sets(quorum)), cohort
-                assert all(one & other for other in elect_sets(quorum)), cohort
+                assert all(one & other for other in commit_sets(quorum)), membership
+                assert all(one & other for other in elect_sets(quorum)), membership
 
 
 @when("the election quorum is derived one group too small")
-def step_plant(context):
-    class Planted(Quorum):
+def step_inject_fault(context):
+    class FaultyQuorum(Quorum):
         def elect_count(self):
             return max(1, super().elect_count() - 1)
 
-    context.planted = [Planted(members, "static") for members in context.spreads]
+    context.faulty_quorums = [FaultyQuorum(members, "static") for members in context.spreads]
 
 
 @then("some quorums are found not to meet")
-def step_planted(context):
+def step_injected(context):
     missed = 0
-    for quorum in context.planted:
+    for quorum in context.faulty_quorums:
         elects = elect_sets(quorum)
         missed += any(not one & other for one in commit_sets(quorum) for other in elects)
     assert missed, "the planted fault went unseen"
@@ -215,8 +219,10 @@
                     if quorum.group_of(newest) not in quorum.majorities(granters):
                         return f"the leader of term {term} missed the quorum of {newest}"
                 leaders[term] = candidate
-                told = [one for one in members if draw.random() < 0.4 and term_of[one] <= term] + [candidate]
-                for one in told:
+                informed = [one for one in members if draw.random() < 0.4 and term_of[one] <= term] + [
+                    candidate
+                ]
+                for one in informed:
                     term_of[one] = term
                     known[one] = (candidate, term)
                     history[one] = {past: choice for past, choice in history[one].items() if past > term}
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -5,22 +5,25 @@
 from pinepitch.scheduling import leased_job as jobs
 from pinepitch.scheduling import policy as policies
 from pinepitch.scheduling.assigner import Assigner
-from pinepitch.scheduling.leased_job_state import Board
+from pinepitch.scheduling.leased_job_state import LeasedJobState
 from pinepitch.scheduling.run_speed import Pace
 from pinepitch.scheduling.worker import Worker
 
 SERVICE = "imaging"
 ROUND_EVERY = 0.1  # seconds; between rounds
 STOP_TAKES = 0.4  # seconds; from the order to stop a run to its end
-WORKER_ROOM = (32_000, 64_000, 8)  # thousandths of a core, megabytes, accelerators
-TASK_ROOM = {"cpu": 2_000, "mem_mb": 4_000}  # beside the accelerators that a task asks for
+WORKER_CAPACITY = (32_000, 64_000, 8)  # thousandths of a core, megabytes, accelerators
+TASK_REQUEST = {"cpu": 2_000, "mem_mb": 4_000}  # beside the accelerators that a task asks for
 HALF = 0.5
-AIM_MS, STRETCH = 4000, 3  # of both queues: a job is in time within its aim and so many times its length
+LATENCY_TARGET_MS, STRETCH = (
+    4000,
+    3,
+)  # of both queues: a job is in time within its aim and so many times its length
 INSPECTION = 2.0  # seconds; of one task, where nothing else is said
 URGENCIES = {"scans": 1, "inspections": 2}  # queue -> urgency, 0 the most urgent
 
 
-class KeeperStandIn:
+class AssignmentsStandIn:
     """What the assigner reads of a keeper. Invariant: nothing's stop is proposed but not agreed on."""
 
     stopping = frozenset()
@@ -32,7 +35,7 @@
 
     def __init__(self, count, urgencies=URGENCIES, policy=policies.DEFAULT):
         self.now, self.made, self.sequence = 100.0, 0, 0
-        self.board, self.keeper = Board(), KeeperStandIn()
+        self.leased_jobs, self.assignments = LeasedJobState(), AssignmentsStandIn()
         self.assigner = Assigner(Pace(2.0), policy)
         self.lengths = {}  # job -> seconds that each of its tasks takes
         self.ends_at = {}  # (minion, reference, run) -> when it ends
@@ -44,7 +47,7 @@
         self.longest_idle = 0.0  # seconds
         self.silent = set()  # workers
         self.came, self.done = {}, {}  # job -> when it came, when it was completed
-        self.room_used = {}  # queue -> accelerator-seconds that its runs have had
+        self.capacity_used = {}  # queue -> accelerator-seconds that its runs have had
         self._configure(urgencies)
         for _ in range(2):
             self._beat()
@@ -59,30 +62,30 @@
                 "service": SERVICE,
                 "attempts": 3,
                 "priority": urgency,
-                "aim_ms": AIM_MS,
+                "aim_ms": LATENCY_TARGET_MS,
                 "stretch": STRETCH,
             }
             for name, urgency in urgencies.items()
         ]
         document = {"version": 1, "services": [{"name": SERVICE}], "routes": routes}
-        assert self.board.configure(self.now, 0, document, "first") == ("configured", 1)
+        assert self.leased_jobs.configure(self.now, 0, document, "first") == ("configured", 1)
 
     def put(self, queue, count, accelerators, seconds, **more):
         """Hands in a job of one step; each task takes `seconds`."""
         self.made += 1
-        step = {"count": count, "gpu": accelerators, "est_ms": seconds * 1000, **TASK_ROOM, **more}
+        step = {"count": count, "gpu": accelerators, "est_ms": seconds * 1000, **TASK_REQUEST, **more}
         plain, faults = jobs.checked({"steps": [step]})
         assert not faults, faults
         identity = f"{self.made:016x}"
         self.lengths[identity] = seconds
-        assert self.board.accept(self.now, identity, queue, plain) == ("accepted", identity)
+        assert self.leased_jobs.accept(self.now, identity, queue, plain) == ("accepted", identity)
         self.came[identity] = self.now
         return identity
 
     def in_use(self):
         """The part of all accelerators that is taken."""
-        taken = sum(WORKER_ROOM[2] - self.free(identity)[2] for identity in self.workers)
-        return taken / (len(self.workers) * WORKER_ROOM[2])
+        taken = sum(WORKER_CAPACITY[2] - self.free(identity)[2] for identity in self.workers)
+        return taken / (len(self.workers) * WORKER_CAPACITY[2])
 
     def run(self, seconds):
         end = self.now + seconds
@@ -101,63 +104,71 @@
                 continue
             running = [
                 [reference, run, "", 50]
-                for minion, reference, run in (*self.ends_at, *self.stops_at)
-                if minion == identity
+                for worker_name, reference, run in (*self.ends_at, *self.stops_at)
+                if worker_name == identity
             ]
             labels = ["a", f"r{int(identity[1:]) // 3}"]
-            beat = heartbeat(self.sequence, self.now, SERVICE, identity, labels, WORKER_ROOM, running)
-            worker.beat(beat, self.now)
+            heartbeat_arguments = heartbeat(
+                self.sequence, self.now, SERVICE, identity, labels, WORKER_CAPACITY, running
+            )
+            worker.take_heartbeat(heartbeat_arguments, self.now)
 
     def _end_runs(self):
         for ends, how in ((self.ends_at, "done"), (self.stops_at, "stopped")):
             for key in [key for key, at in ends.items() if at <= self.now]:
                 del ends[key]
-                minion, reference, run = key
+                worker_name, reference, run = key
                 job, time, number, _ = reference.split(".")
                 wave = (
-                    self.board.jobs[job].waves[(int(time), int(number))] if job in self.board.jobs else None
+                    self.leased_jobs.jobs[job].waves[(int(time), int(number))]
+                    if job in self.leased_jobs.jobs
+                    else None
                 )
-                self.assigner.pace.end(self.workers[minion], wave, reference, run, how, self.now)
-                outcome = self.board.end(self.now, ((*key, how, "", True),))[1][0]
+                self.assigner.pace.end(self.workers[worker_name], wave, reference, run, how, self.now)
+                outcome = self.leased_jobs.end(self.now, ((*key, how, "", True),))[1][0]
                 if outcome == "completed":
                     self.done[job] = self.now
 
     def _round(self):
-        items, stops = self.assigner.round(self.board, self.workers, self.keeper, self.now, self.now)
-        for placement in self.board.assign(self.now, 1, items):
-            key = (placement.minion, placement.reference(), placement.run)
-            lasts = self.board.task(placement)[0].step.lasts
+        items, stops = self.assigner.round(
+            self.leased_jobs, self.workers, self.assignments, self.now, self.now
+        )
+        for placement in self.leased_jobs.assign(self.now, 1, items):
+            key = (placement.worker_id, placement.reference(), placement.run)
+            lasts = self.leased_jobs.task(placement)[0].step.lasts
             self.assigner.pace.start(*key, False, self.now)
             self.ends_at[key] = 1e9 if lasts else self.now + self.lengths[placement.job]
-        self.board.stop(self.now, stops)
-        for minion, reference, run, _ in stops:
-            if (minion, reference, run) in self.ends_at:
-                del self.ends_at[(minion, reference, run)]
-                self.stops_at[(minion, reference, run)] = self.now + STOP_TAKES
+        self.leased_jobs.stop(self.now, stops)
+        for worker_name, reference, run, _ in stops:
+            if (worker_name, reference, run) in self.ends_at:
+                del self.ends_at[(worker_name, reference, run)]
+                self.stops_at[(worker_name, reference, run)] = self.now + STOP_TAKES
 
     # --- what is judged ---------------------------------------------------------------
     def free(self, identity):
-        taken = self.board.taken.get(identity, (0, 0, 0))
-        return [whole - less for whole, less in zip(WORKER_ROOM, taken, strict=True)]
+        taken = self.leased_jobs.taken.get(identity, (0, 0, 0))
+        return [total - less for total, less in zip(WORKER_CAPACITY, taken, strict=True)]
 
     def _takes(self, identity, wave):
         """How many tasks of a wave a worker has room for, by all that is placed there."""
         free, step = self.free(identity), wave.step
-        fits = min(have // room for have, room in zip(free, step.room, strict=True) if room)
-        held = self.board.placements.get(identity, {}).values()
-        beside = sum((one.job, one.number) == (wave.job.identity, wave.number) for one in held)
+        fits = min(have // capacity for have, capacity in zip(free, step.resources, strict=True) if capacity)
+        placed_here = self.leased_jobs.placements.get(identity, {}).values()
+        beside = sum((one.job, one.number) == (wave.job.identity, wave.number) for one in placed_here)
         return max(0, min(fits, step.apart - beside) if step.apart else fits)
 
     def _look(self):
         """Notes how long room and work have been idle beside each other."""
-        for held in self.board.placements.values():
-            for one in held.values():
+        for placed_here in self.leased_jobs.placements.values():
+            for one in placed_here.values():
                 queue = "scans" if one.priority == URGENCIES["scans"] else "inspections"
-                self.room_used[queue] = self.room_used.get(queue, 0.0) + one.room[2] * ROUND_EVERY
-        waves = list(self.board.ready.values())
+                self.capacity_used[queue] = (
+                    self.capacity_used.get(queue, 0.0) + one.resources[2] * ROUND_EVERY
+                )
+        waves = list(self.leased_jobs.ready.values())
         singles = [wave for wave in waves if not wave.step.gang]
         for identity in self.workers:
-            idle = identity not in self.board.placements and any(
+            idle = identity not in self.leased_jobs.placements and any(
                 self._takes(identity, wave) for wave in singles
             )
             since = self.empty_since.setdefault(identity, self.now) if idle else self.now
@@ -172,9 +183,13 @@
     def _ample(self, wave):
         """Whether nothing of a wave's job runs, all of it that must start together would fit twice, and
         under half of the service's room is in use."""
-        placed = {one.job for held in self.board.placements.values() for one in held.values()}
+        placed = {
+            one.job for placed_here in self.leased_jobs.placements.values() for one in placed_here.values()
+        }
         wanted = len(wave.waiting) if wave.step.gang else 1
-        room = sum(self._takes(identity, wave) for identity in self.workers)
-        used = [sum(taken[kind] for taken in self.board.taken.values()) for kind in range(3)]
-        share = max(one / (whole * len(self.workers)) for one, whole in zip(used, WORKER_ROOM, strict=True))
-        return wave.job.identity not in placed and room >= 2 * wanted and share < HALF
+        capacity = sum(self._takes(identity, wave) for identity in self.workers)
+        used = [sum(taken[kind] for taken in self.leased_jobs.taken.values()) for kind in range(3)]
+        share = max(
+            one / (total * len(self.workers)) for one, total in zip(used, WORKER_CAPACITY, strict=True)
+        )
+        return wave.job.identity not in placed and capacity >= 2 * wanted and share < HALF
--- a/features/steps/rules.py
+++ b/features/steps/rules.py
@@ -8,7 +8,7 @@
 
 from pinepitch.control import alert_rules
 from pinepitch.simulation.simulator import Simulator
-from pinepitch.state.cluster_state import Record
+from pinepitch.state.cluster_state import ClusterState
 
 GOOD = """
 groups:
@@ -33,14 +33,14 @@
 CROWD = (
     ("crowd", 3.0, {"queue": "narrow", "urgency": 4, "count": 3, "shape": "fan", "units": 1, "seconds": 0.6}),
 )
-SETUP = {"queues": {"narrow": {"share": 4, "limit": 4}, "wide": {"share": 20, "limit": 40}}}
+QUEUE_CONFIGURATION = {"queues": {"narrow": {"share": 4, "limit": 4}, "wide": {"share": 20, "limit": 40}}}
 WIDER = {"queues": {"narrow": {"share": 16, "limit": 32}}}
 
 
 @when("a rules file with {fault} is read")
 def step_read(context, fault):
     found, _ = alert_rules.read(GOOD)
-    assert [(one.alert, one.bound, one.lasting, one.holds) for one in found] == [
+    assert [(one.alert, one.bound, one.lasting, one.pauses) for one in found] == [
         ("parked", 0.0, 2.0, "approvals")
     ]
     context.found, context.faults = alert_rules.read(BENT[fault])
@@ -84,7 +84,7 @@
 
 @given("a simulated fleet whose rules hold approvals while tasks are parked")
 def step_fleet(context):
-    context.simulator = Simulator(5, setup=SETUP)
+    context.simulator = Simulator(5, setup=QUEUE_CONFIGURATION)
     for node in context.simulator.nodes.values():
         if node.kind == "accord":
             node.core.rules = alert_rules.read(GOOD)[0]
@@ -118,7 +118,7 @@
         "POST", "/v1/tickets", {"queue": "wide", "tasks": [{"name": "x", "labels": ["unheard-of"]}]}
     )
     assert status == 201 and answer["parked"]
-    context.ticket = answer["ticket"]
+    context.pushed_job = answer["ticket"]
     context.simulator.run(seconds + 1.5)
 
 
@@ -127,7 +127,7 @@
 
 
 @then('approving is refused with "{code}", the alert and when to come back')
-def step_held(context, code):
+def step_deferred(context, code):
     status, answer = approve(context)
     assert status == 409 and answer["error"]["code"] == code, answer
     assert answer["error"]["alerts"][0]["alert"] == "parked"
@@ -154,9 +154,9 @@
         )
         is not None
     )
-    assert "parked" in simulator.leader().core.record.holds
+    assert "parked" in simulator.leader().core.cluster_state.approval_pauses
     simulator.run(6)
-    assert "parked" in simulator.leader().core.record.holds
+    assert "parked" in simulator.leader().core.cluster_state.approval_pauses
     simulator.start(old.name)
     old.core.rules = alert_rules.read(GOOD)[0]
 
@@ -164,7 +164,7 @@
 @then("once the ticket is cancelled approving puts the draft, made anew, in force")
 def step_cleared(context):
     simulator = context.simulator
-    assert simulator.persist("POST", f"/v1/tickets/{context.ticket}/cancel")[0] == 200
+    assert simulator.persist("POST", f"/v1/tickets/{context.pushed_job}/cancel")[0] == 200
     assert simulator.until(lambda: not simulator.persist("GET", "/v1/holds")[1]["holds"], 10) is not None
     context.draft = draft(context)
     assert approve(context)[0] == 200
@@ -173,14 +173,14 @@
 
 @when("a record gets a hold under an old epoch")
 def step_old(context):
-    context.record = Record()
-    context.record.apply(1, 1.0, ("duty", "placing", "a"))
-    context.record.apply(2, 1.0, ("duty", "placing", "b"))
-    context.outcomes = [context.record.apply(3, 1.0, ("hold", epoch, "x", "why")) for epoch in (0, 1)]
+    context.cluster_state = ClusterState()
+    context.cluster_state.apply(1, 1.0, ("duty", "placing", "a"))
+    context.cluster_state.apply(2, 1.0, ("duty", "placing", "b"))
+    context.outcomes = [context.cluster_state.apply(3, 1.0, ("hold", epoch, "x", "why")) for epoch in (0, 1)]
 
 
 @then("it holds nothing")
 def step_nothing(context):
-    assert context.outcomes == [("refused", "epoch")] * 2 and not context.record.holds
-    context.record.apply(4, 1.0, ("hold", 2, "x", "why"))
-    assert context.record.holds
+    assert context.outcomes == [("refused", "epoch")] * 2 and not context.cluster_state.approval_pauses
+    context.cluster_state.apply(4, 1.0, ("hold", 2, "x", "why"))
+    assert context.cluster_state.approval_pauses
--- a/features/steps/second_loss.py
+++ b/features/steps/second_loss.py
@@ -7,13 +7,13 @@
 
 @when("second losses are tried as {name} with seeds {first:d} to {last:d}")
 def step_try(context, name, first, last):
-    context.plant = ""
+    context.injected_fault = ""
     context.trials = [(name, seed) for seed in range(first, last + 1)]
 
 
-@when("second losses are tried as {name} with seeds {first:d} to {last:d} and the planted fault {plant}")
-def step_try_planted(context, name, first, last, plant):
-    context.plant = plant
+@when("second losses are tried as {name} with seeds {first:d} to {last:d} and the planted fault {fault}")
+def step_try_injected(context, name, first, last, fault):
+    context.injected_fault = fault
     context.trials = [(name, seed) for seed in range(first, last + 1)]
 
 
@@ -28,7 +28,7 @@
 def step_found(context, fault):
     found = []
     for name, seed in context.trials:
-        found.extend(second_loss.run(name, seed, context.plant))
+        found.extend(second_loss.run(name, seed, context.injected_fault))
         if any(fault in one for one in found):
             return
     raise AssertionError(f"the planted fault went unseen; found: {found[:6]}")
--- a/features/steps/snapshot_lives.py
+++ b/features/steps/snapshot_lives.py
@@ -9,7 +9,7 @@
 
 MEMBERS = {"leader": "a", "follower": "b", "other": "c"}
 SEGMENTS = {number: bytes([number]) * 40 for number in range(1, 7)}
-PIECE_SIZES = {"one piece": 100_000, "many pieces": 20}
+CHUNK_SIZES = {"one piece": 100_000, "many pieces": 20}
 TERM, SNAPSHOT_INDEX = 3, 900
 
 
@@ -33,9 +33,9 @@
 class Transfer:
     """A leader and a follower that hear each other at once; what they save is durable at once."""
 
-    def __init__(self, piece_size):
+    def __init__(self, chunk_size):
         self.now, self.installed = 10.0, None
-        self.piece_size = piece_size
+        self.chunk_size = chunk_size
         self.last_answer = None
         self.leader = member("leader", len(SEGMENTS))
         self.leader.base_index, self.leader.base_term = SNAPSHOT_INDEX, TERM - 1
@@ -46,7 +46,7 @@
         self.leader.followers["follower"].next = 1
         self.follower = member("follower", 5)
 
-    def run(self, effects, pieces=1_000):
+    def run(self, effects, chunks=1_000):
         """Carries what the leader sends to the follower and back, until so many pieces were taken."""
         queue = list(effects)
         while queue:
@@ -57,8 +57,8 @@
                 queue.extend(self.follower.saved(effect[1], self.now))
             elif effect[0] == "send" and effect[1] == "follower":
                 if effect[2][0] == "piece" and effect[2][5] >= 0:
-                    pieces -= 1
-                    if pieces < 0:
+                    chunks -= 1
+                    if chunks < 0:
                         return
                 queue.extend(self.follower.step("leader", effect[2], self.now))
             elif effect[0] == "send" and effect[1] == "leader":
@@ -72,15 +72,15 @@
         return self.leader._done(self.now)
 
 
-@given("a leader that sends a follower a snapshot in {pieces}, without the segments that it holds")
-def step_snapshot(context, pieces):
-    context.transfer = Transfer(PIECE_SIZES[pieces])
+@given("a leader that sends a follower a snapshot in {chunks}, without the segments that it holds")
+def step_snapshot(context, chunks):
+    context.transfer = Transfer(CHUNK_SIZES[chunks])
 
 
 @when("the follower is started again after {taken:d} pieces and holds fewer segments by then")
 def step_again(context, taken):
     transfer = context.transfer
-    with mock.patch.object(constants, "SNAPSHOT_PIECE", transfer.piece_size):
+    with mock.patch.object(constants, "SNAPSHOT_CHUNK", transfer.chunk_size):
         transfer.run(transfer.resend(), taken)
     assert transfer.last_answer is not None and transfer.installed is None
     transfer.follower = member("follower", 2)
@@ -89,7 +89,7 @@
 @when("what its former life answered last arrives again")
 def step_former_answer(context):
     transfer = context.transfer
-    with mock.patch.object(constants, "SNAPSHOT_PIECE", transfer.piece_size):
+    with mock.patch.object(constants, "SNAPSHOT_CHUNK", transfer.chunk_size):
         transfer.run(transfer.resend(), 2)
         transfer.run(transfer.leader.step("follower", transfer.last_answer, transfer.now))
 
@@ -97,10 +97,10 @@
 @then("the follower installs the snapshot with all of its segments")
 def step_installed(context):
     transfer = context.transfer
-    with mock.patch.object(constants, "SNAPSHOT_PIECE", transfer.piece_size):
+    with mock.patch.object(constants, "SNAPSHOT_CHUNK", transfer.chunk_size):
         for _ in range(10):
             transfer.run(transfer.resend())
     assert transfer.installed is not None, "nothing was installed"
-    held = {number: SEGMENTS[number] for number in range(1, transfer.follower.archive.sealed + 1)}
-    assert {**held, **transfer.installed[3]} == SEGMENTS, transfer.installed
+    stored = {number: SEGMENTS[number] for number in range(1, transfer.follower.archive.sealed + 1)}
+    assert {**stored, **transfer.installed[3]} == SEGMENTS, transfer.installed
     assert transfer.leader.followers["follower"].match == SNAPSHOT_INDEX
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -53,7 +53,7 @@
 
 
 @when("the newest file is cut short")
-def step_cut(context):
+def step_partition(context):
     with open(path(context, 5), "r+b") as file:
         file.truncate(40)
 
--- a/features/steps/stored_folders.py
+++ b/features/steps/stored_folders.py
@@ -25,7 +25,7 @@
 
 from pinepitch.common import packed_operations
 from pinepitch.consensus.leader_clock import Reading
-from pinepitch.control.daemon import Accord
+from pinepitch.control.daemon import ControlDaemon
 from pinepitch.control.startup import identity_of, open_store
 from pinepitch.storage.store import Store
 from pinepitch.transport import framing
@@ -66,7 +66,7 @@
         identity = identity_of(self.store, base, steps)
         seeds = tuple(ADDRESSES.values())
         founders = 1 if name == "first" else 3  # the others join what the first one founded
-        self.core = Accord(identity, self.address, AREAS[name], seeds, founders, seed=f"life at {now}")
+        self.core = ControlDaemon(identity, self.address, AREAS[name], seeds, founders, seed=f"life at {now}")
         self.core.restore(base, steps, segments)
 
     @staticmethod
@@ -106,7 +106,7 @@
                 elif kind == "segment":
                     self.store.write_segment(*rest)
                 elif kind == "snapshot":
-                    waiting.append(("encoded", rest[0], type(self.core.record).encode(rest[1])))
+                    waiting.append(("encoded", rest[0], type(self.core.cluster_state).encode(rest[1])))
                 elif kind == "base":
                     self.store.write_base(rest[1], self.store.version)
                     saved = rest[0] if rest[0] is not None else saved
@@ -115,7 +115,7 @@
 
     def place(self, references, now):
         """Agrees on placements as the leader's placing does, on a worker of which nothing is heard."""
-        record = self.core.record
+        record = self.core.cluster_state
         items = tuple(
             (one, "some-worker", "a", 64, "life", "some-verge", ((record.find(one)[0].queue, units),), "")
             for one in references
@@ -136,7 +136,7 @@
         return (message[1], *message[2][:2]) if message[0] == "answer" else None
 
     def knows_cohort(self):
-        return self.core.cohort is not None
+        return self.core.cluster is not None
 
     def leads(self):
         return self.core.epoch > 0
@@ -149,12 +149,12 @@
         return plain(
             {
                 "identity": self.core.identity,
-                "cohort": self.core.cohort,
+                "cohort": self.core.cluster,
                 "term": consensus.term,
                 "votes": {str(term): vote for term, vote in sorted(consensus.history.items())},
                 "leader of the newest term known": [consensus.leader_term, consensus.leader],
-                "members": dict(sorted(consensus.cohort.members().items())),
-                "change of members under way": consensus.cohort.coming is not None,
+                "members": dict(sorted(consensus.membership.members().items())),
+                "change of members under way": consensus.membership.coming is not None,
                 "snapshot at": consensus.base_index,
                 "segments": list(consensus.base_segments),
                 "log": [consensus.first, consensus.last_index()],
@@ -165,12 +165,12 @@
         )
 
     def _record_digest(self):
-        record = self.core.record
+        record = self.core.cluster_state
         return digest_of(cbor2.loads(type(record).encode(record.image())))
 
     def _record_with_log(self):
         """Digest of the record once the stored log is applied, here to a daemon that only shows it."""
-        consensus, record = self.core.consensus, self.core.record
+        consensus, record = self.core.consensus, self.core.cluster_state
         for index in range(max(consensus.base_index + 1, consensus.first), consensus.last_index() + 1):
             _, time, operation = consensus.entry(index)
             record.apply(index, time, packed_operations.unpacked(operation))
@@ -363,7 +363,7 @@
     for place, end_as in enumerate(("done", "failed", None)):
         cohort.told("job", HOST, job_path(place), job(100, 2))
         for turn in range(24):
-            worker.beat(end_as if turn % 2 else None)
+            worker.take_heartbeat(end_as if turn % 2 else None)
             cohort.run(0.2)
     cohort.told("job", HOST, job_path(3), job(5000, 1))  # more than any worker has: it waits
     cohort.told("job", HOST, job_path(4), job(5000, 1))
--- a/features/steps/table.py
+++ b/features/steps/table.py
@@ -9,7 +9,7 @@
     ("crowd", 3.0, {"queue": "narrow", "urgency": 4, "count": 3, "shape": "fan", "units": 1, "seconds": 0.6}),
     ("other", 1.0, {"queue": "wide", "urgency": 4, "count": 2, "shape": "chain", "units": 1, "seconds": 0.3}),
 )
-SETUP = {
+QUEUE_CONFIGURATION = {
     "queues": {
         "narrow": {"share": 4, "limit": 4, "retries": 3},
         "wide": {"share": 20, "limit": 40, "retries": 3},
@@ -21,7 +21,7 @@
 
 @given("a simulated fleet that has seen a day of crowded traffic")
 def step_fleet(context):
-    context.simulator = Simulator(5, setup=SETUP)
+    context.simulator = Simulator(5, setup=QUEUE_CONFIGURATION)
     context.simulator.begin()
     context.simulator.caller("day", CROWD, fail=0.0)
     context.simulator.run(20)
@@ -93,11 +93,11 @@
 def step_approved(context, seconds):
     status, answer = ask(context, "POST", f"/v1/drafts/{context.draft}/approve")
     assert status == 200, answer
-    verges = [node.core for node in context.simulator.nodes.values() if node.kind == "verge"]
+    fronts = [node.core for node in context.simulator.nodes.values() if node.kind == "verge"]
     took = context.simulator.until(
-        lambda: all(one.body["setup_version"] == answer["version"] for one in verges), seconds, 0.05
+        lambda: all(one.body["setup_version"] == answer["version"] for one in fronts), seconds, 0.05
     )
-    assert took is not None, [one.body for one in verges]
+    assert took is not None, [one.body for one in fronts]
     assert ask(context, "GET", "/v1/setup")[1]["setup"]["queues"]["narrow"]["limit"] == 32
 
 
@@ -105,13 +105,13 @@
     """Median seconds from acceptance to the first start, of tickets accepted after `since`."""
     caller = context.simulator.callers["day"]
     first = {}
-    for event in context.simulator.minion_history:
+    for event in context.simulator.worker_history:
         if event[0] == "start":
             first.setdefault(event[4].partition("/")[0], event[1])
     found = sorted(
-        first[ticket] - accepted
-        for ticket, (_, accepted, document) in caller.accepted.items()
-        if accepted > since and ticket in first and document["queue"] == "narrow"
+        first[job] - accepted
+        for job, (_, accepted, document) in caller.accepted.items()
+        if accepted > since and job in first and document["queue"] == "narrow"
     )
     assert len(found) > 10
     return found[len(found) // 2]
@@ -125,10 +125,10 @@
     since = 1_000_000.0 + simulator.now
     simulator.run(15)
     after = waits(context, since)
-    row = next(one for one in context.measure["queues"] if one["queue"] == "narrow")
+    queue_settings = next(one for one in context.measure["queues"] if one["queue"] == "narrow")
     assert after < before, (before, after)
-    assert row["draft_wait_median"] < row["wait_median"]
-    assert abs(after - row["draft_wait_median"]) < 0.5, (after, row)
+    assert queue_settings["draft_wait_median"] < queue_settings["wait_median"]
+    assert abs(after - queue_settings["draft_wait_median"]) < 0.5, (after, queue_settings)
 
 
 @when("two better drafts on one base are rehearsed and approved at once")
@@ -166,7 +166,7 @@
 
 
 def holder(context):
-    epoch, identity = context.simulator.leader().core.record.epochs.get("rehearsal", (0, ""))
+    epoch, identity = context.simulator.leader().core.cluster_state.epochs.get("rehearsal", (0, ""))
     return epoch, identity
 
 
@@ -204,7 +204,7 @@
     simulator = context.simulator
     assert simulator.until(lambda: holder(context)[0] > 0, 10, 0.02) is not None
     leader = simulator.leader()
-    asked = leader.core.record.drafts[context.draft]["asked"]
+    asked = leader.core.cluster_state.drafts[context.draft]["asked"]
     simulator.give(
         leader, ("measured", holder(context)[0] - 1, context.draft, asked, {"verdict": "better", "fake": 1})
     )
--- a/features/steps/tenancy.py
+++ b/features/steps/tenancy.py
@@ -9,10 +9,10 @@
 from pinepitch.simulation import leased_job_trial
 
 
-@when("jobs under holds meet the weather {weather} with seeds {first:d} to {last:d}")
-def step_try(context, weather, first, last):
-    plant = getattr(context, "plant", "")
-    context.work = [(weather, seed, plant) for seed in range(first, last + 1)]
+@when("jobs under holds meet the weather {scenario} with seeds {first:d} to {last:d}")
+def step_try(context, scenario, first, last):
+    injected_fault = getattr(context, "injected_fault", "")
+    context.work = [(scenario, seed, injected_fault) for seed in range(first, last + 1)]
 
 
 @then("no history check finds a fault")
@@ -36,14 +36,14 @@
 
 
 def _history(simulator):
-    return simulator.minion_history, simulator.patron.history, simulator.trace
+    return simulator.worker_history, simulator.client_stand_in.history, simulator.trace
 
 
-@when("jobs under holds meet the weather {weather} twice with seed {seed:d}")
-def step_twice(context, weather, seed):
+@when("jobs under holds meet the weather {scenario} twice with seed {seed:d}")
+def step_twice(context, scenario, seed):
     context.histories = []
     for _ in range(2):
-        _, simulator = leased_job_trial.trial(weather, seed)
+        _, simulator = leased_job_trial.trial(scenario, seed)
         context.histories.append(_history(simulator))
 
 
@@ -57,16 +57,16 @@
 import hashlib, sys
 from pinepitch.simulation import leased_job_trial
 _, simulator = leased_job_trial.trial(sys.argv[1], int(sys.argv[2]))
-print(hashlib.sha256(repr((simulator.minion_history, simulator.patron.history,
+print(hashlib.sha256(repr((simulator.worker_history, simulator.client_stand_in.history,
                            simulator.trace)).encode()).hexdigest())
 """
 
 
-@when("jobs under holds meet the weather {weather} with seed {seed:d} in two processes that hash otherwise")
-def step_processes(context, weather, seed):
-    context.told = [
+@when("jobs under holds meet the weather {scenario} with seed {seed:d} in two processes that hash otherwise")
+def step_processes(context, scenario, seed):
+    context.outputs = [
         subprocess.run(
-            [sys.executable, "-c", TELL, weather, str(seed)],
+            [sys.executable, "-c", TELL, scenario, str(seed)],
             capture_output=True,
             text=True,
             check=True,
@@ -77,5 +77,5 @@
 
 
 @then("both processes tell the same history of jobs")
-def step_told(context):
-    assert len(context.told[0]) > 60 and context.told[0] == context.told[1], context.told
+def step_notified(context):
+    assert len(context.outputs[0]) > 60 and context.outputs[0] == context.outputs[1], context.outputs
--- a/features/steps/trial.py
+++ b/features/steps/trial.py
@@ -9,29 +9,35 @@
 from pinepitch.simulation import pushed_job_trial
 
 
-@given("the planted fault {plant}")
-@given("the condition {plant}")
-def step_plant(context, plant):
-    context.plant = plant
+@given("the planted fault {injected_fault}")
+@given("the condition {injected_fault}")
+def step_inject_fault(context, injected_fault):
+    context.injected_fault = injected_fault
 
 
-@when("the weather {weather} is tried with seeds {first:d} to {last:d} on every fleet in turn")
-def step_try(context, weather, first, last):
-    plant = getattr(context, "plant", "")
+@when("the weather {scenario} is tried with seeds {first:d} to {last:d} on every fleet in turn")
+def step_try(context, scenario, first, last):
+    injected_fault = getattr(context, "injected_fault", "")
     context.work = [
-        (weather, seed, pushed_job_trial.IN_TURN[seed % len(pushed_job_trial.IN_TURN)], "static", plant)
+        (
+            scenario,
+            seed,
+            pushed_job_trial.IN_TURN[seed % len(pushed_job_trial.IN_TURN)],
+            "static",
+            injected_fault,
+        )
         for seed in range(first, last + 1)
     ]
 
 
-@when("the weather {weather} is tried with seed {seed:d} on the fleet {fleet}")
-def step_one(context, weather, seed, fleet):
-    context.work = [(weather, seed, fleet, "static", "")]
+@when("the weather {scenario} is tried with seed {seed:d} on the fleet {fleet}")
+def step_one(context, scenario, seed, fleet):
+    context.work = [(scenario, seed, fleet, "static", "")]
 
 
-@when("the weather {weather} is tried in dynamic mode with seeds {first:d} to {last:d} on nine accords")
-def step_dynamic(context, weather, first, last):
-    context.work = [(weather, seed, "nine", "dynamic", "") for seed in range(first, last + 1)]
+@when("the weather {scenario} is tried in dynamic mode with seeds {first:d} to {last:d} on nine accords")
+def step_dynamic(context, scenario, first, last):
+    context.work = [(scenario, seed, "nine", "dynamic", "") for seed in range(first, last + 1)]
 
 
 @then("no check finds a fault")
@@ -54,13 +60,13 @@
     raise AssertionError(f"the planted fault went unseen; found: {found[:6]}")
 
 
-@when("the weather {weather} is tried twice with seed {seed:d}")
-def step_twice(context, weather, seed):
+@when("the weather {scenario} is tried twice with seed {seed:d}")
+def step_twice(context, scenario, seed):
     context.histories = []
     for _ in range(2):
-        _, simulator = pushed_job_trial.trial(weather, seed)
+        _, simulator = pushed_job_trial.trial(scenario, seed)
         context.histories.append(
-            (simulator.minion_history, simulator.callers["caller"].history, simulator.trace)
+            (simulator.worker_history, simulator.callers["caller"].history, simulator.trace)
         )
 
 
@@ -79,11 +85,11 @@
 """
 
 
-@when("the weather {weather} is tried with seed {seed:d} in two processes that hash otherwise")
-def step_processes(context, weather, seed):
-    context.told = [
+@when("the weather {scenario} is tried with seed {seed:d} in two processes that hash otherwise")
+def step_processes(context, scenario, seed):
+    context.outputs = [
         subprocess.run(
-            [sys.executable, "-c", TELL, weather, str(seed)],
+            [sys.executable, "-c", TELL, scenario, str(seed)],
             capture_output=True,
             text=True,
             check=True,
@@ -94,5 +100,5 @@
 
 
 @then("both processes tell the same history")
-def step_told(context):
-    assert len(context.told[0]) > 60 and context.told[0] == context.told[1], context.told
+def step_notified(context):
+    assert len(context.outputs[0]) > 60 and context.outputs[0] == context.outputs[1], context.outputs
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -4,10 +4,10 @@
 
 from pinepitch.common import constants
 from pinepitch.common.packed_operations import kind_of
-from pinepitch.control.daemon import Accord
+from pinepitch.control.daemon import ControlDaemon
 from pinepitch.simulation import checks, pushed_job_trial
 from pinepitch.simulation.simulator import Simulator
-from pinepitch.state.cluster_state import ACTIONS, OK, Record
+from pinepitch.state.cluster_state import ACTIONS, OK, ClusterState
 
 
 def _remark(record, text):
@@ -15,18 +15,18 @@
     return OK
 
 
-class NextRecord(Record):
+class NextRecord(ClusterState):
     """A record that knows one operation more."""
 
     actions = {**ACTIONS, "remark": _remark}
-    levels = {**Record.levels, "remark": constants.RECORD_LEVEL + 1}
+    levels = {**ClusterState.levels, "remark": constants.RECORD_LEVEL + 1}
 
 
-class NextAccord(Accord):
+class NextControlDaemon(ControlDaemon):
     """An accord of a next version: as leader it would remark every second."""
 
     level = constants.RECORD_LEVEL + 1
-    record_kind = NextRecord
+    cluster_state_class = NextRecord
     remarked = -1e9
 
     def step(self, message, now, clock):
@@ -45,7 +45,7 @@
         return effects
 
 
-def accords(context):
+def control_daemons(context):
     return [node for node in context.simulator.nodes.values() if node.kind == "accord"]
 
 
@@ -61,7 +61,7 @@
     """Every remark that any accord holds in its log."""
     return {
         index
-        for node in accords(context)
+        for node in control_daemons(context)
         if node.core is not None
         for index, entry in enumerate(node.core.consensus.entries, node.core.consensus.first)
         if kind_of(entry[2]) == "remark"
@@ -71,14 +71,14 @@
 def clean(context):
     assert context.simulator.finish()
     caller = context.simulator.callers["caller"]
-    documents = {ticket: one[2] for ticket, one in caller.accepted.items()}
+    documents = {job: one[2] for job, one in caller.accepted.items()}
     assert len(documents) > 20
     faults = checks.all_checks(
         caller.history,
-        context.simulator.minion_history,
+        context.simulator.worker_history,
         documents,
         context.simulator.setup["queues"],
-        context.simulator.rooms,
+        context.simulator.capacities,
     )
     faults += context.simulator.agreement()
     assert not faults, faults[:5]
@@ -95,19 +95,19 @@
 @when("its accords are restarted one by one as a made-up next version")
 def step_rolling(context):
     context.early = []
-    for node in accords(context):
+    for node in control_daemons(context):
         context.early.append(remarks(context))
-        if node is accords(context)[-1] and context.simulator.leader() is node:
-            become(context, node, Accord)  # so that one of the next version leads beside an old one
+        if node is control_daemons(context)[-1] and context.simulator.leader() is node:
+            become(context, node, ControlDaemon)  # so that one of the next version leads beside an old one
             context.early.append(remarks(context))
-        become(context, node, NextAccord)
+        become(context, node, NextControlDaemon)
 
 
 @then("nothing of the next version is agreed before the last one has told its level")
 def step_none_early(context):
     assert len(context.early) >= 3 and not any(context.early), context.early
-    held = [event for event in context.simulator.trace if event[2] == 133]
-    assert held and held[0][3]["operation"] == "remark"
+    deferred = [event for event in context.simulator.trace if event[2] == 133]
+    assert deferred and deferred[0][3]["operation"] == "remark"
 
 
 @then("then it is, every accord holds it, and the histories check clean")
@@ -115,14 +115,14 @@
     assert remarks(context)
     clean(context)
     context.simulator.run(2)
-    told = [getattr(node.core.record, "remarks", ()) for node in accords(context)]
-    assert all(one[:1] == told[0][:1] and len(one) > 2 for one in told), told
+    remarks_seen = [getattr(node.core.cluster_state, "remarks", ()) for node in control_daemons(context)]
+    assert all(one[:1] == remarks_seen[0][:1] and len(one) > 2 for one in remarks_seen), remarks_seen
 
 
 @when("two accords are restarted as a made-up next version and then back")
 def step_back(context):
-    for kind in (NextAccord, Accord):
-        for node in accords(context)[:2]:
+    for kind in (NextControlDaemon, ControlDaemon):
+        for node in control_daemons(context)[:2]:
             become(context, node, kind)
 
 
@@ -134,17 +134,17 @@
 
 @when("all accords have the next version, something new is agreed, and one is set back")
 def step_set_back(context):
-    for node in accords(context):
-        become(context, node, NextAccord)
+    for node in control_daemons(context):
+        become(context, node, NextControlDaemon)
     assert remarks(context)
     leader = context.simulator.leader()
-    node = next(node for node in accords(context) if node is not leader)
+    node = next(node for node in control_daemons(context) if node is not leader)
     try:
-        become(context, node, Accord)
+        become(context, node, ControlDaemon)
     except AssertionError as fault:
         context.fault = str(fault)
     context.simulator.kill(node.name)
-    node.make = NextAccord
+    node.make = NextControlDaemon
 
 
 @then("it stops with a broken invariant that names the operation, and the others serve on")
--- a/src/pinepitch/cli/commands.py
+++ b/src/pinepitch/cli/commands.py
@@ -3,12 +3,12 @@
 import os
 import sys
 
-from .front_commands import EXIT_USE, Verged, read_file, table
-from .jobs import WORKER_COLUMNS, Configuration, Job, room_text
-from .queue_configuration import Setup, Table
+from .front_commands import EXIT_USE, FrontCommands, read_file, table
+from .jobs import WORKER_COLUMNS, Configuration, Job, capacity_text
+from .queue_configuration import QueueConfigurationCommands, QueueTableCommands
 
 
-class Ticket(Verged):
+class PushedJobCommands(FrontCommands):
     """submit, show, list, cancel."""
 
     def submit(self, file, key=None):
@@ -35,7 +35,7 @@
         self._do("POST", f"/v1/tickets/{ticket}/cancel")
 
 
-class Minion(Verged):
+class WorkerCommands(FrontCommands):
     """list, drain, undrain, withdraw."""
 
     def list(self):
@@ -55,7 +55,7 @@
         self._do("POST", f"/v1/minions/{minion}/withdraw", {"due": due})
 
 
-class Area(Verged):
+class ZoneCommands(FrontCommands):
     """list, empty, take_back."""
 
     def list(self):
@@ -75,21 +75,21 @@
     """pinepitch: drive the scheduler. Global flags of each group: --verge, --json, --operator."""
 
     def __init__(self):
-        self.ticket = Ticket
-        self.minion = Minion
-        self.area = Area
-        self.setup = Setup
-        self.table = Table
+        self.ticket = PushedJobCommands
+        self.minion = WorkerCommands
+        self.area = ZoneCommands
+        self.setup = QueueConfigurationCommands
+        self.table = QueueTableCommands
         self.job = Job
         self.configuration = Configuration
 
     def workers(self, verge=None, json=False):
         """The workers that run jobs under holds, as the leader knows them."""
-        Verged(verge, json)._get(
+        FrontCommands(verge, json)._get(
             "/v1/workers",
             lambda document: table(
                 [
-                    {**one, "free": room_text(one["free"]), "room": room_text(one["room"])}
+                    {**one, "free": capacity_text(one["free"]), "room": capacity_text(one["room"])}
                     for one in document["workers"]
                 ],
                 WORKER_COLUMNS,
@@ -98,27 +98,27 @@
 
     def evacuations(self, verge=None, json=False):
         """The zones whose workers get no new work."""
-        Verged(verge, json)._get("/v1/evacuations", lambda document: table(document["evacuations"]))
+        FrontCommands(verge, json)._get("/v1/evacuations", lambda document: table(document["evacuations"]))
 
     def pending(self, verge=None, json=False):
         """Waiting tasks, credits and limits of every queue."""
-        Verged(verge, json)._get("/v1/pending", lambda document: table(document["queues"]))
+        FrontCommands(verge, json)._get("/v1/pending", lambda document: table(document["queues"]))
 
     def cohort(self, verge=None, json=False):
         """The accords, their leader and every session."""
-        Verged(verge, json)._get("/v1/cohort")
+        FrontCommands(verge, json)._get("/v1/cohort")
 
     def figures(self, verge=None, json=False):
         """Counts of the record."""
-        Verged(verge, json)._get("/v1/figures")
+        FrontCommands(verge, json)._get("/v1/figures")
 
     def holds(self, verge=None, json=False):
         """The alerts that hold approvals back now."""
-        Verged(verge, json)._get("/v1/holds", lambda document: table(document["holds"]))
+        FrontCommands(verge, json)._get("/v1/holds", lambda document: table(document["holds"]))
 
     def health(self, verge=None, json=False):
         """What one verge knows of itself."""
-        Verged(verge, json)._get("/v1/health")
+        FrontCommands(verge, json)._get("/v1/health")
 
     def timeline(self, *logs, window=2.0):
         """Tells from control daemons' logs at level debug where the time of jobs went, stage by stage."""
--- a/src/pinepitch/cli/explain.py
+++ b/src/pinepitch/cli/explain.py
@@ -5,13 +5,13 @@
 import fire
 from fire.decorators import SetParseFn
 
-from .front_commands import Verged, table
+from .front_commands import FrontCommands, table
 from .jobs import Job
 
 JOB = re.compile(r"[0-9a-fA-F]{16}")  # what names a job; a ticket's name begins with t
 
 
-def told(document):
+def explanation(document):
     """The explanation in words."""
     lines = [
         f"{document['ticket']} in {document['queue']}, urgency {document['urgency']}: {document['state']}",
@@ -47,7 +47,7 @@
     if JOB.fullmatch(ticket):
         Job(verge, json).show(ticket)
     else:
-        Verged(verge, json)._get(f"/v1/tickets/{ticket}/whence", told)
+        FrontCommands(verge, json)._get(f"/v1/tickets/{ticket}/whence", explanation)
 
 
 def main():
--- a/src/pinepitch/cli/front_commands.py
+++ b/src/pinepitch/cli/front_commands.py
@@ -67,20 +67,20 @@
     return "\n".join(lines)
 
 
-class Verged:
+class FrontCommands:
     """Commands that speak to one verge: --verge IP:PORT or PINEPITCH_VERGE."""
 
     def __init__(self, verge=None, json=False, operator=None):
-        self._verge = verge or os.environ.get("PINEPITCH_VERGE", "127.0.0.1:8080")
+        self._front = verge or os.environ.get("PINEPITCH_VERGE", "127.0.0.1:8080")
         self._json = json
         self._operator = operator or os.environ.get("USER", "unnamed")
 
     def _get(self, target, show=flat):
-        finish(ask(self._verge, "GET", target), self._json, show)
+        finish(ask(self._front, "GET", target), self._json, show)
 
     def _do(self, method, target, document=None, headers=(), show=flat):
         headers = (("X-Operator", self._operator), *headers)
-        finish(ask(self._verge, method, target, document, headers), self._json, show)
+        finish(ask(self._front, method, target, document, headers), self._json, show)
 
 
 def read_file(file):
--- a/src/pinepitch/cli/jobs.py
+++ b/src/pinepitch/cli/jobs.py
@@ -4,10 +4,10 @@
 
 from fire.decorators import SetParseFn
 
-from .front_commands import Verged, table
+from .front_commands import FrontCommands, table
 
 
-class Job(Verged):
+class Job(FrontCommands):
     """show."""
 
     @SetParseFn(str, "job")  # 16 hex digits may look like a number
@@ -49,7 +49,7 @@
     return wave["why"] + (f" (workers: {ruled})" if ruled else "")
 
 
-class Configuration(Verged):
+class Configuration(FrontCommands):
     """show."""
 
     def show(self):
@@ -74,6 +74,6 @@
 ]
 
 
-def room_text(room):
+def capacity_text(capacity):
     """A room as CPU/MEMORY/ACCELERATORS."""
-    return "" if room is None else f"{room['cpu']}/{room['mem_mb']}/{room['gpu']}"
+    return "" if capacity is None else f"{capacity['cpu']}/{capacity['mem_mb']}/{capacity['gpu']}"
--- a/src/pinepitch/cli/queue_configuration.py
+++ b/src/pinepitch/cli/queue_configuration.py
@@ -8,15 +8,15 @@
 
 import curio
 
-from .front_commands import EXIT_USE, Verged, ask, finish, flat, read_file, table
+from .front_commands import EXIT_USE, FrontCommands, ask, finish, flat, read_file, table
 
 
-class Setup(Verged):
+class QueueConfigurationCommands(FrontCommands):
     """show, put, patch, history, diff, back. put and patch skip rehearsal: for emergencies."""
 
     def diff(self, earlier, later):
         """What differs between two versions."""
-        sides = [ask(self._verge, "GET", f"/v1/setup/versions/{one}") for one in (earlier, later)]
+        sides = [ask(self._front, "GET", f"/v1/setup/versions/{one}") for one in (earlier, later)]
         for answer in sides:
             if answer.status != 200:
                 finish(answer, True, flat)
@@ -55,7 +55,7 @@
 FIGURES = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
 
 
-class Table(Verged):
+class QueueTableCommands(FrontCommands):
     """show, csv, edit, read, drafts, draft, rehearse, approve, drop."""
 
     def show(self):
@@ -64,7 +64,7 @@
 
     def csv(self):
         """The table as CSV, to be edited and read back in."""
-        answer = ask(self._verge, "GET", "/v1/table")
+        answer = ask(self._front, "GET", "/v1/table")
         if answer.status != 200:
             finish(answer, True, flat)
         writer = csv.DictWriter(sys.stdout, list(answer.document["rows"][0]))
@@ -85,11 +85,11 @@
 
     def read(self, file, base=None, why=""):
         """Makes a draft of the cells of a CSV file that differ from the table in force."""
-        answer = ask(self._verge, "GET", "/v1/table")
+        answer = ask(self._front, "GET", "/v1/table")
         if answer.status != 200:
             finish(answer, True, flat)
-        held = answer.document
-        before = {row["queue"]: row for row in held["rows"]}
+        current = answer.document
+        before = {row["queue"]: row for row in current["rows"]}
         changes, faults = {}, []
         try:
             with open(file, newline="") as opened:
@@ -107,10 +107,10 @@
         if faults:
             print("\n".join(f"pinepitch: {one}" for one in faults), file=sys.stderr)
             sys.exit(EXIT_USE)
-        self._draft({"base": base or held["version"], "cells": changes}, why)
+        self._draft({"base": base or current["version"], "cells": changes}, why)
 
     def _base(self, base):
-        return base if base is not None else ask(self._verge, "GET", "/v1/table").document["version"]
+        return base if base is not None else ask(self._front, "GET", "/v1/table").document["version"]
 
     def _draft(self, document, why):
         self._do("POST", "/v1/drafts", document, (("X-Reason", why),), self._show)
@@ -131,11 +131,11 @@
 
     def rehearse(self, draft, wait=60):
         """Has a draft measured against recent traffic; waits for the verdict."""
-        answer = ask(self._verge, "POST", f"/v1/drafts/{draft}/rehearse")
+        answer = ask(self._front, "POST", f"/v1/drafts/{draft}/rehearse")
         until = time.monotonic() + wait
         while answer.status == 200 and answer.document["state"] == "rehearsing" and time.monotonic() < until:
             curio.run(curio.sleep, 0.3)
-            answer = ask(self._verge, "GET", f"/v1/drafts/{draft}")
+            answer = ask(self._front, "GET", f"/v1/drafts/{draft}")
         finish(answer, self._json, self._show)
 
     def approve(self, draft, why=""):
--- a/src/pinepitch/cli/timeline.py
+++ b/src/pinepitch/cli/timeline.py
@@ -13,7 +13,7 @@
 
 from .front_commands import table
 
-HANDED_IN, ACCEPTED, PLACED, TOLD, ENDED, SHOWN = 186, 187, 188, 189, 155, 190
+HANDED_IN, ACCEPTED, PLACED, NOTIFIED, ENDED, SHOWN = 186, 187, 188, 189, 155, 190
 STOPPED, MISJUDGED = 183, 185
 FINAL = ("completed", "failed")  # results of the end that ends a job
 STAGES = ("agreed", "placed", "told", "ran", "shown")
@@ -68,7 +68,7 @@
             self.first[event["job"]].setdefault(number, at)
             if number == HANDED_IN:
                 self.queues[event["job"]] = event["queue"]
-        elif number in (PLACED, TOLD):
+        elif number in (PLACED, NOTIFIED):
             self.first[event["task"].partition(".")[0]].setdefault(number, at)
         elif number == ENDED:
             self._take_end(at, event)
@@ -87,22 +87,22 @@
 
     def jobs(self):
         """JobTimes of every job whose handing in the logs tell."""
-        stages = (ACCEPTED, PLACED, TOLD, ENDED, SHOWN)
+        stages = (ACCEPTED, PLACED, NOTIFIED, ENDED, SHOWN)
         return [
             JobTimes(queue, self.first[job][HANDED_IN], tuple(self.first[job].get(one) for one in stages))
             for job, queue in self.queues.items()
         ]
 
 
-def _row(name, jobs):
+def _table_row(name, jobs):
     """One row of a table: how many jobs, and of each stage the median and the 95th of 100."""
     row = {"of": name, "jobs": len(jobs)}
     for stage, spans in zip(STAGES, zip(*(one.spans() for one in jobs), strict=True), strict=True):
-        row[stage] = _spread(sorted(one for one in spans if one is not None))
+        row[stage] = _percentiles(sorted(one for one in spans if one is not None))
     return row
 
 
-def _spread(values):
+def _percentiles(values):
     if not values:
         return "-"
     return f"{values[len(values) // 2]:.3f} / {values[int(len(values) * 0.95)]:.3f}"
@@ -121,9 +121,9 @@
         by_window[int((one.handed_in - begun) // window)].append(one)
     parts = [
         "Seconds by stage, median / 95 of 100, by queue:",
-        table([_row(queue, found) for queue, found in sorted(by_queue.items())]),
+        table([_table_row(queue, found) for queue, found in sorted(by_queue.items())]),
         f"\nBy when the job was handed in, windows of {window:g} s:",
-        table([_row(f"{place * window:g} s", found) for place, found in sorted(by_window.items())]),
+        table([_table_row(f"{place * window:g} s", found) for place, found in sorted(by_window.items())]),
         "\nRuns by how they ended:",
         table([{"how": how, "runs": count} for how, count in sorted(timeline.ends.items())]),
         "\nRuns that were stopped, by why and how they then ended:",
--- a/src/pinepitch/common/constants.py
+++ b/src/pinepitch/common/constants.py
@@ -5,42 +5,42 @@
 HEARTBEAT = 0.1  # seconds; six fit in an election time-out, so a lost one changes nothing
 ELECTION_TIMEOUT = 0.6  # seconds; the design has 1 s and leaves it free: what runs is held only so long
 ELECTION_JITTER = 0.7  # times the time-out; a seeded spread that keeps candidates apart
-RESTART_SPREAD = 0.2  # seconds; keeps candidates apart that waited for one lease together, or split the votes
+RESTART_JITTER = 0.2  # seconds; keeps candidates apart that waited for one lease together, or split the votes
 VOTE_AGAIN = 0.1  # seconds; before votes are asked for again: one may be lost, a voter's wait over by then
 CHECK_QUORUM = 0.6  # seconds; a leader unheard by a commit quorum this long steps down
 DISK_STALL = 1.5  # seconds; a leader whose save takes longer gives leadership up
 DISK_AGAIN = 0.5  # seconds; before what a disk refused is written again
-DISK_PENANCE = 5.0  # seconds; how long such a machine stands for no election afterwards
+DISK_COOL_DOWN = 5.0  # seconds; how long such a machine stands for no election afterwards
 HANDOVER_WITHIN = 1.0  # seconds; a stopping leader waits so long for its successor to hold all, many syncs
 APPEND_ENTRIES = 256  # entries; most in one append, keeps a frame small and a beat prompt
 APPEND_WINDOW = 4  # messages; appends under way to one follower before an answer
 APPEND_RESEND = 0.5  # seconds; an unanswered window is sent anew after this, later where it is large
 APPEND_BYTES = 262_144  # bytes; most in one append or piece unless one entry is larger
 APPEND_START = 65_536  # bytes; what is tried first on a way that carried nothing large yet
-APPEND_LEAST = 16_384  # bytes; so much is sent at once on the slowest way: 66 ms at 2 Mbit/s
+MIN_APPEND_BYTES = 16_384  # bytes; so much is sent at once on the slowest way: 66 ms at 2 Mbit/s
 BULK_BYTES = 24_576  # bytes; appends from here on go one at a time, by a connection of their own
 LINK_SLOWEST = 250_000  # bytes a second; 2 Mbit/s: what a way unknown so far is waited for as if it carried
-LOSSES_MOST = 4  # times in a row; that the patience with a slow way is raised
-PACK_LEAST = 1_024  # bytes; an operation from here on is held encoded in the log
+MAX_LOSSES = 4  # times in a row; that the patience with a slow way is raised
+MIN_PACKED_BYTES = 1_024  # bytes; an operation from here on is held encoded in the log
 DENIALS = 20  # answers in a row; a follower that lacks what it acknowledged has forgotten
 COMMIT_ENTRIES = 250  # entries; most applied in one step, some 50 ms of a slow core, well within a heartbeat
 COMMIT_BYTES = 262_144  # bytes; the same, as large entries take longer: one configuration or two
 SNAPSHOT_ENTRIES = 1000  # entries; applied between two snapshots, and so at most after a restart
 SNAPSHOT_TAIL = 1000  # entries; kept behind a snapshot for followers a little behind
 LAGGARD_TIMES = 10  # times the tail; entries kept at most for a follower that still needs them
-SNAPSHOT_PIECE = 262_144  # bytes; most in one piece of a snapshot on its way to a follower
-SNAPSHOT_WORTH = 2  # times; a follower that lacks so many times the image is sent the image instead
+SNAPSHOT_CHUNK = 262_144  # bytes; most in one piece of a snapshot on its way to a follower
+SNAPSHOT_RATIO = 2  # times; a follower that lacks so many times the image is sent the image instead
 MEMORY = 512_000_000  # bytes; that a daemon may take unless env says otherwise
 DISK = 2_000_000_000  # bytes; that a data folder may take unless env says otherwise
-MEGABYTES_LEAST = 32  # of memory or disk, the least that env may name
+MIN_MEGABYTES = 32  # of memory or disk, the least that env may name
 LOG_PART_OF_MEMORY = 16  # of the memory one part in so many is for entries of the log
 LOG_PART_OF_DISK = 8  # of the disk, which holds two bases beside the entries for a while
-LOG_LEAST = 4_000_000  # bytes; below it two of the largest operations would hold back all others
+MIN_LOG_BYTES = 4_000_000  # bytes; below it two of the largest operations would hold back all others
 RETIRE_AFTER = 30.0  # seconds; out of session this long beside a live one of its area
 KILL_AGAIN = 0.5  # seconds; before an unproven kill is ordered again
 ALERT_EVERY = 1.0  # seconds; between two looks at the alert rules
 WATCH_EVERY = 0.1  # seconds; between looks for overruns, moves and dues
-COHORT_MOST = 9  # accords; the bound on voters that joining may reach
+MAX_CLUSTER_MEMBERS = 9  # accords; the bound on voters that joining may reach
 JOIN_AGAIN = 1.0  # seconds; how often an accord outside the cohort asks to be let in
 JOIN_SEEK = 0.25  # seconds; how often it asks while no leader sends it the log, as often as it greets
 CATCH_UP = (
@@ -53,20 +53,22 @@
     1.2  # seconds; from SIGTERM a process stays for its seat to be handed on, unless told otherwise
 )
 LEAVE_PART = 0.6  # of the time from SIGTERM to SIGKILL that a process may use of its own accord
-SEAT_ANSWER = 0.5  # seconds; a stopping voter waits so long for a leader's word on its seat
+VOTER_SEAT_ANSWER = 0.5  # seconds; a stopping voter waits so long for a leader's word on its seat
 CAUGHT_UP = 64  # entries; a newcomer this close behind may become a voter
 CAUGHT_UP_BYTES = 2_000_000  # bytes; and this close, so that large entries don't hold up what it must confirm
 
 # --- founding and sessions -----------------------------------------------------------
-FOUNDERS = 3  # accords; the least that may found a cohort unless env says otherwise
-SETTLE = 1.0  # seconds; the same list must be seen this long before a founding
-VETO_LASTS = 30.0  # seconds; who was heard to know a cohort holds a founding back this long
+BOOTSTRAP_MEMBERS = 3  # accords; the least that may found a cohort unless env says otherwise
+BOOTSTRAP_STABLE_TIME = 1.0  # seconds; the same list must be seen this long before a founding
+BOOTSTRAP_VETO_LASTS = 30.0  # seconds; who was heard to know a cohort holds a founding back this long
 SEEDS = 3  # addresses; what every daemon is given to find the others by
 GREET_EVERY = 0.25  # seconds; how often a daemon renews its session
 SESSION_LASTS = 1.5  # seconds; silence after which a session has fallen
-TOLD_LASTS = 0.75  # seconds; the same for a session told by another accord, which tells three times in it
+RELAYED_SESSION_LASTS = (
+    0.75  # seconds; the same for a session told by another accord, which tells three times in it
+)
 ADDRESS_FORGET = 600.0  # seconds; an address nobody vouched for is dropped after this
-NEWS_HOLD = 0.5  # seconds; a news question is answered after this even if nothing is new
+UPDATES_DEFERRAL = 0.5  # seconds; a news question is answered after this even if nothing is new
 STALE_AFTER = 2.0  # seconds; a verge without news this long says that it is stale
 
 # --- cohort time ---------------------------------------------------------------------
@@ -77,9 +79,9 @@
 # --- placing and orders --------------------------------------------------------------
 PLACE_EVERY = 0.01  # seconds; between two placing rounds, many tasks to an entry
 PLACE_IDLE = 0.1  # seconds; a round for what only time brings: not-before, retries, minions
-PLACE_MOST = 200  # tasks; in one placing entry
-HOLD_WAIT = 5.0  # seconds; a unit that found no room this long has room held back for it
-DUE_UNNAMED = (
+MAX_PLACED_TASKS = 200  # tasks; in one placing entry
+CAPACITY_RESERVE_AFTER = 5.0  # seconds; a unit that found no room this long has room held back for it
+DEFAULT_DUE = (
     3600.0  # seconds; work that names no due, or a later one, is ranked as due this long after acceptance
 )
 SEND_WITHIN = 1.5  # seconds; after commit an order may be sent this long, then never
@@ -89,84 +91,88 @@
 TAKEN_KEPT = 10_000  # orders; remembered before old ones are looked through
 TAKEN_LASTS = 60.0  # seconds; past send-by an order can't come again
 RETRY_WAIT = 0.5  # seconds; before a failed task is placed again
-RETRY_WAIT_MOST = 30.0  # seconds; the bound of the doubling wait of failing feeds
+MAX_RETRY_WAIT = 30.0  # seconds; the bound of the doubling wait of failing feeds
 REPORT_EVERY = 0.5  # seconds; what minions are asked to keep to
-MINION_SILENT = 2.0  # seconds; without a report this long a minion gets no work
-MINION_FORGET = 3600.0  # seconds; a silent minion with nothing reserved is dropped
-GATHER = 1.5  # seconds; a new leader waits this long for reports before it places
+PUSH_WORKER_TIMEOUT = 2.0  # seconds; without a report this long a minion gets no work
+PUSH_WORKER_FORGET_AFTER = 3600.0  # seconds; a silent minion with nothing reserved is dropped
+REPORT_GATHERING = 1.5  # seconds; a new leader waits this long for reports before it places
 LIVENESS_HALF = 8  # outcomes; half life of the failure rate of a minion
 LIVENESS_POOR = 0.6  # rate; above it a minion is on trial: one task at a time
 TRIAL_EVERY = 10.0  # seconds; between two trials of a minion that fails its work
-PREEMPT_MOST = 20  # tasks; of one shape that make others yield in one round
+MAX_PREEMPTING_TASKS = 20  # tasks; of one shape that make others yield in one round
 PREEMPT_WAIT = 0.5  # seconds; urgent work waits this long for room before others yield
 
 # --- bounds of what callers may send -------------------------------------------------
-BODY_MOST = 2_000_000  # bytes; a ticket of the largest allowed size fits twice
-DEPTH_MOST = 32  # levels; of a JSON body, far below what any of our readers can nest
-NUMBER_MOST = 2**53  # the largest whole number that every JSON reader keeps exact
-HEAD_MOST = 16_384  # bytes; request line and headers
-CONNECTIONS_MOST = 2_000  # sockets; per verge
-ANSWER_MOST = 64_000_000  # bytes; of an answer read, far above the largest page of a listing
-REQUEST_MOST = 20.0  # seconds; from a request's first byte to its last, so that slow senders hold nothing
+MAX_BODY_BYTES = 2_000_000  # bytes; a ticket of the largest allowed size fits twice
+MAX_DEPTH = 32  # levels; of a JSON body, far below what any of our readers can nest
+MAX_NUMBER = 2**53  # the largest whole number that every JSON reader keeps exact
+MAX_HEAD_BYTES = 16_384  # bytes; request line and headers
+MAX_CONNECTIONS = 2_000  # sockets; per verge
+MAX_ANSWER_BYTES = 64_000_000  # bytes; of an answer read, far above the largest page of a listing
+MAX_REQUEST_SECONDS = (
+    20.0  # seconds; from a request's first byte to its last, so that slow senders hold nothing
+)
 LINGER = 1.0  # seconds; a refused caller's connection is read this long, so that it gets its answer
-IDLE_MOST = 30.0  # seconds; a connection without a request is closed
-TASKS_MOST = 5_000  # tasks; in one ticket
-NAME_MOST = 128  # characters; of names, keys and labels
-URGENCY_MOST = 9  # the highest urgency; 0 is the lowest
-ATTEMPTS_TOLD = 4  # attempts; the newest of a task that are kept to be explained
-ATTEMPTS_MOST = 100  # attempts; more is a mistake
-UNITS_MOST = 1_000_000  # units; of room one task may ask for
-PENDING_MOST = 20_000  # tasks; default bound of a queue's pending tasks
-PARKED_PART = (
+MAX_CONNECTION_IDLE = 30.0  # seconds; a connection without a request is closed
+MAX_TASKS = 5_000  # tasks; in one ticket
+MAX_NAME_LENGTH = 128  # characters; of names, keys and labels
+MAX_URGENCY = 9  # the highest urgency; 0 is the lowest
+ATTEMPTS_EXPLAINED = 4  # attempts; the newest of a task that are kept to be explained
+MAX_ATTEMPTS = 100  # attempts; more is a mistake
+MAX_UNITS = 1_000_000  # units; of room one task may ask for
+MAX_PENDING_TASKS = 20_000  # tasks; default bound of a queue's pending tasks
+UNPLACEABLE_PART = (
     10  # of a queue's pending bound one part in so many is kept for tickets no known minion could take
 )
-TICKETS_MOST = 200_000  # tickets; the whole record, beyond it tickets are shed
+MAX_PUSHED_JOBS = 200_000  # tickets; the whole record, beyond it tickets are shed
 FINISHED_LIVE = 1_000  # tickets; the newest finished ones are kept open, as they are asked for most
-SEGMENT_TICKETS = 256  # tickets; in one segment of the archive: sealing one takes some milliseconds
+SEGMENT_JOBS = 256  # tickets; in one segment of the archive: sealing one takes some milliseconds
 SEGMENT_CHUNK = 16  # tickets; pressed together in a segment: what a read opens
 CHUNKS_OPEN = 32  # chunks; kept open after a read
 SEGMENT_PRESS = 3  # level of zlib; higher ones gain a tenth for twice the time
 FINISHED_KEPT = 20_000  # tickets; finished ones stay readable at least this many deep
 KEYS_KEPT = 86_400.0  # seconds; an idempotency key is honoured at least this long
 MARKS_KEPT = 1_000  # changes; whose outcome is kept for a verge that asks again
-SETUPS_WHOLE = 256  # setups; of so many one at least is kept whole, which bounds the work of reading one
-SETUP_SMALL = 4_096  # bytes; patches below this in sum are not worth a whole setup
-SETUP_MOST = 1_000_000  # bytes; a setup written as JSON
-QUEUES_MOST = 2_000  # rows; in one setup
-PAGE_MOST = 500  # rows; of one listing
-CARRY_TIMEOUT = 2.5  # seconds; a verge seeks an answer from the leader this long
-CARRY_AGAIN = 0.25  # seconds; before a carried call is sent again (calls are idempotent)
-HELD_COME_BACK = 10  # seconds; Retry-After when an alert holds approvals
-COME_BACK = 1  # seconds; Retry-After when a queue is full or no leader is known
+QUEUE_CONFIGURATION_FULL_EVERY = (
+    256  # setups; of so many one at least is kept whole, which bounds the work of reading one
+)
+QUEUE_CONFIGURATION_SMALL = 4_096  # bytes; patches below this in sum are not worth a whole setup
+MAX_QUEUE_CONFIGURATION_BYTES = 1_000_000  # bytes; a setup written as JSON
+MAX_QUEUES = 2_000  # rows; in one setup
+MAX_PAGE_ROWS = 500  # rows; of one listing
+FORWARD_TIMEOUT = 2.5  # seconds; a verge seeks an answer from the leader this long
+FORWARD_RETRY = 0.25  # seconds; before a carried call is sent again (calls are idempotent)
+PAUSED_RETRY_AFTER = 10  # seconds; Retry-After when an alert holds approvals
+RETRY_AFTER = 1  # seconds; Retry-After when a queue is full or no leader is known
 LINK_QUEUE = 4_096  # frames; waiting for one destination, beyond it the oldest fall
 LINK_PART = 64  # of the memory one part in so many may wait for one destination
-LINK_LEAST = 2_000_000  # bytes; waiting for one destination, whatever memory there is
+MIN_LINK_BYTES = 2_000_000  # bytes; waiting for one destination, whatever memory there is
 LINK_SLICE = 16_384  # bytes; handed to a socket at once: each must get on within ELECTION_TIMEOUT
 LINK_BUFFER = 65_536  # bytes; that the system holds for a connection of large frames
 LINK_BULK = 32_768  # bytes; frames from here on go by a connection of their own
 LINK_BACKOFF = 0.1  # seconds; between two attempts to connect
-FRAME_MOST = 16_000_000  # bytes; of one frame between our processes
+MAX_FRAME_BYTES = 16_000_000  # bytes; of one frame between our processes
 STOP_WITHIN = 2.0  # seconds; from SIGTERM to exit
 SETTINGS_EVERY = 1.0  # seconds; between two looks whether the settings changed
 
 # --- rehearsal -----------------------------------------------------------------------
 SAMPLE_BLOCK = 10.0  # seconds; traffic is kept and drawn in blocks this long, so that a crowd stays one
-SAMPLE_TICKETS = 200  # tickets; a block that gets more ends there
+SAMPLE_JOBS = 200  # tickets; a block that gets more ends there
 SAMPLE_NEWEST = 24  # blocks; the newest are all kept
 SAMPLE_WINDOW = 86_400.0  # seconds; a day, so that every wave of it is in the sample
 SAMPLE_STRATUM = 3_600.0  # seconds; of older blocks so many are kept from each hour
 SAMPLE_EACH = 2  # blocks; from each older stratum: at most 72 blocks of 200 tickets in all
-TRAFFIC_LEAST = 30  # tickets; below it a rehearsal says "not measured"
+MIN_TRAFFIC_JOBS = 30  # tickets; below it a rehearsal says "not measured"
 TRAFFIC_BLOCKS = 2  # blocks; below it nothing tells chance from traffic
 REPLAY_LASTS = 60.0  # seconds; of traffic in one replay, long enough for a backlog to build
-REPLAY_TICKETS = 400  # tickets; in one replay, some seconds of work
+REPLAY_JOBS = 400  # tickets; in one replay, some seconds of work
 REPLAY_SLICE = 20  # moments; between two pauses of a rehearsal, so that beats get the interpreter
-BREATH_MOST = 0.02  # seconds; a rehearsal rests after each slice as long as the slice took, and at most this
+MAX_REST = 0.02  # seconds; a rehearsal rests after each slice as long as the slice took, and at most this
 REHEARSAL_PAIRS = 8  # replays of each table; 7 of 8 agreeing is chance in 1 of 28
 REHEARSAL_AGREE = 7  # pairs; that must point the same way
-REHEARSAL_LEAST = 0.01  # part of the cost; a smaller difference counts as none
+MIN_REHEARSAL_DIFFERENCE = 0.01  # part of the cost; a smaller difference counts as none
 REHEARSAL_LONGEST = 120.0  # seconds; of virtual time after the last arrival
-DRAFTS_MOST = 100  # drafts; older ones are dropped
+MAX_DRAFTS = 100  # drafts; older ones are dropped
 
 # --- metrics -------------------------------------------------------------------------
 BUCKETS = (
@@ -195,38 +201,44 @@
 RECORD_LEVEL = 3
 
 # --- jobs under holds ----------------------------------------------------------------
-SPEC_MOST = 4_000  # characters; of what a job hands to its tasks
-STEPS_MOST = 64  # steps; of one job
-STEP_TASKS_MOST = 5_000  # tasks; of one step
-TIMES_MOST = 1_000  # times; one job may fall due
-JOB_TASKS_MOST = 10_000  # tasks; of one job over all its times
-JOBS_MOST = 20_000  # jobs; not yet final, beyond it new ones are refused
+MAX_SPEC_LENGTH = 4_000  # characters; of what a job hands to its tasks
+MAX_STEPS = 64  # steps; of one job
+MAX_STEP_TASKS = 5_000  # tasks; of one step
+MAX_TIMES = 1_000  # times; one job may fall due
+MAX_JOB_TASKS = 10_000  # tasks; of one job over all its times
+MAX_LEASED_JOBS = 20_000  # jobs; not yet final, beyond it new ones are refused
 FINAL_LASTS = 240.0  # seconds; the state of a final job stays readable, twice what callers are promised
-FINAL_MOST = 60_000  # jobs; final ones kept readable at most
+MAX_FINAL_JOBS = 60_000  # jobs; final ones kept readable at most
 FINAL_SWEEP = 20  # jobs; looked at for dropping whenever one becomes final
-PREFIX_MOST = 512  # characters; of a route's prefix
+MAX_PREFIX_LENGTH = 512  # characters; of a route's prefix
 # Raised only with a new level: a full list tells that older versions were forgotten.
 CONFIGURATIONS_KEPT = 1_000  # versions; whose call is remembered, so that sent again it is answered alike
-EVACUATED_MOST = 1_000  # zones; evacuated at once, and of others as many whose newest order is remembered
-HOLD = 4.0  # seconds; what runs is held this long beyond a beat, unless env allows less
+MAX_EVACUATED_ZONES = (
+    1_000  # zones; evacuated at once, and of others as many whose newest order is remembered
+)
+LEASE_DURATION = 4.0  # seconds; what runs is held this long beyond a beat, unless env allows less
 CLOCK_DRIFT = 0.025  # seconds per second; a minion's clock may run slower by 2 %
 LAPSE_MARGIN = 0.1  # seconds; added to a hold before what ran under it counts as ended
-BEAT_AGAIN = 0.1  # seconds; before a minion with room beats again
-BEAT_EACH = (
+HEARTBEAT_INTERVAL = 0.1  # seconds; before a minion with room beats again
+HEARTBEAT_INTERVAL_PER_WORKER = (
     0.0008  # seconds; of that pace for each worker, so that a leader has some 1,250 beats a second at most
 )
-IDLE_HOLD = 0.5  # seconds; an idle worker's heartbeat stays open so long, well within the second it waits
-BEAT_FULL = 0.5  # seconds; before one without room does, as an end makes it beat at once
-BEAT_STALE = 0.9  # seconds; a beat older than this proves nothing and gets no starts
-BEAT_SILENT = 1.2  # seconds; a minion unheard this long gets no new work
-BEAT_HOLD = 0.06  # seconds; a beat is answered at the latest after this, while what it told is agreed on
-BEATS_KEPT = 64  # beats; whose sending time a leader keeps, some ten seconds of them
-LEAD_LEASE = (
+IDLE_HEARTBEAT_DEFERRAL = (
+    0.5  # seconds; an idle worker's heartbeat stays open so long, well within the second it waits
+)
+HEARTBEAT_INTERVAL_FULL = 0.5  # seconds; before one without room does, as an end makes it beat at once
+HEARTBEAT_STALE = 0.9  # seconds; a beat older than this proves nothing and gets no starts
+WORKER_TIMEOUT = 1.2  # seconds; a minion unheard this long gets no new work
+HEARTBEAT_DEFERRAL = (
+    0.06  # seconds; a beat is answered at the latest after this, while what it told is agreed on
+)
+LEADER_HEARTBEATS_KEPT = 64  # beats; whose sending time a leader keeps, some ten seconds of them
+LEADER_LEASE = (
     0.4  # seconds; a leader whose commit quorum answered within this may give starts: below ELECTION_TIMEOUT
 )
 LEASE_STRETCH = (1 + CLOCK_DRIFT) / (1 - CLOCK_DRIFT)  # times; a lease by a slow clock, told by a fast one
-MINION_FORGOTTEN = 30.0  # seconds; a silent minion with nothing placed is dropped
-ASSIGN_MOST = 200  # tasks; in one assigning entry
+WORKER_FORGET_AFTER = 30.0  # seconds; a silent minion with nothing placed is dropped
+MAX_ASSIGNED_TASKS = 200  # tasks; in one assigning entry
 CONFIRM_WITHIN = (
     0.75  # seconds; an order's index of the log is asked for while its caller, who waits 1 s, listens
 )
@@ -235,19 +247,19 @@
 )
 CALL_PATIENCE = 2.5  # seconds; a call without a time of its own is carried this long
 LEAVE_MARGIN = 0.5  # seconds; after a worker said that it ends before what it ran counts as ended
-WARY = 0.5  # seconds; a worker that refused a start gets no other this long
+AVOID_AFTER_REFUSAL = 0.5  # seconds; a worker that refused a start gets no other this long
 SPEED_WEIGHT = 0.2  # of one run in what is known of a worker's speed
-SPEED_MOST = 8.0  # times; as slow or fast as a worker is ever taken to be
+MAX_SPEED_RATIO = 8.0  # times; as slow or fast as a worker is ever taken to be
 SPEED_STEPS = 4  # steps; from usual to twice as slow, within which workers count as alike
 NEAR_PART = 0.7  # of a rack's room that work near its data can count on, beside all else there
-NEAR_WAIT_MOST = 2.0  # seconds; that a task waits for room near its data, less than IDLE_WAIT_MOST
+MAX_NEAR_WAIT = 2.0  # seconds; that a task waits for room near its data, less than MAX_IDLE_WAIT
 LENGTHS_KEPT = 1_000  # waves and runs; of jobs that are over, known before they are dropped
 LENGTH_WEIGHT = 0.1  # of one run in what is known of a queue's lengths
-PROGRESS_LEAST = 5  # per cent; progress below this says nothing of a run's length
+MIN_PROGRESS = 5  # per cent; progress below this says nothing of a run's length
 PROGRESS_AFTER = 0.5  # seconds; nor does that of a younger run
 STALLED = 2.0  # seconds; a run whose progress stands still this long is stopped
 STALLED_STEPS = 3  # per cents; that a run may be behind beyond that, as long ones take seconds for each
-STALLED_WARY = 6.0  # seconds; a worker whose runs stood still gets no new work this long
+AVOID_AFTER_STALL = 6.0  # seconds; a worker whose runs stood still gets no new work this long
 GANG_FINISHED = 99  # per cent; told in whole ones: from here on a member of a gang may wait for the others
 SLOW = 4.0  # times; a worker whose runs take so much longer than their like is slow
 SLOW_WEIGHT = 0.5  # of such a ratio in what is known of a worker's speed
@@ -258,16 +270,16 @@
 RACK_WAIT = 1.0  # seconds; a gang waits for one rack with room for all at most this long
 STALL = 0.9  # seconds; a daemon that did not run this long: callers go elsewhere after a second of silence
 STALL_AFTERMATH = 0.25  # seconds; after a stall in which calls that waited in sockets are still being read
-UNLED_SHARE = 0.55  # of its time a call that may have been taken waits in a long outage
+LEADERLESS_SHARE = 0.55  # of its time a call that may have been taken waits in a long outage
 OUTAGE_SHORT = 2.2  # seconds without news from a leader; what lasts longer is no restart of processes
-UNLED_SEEK = 0.2  # seconds; in a long outage, enough to ask one or two accords who leads
-CARRY_SEEK = 0.1  # seconds; before a call that nobody took is sent to whoever leads by then
-GATHER_BEATS = 0.005  # seconds; what beats tell is gathered this long into one entry
+LEADERLESS_SEEK = 0.2  # seconds; in a long outage, enough to ask one or two accords who leads
+FORWARD_RETRY_UNTAKEN = 0.1  # seconds; before a call that nobody took is sent to whoever leads by then
+HEARTBEAT_BATCH_DELAY = 0.005  # seconds; what beats tell is gathered this long into one entry
 HINT_EVERY = 10.0  # seconds; between two hints to a minion where the leader is
-PROBE_AFTER = 1_500  # milliseconds; a peer that acknowledges no byte this long is given up
+PEER_TIMEOUT_MS = 1_500  # milliseconds; a peer that acknowledges no byte this long is given up
 FAR = 2.0  # times; as long that a task takes away from its data, unless env says otherwise
 RESERVE_AFTER = 0.4  # seconds; a wave that found no room this long has some kept for it
-RESERVE_MOST = 3  # waves; of one service that room is kept for at once
+MAX_RESERVED_WAVES = 3  # waves; of one service that room is kept for at once
 RESERVE_PART = 0.5  # of a service's seats that may be kept at most
 RESERVE_LASTS = 2.0  # seconds; that seats are kept for a wave without a break while most room is idle
 RESERVE_BUSY = 0.5  # of a service's room in use: from here on room is kept for as long as it takes
@@ -276,10 +288,10 @@
 WAIT_PART = (
     0.5  # of the time that work can wait for room and be done in time: longer work is kept from its room
 )
-SHARE_LEAST = (
+MIN_GUARANTEED_SHARE = (
     0.2  # of a service's room that work of each urgency gets once it has waited as long as it well can
 )
-IDLE_WAIT_MOST = 3.0  # seconds; that a job with nothing placed may wait beside ample idle room
+MAX_IDLE_WAIT = 3.0  # seconds; that a job with nothing placed may wait beside ample idle room
 IDLE_LOOK_EVERY = 0.5  # seconds; between looks for such jobs
 WIDE_PART = 0.25  # of a service's room; a step wider than that is expected to take several turns
 HOT_STEPS = 2  # steps; between racks much wanted for their data and others, for work that wants none
--- a/src/pinepitch/common/daemon_settings.py
+++ b/src/pinepitch/common/daemon_settings.py
@@ -10,15 +10,15 @@
 from . import constants
 
 
-class Env(NamedTuple):
+class Settings(NamedTuple):
     """Invariant: built by read() only, so every field has passed its check."""
 
     address: str
-    area: str
+    zone: str
     seeds: tuple
     data: str | None
     level: str
-    founders: int
+    bootstrap_members: int
     mode: str
     http: str | None
     rules: str | None
@@ -67,21 +67,25 @@
 
 
 def _text(value):
-    if not isinstance(value, str) or not 0 < len(value) <= constants.NAME_MOST:
-        raise voluptuous.Invalid(f"expected a text of 1 to {constants.NAME_MOST} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= constants.MAX_NAME_LENGTH:
+        raise voluptuous.Invalid(f"expected a text of 1 to {constants.MAX_NAME_LENGTH} characters")
     return value
 
 
-def _founders(value):
-    if isinstance(value, bool) or not isinstance(value, int) or not 1 <= value <= constants.COHORT_MOST:
-        raise voluptuous.Invalid(f"expected a whole number from 1 to {constants.COHORT_MOST}")
+def _bootstrap_members(value):
+    if (
+        isinstance(value, bool)
+        or not isinstance(value, int)
+        or not 1 <= value <= constants.MAX_CLUSTER_MEMBERS
+    ):
+        raise voluptuous.Invalid(f"expected a whole number from 1 to {constants.MAX_CLUSTER_MEMBERS}")
     return value
 
 
 def _megabytes(value):
     """Bytes of a whole number of megabytes."""
-    if isinstance(value, bool) or not isinstance(value, int) or value < constants.MEGABYTES_LEAST:
-        raise voluptuous.Invalid(f"expected a whole number of at least {constants.MEGABYTES_LEAST}")
+    if isinstance(value, bool) or not isinstance(value, int) or value < constants.MIN_MEGABYTES:
+        raise voluptuous.Invalid(f"expected a whole number of at least {constants.MIN_MEGABYTES}")
     return value * 1_000_000
 
 
@@ -97,7 +101,7 @@
         {
             **COMMON,
             voluptuous.Required("data"): _text,
-            voluptuous.Optional("founders", default=constants.FOUNDERS): _founders,
+            voluptuous.Optional("founders", default=constants.BOOTSTRAP_MEMBERS): _bootstrap_members,
             voluptuous.Optional("mode", default="static"): voluptuous.In(("static", "dynamic", "single")),
             voluptuous.Optional("http"): address,
             voluptuous.Optional("rules"): _text,
@@ -123,13 +127,13 @@
         checked = SHAPES[program](values)
     except voluptuous.MultipleInvalid as several:
         return None, tuple(f"{'.'.join(map(str, one.path))}: {one.msg}" for one in several.errors)
-    return Env(
+    return Settings(
         checked["address"],
         checked["area"],
         checked["seeds"],
         checked.get("data"),
         checked["level"],
-        checked.get("founders", constants.FOUNDERS),
+        checked.get("founders", constants.BOOTSTRAP_MEMBERS),
         checked.get("mode", "static"),
         checked.get("http"),
         checked.get("rules"),
--- a/src/pinepitch/common/document.py
+++ b/src/pinepitch/common/document.py
@@ -30,7 +30,7 @@
             value.encode()
         except UnicodeEncodeError:
             return "text with half a character"
-    if kind is int and not -constants.NUMBER_MOST <= value <= constants.NUMBER_MOST:
+    if kind is int and not -constants.MAX_NUMBER <= value <= constants.MAX_NUMBER:
         return "a number out of range"
     if kind is float and not math.isfinite(value):
         return "a number out of range"
@@ -39,15 +39,15 @@
 
 def unsound(value):
     """Why a document can't be carried and handed on as it is, or None: numbers JSON or our
-    frames can't say, text that is no text, deeper nesting than DEPTH_MOST."""
+    frames can't say, text that is no text, deeper nesting than MAX_DEPTH."""
     todo = [((value,), 1)]  # values beside each other, and how deep they stand
     while todo:
         values, depth = todo.pop()
         for one in values:
             kind = type(one)
             if kind is list or kind is dict:
-                if depth >= constants.DEPTH_MOST and one:
-                    return f"nested deeper than {constants.DEPTH_MOST}"
+                if depth >= constants.MAX_DEPTH and one:
+                    return f"nested deeper than {constants.MAX_DEPTH}"
                 todo.append((one.values() if kind is dict else one, depth + 1))
                 if kind is dict:
                     todo.append((one, depth))
@@ -66,7 +66,7 @@
     return (None, why) if why else (document, None)
 
 
-def whole(text, most=constants.NUMBER_MOST):
+def whole_number(text, most=constants.MAX_NUMBER):
     """The whole number that a text says in plain digits, or None."""
     if not text.isascii() or not text.isdigit() or len(text) > len(str(most)):
         return None
--- a/src/pinepitch/common/limits.py
+++ b/src/pinepitch/common/limits.py
@@ -16,7 +16,7 @@
     def log(self):
         """Bytes of entries held, committed or not; above it callers' operations are held back."""
         return max(
-            constants.LOG_LEAST,
+            constants.MIN_LOG_BYTES,
             min(self.memory // constants.LOG_PART_OF_MEMORY, self.disk // constants.LOG_PART_OF_DISK),
         )
 
@@ -38,7 +38,7 @@
     @property
     def link(self):
         """Bytes of frames that wait for one destination on one connection."""
-        return max(constants.LINK_LEAST, self.memory // constants.LINK_PART)
+        return max(constants.MIN_LINK_BYTES, self.memory // constants.LINK_PART)
 
 
 USUAL = Limits()  # where the settings say nothing
--- a/src/pinepitch/common/metrics.py
+++ b/src/pinepitch/common/metrics.py
@@ -3,7 +3,7 @@
 from . import constants, events
 
 
-class Spread:
+class Histogram:
     """How a figure is spread. Invariants: counts has one more element than the bounds;
     total is the sum of what was added."""
 
@@ -17,14 +17,14 @@
         self.total += value
 
     def buckets(self):
-        told, count = [], 0
+        help_text, count = [], 0
         for bound, one in zip((*constants.BUCKETS, "+Inf"), self.counts, strict=False):
             count += one
-            told.append((str(bound), count))
-        return told
+            help_text.append((str(bound), count))
+        return help_text
 
 
-class _Told:
+class _FamilyCollector:
     """What the library asks for families."""
 
     def __init__(self, families):
@@ -42,8 +42,8 @@
 
     kinds = {"counter": CounterMetricFamily, "gauge": GaugeMetricFamily, "histogram": HistogramMetricFamily}
     families = []
-    for kind, name, told, labels, values in figures:
-        family = kinds[kind](f"pinepitch_{name}", told, labels=labels)
+    for kind, name, help_text, labels, values in figures:
+        family = kinds[kind](f"pinepitch_{name}", help_text, labels=labels)
         for label_values, value in values:
             label_values = [str(one) for one in label_values]
             if kind == "histogram":
@@ -52,7 +52,7 @@
                 family.add_metric(label_values, value)
         families.append(family)
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(_Told(families))
+    registry.register(_FamilyCollector(families))
     return generate_latest(registry).decode()
 
 
--- a/src/pinepitch/consensus/cluster_clock.py
+++ b/src/pinepitch/consensus/cluster_clock.py
@@ -3,7 +3,7 @@
 from ..common import constants
 
 
-class CohortTime:
+class ClusterClock:
     """Invariants: read() never goes back; between two reads it moves with the monotonic
     clock, bent by at most SLEW; a reading too old has no say in the median, and fewer
     readings than a majority of the members have none at all. While carried, the time goes
