--- a/src/pinepitch/consensus/flow_control.py
+++ b/src/pinepitch/consensus/flow_control.py
@@ -17,12 +17,12 @@
 
 
 class Flow:
-    """Invariants: under_way is in the order of sending; budget is from APPEND_LEAST to
+    """Invariants: under_way is in the order of sending; budget is from MIN_APPEND_BYTES to
     APPEND_BYTES; at most one message of BULK_BYTES or more is under way, and then it alone,
     since such ones go by a connection of their own and order holds for one connection only."""
 
     def __init__(self):
-        self.under_way = collections.deque()
+        self.in_flight = collections.deque()
         self.budget = constants.APPEND_START
         self.rate = None  # bytes a second of the last large message that was answered
         self.progress_at = -1e9
@@ -30,20 +30,20 @@
 
     def bulky(self):
         """Whether a large message is under way."""
-        under_way = self.under_way
-        return bool(under_way) and under_way[0].size >= constants.BULK_BYTES
+        in_flight = self.in_flight
+        return bool(in_flight) and in_flight[0].size >= constants.BULK_BYTES
 
     def begin(self, last, size, now):
         """A message whose answer says `last` or more is sent."""
-        self.under_way.append(Sent(last, size, now))
+        self.in_flight.append(Sent(last, size, now))
 
     def answered(self, upto, now):
         """All up to `upto` has arrived and is durable."""
-        under_way = self.under_way
-        while under_way and (under_way[0].last <= upto or not under_way[0].size):
-            sent = under_way.popleft()
+        in_flight = self.in_flight
+        while in_flight and (in_flight[0].last <= upto or not in_flight[0].size):
+            sent = in_flight.popleft()
             self.progress_at = now
-            if sent.size >= constants.APPEND_LEAST:
+            if sent.size >= constants.MIN_APPEND_BYTES:
                 self._learn(sent, now)
 
     def _learn(self, sent, now):
@@ -53,14 +53,14 @@
         if took < constants.HEARTBEAT:
             self.budget = min(constants.APPEND_BYTES, self.budget * 2)
         elif took > 2 * constants.HEARTBEAT:
-            self.budget = max(constants.APPEND_LEAST, self.budget // 2)
+            self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
 
     def overdue(self, now):
         """Whether what is under way must be taken for lost."""
-        if not self.under_way:
+        if not self.in_flight:
             return False
-        since = max(self.under_way[0].at, self.progress_at)
-        size = self.under_way[0].size
+        since = max(self.in_flight[0].at, self.progress_at)
+        size = self.in_flight[0].size
         patience = constants.APPEND_RESEND
         if size >= constants.BULK_BYTES:
             rate = constants.LINK_SLOWEST if self.rate is None else self.rate / PATIENT
@@ -70,12 +70,12 @@
     def lost(self):
         """Nothing under way is waited for any longer."""
         if self.bulky():
-            self.losses = min(self.losses + 1, constants.LOSSES_MOST)
-            self.budget = max(constants.APPEND_LEAST, self.budget // 2)
+            self.losses = min(self.losses + 1, constants.MAX_LOSSES)
+            self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
             if self.rate is not None:
                 self.rate /= 2  # the way may have become slower
-        self.under_way.clear()
+        self.in_flight.clear()
 
     def clear(self):
         """The follower asks for something else."""
-        self.under_way.clear()
+        self.in_flight.clear()
--- a/src/pinepitch/consensus/log.py
+++ b/src/pinepitch/consensus/log.py
@@ -1,6 +1,6 @@
 """The entries of the log as they are held in memory, with their size in bytes.
 
-An entry is (term, time, operation). An operation of PACK_LEAST bytes or more is held encoded
+An entry is (term, time, operation). An operation of MIN_PACKED_BYTES bytes or more is held encoded
 (ground/packed.py) and decoded only when it is applied.
 """
 
@@ -28,7 +28,7 @@
     """(the operation, packed if it is large, its size in bytes)."""
     if type(operation) is not Packed:
         size = _size(operation)
-        if size < constants.PACK_LEAST:
+        if size < constants.MIN_PACKED_BYTES:
             return operation, size
         operation = Packed(operation[0], cbor2.dumps(operation))
     return operation, ENTRY + len(operation.data)
@@ -64,12 +64,12 @@
             self.sizes.append(size)
             self.size += size
 
-    def cut(self, index):
+    def truncate(self, index):
         """Drops the entries from `index` on."""
-        place = max(0, index - self.first)
-        self.size -= sum(self.sizes[place:])
-        del self.entries[place:]
-        del self.sizes[place:]
+        position = max(0, index - self.first)
+        self.size -= sum(self.sizes[position:])
+        del self.entries[position:]
+        del self.sizes[position:]
 
     def drop_before(self, index):
         """Drops the entries before `index`, which is the first one from now on."""
@@ -89,16 +89,16 @@
 
     def slice_from(self, index, most_entries, most_bytes):
         """(entries from `index` on, their bytes): one at least, as many as both bounds allow."""
-        place = index - self.first
-        if place == len(self.entries) - 1:
-            return self.entries[place:], self.sizes[place]
-        end, size = place, 0
-        for one in self.sizes[place : place + most_entries]:
-            if end > place and size + one > most_bytes:
+        position = index - self.first
+        if position == len(self.entries) - 1:
+            return self.entries[position:], self.sizes[position]
+        end, size = position, 0
+        for entry_size in self.sizes[position : position + most_entries]:
+            if end > position and size + entry_size > most_bytes:
                 break
-            size += one
+            size += entry_size
             end += 1
-        return self.entries[place:end], size
+        return self.entries[position:end], size
 
     def tail_start(self, index, most_entries, most_bytes):
         """The lowest index so that the entries from it to `index` keep both bounds."""
--- a/src/pinepitch/consensus/quorum.py
+++ b/src/pinepitch/consensus/quorum.py
@@ -54,10 +54,10 @@
 
     def group_of(self, identity):
         """The group a member is in: its area, or itself in single mode and where fewer than 3 areas exist."""
-        area = self.members[identity]
+        zone = self.members[identity]
         if self.mode == "single" or self.mode == "static" and len(set(self.members.values())) < 3:
             return identity
-        return area
+        return zone
 
     def groups(self):
         """group -> identities in it; not to be changed."""
@@ -80,10 +80,10 @@
 
     def commits(self, identities, leader):
         """Whether `identities` are a commit quorum under `leader`."""
-        held = self.majorities(identities)
+        majority_groups = self.majorities(identities)
         if self.mode != "dynamic":
-            return len(held) >= self.commit_count()
-        return leader in self.members and self.group_of(leader) in held
+            return len(majority_groups) >= self.commit_count()
+        return leader in self.members and self.group_of(leader) in majority_groups
 
     def elects(self, replies, term, leader, leader_term):
         """Algorithm 1. `replies`: identity -> Reply; `leader`: the last one known."""
@@ -158,7 +158,7 @@
         return self._counted(replies, {group: every[group] for group in groups}, len(groups))
 
 
-class Cohort(NamedTuple):
+class Membership(NamedTuple):
     """The members now and, during a joint change, the members to come.
 
     Invariant: while `coming` is set every decision needs both quorums, so that a quorum
@@ -201,7 +201,7 @@
         return [[dict(quorum.members), quorum.mode] for quorum in self.quorums()]
 
 
-def cohort_from(image):
+def membership_from_image(image):
     """The Cohort of an image()."""
     quorums = [Quorum(dict(members), mode) for members, mode in image]
-    return Cohort(quorums[0], quorums[1] if len(quorums) > 1 else None)
+    return Membership(quorums[0], quorums[1] if len(quorums) > 1 else None)
--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -15,10 +15,10 @@
 from ..common.packed_operations import kind_of
 from .flow_control import Flow
 from .log import Log
-from .quorum import Cohort, Quorum, Reply, cohort_from
+from .quorum import Membership, Quorum, Reply, membership_from_image
 from .snapshot_transfer import Snapshot, Transfer
 
-BEYOND = 1 << 40  # the offset that a follower tells which needs nothing of a snapshot
+COMPLETE_OFFSET = 1 << 40  # the offset that a follower tells which needs nothing of a snapshot
 
 
 class Handover(NamedTuple):
@@ -41,7 +41,7 @@
         self.probing = True
         self.flow = Flow()
         self.heard_at = now
-        self.beat = 0
+        self.heartbeat = 0
         self.transfer = None  # the snapshot that it is being sent
         self.denials = 0  # answers in a row that lack what was acknowledged
         self.forgot = False  # whether it lacks what it acknowledged in this leader's time
@@ -51,7 +51,7 @@
         return (self.transfer.snapshot.index if self.transfer else self.match) + 1
 
 
-class Incoming:
+class IncomingSnapshot:
     """A snapshot that a follower receives. Invariant: whoever sends it was told in this life of the
     follower which segments it holds, since a former life may have held more."""
 
@@ -60,21 +60,21 @@
         self.total = None  # bytes, as told with the first piece
         self.data = bytearray()
 
-    def take(self, offset, total, piece):
+    def take(self, offset, total, chunk):
         """Adds a piece; False when it isn't the next one."""
         if offset == 0:
             self.data.clear()
             self.total = total
         if offset != len(self.data):
             return False
-        self.data.extend(piece)
+        self.data.extend(chunk)
         return True
 
-    def whole(self, held):
+    def complete(self, stored):
         """(image, span, segments), or None if some segment neither came nor is held."""
         image, span, segments = cbor2.loads(bytes(self.data))
         first, last = span
-        if any(number not in segments for number in range(max(first, held + 1), last + 1)):
+        if any(number not in segments for number in range(max(first, stored + 1), last + 1)):
             return None
         return image, tuple(span), segments
 
@@ -97,8 +97,8 @@
         self.leader, self.leader_term = None, 0
         self.log = Log()
         self.base_index, self.base_term, self.base_image = 0, 0, None
-        self.base_cohort = Cohort(Quorum(dict(members or {}), mode))
-        self.cohort, self.cohort_index = self.base_cohort, 0
+        self.base_membership = Membership(Quorum(dict(members or {}), mode))
+        self.membership, self.membership_index = self.base_membership, 0
         self.commit = 0
         self.committed = 0  # the newest entry known to be committed: commit follows it in slices
         self.role = "follower"  # follower, prospect (pre-vote), candidate, leader
@@ -110,23 +110,23 @@
         self.hard_sequence = 0
         self.durable = 0
         self.saving = []  # [sequence, last index, begun]
-        self.held = []  # (sequence, effect) waiting for a save
+        self.deferred = []  # (sequence, effect) waiting for a save
         self.hard_dirty, self.truncate, self.dirty_from = False, None, None
         self.effects = []
         self.heard_leader = -1e9
         self.begun_at = None  # when this life began, after any earlier one had ended; None: at the first tick
         self.election_at = None
         self.ask_at = -1e9  # when votes are asked for again
-        self.penance_until = -1e9
-        self.stranger = False
+        self.disk_cooldown_until = -1e9
+        self.removed = False
         self.handover = None  # the Handover under way while leading
-        self.heirs = {}  # the learners that a leader named when it handed over: identity -> area
+        self.inherited_learners = {}  # the learners that a leader named when it handed over: identity -> area
         self.released = 0  # the term whose leader gave its lease up in favour of this candidate
-        self.beat = 0
+        self.heartbeat = 0
         self.round = None  # the beat whose acknowledgement the reads under way need
         self.reads_now, self.reads_next = [], []
-        self.beat_at = -1e9
-        self.beats = {}  # number of a beat -> when it was sent, of the newest BEATS_KEPT
+        self.heartbeat_at = -1e9
+        self.heartbeat_times = {}  # number -> when it was sent, of the newest LEADER_HEARTBEATS_KEPT
         self.base_segments = (1, 0)  # (first, last) of the archive that the base stands on
         self.archive = None  # the record's, to send and to say what of it is held
         self.incoming = None  # Incoming of a snapshot being received
@@ -139,20 +139,20 @@
             self._take_hard(hard)
             self.base_index, self.base_term, image, self.base_image, segments = snapshot
             self.base_segments = tuple(segments)
-            self.base_cohort = cohort_from(image)
+            self.base_membership = membership_from_image(image)
             self.log.clear(first)
             self.log.append(entries)
         for hard, truncate, start, entries in changes:
             if hard is not None:
                 self._take_hard(hard)
             if truncate is not None:
-                self.log.cut(truncate)
+                self.log.truncate(truncate)
             if entries:
-                self.log.cut(start)
+                self.log.truncate(start)
                 self.log.append(entries)
         self.commit = self.committed = self.base_index
         self.durable = self.last_index()
-        self._find_cohort()
+        self._find_membership()
 
     def _take_hard(self, hard):
         self.term, self.leader, self.leader_term, history = hard
@@ -161,21 +161,21 @@
     def _hard(self):
         return [self.term, self.leader, self.leader_term, dict(self.history)]
 
-    def founding_base(self):
+    def bootstrap_base(self):
         """The payload of the first base: no entries, the founding members."""
-        return [self._hard(), [0, 0, self.base_cohort.image(), None, (1, 0)], 1, []]
+        return [self._hard(), [0, 0, self.base_membership.image(), None, (1, 0)], 1, []]
 
     def compact(self, index, image, segments=(1, 0)):
         """Takes `image`, which stands on `segments`, as the record up to `index`; the payload
         of the new base."""
         self.base_segments = segments
         term = self.term_at(index)
-        cohort = self.base_cohort
-        for place in range(self.first, index + 1):
-            operation = self.entry(place)[2]
+        membership = self.base_membership
+        for position in range(self.first, index + 1):
+            operation = self.entry(position)[2]
             if kind_of(operation) == "members":
-                cohort = cohort_from(operation[1])
-        self.base_cohort = cohort
+                membership = membership_from_image(operation[1])
+        self.base_membership = membership
         self.base_index, self.base_term, self.base_image = index, term, image
         # base_cohort must stay true for entries from `first` on: only a cohort older than
         # the kept tail may differ, and _find_cohort reads newest first, so it never does.
@@ -199,7 +199,13 @@
         """All that a base must hold."""
         return [
             self._hard(),
-            [self.base_index, self.base_term, self.base_cohort.image(), self.base_image, self.base_segments],
+            [
+                self.base_index,
+                self.base_term,
+                self.base_membership.image(),
+                self.base_image,
+                self.base_segments,
+            ],
             self.first,
             list(self.log.entries),
         ]
@@ -225,39 +231,42 @@
         """The term of an entry, None where it is no longer or not yet held."""
         if index == 0:
             return 0
-        place = index - self.log.first
-        if 0 <= place < len(self.log.entries):
-            return self.log.entries[place][0]
+        position = index - self.log.first
+        if 0 <= position < len(self.log.entries):
+            return self.log.entries[position][0]
         if index == self.base_index:
             return self.base_term
         return None
 
-    def _find_cohort(self):
-        for place in range(len(self.entries) - 1, -1, -1):
-            operation = self.log.entries[place][2]
+    def _find_membership(self):
+        for position in range(len(self.entries) - 1, -1, -1):
+            operation = self.log.entries[position][2]
             if kind_of(operation) == "members":
-                self.cohort, self.cohort_index = cohort_from(operation[1]), self.first + place
+                self.membership, self.membership_index = (
+                    membership_from_image(operation[1]),
+                    self.first + position,
+                )
                 return
-        self.cohort, self.cohort_index = self.base_cohort, self.base_index
+        self.membership, self.membership_index = self.base_membership, self.base_index
 
     def _append(self, entries, start):
         if self.dirty_from is None or start < self.dirty_from:
             self.dirty_from = start
         self.log.append(entries)
-        for place, (_, _, operation) in enumerate(entries):
+        for position, (_, _, operation) in enumerate(entries):
             if kind_of(operation) == "members":
-                self.cohort, self.cohort_index = cohort_from(operation[1]), start + place
+                self.membership, self.membership_index = membership_from_image(operation[1]), start + position
 
-    def _cut(self, index):
+    def _truncate(self, index):
         """Drops entries from `index` on."""
-        self.log.cut(index)
+        self.log.truncate(index)
         self.truncate = index if self.truncate is None else min(self.truncate, index)
         if self.dirty_from is not None and self.dirty_from >= index:
             self.dirty_from = None
         self.durable = min(self.durable, index - 1)
         for saving in self.saving:
             saving[1] = min(saving[1], index - 1)
-        self._find_cohort()
+        self._find_membership()
 
     def _drop_log(self, first):
         """Drops every entry, the next one being `first`, for a snapshot that the log does not lead to:
@@ -271,7 +280,7 @@
     def _send(self, identity, message, after=0):
         effect = ("send", identity, message)
         if after > self.saved_sequence:
-            self.held.append((after, effect))
+            self.deferred.append((after, effect))
         else:
             self.effects.append(effect)
 
@@ -303,12 +312,12 @@
     # --- time -------------------------------------------------------------------------
     def tick(self, now):
         """Lets time pass: beats, time-outs, stalled disks, the next slice of a backlog."""
-        self._begin_life(now)
+        self._begin_incarnation(now)
         if self.commit < self.committed:
             self._commit_slice(now)
         stalled = bool(self.saving) and now - self.saving[0][2] > constants.DISK_STALL
         if stalled:
-            self.penance_until = now + constants.DISK_PENANCE
+            self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
         if self.role == "leader":
             heard = {
                 one
@@ -320,42 +329,46 @@
                 self._follow(self.term, now, "disk stalled")
             elif self.handover is not None and now >= self.handover.until:
                 self._follow(self.term, now, "stopping")
-            elif not self.cohort.commits(heard, self.identity):
+            elif not self.membership.commits(heard, self.identity):
                 self._follow(self.term, now, "commit quorum not heard")
-            elif now - self.beat_at >= constants.HEARTBEAT:
+            elif now - self.heartbeat_at >= constants.HEARTBEAT:
                 self._broadcast(now)
         elif self.role in ("prospect", "candidate") and self.ask_at <= now < self.election_at:
             self._ask_votes(now)
         elif now >= self.election_at:
-            if self.identity in self.cohort.members() and now >= self.penance_until and not self.stranger:
+            if (
+                self.identity in self.membership.members()
+                and now >= self.disk_cooldown_until
+                and not self.removed
+            ):
                 self._campaign("prospect", now)
             else:
                 self._reset_election(now)
         return self._done(now)
 
-    def _begin_life(self, now):
+    def _begin_incarnation(self, now):
         """At the first input of this life: what an earlier one acknowledged may still carry a leader's
         lease, so no vote is given, and none asked for, before that is over, also by that leader's
         slower clock."""
         if self.election_at is not None:
             return
         since = now if self.begun_at is None else min(now, self.begun_at)
-        lease_over = since + constants.LEAD_LEASE * constants.LEASE_STRETCH
+        lease_over = since + constants.LEADER_LEASE * constants.LEASE_STRETCH
         self.heard_leader = max(self.heard_leader, lease_over - constants.ELECTION_TIMEOUT)
         self._reset_election(now)
         if self.last_index() > 0:
-            self.election_at = max(now, lease_over) + constants.RESTART_SPREAD * self.random.random()
+            self.election_at = max(now, lease_over) + constants.RESTART_JITTER * self.random.random()
 
     def disk_failed(self, now):
         """A disk that refuses to write is no leader's."""
-        self.penance_until = now + constants.DISK_PENANCE
+        self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
         if self.role != "follower":
             self._follow(self.term, now, "disk refuses to write")
         return self._done(now)
 
     def _reset_election(self, now):
-        spread = 1 + self.random.random() * constants.ELECTION_JITTER
-        self.election_at = now + constants.ELECTION_TIMEOUT * spread
+        factor = 1 + self.random.random() * constants.ELECTION_JITTER
+        self.election_at = now + constants.ELECTION_TIMEOUT * factor
 
     def _follow(self, term, now, why):
         """Becomes a follower of `term`."""
@@ -372,7 +385,7 @@
             self._reset_election(now)
         self.role = "follower"
         self.handover = None
-        self.followers, self.learners, self.beats = {}, {}, {}
+        self.followers, self.learners, self.heartbeat_times = {}, {}, {}
 
     # --- elections --------------------------------------------------------------------
     def _campaign(self, role, now, released=0):
@@ -398,7 +411,7 @@
         message = (kind, term, self.last_index(), self.term_at(self.last_index()))
         if self.released:
             message = ("takeover", *message[1:], self.released)
-        for identity in self.cohort.members():
+        for identity in self.membership.members():
             if identity != self.identity:
                 self._send(identity, message, self._after_flush())
 
@@ -407,22 +420,22 @@
 
     def _count_votes(self, now):
         term = self.term if self.role == "candidate" else self.term + 1
-        result = self.cohort.elects(self.replies, term, self.leader, self.leader_term)
+        result = self.membership.elects(self.replies, term, self.leader, self.leader_term)
         if result.satisfied:
             if self.role == "prospect":
                 self._campaign("candidate", now)
             elif self.hard_sequence <= self.saved_sequence and not self.hard_dirty:
-                self._lead(now)
+                self._become_leader(now)
         elif self.role == "candidate" and not result.possible:
             # the votes were split: nobody may have won, so it asks for pre-votes anew soon
-            self.election_at = min(self.election_at, now + constants.RESTART_SPREAD * self.random.random())
+            self.election_at = min(self.election_at, now + constants.RESTART_JITTER * self.random.random())
 
     def _fresh(self, last_index, last_term):
         own = self.term_at(self.last_index())
         return (last_term, last_index) >= (own, self.last_index())
 
     def _on_prevote(self, sender, term, last_index, last_term, now):
-        if sender not in self.cohort.members() and self.leader_near(now):
+        if sender not in self.membership.members() and self.leader_near(now):
             self._send(sender, ("stranger", self.term, self.commit))
             return
         granted = term > self.term and self._fresh(last_index, last_term) and not self.leader_near(now)
@@ -445,10 +458,10 @@
         if term > self.term:
             self._follow(term, now, "behind")
 
-    def _on_stranger(self, sender, term, commit, now):
+    def _on_removed(self, sender, term, commit, now):
         """A member that serves under a leader says that this one was replaced."""
-        if sender in self.cohort.members() and self.role != "leader" and commit > self.cohort_index:
-            self.stranger = True
+        if sender in self.membership.members() and self.role != "leader" and commit > self.membership_index:
+            self.removed = True
             if self.role != "follower":
                 self._follow(self.term, now, "stranger")
 
@@ -495,7 +508,7 @@
             self._count_votes(now)
 
     # --- handing leadership over ------------------------------------------------------
-    def hand_over(self, candidates, now):
+    def transfer_leadership(self, candidates, now):
         """Leads on until the voter among `candidates` that lacks least has all that is agreed on, then
         gives leadership up and lets that voter campaign at once; with no such voter stands down."""
         if self.role != "leader":
@@ -515,8 +528,8 @@
             (follower.match, identity)
             for identity, follower in self.followers.items()
             if identity in candidates
-            and all(identity in quorum.members for quorum in self.cohort.quorums())
-            and now - follower.heard_at <= constants.LEAD_LEASE
+            and all(identity in quorum.members for quorum in self.membership.quorums())
+            and now - follower.heard_at <= constants.LEADER_LEASE
             and not follower.forgot
         ]
         return max(able)[1] if able else None
@@ -534,28 +547,32 @@
     def _on_handover(self, sender, term, learners, now):
         """The leader of this term gave up its lease and names this voter its successor."""
         newest = term == self.term == self.leader_term and sender == self.leader
-        able = self.identity in self.cohort.members() and now >= self.penance_until and not self.stranger
+        able = (
+            self.identity in self.membership.members()
+            and now >= self.disk_cooldown_until
+            and not self.removed
+        )
         if newest and able and self.role == "follower":
-            self.heirs = dict(learners)
+            self.inherited_learners = dict(learners)
             self._campaign("candidate", now, released=term)
 
-    def _lead(self, now):
+    def _become_leader(self, now):
         self.role = "leader"
         self.following = self.identity
         self.leader, self.leader_term = self.identity, self.term
         self.history = {}
         self.hard_dirty = True
         self.followers = {
-            one: Follower(self.last_index(), now) for one in self.cohort.members() if one != self.identity
+            one: Follower(self.last_index(), now) for one in self.membership.members() if one != self.identity
         }
-        self.beat = 0
+        self.heartbeat = 0
         self.reads_now, self.reads_next, self.round = [], [], None
-        self._event(122, groups=len(self.cohort.now.groups()))
+        self._event(122, groups=len(self.membership.now.groups()))
         self.effects.append(("lead", self.term))
         self._append([(self.term, 0.0, ("noop",))], self.last_index() + 1)
-        learners, self.heirs = (self.heirs if self.released else {}), {}
-        for identity, area in learners.items():
-            self.learn(identity, area, now)
+        learners, self.inherited_learners = (self.inherited_learners if self.released else {}), {}
+        for identity, zone in learners.items():
+            self.learn(identity, zone, now)
         self._broadcast(now)
 
     # --- leading ----------------------------------------------------------------------
@@ -570,27 +587,27 @@
 
     def change_members(self, members, time, now):
         """Begins a joint change; None when one is under way or there is no own commit yet."""
-        if self.role != "leader" or self.cohort.coming is not None or not self.serving():
+        if self.role != "leader" or self.membership.coming is not None or not self.serving():
             return None
         if self.handover is not None:
             return None  # the successor's to decide
-        if self.cohort_index > self.commit:
+        if self.membership_index > self.commit:
             return None
-        coming = Quorum(dict(members), self.cohort.now.mode)
+        coming = Quorum(dict(members), self.membership.now.mode)
         self._event(130, members=sorted(members))
         for identity in members:
             self.learners.pop(identity, None)  # from here on a voter, whose copies and answers count
-        result = self.propose([("members", Cohort(self.cohort.now, coming).image())], time, now)
+        result = self.propose([("members", Membership(self.membership.now, coming).image())], time, now)
         return result
 
     def changing(self):
         """Whether a change of members is under way: its newest list is not yet committed alone."""
-        return self.cohort.coming is not None or self.cohort_index > self.commit
+        return self.membership.coming is not None or self.membership_index > self.commit
 
-    def learn(self, identity, area, now):
+    def learn(self, identity, zone, now):
         """Starts to replicate to one that is no member yet."""
         if self.role == "leader" and identity not in self.followers:
-            self.learners[identity] = area
+            self.learners[identity] = zone
             self.followers[identity] = Follower(self.last_index(), now)
 
     def forget_learner(self, identity):
@@ -616,25 +633,25 @@
     def leased(self, now):
         """Whether a commit quorum answered a beat sent so lately that no other leader can have
         been elected since and have served: such a quorum grants no pre-vote before its time-out."""
-        since = now - constants.LEAD_LEASE
+        since = now - constants.LEADER_LEASE
         heard = {
             one
             for one, follower in self.followers.items()
-            if one not in self.learners and self.beats.get(follower.beat, -1e9) >= since
+            if one not in self.learners and self.heartbeat_times.get(follower.heartbeat, -1e9) >= since
         }
-        return self.serving() and self.cohort.commits(heard | {self.identity}, self.identity)
+        return self.serving() and self.membership.commits(heard | {self.identity}, self.identity)
 
     def lease_end(self, now):
         """The moment that the lease stands until as far as is known; `now` when it does not stand."""
         sent = {
-            one: self.beats.get(follower.beat, -1e9)
+            one: self.heartbeat_times.get(follower.heartbeat, -1e9)
             for one, follower in self.followers.items()
             if one not in self.learners
         }
         sent[self.identity] = now
         for since in sorted(set(sent.values()), reverse=True):
-            if self.cohort.commits({one for one, at in sent.items() if at >= since}, self.identity):
-                return max(now, since + constants.LEAD_LEASE)
+            if self.membership.commits({one for one, at in sent.items() if at >= since}, self.identity):
+                return max(now, since + constants.LEADER_LEASE)
         return now
 
     def read(self, token, now):
@@ -648,35 +665,35 @@
     def _start_round(self, now):
         if self.round is None and self.reads_next and self.serving():
             self.reads_now, self.reads_next = self.reads_next, []
-            self.beat += 1
-            self.round = (self.beat, self.commit)
+            self.heartbeat += 1
+            self.round = (self.heartbeat, self.commit)
             self._broadcast(now, advance=False)
             self._check_round(now)
 
     def _check_round(self, now):
         if self.round is None:
             return
-        beat, index = self.round
-        acked = {one for one, follower in self.followers.items() if follower.beat >= beat}
-        if self.cohort.commits(acked | {self.identity}, self.identity):
+        heartbeat, index = self.round
+        acked = {one for one, follower in self.followers.items() if follower.heartbeat >= heartbeat}
+        if self.membership.commits(acked | {self.identity}, self.identity):
             self.effects.extend(("read", token, index) for token in self.reads_now)
             self.reads_now, self.round = [], None
             self._start_round(now)
 
     def _broadcast(self, now, advance=True):
         if advance:
-            self.beat += 1
-        self.beat_at = now
-        self.beats[self.beat] = now
-        self.beats.pop(self.beat - constants.BEATS_KEPT, None)
+            self.heartbeat += 1
+        self.heartbeat_at = now
+        self.heartbeat_times[self.heartbeat] = now
+        self.heartbeat_times.pop(self.heartbeat - constants.LEADER_HEARTBEATS_KEPT, None)
         for identity in self.followers:
-            self._replicate(identity, now, beat=True)
+            self._replicate(identity, now, heartbeat=True)
 
     def _replicate_all(self, now):
         for identity in self.followers:
             self._replicate(identity, now)
 
-    def _replicate(self, identity, now, beat=False):
+    def _replicate(self, identity, now, heartbeat=False):
         """Sends what a follower lacks, as much as its flow takes; a bare beat when asked for."""
         follower = self.followers[identity]
         if follower.forgot:
@@ -687,27 +704,27 @@
             follower.next = follower.match + 1
             follower.probing = True
             if follower.transfer:
-                follower.transfer.under_way = False
+                follower.transfer.in_flight = False
         if self._needs_snapshot(follower):
-            self._send_piece(identity, follower, now)
-            if beat:
-                self._send_bare_beat(identity)
+            self._send_chunk(identity, follower, now)
+            if heartbeat:
+                self._send_bare_heartbeat(identity)
             return
         sent = False
         window = 1 if follower.probing else constants.APPEND_WINDOW
         last = self.log.last()
-        while follower.next <= last and len(flow.under_way) < window and not flow.bulky():
+        while follower.next <= last and len(flow.in_flight) < window and not flow.bulky():
             entries, size = self.log.slice_from(follower.next, constants.APPEND_ENTRIES, flow.budget)
             if follower.probing and size >= constants.BULK_BYTES:
                 entries, size = (), 0  # first what it holds: a large append would be for nothing
-            if size >= constants.BULK_BYTES and flow.under_way:
+            if size >= constants.BULK_BYTES and flow.in_flight:
                 break
             self._send_append(identity, follower.next - 1, entries)
             follower.next += len(entries)
             flow.begin(follower.next - 1, size, now)
             sent = True
-        if beat and not sent:
-            self._send_beat(identity, follower)
+        if heartbeat and not sent:
+            self._send_heartbeat(identity, follower)
 
     def _needs_snapshot(self, follower):
         """Whether a follower is sent the base: it needs entries that are gone, or so many that
@@ -723,16 +740,24 @@
         if follower.probing or follower.next > self.base_index or self.base_image is None:
             return False
         lacks = self.log.bytes_between(follower.next, self.base_index)
-        return lacks > constants.SNAPSHOT_WORTH * len(self.base_image) + constants.APPEND_BYTES
+        return lacks > constants.SNAPSHOT_RATIO * len(self.base_image) + constants.APPEND_BYTES
 
     def _send_append(self, identity, previous, entries):
         self._send(
             identity,
-            ("append", self.term, previous, self.term_at(previous), tuple(entries), self.commit, self.beat),
+            (
+                "append",
+                self.term,
+                previous,
+                self.term_at(previous),
+                tuple(entries),
+                self.commit,
+                self.heartbeat,
+            ),
             self.hard_sequence,
         )
 
-    def _send_beat(self, identity, follower):
+    def _send_heartbeat(self, identity, follower):
         """A beat with no entries. While a large append is under way, by another connection, it
         says nothing of what that one brings."""
         if not follower.flow.bulky():
@@ -740,22 +765,22 @@
         elif follower.match > 0 and self.term_at(follower.match) is not None:
             self._send_append(identity, follower.match, ())
         else:
-            self._send_bare_beat(identity)
+            self._send_bare_heartbeat(identity)
 
-    def _send_bare_beat(self, identity):
+    def _send_bare_heartbeat(self, identity):
         """A beat that says nothing of the log."""
-        self._send(identity, ("append", self.term, 0, 0, (), 0, self.beat), self.hard_sequence)
+        self._send(identity, ("append", self.term, 0, 0, (), 0, self.heartbeat), self.hard_sequence)
 
-    def _send_piece(self, identity, follower, now):
+    def _send_chunk(self, identity, follower, now):
         if self.base_image is None:
             return
         transfer = follower.transfer
-        if transfer is None or transfer.whole is None and transfer.snapshot.index != self.base_index:
+        if transfer is None or transfer.payload is None and transfer.snapshot.index != self.base_index:
             follower.flow.clear()
             transfer = follower.transfer = Transfer(self._snapshot())
-        if transfer.under_way:
+        if transfer.in_flight:
             return
-        piece = transfer.piece(min(constants.SNAPSHOT_PIECE, follower.flow.budget))
+        chunk = transfer.chunk(min(constants.SNAPSHOT_CHUNK, follower.flow.budget))
         snapshot = transfer.snapshot
         self._send(
             identity,
@@ -764,71 +789,79 @@
                 self.term,
                 snapshot.index,
                 snapshot.term,
-                snapshot.cohort,
+                snapshot.membership,
                 transfer.offset,
-                len(transfer.whole or b""),
-                piece,
-                self.beat,
+                len(transfer.payload or b""),
+                chunk,
+                self.heartbeat,
             ),
         )
-        transfer.under_way = True
-        transfer.awaited = transfer.offset + len(piece)
-        follower.flow.begin(0, len(piece), now)
+        transfer.in_flight = True
+        transfer.awaited = transfer.offset + len(chunk)
+        follower.flow.begin(0, len(chunk), now)
 
     def _snapshot(self):
         """The newest base, as it is sent."""
-        return Snapshot(self.base_index, self.base_term, self.base_cohort.image())
+        return Snapshot(self.base_index, self.base_term, self.base_membership.image())
 
-    def _shared_whole(self, transfer):
+    def _shared_payload(self, transfer):
         """What another follower that lacks the same is being sent already, or None."""
         for follower in self.followers.values():
             other = follower.transfer
-            if other is not None and other.whole is not None:
-                if other.snapshot.index == transfer.snapshot.index and other.held == transfer.held:
-                    return other.whole
+            if other is not None and other.payload is not None:
+                if (
+                    other.snapshot.index == transfer.snapshot.index
+                    and other.stored_segment == transfer.stored_segment
+                ):
+                    return other.payload
         return None
 
-    def _whole(self, held):
+    def _snapshot_payload(self, stored):
         """The base's image with the segments from `held` + 1 on that it stands on."""
         first, last = self.base_segments
         segments = {}
-        for number in range(max(first, held + 1), last + 1):
+        for number in range(max(first, stored + 1), last + 1):
             segments[number] = self.archive.segment(number)
         return cbor2.dumps([self.base_image, [first, last], segments])
 
-    def _on_pieced(self, sender, term, index, offset, held, beat, now):
+    def _on_chunk_received(self, sender, term, index, offset, stored, heartbeat, now):
         follower = self.followers.get(sender)
         if self.role != "leader" or term != self.term or follower is None:
             return
         follower.heard_at = now
-        follower.beat = max(follower.beat, beat)
+        follower.heartbeat = max(follower.heartbeat, heartbeat)
         transfer = follower.transfer
-        if transfer is not None and transfer.snapshot.index == index and not transfer.repeats(offset, held):
+        if transfer is not None and transfer.snapshot.index == index and not transfer.repeats(offset, stored):
             follower.flow.answered(0, now)
-            transfer.under_way = False
+            transfer.in_flight = False
             if offset < 0:
                 if transfer.snapshot.index == self.base_index:
-                    transfer.held, transfer.whole = held, None  # what was made for a former life is over
-                    transfer.whole = self._shared_whole(transfer) or self._whole(held)
+                    transfer.stored_segment, transfer.payload = (
+                        stored,
+                        None,
+                    )  # what was made for a former life is over
+                    transfer.payload = self._shared_payload(transfer) or self._snapshot_payload(stored)
                     transfer.offset = 0
                 else:  # a newer snapshot is sent to it instead
-                    transfer.whole, transfer.offset = None, -1
-            elif offset == BEYOND or transfer.whole is not None and offset >= len(transfer.whole):
+                    transfer.payload, transfer.offset = None, -1
+            elif (
+                offset == COMPLETE_OFFSET or transfer.payload is not None and offset >= len(transfer.payload)
+            ):
                 follower.transfer = None
                 follower.flow.clear()
                 follower.match = max(follower.match, index)
                 follower.next = follower.match + 1
                 follower.probing = False
             else:
-                transfer.offset = offset if transfer.whole is not None else -1
+                transfer.offset = offset if transfer.payload is not None else -1
             self._replicate(sender, now)
 
-    def _on_appended(self, sender, term, success, index, beat, now):
+    def _on_appended(self, sender, term, success, index, heartbeat, now):
         follower = self.followers.get(sender)
         if self.role != "leader" or term != self.term or follower is None:
             return
         follower.heard_at = now
-        follower.beat = max(follower.beat, beat)
+        follower.heartbeat = max(follower.heartbeat, heartbeat)
         if index is None:  # a bare beat beside a snapshot
             self._check_round(now)
             return
@@ -868,15 +901,17 @@
         for index in sorted(set(matches.values()), reverse=True):
             if index <= self.committed or self.term_at(index) != self.term:
                 break
-            if self.cohort.commits({one for one, match in matches.items() if match >= index}, self.identity):
+            if self.membership.commits(
+                {one for one, match in matches.items() if match >= index}, self.identity
+            ):
                 self._commit_to(index, now)
                 break
 
     def _commit_to(self, index, now):
         """Takes an entry and all before it for committed. A backlog that is under way goes on by ticks."""
-        under_way = self.commit < self.committed
+        committing = self.commit < self.committed
         self.committed = max(self.committed, index)
-        if not under_way:
+        if not committing:
             self._commit_slice(now)
 
     def _commit_slice(self, now):
@@ -892,15 +927,15 @@
 
     def _after_commit(self, now):
         self._start_round(now)
-        if self.commit < self.cohort_index:
+        if self.commit < self.membership_index:
             return
-        if self.cohort.coming is not None:
-            coming = Cohort(self.cohort.coming)
+        if self.membership.coming is not None:
+            coming = Membership(self.membership.coming)
             self._event(131)
             self._append([(self.term, 0.0, ("members", coming.image()))], self.last_index() + 1)
             self._replicate_all(now)
         else:
-            members = self.cohort.members()
+            members = self.membership.members()
             gone = [one for one in self.followers if one not in members and one not in self.learners]
             for identity in gone:
                 del self.followers[identity]
@@ -914,7 +949,7 @@
         if term > self.term or self.role != "follower":
             self._follow(term, now, "leader heard")
         self.following = sender
-        self.stranger = False
+        self.removed = False
         self.heard_leader = now
         self._reset_election(now)
         if self.leader_term < term:
@@ -922,45 +957,51 @@
             self.history = {past: choice for past, choice in self.history.items() if past > term}
             self.hard_dirty = True
 
-    def _on_append(self, sender, term, previous, previous_term, entries, commit, beat, now):
+    def _on_append(self, sender, term, previous, previous_term, entries, commit, heartbeat, now):
         if term < self.term:
             self._send(sender, ("behind", self.term), self.hard_sequence)
             return
         self._hear_leader(sender, term, now)
         if previous == 0 and previous_term == 0 and not entries and commit == 0:
-            self._send(sender, ("appended", term, True, None, beat), self._hard_wait())
+            self._send(sender, ("appended", term, True, None, heartbeat), self._hard_wait())
             return
         last = previous + len(entries)
         if last <= self.base_index:
-            self._send(sender, ("appended", term, True, min(last, self.durable), beat), self._hard_wait())
+            self._send(
+                sender, ("appended", term, True, min(last, self.durable), heartbeat), self._hard_wait()
+            )
             return
         if previous < self.base_index:
             entries = entries[self.base_index - previous :]
             previous, previous_term = self.base_index, self.base_term
-        held = self.term_at(previous)
-        if held is None or held != previous_term:
+        stored = self.term_at(previous)
+        if stored is None or stored != previous_term:
             hint = min(previous - 1, self.last_index())
-            if held is not None:
-                while hint > self.commit and self.term_at(hint) == held:
+            if stored is not None:
+                while hint > self.commit and self.term_at(hint) == stored:
                     hint -= 1
-            self._send(sender, ("appended", term, False, max(hint, self.commit), beat), self._hard_wait())
+            self._send(
+                sender, ("appended", term, False, max(hint, self.commit), heartbeat), self._hard_wait()
+            )
             return
         fresh = []
-        for place, entry in enumerate(entries):
-            index = previous + 1 + place
+        for position, entry in enumerate(entries):
+            index = previous + 1 + position
             own = self.term_at(index)
             if own is None or own != entry[0]:
                 if own is not None:
                     if index <= self.committed:
                         raise AssertionError(f"entry {index} is committed and conflicts")
-                    self._cut(index)
-                fresh = [(one[0], one[1], tuple(one[2])) for one in entries[place:]]
+                    self._truncate(index)
+                fresh = [(one[0], one[1], tuple(one[2])) for one in entries[position:]]
                 self._append(fresh, index)
                 break
         if fresh:
-            self._send(sender, ("appended", term, True, last, beat), self._after_flush())
+            self._send(sender, ("appended", term, True, last, heartbeat), self._after_flush())
         else:
-            self._send(sender, ("appended", term, True, min(last, self.durable), beat), self._hard_wait())
+            self._send(
+                sender, ("appended", term, True, min(last, self.durable), heartbeat), self._hard_wait()
+            )
         upto = min(commit, last)
         if upto > self.committed:
             self._commit_to(upto, now)
@@ -968,42 +1009,42 @@
     def _hard_wait(self):
         return self._after_flush() if self.hard_dirty else self.hard_sequence
 
-    def _on_piece(self, sender, term, index, snapshot_term, image, offset, total, piece, beat, now):
+    def _on_chunk(self, sender, term, index, snapshot_term, image, offset, total, chunk, heartbeat, now):
         if term < self.term:
             self._send(sender, ("behind", self.term), self.hard_sequence)
             return
         self._hear_leader(sender, term, now)
-        held = self.archive.sealed if self.archive is not None else 0
+        stored = self.archive.sealed if self.archive is not None else 0
         if index <= self.commit:
-            self._send(sender, ("pieced", term, index, BEYOND, held, beat), self._hard_wait())
+            self._send(sender, ("pieced", term, index, COMPLETE_OFFSET, stored, heartbeat), self._hard_wait())
             return
         incoming = self.incoming
         fresh = incoming is None or incoming.index != index or offset > 0 and incoming.total != total
         if offset < 0 or fresh:
-            self.incoming = Incoming(index)  # begun anew with what this life holds
-            self._send(sender, ("pieced", term, index, -1, held, beat), self._hard_wait())
+            self.incoming = IncomingSnapshot(index)  # begun anew with what this life holds
+            self._send(sender, ("pieced", term, index, -1, stored, heartbeat), self._hard_wait())
             return
-        if not self.incoming.take(offset, total, piece) or len(self.incoming.data) < total:
+        if not self.incoming.take(offset, total, chunk) or len(self.incoming.data) < total:
             have = len(self.incoming.data)
-            self._send(sender, ("pieced", term, index, have, held, beat), self._hard_wait())
+            self._send(sender, ("pieced", term, index, have, stored, heartbeat), self._hard_wait())
             return
-        whole = self.incoming.whole(held)
-        if whole is None:
-            self.incoming = Incoming(index)
-            self._send(sender, ("pieced", term, index, -1, held, beat), self._hard_wait())
+        received = self.incoming.complete(stored)
+        if received is None:
+            self.incoming = IncomingSnapshot(index)
+            self._send(sender, ("pieced", term, index, -1, stored, heartbeat), self._hard_wait())
             return
         self.incoming = None
-        self.base_image, self.base_segments, segments = whole
+        self.base_image, self.base_segments, segments = received
         if self.term_at(index) == snapshot_term:
             self.log.drop_before(index + 1)
         else:
             self._drop_log(index + 1)
         self.base_index, self.base_term = index, snapshot_term
-        self.base_cohort = cohort_from(image)
+        self.base_membership = membership_from_image(image)
         self.commit = index
         self.committed = max(self.committed, index)
         self.truncate = self.dirty_from = None
-        self._find_cohort()
+        self._find_membership()
         self.hard_dirty = False
         self.sequence += 1
         self.hard_sequence = self.sequence
@@ -1013,7 +1054,7 @@
         self.effects.append(("install", index, self.base_image, segments))
         self.effects.append(("base", self.sequence, self.base_payload()))
         self._event(127, index=index)
-        self._send(sender, ("pieced", term, index, total, held, beat), self.sequence)
+        self._send(sender, ("pieced", term, index, total, stored, heartbeat), self.sequence)
 
     # --- inputs -----------------------------------------------------------------------
     def saved(self, sequence, now):
@@ -1021,8 +1062,8 @@
         self.saved_sequence = max(self.saved_sequence, sequence)
         while self.saving and self.saving[0][0] <= sequence:
             self.durable = max(self.durable, self.saving.pop(0)[1])
-        ready = [effect for need, effect in self.held if need <= sequence]
-        self.held = [(need, effect) for need, effect in self.held if need > sequence]
+        ready = [effect for need, effect in self.deferred if need <= sequence]
+        self.deferred = [(need, effect) for need, effect in self.deferred if need > sequence]
         self.effects.extend(ready)
         if self.role == "leader":
             self._advance(now)
@@ -1034,7 +1075,7 @@
 
     def step(self, sender, message, now):
         """Takes one message of a cohort member."""
-        self._begin_life(now)
+        self._begin_incarnation(now)
         kind, *rest = message
         handler = HANDLERS.get(kind)
         if handler is not None:
@@ -1052,9 +1093,9 @@
     "voted": Consensus._on_voted,
     "handover": Consensus._on_handover,
     "behind": Consensus._on_behind,
-    "stranger": Consensus._on_stranger,
+    "stranger": Consensus._on_removed,
     "append": Consensus._on_append,
     "appended": Consensus._on_appended,
-    "piece": Consensus._on_piece,
-    "pieced": Consensus._on_pieced,
+    "piece": Consensus._on_chunk,
+    "pieced": Consensus._on_chunk_received,
 }
--- a/src/pinepitch/consensus/snapshot_transfer.py
+++ b/src/pinepitch/consensus/snapshot_transfer.py
@@ -8,7 +8,7 @@
 
     index: int
     term: int
-    cohort: list
+    membership: list
 
 
 class Transfer:
@@ -17,22 +17,22 @@
 
     def __init__(self, snapshot):
         self.snapshot = snapshot
-        self.held = None  # newest segment that the follower holds
-        self.whole = None
+        self.stored_segment = None  # newest segment that the follower holds
+        self.payload = None
         self.offset = -1  # -1 asks what is held
         self.awaited = None  # the offset that the answer to the newest piece will tell
-        self.under_way = False
+        self.in_flight = False
 
-    def repeats(self, offset, held):
+    def repeats(self, offset, stored_segment):
         """Whether an answer is one to an earlier piece, or to one that came twice: acted on, it
         would make every further piece be sent twice."""
-        if self.whole is None:
+        if self.payload is None:
             return False
         if offset < 0:  # else a new life of the follower asks for all anew, perhaps holding less
-            return self.offset == 0 and held == self.held
+            return self.offset == 0 and stored_segment == self.stored_segment
         early = 0 < offset <= self.offset or offset == self.offset  # 0 again: it lost what it had
-        return self.under_way and early and offset != self.awaited
+        return self.in_flight and early and offset != self.awaited
 
-    def piece(self, most):
+    def chunk(self, most):
         """The next piece, of at most so many bytes."""
-        return b"" if self.offset < 0 else self.whole[self.offset : self.offset + most]
+        return b"" if self.offset < 0 else self.payload[self.offset : self.offset + most]
--- a/src/pinepitch/control/alert_watch.py
+++ b/src/pinepitch/control/alert_watch.py
@@ -26,7 +26,7 @@
     comparison: str
     bound: float
     lasting: float
-    holds: str
+    pauses: str
     summary: str
 
 
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -8,45 +8,54 @@
 
 from ..common import constants, limits, metrics
 from ..common.packed_operations import unpacked
-from ..consensus.cluster_clock import CohortTime
+from ..consensus.cluster_clock import ClusterClock
 from ..consensus.leader_clock import LeaderClock, Reading
 from ..consensus.replica import Consensus
-from ..scheduling.assignment_manager import Keeper
-from ..state.cluster_state import Record
-from ..transport.forwarder import Carrier
-from ..transport.indexed_forwarder import ConfirmedCalls
+from ..scheduling.assignment_manager import AssignmentManager
+from ..state.cluster_state import ClusterState
+from ..transport.forwarder import Forwarder
+from ..transport.indexed_forwarder import IndexedForwarder
 from . import alert_watch, membership, rehearsal
-from .bootstrap import Founding
-from .leader import Lead
+from .bootstrap import Bootstrap
+from .leader import LeaderRole
 from .placement import Placer
 from .requests import SHAPES
 from .sessions import Sessions
 
 
-class Accord(Lead):
+class ControlDaemon(LeaderRole):
     """Invariants: with no cohort there is no consensus, and the other way round; record
     holds just the entries up to applied; what the leader gathers (minions, awaiting,
     outbox) is empty unless this accord leads; no operation is proposed that a member,
     by the level it told last, does not know."""
 
     level = constants.RECORD_LEVEL
-    record_kind = Record
-
-    def __init__(self, identity, address, area, seeds, founders=constants.FOUNDERS, mode="static", seed=0):
-        self.identity, self.address, self.area = identity, address, area
+    cluster_state_class = ClusterState
+
+    def __init__(
+        self,
+        identity,
+        address,
+        zone,
+        seeds,
+        bootstrap_members=constants.BOOTSTRAP_MEMBERS,
+        mode="static",
+        seed=0,
+    ):
+        self.identity, self.address, self.zone = identity, address, zone
         self.seeds, self.mode, self.seed = tuple(seeds), mode, seed
         self.sessions = Sessions()
-        self.founding = Founding(identity, area, founders)
-        self.found_among = None  # addresses; only accords there may found, None for any
-        self.voters = constants.FOUNDERS  # members wanted in single mode, where each is a group
-        self.may_found = True  # an accord that has lost its disk joins, it never founds
-        self.time = CohortTime()
+        self.bootstrap = Bootstrap(identity, zone, bootstrap_members)
+        self.bootstrap_among = None  # addresses; only accords there may found, None for any
+        self.voters = constants.BOOTSTRAP_MEMBERS  # members wanted in single mode, where each is a group
+        self.may_bootstrap = True  # an accord that has lost its disk joins, it never founds
+        self.time = ClusterClock()
         self.limits = limits.USUAL
-        self.cohort = None
-        self.founders = ()  # identities whose consent a founding needs
+        self.cluster = None
+        self.bootstrap_members = ()  # identities whose consent a founding needs
         self.consented = set()
         self.consensus = None
-        self.record = self.record_kind()
+        self.cluster_state = self.cluster_state_class()
         self.effects = []
         self.stopping = False
         self.catch_up = constants.CATCH_UP  # seconds; in which a lost voter's successor must be a voter
@@ -56,7 +65,7 @@
         self.change_took = 0.0  # seconds; of the newest joint change that this accord led
         self.first_tick_at = None
         self.begun_at = None  # when this process came to own its data folder, if that is known
-        self.greet_at = self.join_at = self.held_back_at = -1e9
+        self.greet_at = self.join_at = self.join_deferred_at = -1e9
         self.snapshotting = False
         self.since_base = 0  # bytes of entries applied since the newest snapshot was begun
         self.snapshot_segments = (1, 0)  # of the archive, that the snapshot under way stands on
@@ -66,34 +75,34 @@
         self.counts = {"applied": 0, "sent": 0, "syncs": 0}
         self.event_counts, self.refusals, self.end_counts = {}, {}, {}
         self.rules = ()  # alert rules of this machine's file
-        self.told_levels = {identity: self.level}  # accord -> the level it told last
-        self.sync_spread, self.wait_spreads = metrics.Spread(), {}
-        self.hold = constants.HOLD
+        self.advertised_levels = {identity: self.level}  # accord -> the level it told last
+        self.sync_histogram, self.wait_histograms = metrics.Histogram(), {}
+        self.lease_duration = constants.LEASE_DURATION
         self.far = constants.FAR  # times as long that a task takes away from its data
-        life = f"{identity}~{seed}"  # the seed is drawn anew in each life
+        incarnation = f"{identity}~{seed}"  # the seed is drawn anew in each life
         self.tracing = False  # whether events for a timeline of jobs are written
-        self.carrier = Carrier(life, address, self._event)
-        self.confirmed_calls = ConfirmedCalls(self.carrier)
+        self.forwarder = Forwarder(incarnation, address, self._event)
+        self.indexed_forwarder = IndexedForwarder(self.forwarder)
         self.leader_clock = LeaderClock()
         self.hinted = {}  # minion -> when it was last told where the leader is
         self.step_at = 0.0
-        self._clear_lead(0.0)
+        self._clear_leadership(0.0)
 
-    def _clear_lead(self, now):
-        self.keeper = Keeper(self, now)
-        self.minions = {}
+    def _clear_leadership(self, now):
+        self.assignments = AssignmentManager(self, now)
+        self.push_workers = {}
         self.awaiting = {}  # index -> [(kind, ...)] to be told the outcome
         self.reading = {}  # token -> (address, call, arguments)
         self.read_count = 0
-        self.in_hand = {}  # token -> InHand of the carried calls that are being answered
-        self.asks = {}  # verge -> (address, token, news seen, asked at)
+        self.pending_requests = {}  # token -> InHand of the carried calls that are being answered
+        self.update_requests = {}  # verge -> (address, token, news seen, asked at)
         self.outbox = {}  # verge -> {(reference, attempt): order}
         self.kills = {}  # reference -> when last ordered
         self.placer = Placer()
         self.epoch = 0  # -1 while it is claimed
-        self.duty_index = None  # of the entry that claims the placing duty: older claims may be applied now
+        self.role_index = None  # of the entry that claims the placing duty: older claims may be applied now
         self.level_asked = 0  # the level that is proposed to be agreed on
-        self.lead_since = None
+        self.leader_since = None
         self.place_at = self.watch_at = -1e9
         self.placing_busy = 0
         self.rounds = 0
@@ -101,7 +110,7 @@
         self.proposed_ends = set()
         self.ends, self.ends_waiting = [], []
         self.moving = set()
-        self.news_serial = 0
+        self.update_serial = 0
         self.change_begun = None  # when the joint change under way was proposed
         self.alerts = alert_watch.Watch(self.rules)
         self.alert_at = -1e9
@@ -111,43 +120,43 @@
         """Takes what the store held; the identity was read from it already."""
         changes, raft_base = [], None
         if base is not None:
-            _, self.cohort, raft_base, _ = base
+            _, self.cluster, raft_base, _ = base
         members = None
         for step in steps:
             for kind, payload in step:
                 if kind == "raft":
                     changes.append(payload)
                 elif payload[0] == "consent":
-                    _, self.cohort, members, self.mode = payload
-                    self.founders = tuple(sorted(members))
+                    _, self.cluster, members, self.mode = payload
+                    self.bootstrap_members = tuple(sorted(members))
                 elif payload[0] == "joined":
-                    _, self.cohort, self.mode = payload
-        if self.cohort is None:
+                    _, self.cluster, self.mode = payload
+        if self.cluster is None:
             return
         self._begin_consensus(members)
         self.consensus.restore(raft_base, changes)
         if self.consensus.base_image:
-            self._take_record(self.consensus.base_image, segments)
+            self._take_cluster_state(self.consensus.base_image, segments)
 
     def _begin_consensus(self, members):
         self.consensus = Consensus(self.identity, self.seed, members, self.mode, self.limits)
         self.consensus.begun_at = self.begun_at
-        self.consensus.archive = self.record.archive
+        self.consensus.archive = self.cluster_state.archive
 
-    def _take_record(self, image, segments):
-        self.record = self.record_kind.decode(image, segments)
-        self.consensus.archive = self.record.archive
+    def _take_cluster_state(self, image, segments):
+        self.cluster_state = self.cluster_state_class.decode(image, segments)
+        self.consensus.archive = self.cluster_state.archive
 
     def base(self, raft_base):
         """The payload of a base file; the store keeps the segments that its last part names."""
-        return [self.identity, self.cohort, raft_base, list(self.consensus.base_segments)]
+        return [self.identity, self.cluster, raft_base, list(self.consensus.base_segments)]
 
     # --- inputs -----------------------------------------------------------------------
     def step(self, message, now, clock):
         """Takes one message; returns the effects."""
         self.time.hear(self.identity, clock, now)
         self.step_at = now
-        self.confirmed_calls.turn(now)
+        self.indexed_forwarder.turn(now)
         kind, *rest = message
         handler = INPUTS.get(kind)
         if handler is not None:
@@ -166,9 +175,9 @@
         if self.epoch == 0 and self.consensus is not None and self.consensus.role == "leader":
             self._claim_placing(now)
         elif self.epoch > 0 and self.consensus.serving():
-            if now - self.keeper.flushed >= constants.GATHER_BEATS:
-                self.keeper.tick(now)
-            self.keeper.flush(now)
+            if now - self.assignments.flushed >= constants.HEARTBEAT_BATCH_DELAY:
+                self.assignments.tick(now)
+            self.assignments.flush(now)
 
     def _send(self, address, message):
         if address is not None and address != self.address:
@@ -185,7 +194,7 @@
         self.effects.append(("event", number, fields))
 
     def _tick(self, now):
-        self._carry_again(now)
+        self._forward_again(now)
         if self.first_tick_at is None:
             self.first_tick_at = now
         for identity in self.sessions.expire(now):
@@ -194,12 +203,12 @@
             self.greet_at = now
             self._greet(now)
         if self.consensus is None:
-            self._found(now)
+            self._bootstrap(now)
             return
         allowed = (
             self.consensus.last_index() > 0
             or self.consensus.leader_term > 0
-            or set(self.founders) <= self.consented | {self.identity}
+            or set(self.bootstrap_members) <= self.consented | {self.identity}
         )
         leading = self.consensus.role == "leader"
         if allowed and (leading or not self.stopping):
@@ -208,26 +217,28 @@
             if self.departure.due(now):
                 self._tell_leave()
             return
-        if self.consensus.stranger or self.identity not in self.consensus.cohort.members():
+        if self.consensus.removed or self.identity not in self.consensus.membership.members():
             self._ask_to_join(now)
         if self.consensus.role == "leader":
-            self._lead_tick(now)
-        self._tend_rehearsal(now)
+            self._leader_tick(now)
+        self._maintain_rehearsal(now)
 
     # --- the rehearsal duty -----------------------------------------------------------
-    def _tend_rehearsal(self, now):
+    def _maintain_rehearsal(self, now):
         """The first live accord in the agreed order that does not lead measures drafts;
         the leader itself only when alone."""
-        asked = [draft for draft in self.record.drafts.values() if draft["state"] == "rehearsing"]
+        asked = [draft for draft in self.cluster_state.drafts.values() if draft["state"] == "rehearsing"]
         if not asked or self.rehearsing is not None or self.stopping:
             return
         leader = self.consensus.following
         live = sorted({session.identity for session in self.sessions.live("accord")} | {self.identity})
-        order = [one for one in live if one in self.consensus.cohort.members() and one != leader] or [leader]
+        order = [one for one in live if one in self.consensus.membership.members() and one != leader] or [
+            leader
+        ]
         if order[0] != self.identity:
             return
-        epoch, holder = self.record.epochs.get("rehearsal", (0, ""))
-        if holder != self.identity:
+        epoch, role_holder = self.cluster_state.epochs.get("rehearsal", (0, ""))
+        if role_holder != self.identity:
             if now - self.claim_at >= constants.JOIN_AGAIN:
                 self.claim_at = now
                 self._to_leader(("claim", "rehearsal", self.identity), now)
@@ -241,8 +252,8 @@
                     epoch,
                     draft["draft"],
                     draft["asked"],
-                    self.record.sample.traffic(self.record.tickets),
-                    self.record.setup,
+                    self.cluster_state.sample.traffic(self.cluster_state.pushed_jobs),
+                    self.cluster_state.queue_configuration,
                     draft["setup"],
                     draft["rooms"],
                 ),
@@ -256,10 +267,10 @@
         else:
             self._send(self._leader_address(), message)
 
-    def _on_claim(self, duty, identity, now):
+    def _on_claim(self, role, identity, now):
         if self.consensus is not None and self.consensus.role == "leader" and self.consensus.serving():
-            if self.record.epochs.get(duty, (0, ""))[1] != identity:
-                self.propose(("duty", duty, identity), None, now)
+            if self.cluster_state.epochs.get(role, (0, ""))[1] != identity:
+                self.propose(("duty", role, identity), None, now)
 
     measure = staticmethod(rehearsal.measure)
 
@@ -276,57 +287,70 @@
 
     # --- sessions ---------------------------------------------------------------------
     def _greeting(self, now):
-        view = () if self.cohort or not self.may_found else self.founding.view(now)
+        view = () if self.cluster or not self.may_bootstrap else self.bootstrap.view(now)
         clock = self.time.readings[self.identity][0] + now
         return (
             self.identity,
             "accord",
-            self.area,
+            self.zone,
             self.address,
-            self.cohort,
+            self.cluster,
             view,
             clock,
-            self.sessions.known_accords(),
-            self.founders,
+            self.sessions.known_control_daemons(),
+            self.bootstrap_members,
             self.level,
         )
 
     def _greet(self, now):
         message = ("greet", *self._greeting(now))
-        told = ("tell", self.identity, self.sessions.own())
-        addresses = {known[1] for known in self.sessions.accords.values()} | set(self.seeds)
+        notice = ("tell", self.identity, self.sessions.own())
+        addresses = {known[1] for known in self.sessions.control_daemons.values()} | set(self.seeds)
         for address in sorted(addresses):
             self._send(address, message)
         for session in self.sessions.live("accord"):
             if session.identity != self.identity:
-                self._send(session.address, told)
-
-    def _hear(self, identity, kind, area, address, cohort, view, clock, accords, founders, level, now):
+                self._send(session.address, notice)
+
+    def _hear(
+        self,
+        identity,
+        kind,
+        zone,
+        address,
+        cluster,
+        view,
+        clock,
+        control_daemons,
+        bootstrap_members,
+        level,
+        now,
+    ):
         """What a greeting and its answer have in common."""
         if identity == self.identity:
             return
         self.leaving.pop(identity, None)
-        if self.sessions.greeted(identity, kind, area, address, now):
+        if self.sessions.greeted(identity, kind, zone, address, now):
             self._event(140, daemon=identity, kind=kind, address=address)
-        self.sessions.vouched(accords)
+        self.sessions.vouched(control_daemons)
         if kind == "accord":
-            self.told_levels[identity] = level
-            if self.consensus is None or identity in self.consensus.cohort.members():
+            self.advertised_levels[identity] = level
+            if self.consensus is None or identity in self.consensus.membership.members():
                 self.time.hear(identity, clock, now)
-        if self.cohort is None:
-            if cohort or kind != "accord" or self.found_among is None or address in self.found_among:
-                self.founding.heard(identity, kind, area, cohort, view, now)
-            if cohort and self.identity in founders:
-                self._consent(cohort, {one: None for one in founders}, now, identity)
-        elif cohort == self.cohort and kind == "accord":
+        if self.cluster is None:
+            if cluster or kind != "accord" or self.bootstrap_among is None or address in self.bootstrap_among:
+                self.bootstrap.heard(identity, kind, zone, cluster, view, now)
+            if cluster and self.identity in bootstrap_members:
+                self._consent(cluster, {one: None for one in bootstrap_members}, now, identity)
+        elif cluster == self.cluster and kind == "accord":
             self.consented.add(identity)
 
     def _on_greet(self, *rest):
         *fields, now = rest
         self._hear(*fields, now)
         if not self.stopping:
-            told = (self._leader_address(), self._now(now), self._leader_reading(now))
-            self._send(fields[3], ("greeted", *self._greeting(now), *told))
+            notice = (self._leader_address(), self._now(now), self._leader_reading(now))
+            self._send(fields[3], ("greeted", *self._greeting(now), *notice))
 
     def _on_greeted(self, *rest):
         *fields, _, _, reading, now = rest
@@ -334,13 +358,13 @@
         self._hear(*fields, now)
 
     def _on_tell(self, teller, sessions, now):
-        self.sessions.told(teller, sessions, now)
+        self.sessions.relayed(teller, sessions, now)
 
     def _on_leave(self, identity, now):
         """A daemon ends its session itself."""
-        if self.sessions.held.pop(identity, None):
+        if self.sessions.by_identity.pop(identity, None):
             self._event(141, daemon=identity)
-        if self.consensus is not None and identity in self.consensus.cohort.members():
+        if self.consensus is not None and identity in self.consensus.membership.members():
             self.leaving[identity] = membership.Leave(now, None)
 
     def _on_seat(self, kept, now):
@@ -363,37 +387,40 @@
 
     def _now(self, now):
         """Cohort time: the clocks' median, never behind the record."""
-        members = self.consensus.cohort.members() if self.consensus is not None else ()
-        return self.time.read(now, self.record.time, len(members) // 2 + 1)
+        members = self.consensus.membership.members() if self.consensus is not None else ()
+        return self.time.read(now, self.cluster_state.time, len(members) // 2 + 1)
 
     # --- founding and joining ---------------------------------------------------------
-    def _found(self, now):
-        mine = self.may_found and (self.found_among is None or self.address in self.found_among)
-        ready = self.founding.ready(now) if mine else None
+    def _bootstrap(self, now):
+        mine = self.may_bootstrap and (self.bootstrap_among is None or self.address in self.bootstrap_among)
+        ready = self.bootstrap.ready(now) if mine else None
         if ready is not None:
-            cohort, members = ready
-            self._consent(cohort, members, now, None)
-        elif self.founding.veto(now):
+            cluster, members = ready
+            self._consent(cluster, members, now, None)
+        elif self.bootstrap.veto(now):
             self._ask_to_join(now)
 
-    def _consent(self, cohort, members, now, teller):
+    def _consent(self, cluster, members, now, teller):
         """Consents to a founding, its own or one that names this accord."""
         if teller is not None:
-            areas = {one: self.founding.empties.get(one, (None,))[0] or self._area_of(one) for one in members}
-            areas[self.identity] = self.area
-            if None in areas.values():
+            zones = {
+                one: self.bootstrap.empty_daemons.get(one, (None,))[0] or self._zone_of(one)
+                for one in members
+            }
+            zones[self.identity] = self.zone
+            if None in zones.values():
                 return
-            members = areas
-        if self.cohort is not None or self.founding.veto(now, cohort) or not self.may_found:
+            members = zones
+        if self.cluster is not None or self.bootstrap.veto(now, cluster) or not self.may_bootstrap:
             return  # a cohort is known: no word of another's makes this accord found one
-        self.cohort = cohort
-        self.founders = tuple(sorted(members))
+        self.cluster = cluster
+        self.bootstrap_members = tuple(sorted(members))
         self._begin_consensus(members)
-        self.effects.append(("note", ["consent", cohort, dict(members), self.mode]))
-        self._event(111, cohort=cohort, members=sorted(members))
+        self.effects.append(("note", ["consent", cluster, dict(members), self.mode]))
+        self._event(111, cohort=cluster, members=sorted(members))
 
-    def _area_of(self, identity):
-        known = self.sessions.accords.get(identity)
+    def _zone_of(self, identity):
+        known = self.sessions.control_daemons.get(identity)
         return known[0] if known else None
 
     def _ask_to_join(self, now):
@@ -402,49 +429,49 @@
         if now - self.join_at < wait or self.stopping:
             return
         self.join_at = now
-        if self.cohort is None and now - self.held_back_at >= constants.JOIN_AGAIN:
-            self.held_back_at = now
-            self._event(112, cohort=self.founding.veto(now))
+        if self.cluster is None and now - self.join_deferred_at >= constants.JOIN_AGAIN:
+            self.join_deferred_at = now
+            self._event(112, cohort=self.bootstrap.veto(now))
         for session in self.sessions.live("accord"):
-            self._send(session.address, ("join", self.identity, self.area, self.address))
+            self._send(session.address, ("join", self.identity, self.zone, self.address))
 
-    def _on_join(self, identity, area, address, now):
+    def _on_join(self, identity, zone, address, now):
         if self.consensus is None or self.consensus.role != "leader" or not self.consensus.serving():
             return
-        members = self.consensus.cohort.members()
+        members = self.consensus.membership.members()
         if identity in members:
             return
-        self.sessions.greeted(identity, "accord", area, address, now)
-        if len(self.consensus.learners) >= constants.COHORT_MOST:
+        self.sessions.greeted(identity, "accord", zone, address, now)
+        if len(self.consensus.learners) >= constants.MAX_CLUSTER_MEMBERS:
             self._forget_lost_learners()
-        if len(self.consensus.learners) < constants.COHORT_MOST:
-            self.consensus.learn(identity, area, now)
-        self._send(address, ("admit", self.cohort, self.mode, self.identity))
+        if len(self.consensus.learners) < constants.MAX_CLUSTER_MEMBERS:
+            self.consensus.learn(identity, zone, now)
+        self._send(address, ("admit", self.cluster, self.mode, self.identity))
 
     def _forget_lost_learners(self):
         """Makes room among the learners: one without a session asks to join again should it come back."""
         live = {session.identity for session in self.sessions.live("accord")}
-        for identity in set(self.consensus.learners) - live - set(self.consensus.cohort.members()):
+        for identity in set(self.consensus.learners) - live - set(self.consensus.membership.members()):
             self.consensus.forget_learner(identity)
 
-    def _on_admit(self, cohort, mode, leader, now):
-        if self.cohort is None:
-            self.cohort, self.mode = cohort, mode
+    def _on_admit(self, cluster, mode, leader, now):
+        if self.cluster is None:
+            self.cluster, self.mode = cluster, mode
             self._begin_consensus({})
-            self.effects.append(("note", ["joined", cohort, mode]))
-            self._event(113, cohort=cohort)
+            self.effects.append(("note", ["joined", cluster, mode]))
+            self._event(113, cohort=cluster)
 
-    def _tend_members(self, now):
+    def _maintain_members(self, now):
         """Lets caught-up newcomers in and long lost members out, by joint consensus."""
         consensus = self.consensus
         self._time_change(now)
         live = {session.identity for session in self.sessions.live("accord")} - set(self.leaving)
         live.add(self.identity)
-        members = consensus.cohort.members()
+        members = consensus.membership.members()
         if not consensus.serving():
             return
         self._tell_seats(live, now)
-        if consensus.cohort.coming is not None:
+        if consensus.membership.coming is not None:
             return
         change = self._wanted_members(members, live, now)
         if change is not None:
@@ -453,24 +480,24 @@
     def _wanted_members(self, members, live, now):
         """The list that is to follow, or None while this one is right."""
         caught_up = {
-            one: area
-            for one, area in self.consensus.learners.items()
+            one: zone
+            for one, zone in self.consensus.learners.items()
             if one in live and one not in members and self.consensus.caught_up(one)
         }
         out = {one: self._unheard(one, now) for one in members if one not in live}
         for leaver in sorted(one for one in self.leaving if one in out):
-            heir = membership.heir(self.consensus.cohort.now, leaver, caught_up, live)
-            if heir is not None:
-                return membership.swapped(members, leaver, heir, caught_up[heir])
-        for identity, area in sorted(caught_up.items()):
-            change = self._admission(identity, area, members, out, live)
+            successor = membership.successor(self.consensus.membership.now, leaver, caught_up, live)
+            if successor is not None:
+                return membership.swapped(members, leaver, successor, caught_up[successor])
+        for identity, zone in sorted(caught_up.items()):
+            change = self._admission(identity, zone, members, out, live)
             if change is not None:
                 return change
         for identity, unheard in sorted(out.items()):
-            beside = any(one in live and area == members[identity] for one, area in members.items())
+            beside = any(one in live and zone == members[identity] for one, zone in members.items())
             least = self.voters if self.mode == "single" else 3
             if unheard > constants.RETIRE_AFTER and beside and len(members) > least:
-                return {one: area for one, area in members.items() if one != identity}
+                return {one: zone for one, zone in members.items() if one != identity}
         return None
 
     def _unheard(self, identity, now):
@@ -485,18 +512,18 @@
 
     def _tell_seats(self, live, now):
         """Tells each stopping voter whether a spare is to have its seat, and forgets those long gone."""
-        members = self.consensus.cohort.members()
-        spares = {one: area for one, area in self.consensus.learners.items() if one not in members}
+        members = self.consensus.membership.members()
+        spares = {one: zone for one, zone in self.consensus.learners.items() if one not in members}
         for leaver, leave in list(self.leaving.items()):
-            if leaver not in self.consensus.cohort.now.members or now - leave.since > self.catch_up:
+            if leaver not in self.consensus.membership.now.members or now - leave.since > self.catch_up:
                 del self.leaving[leaver]
                 continue
-            kept = membership.heir(self.consensus.cohort.now, leaver, spares, live) is None
+            kept = membership.successor(self.consensus.membership.now, leaver, spares, live) is None
             if leave.kept != kept:
                 self.leaving[leaver] = leave._replace(kept=kept)
                 self._send(self.sessions.address(leaver), ("seat", kept))
 
-    def _admission(self, identity, area, members, out, live):
+    def _admission(self, identity, zone, members, out, live):
         """The members once a newcomer is in: in a lost one's place, its own area's first, or in an area
         without any; else None, and it stays a spare that follows the log."""
         address = self.sessions.address(identity)
@@ -504,32 +531,32 @@
         if not lost:
             after = membership.Budget(self.catch_up, self.change_took).replace_after()
             missed = [one for one, unheard in out.items() if unheard >= after]
-            lost = [one for one in missed if members[one] == area] or [
+            lost = [one for one in missed if members[one] == zone] or [
                 one
                 for one in missed
-                if membership.gains(self.consensus.cohort.now, one, identity, area, live)
+                if membership.gains(self.consensus.membership.now, one, identity, zone, live)
             ]
         if lost:
             leaves = max(lost, key=lambda one: (out.get(one, 0.0), one))
-            return membership.swapped(members, leaves, identity, area)
+            return membership.swapped(members, leaves, identity, zone)
         if self.mode == "single":
             # so many that any two lost leave a majority, and no area as many as would be missed
-            inside = sum(one == area for one in members.values())
+            inside = sum(one == zone for one in members.values())
             if len(members) < self.voters and inside < (self.voters - 1) // 2:
-                return {**members, identity: area}
-            return self._spread(identity, area, members, live)
-        if area in members.values() or len(members) >= constants.COHORT_MOST:
+                return {**members, identity: zone}
+            return self._spread_zones(identity, zone, members, live)
+        if zone in members.values() or len(members) >= constants.MAX_CLUSTER_MEMBERS:
             return None  # a spare: a group of two would need both, so it waits for a loss
-        return {**members, identity: area}
+        return {**members, identity: zone}
 
-    def _spread(self, identity, area, members, live):
+    def _spread_zones(self, identity, zone, members, live):
         """The members once a newcomer has the seat of one whose area holds several, as after a loss that
         one of another area stood in for; None where that leaves no more to lose."""
         for one, place in sorted(members.items()):
             several = sum(other == place for other in members.values()) > 1
-            if several and one != self.identity and place != area:
-                if membership.gains(self.consensus.cohort.now, one, identity, area, live):
-                    return membership.swapped(members, one, identity, area)
+            if several and one != self.identity and place != zone:
+                if membership.gains(self.consensus.membership.now, one, identity, zone, live):
+                    return membership.swapped(members, one, identity, zone)
         return None
 
     def _propose_members(self, members, now):
@@ -539,16 +566,16 @@
             self._run(result[1], now)
 
     # --- consensus --------------------------------------------------------------------
-    def _on_raft(self, cohort, sender, receiver, message, now):
-        if self.consensus is None or cohort != self.cohort or receiver != self.identity:
-            self._event(147, kind="raft", cohort=cohort, receiver=receiver)
+    def _on_raft(self, cluster, sender, receiver, message, now):
+        if self.consensus is None or cluster != self.cluster or receiver != self.identity:
+            self._event(147, kind="raft", cohort=cluster, receiver=receiver)
             return
         self._run(self.consensus.step(sender, message, now), now)
 
     def _on_saved(self, sequence, now):
         self.counts["syncs"] += 1
         if self.consensus.saving:
-            self.sync_spread.add(now - self.consensus.saving[0][2])
+            self.sync_histogram.add(now - self.consensus.saving[0][2])
         self._run(self.consensus.saved(sequence, now), now)
 
     def _on_disk(self, why, now):
@@ -564,7 +591,7 @@
         self.snapshotting = False
         if index > self.consensus.base_index and self.consensus.term_at(index) is not None:
             payload = self.consensus.compact(index, data, self.snapshot_segments)
-            self.record.archive.retired.clear()
+            self.cluster_state.archive.retired.clear()
             self.effects.append(("base", None, self.base(payload)))
             self._event(126, index=index, bytes=len(data))
 
@@ -575,7 +602,7 @@
             if kind == "send":
                 self._send(
                     self.sessions.address(effect[1]),
-                    ("raft", self.cohort, self.identity, effect[1], effect[2]),
+                    ("raft", self.cluster, self.identity, effect[1], effect[2]),
                 )
             elif kind == "save":
                 self.effects.append(effect)
@@ -587,57 +614,57 @@
                 self._apply(effect[1], effect[2], now)
             elif kind == "install":
                 self.since_base = 0
-                archive = self.record.archive
-                self._take_record(effect[2], {**archive.retired, **archive.held, **effect[3]})
+                archive = self.cluster_state.archive
+                self._take_cluster_state(effect[2], {**archive.retired, **archive.segments, **effect[3]})
                 for number, data in sorted(effect[3].items()):
                     self.effects.append(("segment", number, data))
             elif kind == "lead":
-                self._clear_lead(now)
-                self.lead_since = now
+                self._clear_leadership(now)
+                self.leader_since = now
             elif kind == "unlead":
-                self._unlead(now)
+                self._step_down(now)
             elif kind == "read":
                 self._answer_read(effect[1], now)
 
-    def _unlead(self, now):
+    def _step_down(self, now):
         for waiting in (*self.awaiting.values(), self.ends_waiting):
             for address, token, _, _ in waiting:
                 if token is not None:
-                    self.unsure(address, token)
+                    self.in_doubt(address, token)
         for address, token, _, _ in self.reading.values():
-            self.elsewhere(address, token, None, now)
-        for address, token, _ in self.keeper.parked.values():
-            self.elsewhere(address, token, None, now)
-        self._clear_lead(now)
+            self.not_taken(address, token, None, now)
+        for address, token, _ in self.assignments.deferred_heartbeats.values():
+            self.not_taken(address, token, None, now)
+        self._clear_leadership(now)
 
     def _apply(self, start, entries, now):
         consensus = self.consensus
         for place, (term, time, operation) in enumerate(entries):
             index = start + place
             operation = unpacked(operation)
-            outcome = self.record.apply(index, time, operation)
+            outcome = self.cluster_state.apply(index, time, operation)
             self.counts["applied"] += 1
             # of what older leaders proposed only the outcome counts: nobody waits for it here
             if consensus.role == "leader" and consensus.commit >= index and term == consensus.term:
-                self._heed(operation, outcome, now)
+                self._react_to_applied(operation, outcome, now)
                 for address, token, shape, extra in self.awaiting.pop(index, ()):
                     self._tell(address, token, shape, extra, outcome, now)
-        for number, data in self.record.sealed:
+        for number, data in self.cluster_state.sealed:
             self.effects.append(("segment", number, data))
-        self.record.sealed.clear()
+        self.cluster_state.sealed.clear()
         if entries:
             self.since_base += consensus.log.bytes_between(start, start + len(entries) - 1)
         if not self.snapshotting and self._snapshot_due():
             self.snapshotting = True
             self.since_base = 0
-            self.snapshot_segments = self.record.archive.range()
-            self.effects.append(("snapshot", self.record.index, self.record.image()))
+            self.snapshot_segments = self.cluster_state.archive.range()
+            self.effects.append(("snapshot", self.cluster_state.index, self.cluster_state.image()))
 
     def _snapshot_due(self):
         """Whether so many entries, or so many bytes of them, were applied since the last base. A
         large image is made more rarely, so that writing it costs no more than the entries did."""
         consensus = self.consensus
-        if self.record.index - consensus.base_index >= constants.SNAPSHOT_ENTRIES:
+        if self.cluster_state.index - consensus.base_index >= constants.SNAPSHOT_ENTRIES:
             return True
         least = min(max(self.limits.since_base, len(consensus.base_image or b"")), self.limits.log // 2)
         return self.since_base >= least
@@ -653,27 +680,27 @@
         if call == "ready":
             self.effects.append(("reply", request, 200 if self.consensus is not None else 503, {}, ()))
             return
-        token = self.confirmed_calls.begin(request, call, arguments, now, patience)
-        self._carry(token, now)
+        token = self.indexed_forwarder.begin(request, call, arguments, now, patience)
+        self._forward(token, now)
 
-    def _carry(self, token, now):
-        call = self.carrier.calls[token]
+    def _forward(self, token, now):
+        call = self.forwarder.calls[token]
         if self.consensus is not None and self.consensus.role == "leader":
             end = Reading(self.consensus.term, call.until)
-            sending = self.carrier.sent(token, self.address, now, end)
-            self._on_ask(self.address, token, call.call, call.arguments, sending, end, now)
+            attempt = self.forwarder.sent(token, self.address, now, end)
+            self._on_ask(self.address, token, call.call, call.arguments, attempt, end, now)
         else:
             address = self._leader_address()
             end = self.leader_clock.end(call.until, now)
-            sending = self.carrier.sent(token, address, now, end)
-            self._send(address, ("ask", self.address, token, call.call, call.arguments, sending, end))
+            attempt = self.forwarder.sent(token, address, now, end)
+            self._send(address, ("ask", self.address, token, call.call, call.arguments, attempt, end))
 
-    def _carry_again(self, now):
-        due, effects = self.carrier.due(now)
+    def _forward_again(self, now):
+        due, effects = self.forwarder.due(now)
         self.effects.extend(effects)
         for token in due:
-            if token in self.carrier.calls:
-                self._carry(token, now)
+            if token in self.forwarder.calls:
+                self._forward(token, now)
 
     def _on_seeds(self, seeds, now):
         """The settings name other seeds."""
@@ -681,31 +708,31 @@
         self._event(182, seeds=list(seeds))
 
     def _on_answer(self, token, answer, key, now):
-        call = self.carrier.waiting(token, key)
+        call = self.forwarder.waiting(token, key)
         if call is None:
             return
         if call.call == "beat" and "home" in answer[1]:
             # where the leader is, is told now and then only: a minion that can't reach it beats here again
-            minion = call.arguments[0]
-            if now - self.hinted.get(minion, -1e9) < constants.HINT_EVERY:
+            worker = call.arguments[0]
+            if now - self.hinted.get(worker, -1e9) < constants.HINT_EVERY:
                 del answer[1]["home"]
             else:
-                self.hinted[minion] = now
-        self.effects.extend(self.confirmed_calls.answered(token, answer, key, now))
+                self.hinted[worker] = now
+        self.effects.extend(self.indexed_forwarder.answered(token, answer, key, now))
 
-    def _on_elsewhere(self, token, leader, sending, reading, now):
+    def _on_not_taken(self, token, leader, attempt, reading, now):
         self.leader_clock.hear(reading, now)
-        self.carrier.refused(token, sending)
-        call = self.carrier.calls.get(token)
+        self.forwarder.not_taken(token, attempt)
+        call = self.forwarder.calls.get(token)
         if call is not None and leader is not None and (call.term or 0) < self.leader_clock.term:
-            self._carry(token, now)  # it lacked an end on this leader's clock
+            self._forward(token, now)  # it lacked an end on this leader's clock
 
-    def _on_undelivered(self, token, sending, now):
+    def _on_undelivered(self, token, attempt, now):
         """A sending of a call reached nobody: no connection could be made."""
-        self.carrier.refused(token, sending)
+        self.forwarder.not_taken(token, attempt)
 
-    def _on_unsure(self, token, now):
-        self.carrier.unsure(token)
+    def _on_in_doubt(self, token, now):
+        self.forwarder.in_doubt(token)
 
     # --- stopping ---------------------------------------------------------------------
     def _on_stop(self, now):
@@ -715,7 +742,7 @@
         self._event(101)
         if self.consensus is not None:
             able = {session.identity for session in self.sessions.live("accord")} - set(self.leaving)
-            self._run(self.consensus.hand_over(able, now), now)
+            self._run(self.consensus.transfer_leadership(able, now), now)
         self.departure.due(now)
         self._tell_leave()
 
@@ -727,35 +754,38 @@
         """Whether a stopping process may end as far as its seat and its leadership go."""
         if self.departure is None or self.consensus is None:
             return True
-        voting = self.identity in self.consensus.cohort.members() and len(self.consensus.cohort.members()) > 1
+        voting = (
+            self.identity in self.consensus.membership.members()
+            and len(self.consensus.membership.members()) > 1
+        )
         return self.departure.over(now, voting, self.consensus.role == "leader")
 
 
 # The registry of inputs: message kind -> handler.
 INPUTS = {
-    "tick": Accord._tick,
-    "greet": Accord._on_greet,
-    "greeted": Accord._on_greeted,
-    "tell": Accord._on_tell,
-    "leave": Accord._on_leave,
-    "join": Accord._on_join,
-    "admit": Accord._on_admit,
-    "raft": Accord._on_raft,
-    "saved": Accord._on_saved,
-    "encoded": Accord._on_encoded,
-    "disk": Accord._on_disk,
-    "http": Accord._on_http,
-    "claim": Accord._on_claim,
-    "rehearsed": Accord._on_rehearsed,
-    "measured": Accord._on_measured,
-    "ask": Accord._on_ask,
-    "news": Accord._on_news,
-    "call": Accord._on_call,
-    "answer": Accord._on_answer,
-    "elsewhere": Accord._on_elsewhere,
-    "unsure": Accord._on_unsure,
-    "undelivered": Accord._on_undelivered,
-    "seeds": Accord._on_seeds,
-    "seat": Accord._on_seat,
-    "stop": Accord._on_stop,
+    "tick": ControlDaemon._tick,
+    "greet": ControlDaemon._on_greet,
+    "greeted": ControlDaemon._on_greeted,
+    "tell": ControlDaemon._on_tell,
+    "leave": ControlDaemon._on_leave,
+    "join": ControlDaemon._on_join,
+    "admit": ControlDaemon._on_admit,
+    "raft": ControlDaemon._on_raft,
+    "saved": ControlDaemon._on_saved,
+    "encoded": ControlDaemon._on_encoded,
+    "disk": ControlDaemon._on_disk,
+    "http": ControlDaemon._on_http,
+    "claim": ControlDaemon._on_claim,
+    "rehearsed": ControlDaemon._on_rehearsed,
+    "measured": ControlDaemon._on_measured,
+    "ask": ControlDaemon._on_ask,
+    "news": ControlDaemon._on_update_request,
+    "call": ControlDaemon._on_call,
+    "answer": ControlDaemon._on_answer,
+    "elsewhere": ControlDaemon._on_not_taken,
+    "unsure": ControlDaemon._on_in_doubt,
+    "undelivered": ControlDaemon._on_undelivered,
+    "seeds": ControlDaemon._on_seeds,
+    "seat": ControlDaemon._on_seat,
+    "stop": ControlDaemon._on_stop,
 }
--- a/src/pinepitch/control/membership.py
+++ b/src/pinepitch/control/membership.py
@@ -15,7 +15,7 @@
     Invariant: -1 machines says that it can't even without another loss."""
 
     machines: int
-    areas: bool
+    zones: bool
 
 
 def _works(quorum, live):
@@ -42,30 +42,30 @@
         _works(quorum, inside - set(lost)) for lost in itertools.combinations(sorted(inside), machines + 1)
     ):
         machines += 1
-    areas = set(quorum.members.values())
-    one_area = all(_works(quorum, {one for one in inside if quorum.members[one] != area}) for area in areas)
-    return Tolerance(machines, one_area)
+    zones = set(quorum.members.values())
+    any_zone = all(_works(quorum, {one for one in inside if quorum.members[one] != zone}) for zone in zones)
+    return Tolerance(machines, any_zone)
 
 
-def swapped(members, leaver, newcomer, area):
+def swapped(members, leaver, newcomer, zone):
     """The members once `newcomer`, of `area`, has the seat of `leaver`."""
-    return {**{one: place for one, place in members.items() if one != leaver}, newcomer: area}
+    return {**{one: member_zone for one, member_zone in members.items() if one != leaver}, newcomer: zone}
 
 
 def without_harm(quorum, members, live):
     """Whether the list `members` can lose as much as that of `quorum` can now, by machines and by areas."""
     before, after = tolerance(quorum, live), tolerance(Quorum(dict(members), quorum.mode), live)
-    return after.machines >= before.machines and after.areas >= before.areas
+    return after.machines >= before.machines and after.zones >= before.zones
 
 
-def heir(quorum, leaver, spares, live):
+def successor(quorum, leaver, spares, live):
     """The spare (identity -> area, in order) that may take the leaver's seat: one of its area, or in
     single mode, where an area is no group, any that leaves as much to lose as the leaver itself would
     once it is back. None without one."""
-    area = quorum.members[leaver]
+    zone = quorum.members[leaver]
     present = set(live) | {leaver}
-    for identity in sorted(spares, key=lambda one: (spares[one] != area, one)):
-        if spares[identity] != area and quorum.mode != "single":
+    for identity in sorted(spares, key=lambda one: (spares[one] != zone, one)):
+        if spares[identity] != zone and quorum.mode != "single":
             continue
         members = swapped(quorum.members, leaver, identity, spares[identity])
         if identity in live and without_harm(quorum, members, present):
@@ -73,11 +73,11 @@
     return None
 
 
-def gains(quorum, lost, newcomer, area, live):
+def gains(quorum, lost, newcomer, zone, live):
     """Whether a newcomer of another area in a member's seat leaves more to lose, and no less in any way."""
-    members = swapped(quorum.members, lost, newcomer, area)
+    members = swapped(quorum.members, lost, newcomer, zone)
     before, after = tolerance(quorum, live), tolerance(Quorum(dict(members), quorum.mode), live)
-    return after != before and after.machines >= before.machines and after.areas >= before.areas
+    return after != before and after.machines >= before.machines and after.zones >= before.zones
 
 
 class Budget(NamedTuple):
@@ -112,14 +112,14 @@
 
     def __init__(self, now, within):
         self.begun, self.within = now, within
-        self.told_at = -1e9
+        self.announced_at = -1e9
         self.kept = None  # what the leader said: True keeps the seat for it, False gives it to a spare
 
     def due(self, now):
         """Whether the leave is to be told again."""
-        if self.kept is not None or now - self.told_at < constants.GREET_EVERY:
+        if self.kept is not None or now - self.announced_at < constants.GREET_EVERY:
             return False
-        self.told_at = now
+        self.announced_at = now
         return True
 
     def over(self, now, member, leading):
@@ -127,4 +127,4 @@
         waited = now - self.begun
         if waited >= self.within or not member or self.kept:
             return True
-        return self.kept is None and not leading and waited >= constants.SEAT_ANSWER
+        return self.kept is None and not leading and waited >= constants.VOTER_SEAT_ANSWER
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -9,34 +9,34 @@
     consensus = core.consensus
     return {
         "identity": core.identity,
-        "area": core.area,
-        "cohort": core.cohort,
+        "area": core.zone,
+        "cohort": core.cluster,
         "address": core.address,
         "role": consensus.role if consensus else "outside",
         "term": consensus.term if consensus else 0,
         "leader": core._leader_address(),
         "commit": consensus.commit if consensus else 0,
-        "applied": core.record.index,
-        "setup_version": core.record.version,
+        "applied": core.cluster_state.index,
+        "setup_version": core.cluster_state.version,
         "disk_waiting": len(consensus.saving) if consensus else 0,
         "time": core._now(now),
     }
 
 
-def _minions(core, now):
+def _push_workers(core, now):
     states = {"open": 0, "silent": 0, "on trial": 0}
-    for one in core.minions.values():
-        states["silent" if one.silent(now) else "on trial" if one.poor() else "open"] += 1
+    for one in core.push_workers.values():
+        states["silent" if one.unresponsive(now) else "on trial" if one.poor() else "open"] += 1
     return states
 
 
-def _jobs(board):
+def _jobs(leased_jobs):
     """Jobs by state, those not final and those still readable."""
     open_jobs, final = {"queued": 0, "running": 0}, {"completed": 0, "failed": 0, "cancelled": 0}
-    for identity in board.jobs:
-        state = board.state(identity)
+    for identity in leased_jobs.jobs:
+        state = leased_jobs.state(identity)
         open_jobs[state] = open_jobs.get(state, 0) + 1
-    for state, *_ in board.final.values():
+    for state, *_ in leased_jobs.final.values():
         final[state] = final.get(state, 0) + 1
     return open_jobs, final
 
@@ -44,8 +44,8 @@
 def _workers(core, now):
     """Workers this leader knows, each under one state."""
     states = {"ready": 0, "draining": 0, "silent": 0}
-    for one in core.keeper.workers.values():
-        state = "silent" if one.silent(now) else one.state
+    for one in core.assignments.workers.values():
+        state = "silent" if one.unresponsive(now) else one.state
         states[state] = states.get(state, 0) + 1
     return states
 
@@ -53,8 +53,8 @@
 def _left_waiting(core):
     """(queue, why) -> tasks of jobs that the newest round of this leader left waiting."""
     counts = {}
-    for key, why in core.keeper.assigner.why.items():
-        wave = core.record.board.ready.get(key)
+    for key, why in core.assignments.assigner.why.items():
+        wave = core.cluster_state.leased_jobs.ready.get(key)
         if wave is not None:
             place = (wave.job.queue, why)
             counts[place] = counts.get(place, 0) + len(wave.waiting)
@@ -64,26 +64,26 @@
 RESOURCES = ("cpu", "memory", "accelerators")
 
 
-def _worker_room(core, now):
+def _worker_capacity(core, now):
     """(service, resource, "taken" or "free") -> room of the workers that are heard and ready."""
-    room = {}
-    for worker in core.keeper.workers.values():
-        if worker.silent(now) or worker.state != "ready":
+    capacity = {}
+    for worker in core.assignments.workers.values():
+        if worker.unresponsive(now) or worker.state != "ready":
             continue
-        taken = core.record.board.taken.get(worker.identity, (0, 0, 0))
-        for resource, whole, used in zip(RESOURCES, worker.room, taken, strict=True):
-            for state, amount in (("taken", used), ("free", whole - used)):
+        taken = core.cluster_state.leased_jobs.taken.get(worker.identity, (0, 0, 0))
+        for resource, total, used in zip(RESOURCES, worker.capacity, taken, strict=True):
+            for state, amount in (("taken", used), ("free", total - used)):
                 place = (worker.service, resource, state)
-                room[place] = room.get(place, 0) + amount
-    return room
+                capacity[place] = capacity.get(place, 0) + amount
+    return capacity
 
 
-def _of_jobs(core, now):
+def _leased_job_metrics(core, now):
     """Figures of jobs under holds. What the record holds every accord tells alike; workers and
     the keeper's counts only a leader has."""
-    board, (open_jobs, final) = core.record.board, _jobs(core.record.board)
+    leased_jobs, (open_jobs, final) = core.cluster_state.leased_jobs, _jobs(core.cluster_state.leased_jobs)
     waiting = {}
-    for wave in board.ready.values():
+    for wave in leased_jobs.ready.values():
         waiting[wave.job.queue] = waiting.get(wave.job.queue, 0) + len(wave.waiting)
     return [
         (
@@ -105,7 +105,10 @@
             "job_tasks_waiting",
             "Tasks of jobs whose earlier steps are done, not placed, by queue.",
             ("queue",),
-            [((queue,), waiting.get(queue, 0)) for queue in sorted({*waiting, *board.configuration.routes})],
+            [
+                ((queue,), waiting.get(queue, 0))
+                for queue in sorted({*waiting, *leased_jobs.configuration.routes})
+            ],
         ),
         (
             "gauge",
@@ -120,7 +123,7 @@
             "Invariants of placing found broken while leading, by which; always 0 but for a fault.",
             ("invariant",),
             [
-                ((invariant,), core.keeper.assigner.idle_room.counts[invariant])
+                ((invariant,), core.assignments.assigner.idle_capacity.counts[invariant])
                 for invariant in (KEPT_UNTAKEN, IDLE_BESIDE_WORK)
             ],
         ),
@@ -129,28 +132,28 @@
             "worker_room",
             "Room of workers that are heard and ready: thousandths of a core, megabytes, accelerators.",
             ("service", "resource", "state"),
-            sorted(_worker_room(core, now).items()),
+            sorted(_worker_capacity(core, now).items()),
         ),
         (
             "gauge",
             "runs_placed",
             "Runs of jobs placed whose end is not proven.",
             (),
-            [((), sum(map(len, board.placements.values())))],
+            [((), sum(map(len, leased_jobs.placements.values())))],
         ),
         (
             "gauge",
             "zones_evacuated",
             "Zones whose workers get no new work.",
             (),
-            [((), len(board.evacuated))],
+            [((), len(leased_jobs.evacuated))],
         ),
         (
             "gauge",
             "configuration_version",
             "Version of routes and services in force here, 0 for none.",
             (),
-            [((), board.configuration.version)],
+            [((), leased_jobs.configuration.version)],
         ),
         (
             "gauge",
@@ -164,51 +167,51 @@
             "beats",
             "Beats of workers taken while leading.",
             (),
-            [((), core.keeper.counts["beats"])],
+            [((), core.assignments.counts["beats"])],
         ),
         (
             "counter",
             "run_starts",
             "Starts told to workers while leading.",
             (),
-            [((), core.keeper.counts["starts"])],
+            [((), core.assignments.counts["starts"])],
         ),
         (
             "counter",
             "run_stops",
             "Stops told to workers while leading.",
             (),
-            [((), core.keeper.counts["stops"])],
+            [((), core.assignments.counts["stops"])],
         ),
         (
             "counter",
             "run_ends",
             "Ends of runs agreed on while leading, by how.",
             ("how",),
-            [((how,), count) for how, count in sorted(core.keeper.end_counts.items())],
+            [((how,), count) for how, count in sorted(core.assignments.end_counts.items())],
         ),
         (
             "counter",
             "run_stop_orders",
             "Runs that are to end while their jobs go on, by why.",
             ("why",),
-            [((why,), count) for why, count in sorted(core.keeper.stop_counts.items())],
+            [((why,), count) for why, count in sorted(core.assignments.stop_counts.items())],
         ),
         (
             "counter",
             "runs_misjudged",
             "Runs stopped as stalled while leading that were going all the same.",
             (),
-            [((), core.keeper.progress.misjudged_count)],
+            [((), core.assignments.progress.misjudged_count)],
         ),
     ]
 
 
 def text(core, now):
     """Metrics in the Prometheus manner. What only a leader gathers is told by it alone."""
-    record, consensus = core.record, core.consensus
+    cluster_state, consensus = core.cluster_state, core.consensus
     leading = consensus is not None and consensus.role == "leader"
-    figures = [
+    metric_families = [
         ("gauge", "leading", "1 while this accord leads.", (), [((), int(leading))]),
         ("gauge", "term", "The newest term known.", (), [((), consensus.term if consensus else 0)]),
         (
@@ -233,7 +236,7 @@
             "sync_seconds",
             "From a save's begin to its being durable.",
             (),
-            [((), core.sync_spread)],
+            [((), core.sync_histogram)],
         ),
         (
             "gauge",
@@ -242,49 +245,67 @@
             ("kind",),
             [((kind,), len(core.sessions.live(kind))) for kind in ("accord", "verge")],
         ),
-        ("gauge", "setup_version", "Version of the setup in force here.", (), [((), record.version)]),
+        ("gauge", "setup_version", "Version of the setup in force here.", (), [((), cluster_state.version)]),
         (
             "gauge",
             "tickets_live",
             "Tickets not yet final, by queue.",
             ("queue",),
-            [((queue,), count) for queue, count in sorted(record.live.items())],
+            [((queue,), count) for queue, count in sorted(cluster_state.live_counts.items())],
+        ),
+        (
+            "gauge",
+            "tickets_archived",
+            "Finished tickets in segments.",
+            (),
+            [((), cluster_state.archive.count)],
         ),
-        ("gauge", "tickets_archived", "Finished tickets in segments.", (), [((), record.archive.count)]),
         (
             "gauge",
             "tasks_waiting",
             "Waiting tasks, by queue.",
             ("queue",),
-            [((queue,), record.waiting.get(queue, 0)) for queue in sorted(record.rows)],
+            [
+                ((queue,), cluster_state.waiting_counts.get(queue, 0))
+                for queue in sorted(cluster_state.queue_settings)
+            ],
         ),
         (
             "gauge",
             "tasks_parked",
             "Waiting tasks no minion known at their coming could take.",
             ("queue",),
-            [((queue,), record.parked.get(queue, 0)) for queue in sorted(record.rows)],
+            [
+                ((queue,), cluster_state.unplaceable.get(queue, 0))
+                for queue in sorted(cluster_state.queue_settings)
+            ],
         ),
         (
             "gauge",
             "units_running",
             "Units of room reserved, by queue.",
             ("queue",),
-            [((queue,), record.used.get(queue, 0)) for queue in sorted(record.rows)],
+            [
+                ((queue,), cluster_state.used_units.get(queue, 0))
+                for queue in sorted(cluster_state.queue_settings)
+            ],
         ),
         (
             "gauge",
             "credits_out",
             "Credits that back running work, by the queue that lent them.",
             ("queue",),
-            [((queue,), record.outstanding.get(queue, 0)) for queue in sorted(record.rows)],
+            [
+                ((queue,), cluster_state.outstanding_credits.get(queue, 0))
+                for queue in sorted(cluster_state.queue_settings)
+            ],
         ),
         (
             "gauge",
             "minions",
             "Minions this leader knows, by state.",
             ("state",),
-            [((state,), count) for state, count in sorted(_minions(core, now).items())],
+            [((state,), count) for state, count in sorted(_push_workers(core, now).items())],
         ),
         (
             "gauge",
@@ -295,9 +316,9 @@
                 (
                     (),
                     sum(
-                        len(record.reserved.get(name, ()))
-                        for name, one in core.minions.items()
-                        if one.silent(now)
+                        len(cluster_state.reserved.get(name, ()))
+                        for name, one in core.push_workers.items()
+                        if one.unresponsive(now)
                     ),
                 )
             ],
@@ -321,9 +342,9 @@
             "wait_seconds",
             "From a task's being ready to its placement, while leading.",
             ("queue",),
-            [((queue,), spread) for queue, spread in sorted(core.wait_spreads.items())],
+            [((queue,), histogram) for queue, histogram in sorted(core.wait_histograms.items())],
         ),
-        *_of_jobs(core, now),
+        *_leased_job_metrics(core, now),
         metrics.event_figures(core.event_counts),
     ]
-    return metrics.text(figures)
+    return metrics.text(metric_families)
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -7,9 +7,9 @@
 
 from ..common import events
 from ..common.limits import Limits
-from ..runtime.process import checked_env, serve
+from ..runtime.process import checked_settings, serve
 from ..storage.folder_lock import FolderLock
-from .daemon import Accord
+from .daemon import ControlDaemon
 from .startup import identity_of, open_store
 
 
@@ -25,8 +25,8 @@
     except (OSError, UnicodeDecodeError) as fault:
         found, faults = None, (("", str(fault)),)
     if found is None:
-        for place, message in faults:
-            print(f"accord: rules {path}: {place}: {message}", file=sys.stderr)
+        for location, message in faults:
+            print(f"accord: rules {path}: {location}: {message}", file=sys.stderr)
         sys.exit(2)
     return found
 
@@ -61,7 +61,7 @@
         memory_mb: megabytes of memory it may take (default 512); bounds the log.
         disk_mb: megabytes that its data folder may take (default 2000); bounds the log.
     """
-    found = checked_env(
+    found = checked_settings(
         "accord",
         settings,
         {
@@ -89,12 +89,12 @@
     log = events.logger("accord", identity, found.level)
     if damage:
         events.emit(log, 103, why=damage)
-    core = Accord(
+    core = ControlDaemon(
         identity,
         found.address,
-        found.area,
+        found.zone,
         found.seeds,
-        found.founders,
+        found.bootstrap_members,
         found.mode,
         seed=secrets.token_hex(4),
     )
--- a/src/pinepitch/control/rehearsal.py
+++ b/src/pinepitch/control/rehearsal.py
@@ -6,12 +6,12 @@
 import random
 
 from ..common import constants
-from ..model.push_worker import Minion, Report
+from ..model.push_worker import PushWorker, Report
 from ..model.queue_settings import objective_of
-from ..state.cluster_state import Record
+from ..state.cluster_state import ClusterState
 from .placement import Placer
 
-FIGURES = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
+METRICS = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
 SHARES = ("dues_missed", "failed", "shed", "preemptions")  # told as parts of a queue's tickets
 
 
@@ -48,11 +48,11 @@
 
 def resampled(blocks, seed):
     """(running at the start, arrivals) of whole blocks drawn anew and put one after another
-    until they last REPLAY_LASTS or hold REPLAY_TICKETS."""
+    until they last REPLAY_LASTS or hold REPLAY_JOBS."""
     draw = random.Random(f"rehearsal-{seed}")
     moment, arrivals, running = 0.0, [], None
     blocks = [block for block in blocks if block[2]]
-    while moment < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_TICKETS:
+    while moment < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_JOBS:
         length, then, some = draw.choice(blocks)
         running = then if running is None else running
         arrivals.extend((moment + one[0], *one[1:]) for one in some)
@@ -64,13 +64,17 @@
     """One table on some rooms in virtual time. Invariants: moments are handled in order of
     (time, number); a round is due while something is ready and nothing else comes first."""
 
-    def __init__(self, setup, rooms, work, seed=0):
-        self.record, self.placer = Record(), Placer()
-        self.record.apply(1, 0.0, ("setup", "rehearsal", None, "whole", setup, "rehearsal", ""))
-        self.record.apply(2, 0.0, ("duty", "placing", "rehearsal"))
-        self.minions = {
-            name: Minion(Report(name, area, "", room, tuple(labels), False, "one", 1, 0.0, (), ()), 0.0)
-            for name, area, room, labels in rooms
+    def __init__(self, queue_configuration, worker_capacities, work, seed=0):
+        self.cluster_state, self.placer = ClusterState(), Placer()
+        self.cluster_state.apply(
+            1, 0.0, ("setup", "rehearsal", None, "whole", queue_configuration, "rehearsal", "")
+        )
+        self.cluster_state.apply(2, 0.0, ("duty", "placing", "rehearsal"))
+        self.workers = {
+            name: PushWorker(
+                Report(name, zone, "", capacity, tuple(labels), False, "one", 1, 0.0, (), ()), 0.0
+            )
+            for name, zone, capacity, labels in worker_capacities
         }
         self.work, self.seed = work, seed
         self.index, self.number = 2, 0
@@ -79,7 +83,7 @@
         self.names = {}  # ticket -> what tells its draws from others'
         self.dues = {}
         self.starts = []  # (when, reference, attempt, minion)
-        self.waits, self.figures, self.counts = {}, {}, {}
+        self.waits, self.metrics, self.counts = {}, {}, {}
         self.round_at = None
 
     def at(self, when, *moment):
@@ -118,15 +122,15 @@
                 return  # one that was overtaken
             self.round_at = None
             moved = self.round(now)
-        ripe = self.record.ripen(now)
+        next_due = self.cluster_state.promote_due_units(now)
         when = None
-        if self.record.ready:
+        if self.cluster_state.ready_units:
             if moved:
                 when = now + constants.PLACE_EVERY
             elif self.moments:  # what found no room is tried again when something has happened
                 when = max(now + constants.PLACE_EVERY, min(self.moments[0][0], now + 0.5))
-        elif ripe is not None:
-            when = ripe
+        elif next_due is not None:
+            when = next_due
         if when is not None and (self.round_at is None or when < self.round_at):
             self.look(when)
 
@@ -137,7 +141,7 @@
 
     def apply(self, now, operation):
         self.index += 1
-        return self.record.apply(self.index, now, operation)
+        return self.cluster_state.apply(self.index, now, operation)
 
     def arrive(self, now, one, place, counted=True):
         _, queue, kind, urgency, due, tasks = one
@@ -165,10 +169,10 @@
         outcome = self.apply(now, ("ticket", f"r{self.number}-{self.index}", "", plain))
         if counted:
             self.counts[queue] = self.counts.get(queue, 0) + 1
-            self.figures.setdefault(queue, dict.fromkeys(FIGURES, 0.0))
+            self.metrics.setdefault(queue, dict.fromkeys(METRICS, 0.0))
             self.waits.setdefault(queue, [])
             if outcome[0] != "accepted":
-                self.figures[queue]["shed"] += 1
+                self.metrics[queue]["shed"] += 1
         if outcome[0] == "accepted":
             self.names[outcome[1]] = (place, counted)
             for name, *_, took, _, _ in tasks:
@@ -178,34 +182,34 @@
 
     def round(self, now):
         """One placing round; whether it did anything."""
-        for minion in self.minions.values():
-            minion.heard_at = now
-        items, yields = self.placer.round(self.record, self.minions, [("verge", "")], now, now)
+        for worker in self.workers.values():
+            worker.heard_at = now
+        items, yields = self.placer.round(self.cluster_state, self.workers, [("verge", "")], now, now)
         if items:
-            outcome = self.apply(now, ("place", 1, self.record.version, items))
-            self.placer.settled([item[0] for item in items])
+            outcome = self.apply(now, ("place", 1, self.cluster_state.version, items))
+            self.placer.forget_proposed([item[0] for item in items])
             for ref, refusal in outcome[1]:
                 if not refusal:
                     self.placed(now, ref)
         if yields:
             self.apply(now, ("yield", 1, yields))
             for ref, _attempt, _ in yields:
-                found = self.record.find(ref)
-                if ref in self.record.yielding and found[0].queue in self.figures:
-                    self.figures[found[0].queue]["preemptions"] += 1
-        for ref, attempt in self.record.yielding.items():  # a stale end changes nothing
+                found = self.cluster_state.find(ref)
+                if ref in self.cluster_state.yielding and found[0].queue in self.metrics:
+                    self.metrics[found[0].queue]["preemptions"] += 1
+        for ref, attempt in self.cluster_state.yielding.items():  # a stale end changes nothing
             self.at(now + 0.1, "end", ref, attempt, "killed")
         return bool(items or yields)
 
     def placed(self, now, ref):
-        ticket, task, standing = self.record.find(ref)
-        place, counted = self.names[ticket.identity]
+        job, task, standing = self.cluster_state.find(ref)
+        place, counted = self.names[job.identity]
         seconds, how = self.work.outcome(
-            (ticket.queue, ticket.kind, task.units, task.labels),
+            (job.queue, job.kind, task.units, task.labels),
             self.took[ref],
             f"{self.seed}-{place}-{task.name}-{standing.attempt}",
         )
-        self.starts.append((now, ref, standing.attempt, standing.minion))
+        self.starts.append((now, ref, standing.attempt, standing.worker))
         if not counted and seconds is not None:
             seconds *= random.Random(f"{self.seed}-{place}").random()  # it ran for a part of that already
         if seconds is not None:
@@ -214,43 +218,41 @@
             self.at(now + seconds, "end", ref, standing.attempt, how)
         if counted:
             if standing.attempt == 1:
-                self.waits[ticket.queue].append(max(0.0, now - ticket.ready_since(task)))
-            self.figures[ticket.queue]["room_used"] += task.units * (seconds or 0.0)
+                self.waits[job.queue].append(max(0.0, now - job.ready_since(task)))
+            self.metrics[job.queue]["room_used"] += task.units * (seconds or 0.0)
 
     def finish(self, end):
         """The figures: waits in seconds, room in unit seconds, the rest as parts of the
         queue's tickets."""
-        for ticket in self.record.tickets.values():
-            figures = self.figures.get(ticket.queue)
-            if figures is None or not self.names[ticket.identity][1]:
+        for job in self.cluster_state.pushed_jobs.values():
+            metrics = self.metrics.get(job.queue)
+            if metrics is None or not self.names[job.identity][1]:
                 continue
-            due = self.dues.get(ticket.identity)
-            figures["dues_missed"] += due is not None and (
-                ticket.state != "finished" or ticket.ended_at > due
-            )
-            figures["failed"] += ticket.state in ("failed", "failing")
-            if ticket.state == "pending":
-                self.waits[ticket.queue].extend(
-                    max(0.0, end - max(ticket.accepted, ticket.tasks[name].not_before))
-                    for name, standing in ticket.standings.items()
+            due = self.dues.get(job.identity)
+            metrics["dues_missed"] += due is not None and (job.state != "finished" or job.ended_at > due)
+            metrics["failed"] += job.state in ("failed", "failing")
+            if job.state == "pending":
+                self.waits[job.queue].extend(
+                    max(0.0, end - max(job.accepted, job.tasks[name].not_before))
+                    for name, standing in job.standings.items()
                     if standing.attempt == 0
                 )
-        for queue, figures in self.figures.items():
+        for queue, metrics in self.metrics.items():
             found = sorted(self.waits[queue])
-            figures["wait_median"] = found[len(found) // 2] if found else 0.0
-            figures["wait_99"] = found[min(len(found) - 1, len(found) * 99 // 100)] if found else 0.0
+            metrics["wait_median"] = found[len(found) // 2] if found else 0.0
+            metrics["wait_99"] = found[min(len(found) - 1, len(found) * 99 // 100)] if found else 0.0
             for name in SHARES:
-                figures[name] /= self.counts[queue]
-        return self.figures
+                metrics[name] /= self.counts[queue]
+        return self.metrics
 
 
-def cost(figures, objective):
+def cost(metrics, objective):
     """What the objective makes of a replay: less is better. Each queue counts alike but
     for its weight, however many tickets it has."""
     weights = objective["queues"]
     return sum(
-        weights.get(queue, 1.0) * sum(objective[name] * one[name] for name in FIGURES)
-        for queue, one in figures.items()
+        weights.get(queue, 1.0) * sum(objective[name] * one[name] for name in METRICS)
+        for queue, one in metrics.items()
     )
 
 
@@ -269,18 +271,18 @@
     return None
 
 
-def measure(blocks, in_force, draft, rooms, pause=None, pairs=constants.REHEARSAL_PAIRS):
+def measure(blocks, in_force, draft, worker_capacities, pause=None, pairs=constants.REHEARSAL_PAIRS):
     """Replays both tables in pairs under the same seeds and says which is better by the
     objective in force, or that there was too little traffic to tell."""
     count = sum(len(one[2]) for one in blocks)
-    told = sum(1 for one in blocks if one[2])
-    if count < constants.TRAFFIC_LEAST or told < constants.TRAFFIC_BLOCKS or not rooms:
+    nonempty = sum(1 for one in blocks if one[2])
+    if count < constants.MIN_TRAFFIC_JOBS or nonempty < constants.TRAFFIC_BLOCKS or not worker_capacities:
         why = (
             "no minion is known"
-            if not rooms
+            if not worker_capacities
             else (
-                f"{count} recent tickets in {told} blocks of {constants.SAMPLE_BLOCK:.0f} s, "
-                f"{constants.TRAFFIC_LEAST} in {constants.TRAFFIC_BLOCKS} needed"
+                f"{count} recent tickets in {nonempty} blocks of {constants.SAMPLE_BLOCK:.0f} s, "
+                f"{constants.MIN_TRAFFIC_JOBS} in {constants.TRAFFIC_BLOCKS} needed"
             )
         )
         return {"verdict": "not measured", "tickets": count, "why": why, "queues": []}
@@ -291,13 +293,13 @@
         running, arrivals = resampled(blocks, seed)
         replays.append(
             tuple(
-                Replay(table, rooms, work, seed).run(arrivals, running, pause=pause)
+                Replay(table, worker_capacities, work, seed).run(arrivals, running, pause=pause)
                 for table in (in_force, draft)
             )
         )
     costs = [(cost(before, objective), cost(after, objective)) for before, after in replays]
     means = [sum(one) / pairs for one in zip(*costs, strict=False)]
-    least = max(constants.REHEARSAL_LEAST * means[0], 1e-9)
+    least = max(constants.MIN_REHEARSAL_DIFFERENCE * means[0], 1e-9)
     better = sum(after < before - least for before, after in costs)
     worse = sum(after > before + least for before, after in costs)
     needed = max(1, pairs * constants.REHEARSAL_AGREE // constants.REHEARSAL_PAIRS)
@@ -306,7 +308,7 @@
     for queue in sorted({queue for both in replays for queue in both[0]}):
         seen = [(before[queue], after[queue]) for before, after in replays if queue in before]
         line = {"queue": queue}
-        for name in FIGURES:
+        for name in METRICS:
             line[name] = round(sum(before[name] for before, _ in seen) / len(seen), 4)
             line[f"draft_{name}"] = round(sum(after[name] for _, after in seen) / len(seen), 4)
         queues.append(line)
@@ -324,7 +326,7 @@
         "verdict": verdict,
         "why": why,
         "tickets": count,
-        "blocks": told,
+        "blocks": nonempty,
         "pairs": pairs,
         "better_in": better,
         "worse_in": worse,
--- a/src/pinepitch/control/requests.py
+++ b/src/pinepitch/control/requests.py
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 from ..common import constants
-from ..model import queue_settings as rows
+from ..model import queue_settings as queue_documents
 from ..model.push_worker import Report
 from ..model.task import reference
 from ..scheduling import requests as job_calls
-from ..transport.forwarder import INDEX_CALL
+from ..transport.forwarder import LOG_INDEX_REQUEST
 
 
 class Call(NamedTuple):
@@ -38,27 +38,27 @@
     )
 
 
-def _shed(why):
-    return problem(429, "shed", why, retry=constants.COME_BACK)
+def _rejected(why):
+    return problem(429, "shed", why, retry=constants.RETRY_AFTER)
 
 
 # --- tickets -------------------------------------------------------------------------
 def _submit(core, token, arguments, now):
     key, digest, plain = arguments
-    record = core.record
-    parked = _impossible(core, plain, now)
-    refusal = record.known(key, digest) or record.ticket_refusal(plain, parked)
+    cluster_state = core.cluster_state
+    unplaceable = _why_unplaceable(core, plain, now)
+    refusal = cluster_state.known(key, digest) or cluster_state.job_refusal(plain, unplaceable)
     if refusal is not None:
         if refusal[0] == "shed":
             core._event(170, queue=plain["queue"], why=refusal[1])
         return ("answer", _submit_answer(core, refusal))
-    return ("agree", ("ticket", key, digest, plain, parked), "submit", None)
+    return ("agree", ("ticket", key, digest, plain, unplaceable), "submit", None)
 
 
-def _impossible(core, plain, now):
+def _why_unplaceable(core, plain, now):
     """Why no known minion, heard of late or not, could take some task, or ''. A leader that
     has not yet gathered its minions rules nothing out."""
-    if not core.minions or now - core.lead_since < constants.GATHER:
+    if not core.push_workers or now - core.leader_since < constants.REPORT_GATHERING:
         return ""
     seen = set()
     for task in plain["tasks"]:
@@ -66,13 +66,14 @@
         if shape in seen:
             continue
         seen.add(shape)
-        rooms = [one.report.room for one in core.minions.values() if shape[1] <= set(one.report.labels)]
-        if not rooms:
+        capacities = [
+            one.report.capacity for one in core.push_workers.values() if shape[1] <= set(one.report.labels)
+        ]
+        if not capacities:
             return f"task {task['name']} asks for {', '.join(sorted(shape[1]))}, which no known minion has"
-        if max(rooms) < shape[0]:
-            return (
-                f"task {task['name']} asks for {shape[0]} units, over the {max(rooms)} of any fitting minion"
-            )
+        if max(capacities) < shape[0]:
+            most = max(capacities)
+            return f"task {task['name']} asks for {shape[0]} units, over the {most} of any fitting minion"
     return ""
 
 
@@ -80,43 +81,43 @@
     kind = outcome[0]
     if kind in ("accepted", "known"):
         status = 201 if kind == "accepted" else 200
-        return (status, brief(core.record.ticket(outcome[1])), None)
+        return (status, job_summary(core.cluster_state.pushed_job(outcome[1])), None)
     if kind == "mismatch":
         return problem(409, "key_reused", "this key came with another body before", ticket=outcome[1])
     if kind == "shed":
-        return _shed(outcome[1])
+        return _rejected(outcome[1])
     return faulty(outcome[1])
 
 
-def brief(ticket):
+def job_summary(job):
     """A ticket without its tasks."""
     return {
-        "ticket": ticket.identity,
-        "key": ticket.key,
-        "queue": ticket.queue,
-        "kind": ticket.kind,
-        "urgency": ticket.urgency,
-        "due": ticket.due,
-        "accepted": ticket.accepted,
-        "state": ticket.state,
-        "ended": ticket.ended_at,
-        "tasks": len(ticket.tasks),
-        "parked": ticket.parked,
+        "ticket": job.identity,
+        "key": job.key,
+        "queue": job.queue,
+        "kind": job.kind,
+        "urgency": job.urgency,
+        "due": job.due,
+        "accepted": job.accepted,
+        "state": job.state,
+        "ended": job.ended_at,
+        "tasks": len(job.tasks),
+        "parked": job.unplaceable,
     }
 
 
-def whole(ticket):
+def job_with_tasks(job):
     """A ticket with the standing of each task."""
     tasks = []
-    for name, task in ticket.tasks.items():
-        standing = ticket.standings[name]
+    for name, task in job.tasks.items():
+        standing = job.standings[name]
         tasks.append(
             {
                 "name": name,
                 "state": standing.state,
                 "attempt": standing.attempt,
                 "failures": standing.failures,
-                "minion": standing.minion,
+                "minion": standing.worker,
                 "after": list(task.after),
                 "units": task.units,
                 "labels": list(task.labels),
@@ -127,32 +128,32 @@
                 "since": standing.since,
             }
         )
-    return {**brief(ticket), "tasks": tasks}
+    return {**job_summary(job), "tasks": tasks}
 
 
-def _ticket(core, token, arguments, now):
-    ticket = core.record.ticket(arguments[0])
-    if ticket is None:
+def _read_job(core, token, arguments, now):
+    job = core.cluster_state.pushed_job(arguments[0])
+    if job is None:
         return ("answer", problem(404, "unknown_ticket", f"no ticket {arguments[0]!r}"))
-    return ("answer", (200, whole(ticket), None))
+    return ("answer", (200, job_with_tasks(job), None))
 
 
-def _tickets(core, token, arguments, now):
+def _list_jobs(core, token, arguments, now):
     after, most, state, queue, key = arguments
-    record, listed = core.record, []
+    cluster_state, listed = core.cluster_state, []
     if key:
-        known = record.known(key, "")
-        listed = [brief(record.ticket(known[1]))] if known else []
+        known = cluster_state.known(key, "")
+        listed = [job_summary(cluster_state.pushed_job(known[1]))] if known else []
         return ("answer", (200, {"tickets": listed, "next": None}, None))
     number, following = after, None
-    while number < record.count:
+    while number < cluster_state.count:
         number += 1
-        ticket = record.ticket(f"t{number}")
-        if ticket is None or (state and ticket.state != state) or (queue and ticket.queue != queue):
+        job = cluster_state.pushed_job(f"t{number}")
+        if job is None or (state and job.state != state) or (queue and job.queue != queue):
             continue
-        listed.append(brief(ticket))
+        listed.append(job_summary(job))
         if len(listed) >= most:
-            following = number if number < record.count else None
+            following = number if number < cluster_state.count else None
             break
     return ("answer", (200, {"tickets": listed, "next": following}, None))
 
@@ -166,7 +167,7 @@
         return problem(404, "unknown_ticket", f"no ticket {identity!r}")
     if outcome[0] == "ended":
         return problem(409, "ended", f"the ticket is already {outcome[1]}", state=outcome[1])
-    return (200, brief(core.record.ticket(identity)), None)
+    return (200, job_summary(core.cluster_state.pushed_job(identity)), None)
 
 
 # --- minions and areas ---------------------------------------------------------------
@@ -179,70 +180,75 @@
     ends, acknowledged, strays = core.take_report(report, now)
     for ref, attempt in strays:
         core.kills.setdefault(ref, now)
-        if core.record.find(ref) is None:
-            core._event(156, task=ref, attempt=attempt, minion=report.minion)
+        if core.cluster_state.find(ref) is None:
+            core._event(156, task=ref, attempt=attempt, minion=report.worker)
     fresh = [one for one in ends if one[:2] not in core.proposed_ends]
-    told = [one[:2] for one in fresh if one[2] not in ("never", "lost")]
+    entries = [one[:2] for one in fresh if one[2] not in ("never", "lost")]
     if fresh:
-        return ("ends", fresh, (acknowledged, strays, told))
+        return ("ends", fresh, (acknowledged, strays, entries))
     return ("answer", _report_answer(core, None, (acknowledged, strays, ()), now))
 
 
-def _minions(core, token, arguments, now):
-    record, listed = core.record, []
+def _list_push_workers(core, token, arguments, now):
+    cluster_state, listed = core.cluster_state, []
     for name in sorted(
-        set(core.minions) | set(record.reserved) | set(record.drained) | set(record.withdrawn)
+        set(core.push_workers)
+        | set(cluster_state.reserved)
+        | set(cluster_state.drained)
+        | set(cluster_state.withdrawn)
     ):
-        minion = core.minions.get(name)
-        report = minion.report if minion else None
-        held = record.reserved.get(name, {})
-        silent = minion is None or minion.silent(now)
-        state = record.closed(name, report.area if report else "") or ("silent" if silent else "open")
+        worker = core.push_workers.get(name)
+        report = worker.report if worker else None
+        reserved = cluster_state.reserved.get(name, {})
+        unresponsive = worker is None or worker.unresponsive(now)
+        state = cluster_state.closed(name, report.zone if report else "") or (
+            "silent" if unresponsive else "open"
+        )
         listed.append(
             {
                 "minion": name,
-                "area": report.area if report else None,
+                "area": report.zone if report else None,
                 "state": state,
-                "room": report.room if report else None,
-                "reserved": sum(held.values()),
-                "tasks": len(held),
+                "room": report.capacity if report else None,
+                "reserved": sum(reserved.values()),
+                "tasks": len(reserved),
                 "labels": list(report.labels) if report else [],
-                "failing": round(minion.failing, 3) if minion else None,
-                "on_trial": bool(minion and minion.poor()),
+                "failing": round(worker.failing, 3) if worker else None,
+                "on_trial": bool(worker and worker.poor()),
             }
         )
     return ("answer", (200, {"minions": listed}, None))
 
 
 def _drain(core, token, arguments, now):
-    minion, closed = arguments
-    return ("agree", ("drain", minion, bool(closed)), "done", {"minion": minion, "draining": bool(closed)})
+    worker, closed = arguments
+    return ("agree", ("drain", worker, bool(closed)), "done", {"minion": worker, "draining": bool(closed)})
 
 
 def _withdraw(core, token, arguments, now):
-    minion, due = arguments
-    return ("agree", ("withdraw", minion, due), "done", {"minion": minion, "withdrawn": due})
+    worker, due = arguments
+    return ("agree", ("withdraw", worker, due), "done", {"minion": worker, "withdrawn": due})
 
 
-def _area(core, token, arguments, now):
-    area, emptied = arguments
-    return ("agree", ("area", area, bool(emptied)), "done", {"area": area, "emptied": bool(emptied)})
+def _empty_zone(core, token, arguments, now):
+    zone, emptied = arguments
+    return ("agree", ("area", zone, bool(emptied)), "done", {"area": zone, "emptied": bool(emptied)})
 
 
-def _areas(core, token, arguments, now):
+def _list_zones(core, token, arguments, now):
     names = {}
-    for minion in core.minions.values():
-        names[minion.report.area] = names.get(minion.report.area, 0) + 1
-    for area in core.record.emptied:
-        names.setdefault(area, 0)
+    for worker in core.push_workers.values():
+        names[worker.report.zone] = names.get(worker.report.zone, 0) + 1
+    for zone in core.cluster_state.emptied:
+        names.setdefault(zone, 0)
     return (
         "answer",
         (
             200,
             {
                 "areas": [
-                    {"area": area, "minions": count, "emptied": area in core.record.emptied}
-                    for area, count in sorted(names.items())
+                    {"area": zone, "minions": count, "emptied": zone in core.cluster_state.emptied}
+                    for zone, count in sorted(names.items())
                 ]
             },
             None,
@@ -255,13 +261,17 @@
 
 
 # --- setups --------------------------------------------------------------------------
-def _setup(core, token, arguments, now):
-    record = core.record
-    version = arguments[0] or record.version
-    line = record.setups.line(version)
+def _read_queue_configuration(core, token, arguments, now):
+    cluster_state = core.cluster_state
+    version = arguments[0] or cluster_state.version
+    line = cluster_state.queue_configurations.line(version)
     if line is None:
         return ("answer", problem(404, "unknown_version", f"no setup {arguments[0]!r} in the history"))
-    document = record.setup if version == record.version else record.setups.read(version)
+    document = (
+        cluster_state.queue_configuration
+        if version == cluster_state.version
+        else cluster_state.queue_configurations.read(version)
+    )
     return ("answer", (200, {**_line(line), "setup": document}, None))
 
 
@@ -269,12 +279,15 @@
     return dict(zip(("version", "who", "why", "time", "base"), line, strict=False))
 
 
-def _setups(core, token, arguments, now):
+def _list_queue_configurations(core, token, arguments, now):
     return (
         "answer",
         (
             200,
-            {"version": core.record.version, "setups": [_line(line) for line in core.record.setups.lines]},
+            {
+                "version": core.cluster_state.version,
+                "setups": [_line(line) for line in core.cluster_state.queue_configurations.lines],
+            },
             None,
         ),
     )
@@ -282,12 +295,16 @@
 
 def _change(core, token, arguments, now):
     base, manner, document, who, why = arguments
-    if base is not None and base != core.record.version and core.record.marks.outcome(token) is None:
-        return ("answer", _setup_answer(core, ("conflict", core.record.version)))
+    if (
+        base is not None
+        and base != core.cluster_state.version
+        and core.cluster_state.marks.outcome(token) is None
+    ):
+        return ("answer", _queue_configuration_answer(core, ("conflict", core.cluster_state.version)))
     return ("agree", ("setup", token, base, manner, document, who, why), "setup", None)
 
 
-def _setup_answer(core, outcome, extra=None, now=None):
+def _queue_configuration_answer(core, outcome, extra=None, now=None):
     if outcome[0] == "forgotten":
         return problem(504, "forgotten", "too many changes came since to tell whether this one was made")
     if outcome[0] == "conflict":
@@ -299,7 +316,7 @@
 
 def _go_back(core, token, arguments, now):
     base, wanted, who, why = arguments
-    document = core.record.setups.read(wanted)
+    document = core.cluster_state.queue_configurations.read(wanted)
     if document is None:
         return ("answer", problem(404, "unknown_version", f"no setup {wanted} in the history"))
     return _change(core, token, (base, "whole", document, who, why or f"back to version {wanted}"), now)
@@ -307,7 +324,17 @@
 
 # --- the table -----------------------------------------------------------------------
 def _table(core, token, arguments, now):
-    return ("answer", (200, {"version": core.record.version, "rows": rows.cells(core.record.setup)}, None))
+    return (
+        "answer",
+        (
+            200,
+            {
+                "version": core.cluster_state.version,
+                "rows": queue_documents.cells(core.cluster_state.queue_configuration),
+            },
+            None,
+        ),
+    )
 
 
 def _draft(core, token, arguments, now):
@@ -329,22 +356,22 @@
             409,
             "held",
             "approvals are held by firing alerts; an emergency change is not",
-            retry=constants.HELD_COME_BACK,
+            retry=constants.PAUSED_RETRY_AFTER,
             alerts=[{"alert": alert, "why": why} for alert, why in outcome[1]],
         )
     if outcome[0] == "draft":
-        return (200, draft_view(core.record, outcome[1]), None)
-    return _setup_answer(core, outcome)
+        return (200, draft_view(core.cluster_state, outcome[1]), None)
+    return _queue_configuration_answer(core, outcome)
 
 
-def draft_view(record, identity):
+def draft_view(cluster_state, identity):
     """A draft as operators see it."""
-    draft = record.drafts[identity]
-    base = record.setups.read(draft["base"])["queues"]
+    draft = cluster_state.drafts[identity]
+    base = cluster_state.queue_configurations.read(draft["base"])["queues"]
     cells = [
         [f"{queue}.{column}", base.get(queue, {}).get(column), value]
-        for queue, row in sorted(draft["setup"]["queues"].items())
-        for column, value in row.items()
+        for queue, queue_settings in sorted(draft["setup"]["queues"].items())
+        for column, value in queue_settings.items()
         if base.get(queue, {}).get(column) != value
     ]
     cells += [[queue, "a row", None] for queue in sorted(base) if queue not in draft["setup"]["queues"]]
@@ -353,7 +380,7 @@
         **{
             name: draft[name] for name in ("draft", "base", "patch", "who", "why", "time", "state", "measure")
         },
-        "stale": draft["base"] != record.version and draft["state"] != "approved",
+        "stale": draft["base"] != cluster_state.version and draft["state"] != "approved",
     }
 
 
@@ -364,8 +391,8 @@
             200,
             {
                 "drafts": [
-                    draft_view(core.record, one)
-                    for one in sorted(core.record.drafts, key=lambda one: int(one[1:]))
+                    draft_view(core.cluster_state, one)
+                    for one in sorted(core.cluster_state.drafts, key=lambda one: int(one[1:]))
                 ]
             },
             None,
@@ -374,18 +401,18 @@
 
 
 def _one_draft(core, token, arguments, now):
-    if arguments[0] not in core.record.drafts:
+    if arguments[0] not in core.cluster_state.drafts:
         return ("answer", _draft_answer(core, ("missing",)))
-    return ("answer", (200, draft_view(core.record, arguments[0]), None))
+    return ("answer", (200, draft_view(core.cluster_state, arguments[0]), None))
 
 
 def _rehearse(core, token, arguments, now):
-    rooms = [
-        [name, minion.report.area, minion.report.room, list(minion.report.labels)]
-        for name, minion in sorted(core.minions.items())
-        if not minion.silent(now) and not core.record.closed(name, minion.report.area)
+    capacities = [
+        [name, worker.report.zone, worker.report.capacity, list(worker.report.labels)]
+        for name, worker in sorted(core.push_workers.items())
+        if not worker.unresponsive(now) and not core.cluster_state.closed(name, worker.report.zone)
     ]
-    return ("agree", ("rehearse", arguments[0], rooms), "draft", None)
+    return ("agree", ("rehearse", arguments[0], capacities), "draft", None)
 
 
 def _approve(core, token, arguments, now):
@@ -403,7 +430,7 @@
 
 # --- state ---------------------------------------------------------------------------
 def _pending(core, token, arguments, now):
-    record = core.record
+    cluster_state = core.cluster_state
     return (
         "answer",
         (
@@ -412,15 +439,15 @@
                 "queues": [
                     {
                         "queue": queue,
-                        "waiting": record.waiting.get(queue, 0),
-                        "parked": record.parked.get(queue, 0),
-                        "running_units": record.used.get(queue, 0),
-                        "credits": record.balance(queue),
-                        "share": row.share,
-                        "limit": row.limit,
-                        "bound": row.pending,
+                        "waiting": cluster_state.waiting_counts.get(queue, 0),
+                        "parked": cluster_state.unplaceable.get(queue, 0),
+                        "running_units": cluster_state.used_units.get(queue, 0),
+                        "credits": cluster_state.balance(queue),
+                        "share": queue_settings.share,
+                        "limit": queue_settings.limit,
+                        "bound": queue_settings.pending,
                     }
-                    for queue, row in sorted(record.rows.items())
+                    for queue, queue_settings in sorted(cluster_state.queue_settings.items())
                 ]
             },
             None,
@@ -428,36 +455,36 @@
     )
 
 
-def _cohort(core, token, arguments, now):
+def _read_cluster(core, token, arguments, now):
     consensus = core.consensus
-    quorum = consensus.cohort.now
+    quorum = consensus.membership.now
     return (
         "answer",
         (
             200,
             {
-                "cohort": core.cohort,
+                "cohort": core.cluster,
                 "leader": core.identity,
                 "term": consensus.term,
                 "commit": consensus.commit,
                 "mode": quorum.mode,
-                "changing": consensus.cohort.coming is not None,
+                "changing": consensus.membership.coming is not None,
                 "commit_groups": quorum.commit_count(),
                 "elect_groups": quorum.elect_count(),
                 "groups": len(quorum.groups()),
                 "time": core._now(now),
-                "epochs": {duty: list(one) for duty, one in core.record.epochs.items()},
+                "epochs": {role: list(one) for role, one in core.cluster_state.epochs.items()},
                 "members": [
                     {
                         "accord": one,
-                        "area": area,
+                        "area": zone,
                         "address": core.sessions.address(one),
-                        "live": one == core.identity or one in core.sessions.held,
+                        "live": one == core.identity or one in core.sessions.by_identity,
                     }
-                    for one, area in sorted(consensus.cohort.members().items())
+                    for one, zone in sorted(consensus.membership.members().items())
                 ],
                 "daemons": [
-                    {"daemon": one.identity, "kind": one.kind, "area": one.area, "address": one.address}
+                    {"daemon": one.identity, "kind": one.kind, "area": one.zone, "address": one.address}
                     for kind in ("accord", "verge")
                     for one in core.sessions.live(kind)
                 ],
@@ -467,7 +494,7 @@
     )
 
 
-def _holds(core, token, arguments, now):
+def _list_approval_pauses(core, token, arguments, now):
     return (
         "answer",
         (
@@ -475,7 +502,7 @@
             {
                 "holds": [
                     {"alert": alert, "since": since, "why": why}
-                    for alert, (since, why) in sorted(core.record.holds.items())
+                    for alert, (since, why) in sorted(core.cluster_state.approval_pauses.items())
                 ]
             },
             None,
@@ -483,42 +510,42 @@
     )
 
 
-def _figures(core, token, arguments, now):
-    record, consensus = core.record, core.consensus
-    states = dict(record.archive.states)
-    for ticket in record.tickets.values():
-        states[ticket.state] = states.get(ticket.state, 0) + 1
+def _read_metrics(core, token, arguments, now):
+    cluster_state, consensus = core.cluster_state, core.consensus
+    states = dict(cluster_state.archive.states)
+    for job in cluster_state.pushed_jobs.values():
+        states[job.state] = states.get(job.state, 0) + 1
     return (
         "answer",
         (
             200,
             {
                 "tickets": states,
-                "waiting": dict(record.waiting),
-                "running": dict(record.used),
+                "waiting": dict(cluster_state.waiting_counts),
+                "running": dict(cluster_state.used_units),
                 "entries": consensus.last_index(),
                 "commit": consensus.commit,
                 "term": consensus.term,
                 "syncs": core.counts["syncs"],
                 "rounds": core.rounds,
                 "messages": core.counts["sent"],
-                "minions": len(core.minions),
-                "setup_version": record.version,
-                "on_trial": sum(one.poor() for one in core.minions.values()),
+                "minions": len(core.push_workers),
+                "setup_version": cluster_state.version,
+                "on_trial": sum(one.poor() for one in core.push_workers.values()),
             },
             None,
         ),
     )
 
 
-def _whence(core, token, arguments, now):
+def _explain(core, token, arguments, now):
     """Why each task of a ticket is where it is, from the record and the last round."""
-    ticket = core.record.ticket(arguments[0])
-    if ticket is None:
+    job = core.cluster_state.pushed_job(arguments[0])
+    if job is None:
         return ("answer", problem(404, "unknown_ticket", f"no ticket {arguments[0]!r}"))
-    record, told = core.record, []
-    for name, task in ticket.tasks.items():
-        standing = ticket.standings[name]
+    cluster_state, entries = core.cluster_state, []
+    for name, task in job.tasks.items():
+        standing = job.standings[name]
         line = {
             "task": name,
             "state": standing.state,
@@ -529,109 +556,109 @@
         }
         if standing.state == "placed":
             line.update(
-                minion=standing.minion,
-                verge=standing.verge,
+                minion=standing.worker,
+                verge=standing.front_daemon,
                 charges=[list(one) for one in standing.charges],
                 yields_to=standing.yields_to,
-                why="placed: " + _lent(ticket, standing),
+                why="placed: " + _lent(job, standing),
             )
         elif standing.state == "waiting":
-            line["why"] = _waits(core, ticket, task, standing, now)
+            line["why"] = _waits(core, job, task, standing, now)
             line["candidates"] = _candidates(core, task, now)
         else:
             line.update(
-                minion=standing.minion,
+                minion=standing.worker,
                 why=f"ended {standing.state}" + ("" if standing.attempt else " before it was placed"),
             )
         line["attempts_made"] = [
             {
                 "attempt": attempt,
-                "minion": minion,
-                "verge": verge,
+                "minion": worker,
+                "verge": front_daemon,
                 "how": how,
                 "placed": placed,
                 "ended": ended,
-                "epoch": ground[0],
-                "setup_version": ground[1],
+                "epoch": placed_under[0],
+                "setup_version": placed_under[1],
                 "lenders": [list(one) for one in charges],
             }
-            for attempt, minion, verge, how, placed, ended, ground, charges in standing.past
+            for attempt, worker, front_daemon, how, placed, ended, placed_under, charges in standing.past
         ]
-        told.append(line)
-    row = record.rows.get(ticket.queue)
+        entries.append(line)
+    queue_settings = cluster_state.queue_settings.get(job.queue)
     return (
         "answer",
         (
             200,
             {
-                **brief(ticket),
-                "tasks": told,
-                "setup_version": record.version,
-                "placing": list(record.epochs.get("placing", (0, ""))),
-                "credits": record.balance(ticket.queue),
-                "running_units": record.used.get(ticket.queue, 0),
-                "limit": row.limit if row else None,
+                **job_summary(job),
+                "tasks": entries,
+                "setup_version": cluster_state.version,
+                "placing": list(cluster_state.epochs.get("placing", (0, ""))),
+                "credits": cluster_state.balance(job.queue),
+                "running_units": cluster_state.used_units.get(job.queue, 0),
+                "limit": queue_settings.limit if queue_settings else None,
             },
             None,
         ),
     )
 
 
-def _lent(ticket, standing):
+def _lent(job, standing):
     parts = [
-        f"{credits} credits of {'its own queue' if queue == ticket.queue else queue}"
+        f"{credits} credits of {'its own queue' if queue == job.queue else queue}"
         for queue, credits in standing.charges
     ]
-    return f"attempt {standing.attempt} on {standing.minion} with " + ", ".join(parts)
+    return f"attempt {standing.attempt} on {standing.worker} with " + ", ".join(parts)
 
 
-def _waits(core, ticket, task, standing, now):
-    undone = [one for one in task.after if ticket.standings[one].state != "done"]
+def _waits(core, job, task, standing, now):
+    undone = [one for one in task.after if job.standings[one].state != "done"]
     if undone:
         return "waits for " + ", ".join(undone)
     begins = max(task.not_before, standing.earliest)
     if core._now(now) < begins:
         return f"not before {begins:.3f}"
-    if reference(ticket.identity, task.name) in core.placer.proposed:
+    if reference(job.identity, task.name) in core.placer.proposed:
         return "proposed, not yet agreed"
-    return core.placer.reason(core.record, ticket, task.name)
+    return core.placer.reason(core.cluster_state, job, task.name)
 
 
 def _candidates(core, task, now):
     """What rules out, or doesn't, each minion."""
-    told = []
-    for name in sorted(core.minions):
-        minion = core.minions[name]
-        report = minion.report
-        left = report.room - sum(core.record.reserved.get(name, {}).values())
-        closed = core.record.closed(name, report.area)
+    entries = []
+    for name in sorted(core.push_workers):
+        worker = core.push_workers[name]
+        report = worker.report
+        left = report.capacity - sum(core.cluster_state.reserved.get(name, {}).values())
+        closed = core.cluster_state.closed(name, report.zone)
         if closed:
             why = closed
-        elif minion.silent(now):
+        elif worker.unresponsive(now):
             why = "silent"
         elif not set(task.labels) <= set(report.labels):
             why = "lacks " + ", ".join(sorted(set(task.labels) - set(report.labels)))
         elif left < task.units:
-            why = f"{left} units left of {report.room}"
-        elif minion.poor():
+            why = f"{left} units left of {report.capacity}"
+        elif worker.poor():
             why = "on trial"
         else:
             why = "open"
-        told.append({"minion": name, "why": why})
-    return told
+        entries.append({"minion": name, "why": why})
+    return entries
 
 
 def _live_tasks(core, token, arguments, now):
     """Every placed task, for operators and history checks."""
     listed = []
-    for minion, held in sorted(core.record.reserved.items()):
-        for ref in sorted(held):
-            _, task, standing = core.record.find(ref)
+    for worker, reserved in sorted(core.cluster_state.reserved.items()):
+        for ref in sorted(reserved):
+            _, task, standing = core.cluster_state.find(ref)
             listed.append(
                 {
                     "task": ref,
                     "attempt": standing.attempt,
-                    "minion": minion,
+                    "minion": worker,
                     "units": task.units,
                     "yields_to": standing.yields_to,
                 }
@@ -641,23 +668,23 @@
 
 def _log_index(core, token, arguments, now):
     """How far the log is, confirmed: what was acknowledged before has no higher index."""
-    return ("answer", (200, {"index": core.record.index}, None))
+    return ("answer", (200, {"index": core.cluster_state.index}, None))
 
 
 # The registry of calls: a new one is an entry here.
 CALLS = {
     "submit": Call(False, _submit),
-    "ticket": Call(True, _ticket),
-    "tickets": Call(True, _tickets),
+    "ticket": Call(True, _read_job),
+    "tickets": Call(True, _list_jobs),
     "cancel": Call(False, _cancel),
     "report": Call(False, _report),
-    "minions": Call(True, _minions),
+    "minions": Call(True, _list_push_workers),
     "drain": Call(False, _drain),
     "withdraw": Call(False, _withdraw),
-    "areas": Call(True, _areas),
-    "area": Call(False, _area),
-    "setup": Call(True, _setup),
-    "setups": Call(True, _setups),
+    "areas": Call(True, _list_zones),
+    "area": Call(False, _empty_zone),
+    "setup": Call(True, _read_queue_configuration),
+    "setups": Call(True, _list_queue_configurations),
     "change": Call(False, _change),
     "back": Call(False, _go_back),
     "table": Call(True, _table),
@@ -668,12 +695,12 @@
     "approve": Call(False, _approve),
     "drop": Call(False, _drop),
     "pending": Call(True, _pending),
-    "cohort": Call(True, _cohort),
-    "figures": Call(True, _figures),
-    "holds": Call(True, _holds),
-    "whence": Call(True, _whence),
+    "cohort": Call(True, _read_cluster),
+    "figures": Call(True, _read_metrics),
+    "holds": Call(True, _list_approval_pauses),
+    "whence": Call(True, _explain),
     "live": Call(True, _live_tasks),
-    INDEX_CALL: Call(True, _log_index),
+    LOG_INDEX_REQUEST: Call(True, _log_index),
     **{name: Call(False, make) for name, make in job_calls.CALLS.items()},
 }
 
@@ -698,7 +725,7 @@
     "cancel": _cancel_answer,
     "report": _report_answer,
     "done": _done_answer,
-    "setup": _setup_answer,
+    "setup": _queue_configuration_answer,
     "draft": _draft_answer,
     "dropped": _dropped_answer,
     **job_calls.SHAPES,
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -9,13 +9,13 @@
 
 from ..common import constants
 from ..consensus.leader_clock import LeaderClock
-from ..transport.forwarder import Carrier
-from ..transport.indexed_forwarder import ConfirmedCalls
+from ..transport.forwarder import Forwarder
+from ..transport.indexed_forwarder import IndexedForwarder
 from ..transport.request_key import key_of
 from .filters import FILTERS
 
 
-class Carried(NamedTuple):
+class ForwardedCall(NamedTuple):
     """A call on its way to the leader. Invariant: the same token every time it is sent."""
 
     request: int
@@ -26,28 +26,28 @@
     to: str
 
 
-class Verge:
+class FrontDaemon:
     """Invariants: an order in taken was posted at most once and never will be again;
     outcomes holds what the leader has not yet acknowledged; version only grows within a
     leader's term."""
 
-    def __init__(self, identity, address, area, seeds):
-        self.identity, self.address, self.area, self.seeds = identity, address, area, tuple(seeds)
-        self.cohort = None
-        self.accords = {}  # identity -> (area, address, heard)
+    def __init__(self, identity, address, zone, seeds):
+        self.identity, self.address, self.zone, self.seeds = identity, address, zone, tuple(seeds)
+        self.cluster = None
+        self.control_daemons = {}  # identity -> (area, address, heard)
         self.leader = None
         self.turn = 0
         self.count = 0
-        self.carried = {}
+        self.forwarded_calls = {}
         self.taken = {}  # (reference, attempt) -> send-by
         self.waiting_orders = {}
         self.outcomes = []  # (reference, attempt, outcome)
         self.outcomes_sent = 0
-        self.news_token = None
-        self.news_asked = -1e9
+        self.updates_token = None
+        self.updates_requested_at = -1e9
         self.version = (0, 0)
         self.body = None  # the newest news
-        self.news_at = None
+        self.updated_at = None
         self.begun_at = None  # the first step
         self.stale = True
         self.asked = {}  # token of a question for news -> when it was asked
@@ -56,8 +56,10 @@
         self.effects = []
         self.stopping = False
         self.kills = {}
-        self.carrier = Carrier(identity, address, self._event)  # calls about jobs; each life has its identity
-        self.confirmed_calls = ConfirmedCalls(self.carrier)
+        self.forwarder = Forwarder(
+            identity, address, self._event
+        )  # calls about jobs; each life has its identity
+        self.indexed_forwarder = IndexedForwarder(self.forwarder)
         self.leader_clock = LeaderClock()
         self.configured = False  # whether a configuration was ever heard to be in force
         self.event_counts = {}
@@ -67,7 +69,7 @@
         """Takes one message; returns the effects."""
         if self.begun_at is None:
             self.begun_at = now
-        self.confirmed_calls.turn(now)
+        self.indexed_forwarder.turn(now)
         handler = INPUTS.get(message[0])
         if handler is not None:
             handler(self, *message[1:], now)
@@ -92,13 +94,13 @@
         """The most that cohort time can be now: what is late by it is not sent."""
         return None if self.bounds is None else now + self.bounds[1]
 
-    def _learn_time(self, token, time, held, now):
+    def _learn_time(self, token, time, deferred_for, now):
         """An answer told `time` after holding the question for `held`: that moment lies
         between question and answer on the own clock, however long either lay unread."""
         asked = self.asked.pop(token, None)
         if asked is None:
             return
-        bounds = (time - now, time - asked - held)
+        bounds = (time - now, time - asked - deferred_for)
         if self.bounds is not None:
             width, age = self.bounds[1] - self.bounds[0], now - self.bounds[2]
             if bounds[1] - bounds[0] > width + 2 * constants.SLEW * age:
@@ -107,26 +109,39 @@
 
     # --- sessions ---------------------------------------------------------------------
     def _greeting(self):
-        accords = tuple((one, area, address) for one, (area, address, _) in self.accords.items())
-        return (self.identity, "verge", self.area, self.address, self.cohort, (), 0.0, accords, (), 0)
+        control_daemons = tuple(
+            (one, zone, address) for one, (zone, address, _) in self.control_daemons.items()
+        )
+        return (
+            self.identity,
+            "verge",
+            self.zone,
+            self.address,
+            self.cluster,
+            (),
+            0.0,
+            control_daemons,
+            (),
+            0,
+        )
 
     def _tick(self, now):
         if not self.stopping and now - self.greet_at >= constants.GREET_EVERY:
             self.greet_at = now
             self._greet(now)
-        self._ask_news(now)
+        self._request_updates(now)
         self._send_waiting(now)
-        due, effects = self.carrier.due(now, self._unled_for(now))
+        due, effects = self.forwarder.due(now, self._leaderless_for(now))
         self.effects.extend(effects)
         for token in due:
-            self._carry_call(token, now)
-        for token, carried in list(self.carried.items()):
-            if now - carried.begun >= constants.CARRY_TIMEOUT:
-                del self.carried[token]
-                self._give_up(carried)
-            elif now - carried.sent >= constants.CARRY_AGAIN:
-                self._carry(token, carried, self._way(carried.to), now)
-        stale = self.news_at is None or now - self.news_at > constants.STALE_AFTER
+            self._forward_call(token, now)
+        for token, forwarded_call in list(self.forwarded_calls.items()):
+            if now - forwarded_call.begun >= constants.FORWARD_TIMEOUT:
+                del self.forwarded_calls[token]
+                self._give_up(forwarded_call)
+            elif now - forwarded_call.sent >= constants.FORWARD_RETRY:
+                self._forward(token, forwarded_call, self._next_address(forwarded_call.to), now)
+        stale = self.updated_at is None or now - self.updated_at > constants.STALE_AFTER
         if stale != self.stale:
             self.stale = stale
             self._event(171 if stale else 172)
@@ -134,7 +149,7 @@
     def _greet(self, now):
         """Renews the session with one accord; looks round at another, or at a seed."""
         message = ("greet", *self._greeting())
-        known = sorted(self.accords.values(), key=lambda one: one[1])
+        known = sorted(self.control_daemons.values(), key=lambda one: one[1])
         live = [one for one in known if now - one[2] <= constants.SESSION_LASTS]
         targets = set()
         if live:
@@ -149,27 +164,29 @@
         for address in sorted(targets - {self.address}):
             self._send(address, message)
 
-    def _hear(self, identity, kind, area, address, cohort, view, clock, accords, founders, level, now):
-        if cohort and self.cohort is None:
-            self.cohort = cohort
+    def _hear(
+        self, identity, kind, zone, address, cluster, view, clock, control_daemons, founders, level, now
+    ):
+        if cluster and self.cluster is None:
+            self.cluster = cluster
         if kind == "accord":
-            self.accords[identity] = (area, address, now)
-        for one, its_area, its_address in accords:
-            if one not in self.accords:
-                self.accords[one] = (its_area, its_address, -1e9)
+            self.control_daemons[identity] = (zone, address, now)
+        for one, its_zone, its_address in control_daemons:
+            if one not in self.control_daemons:
+                self.control_daemons[one] = (its_zone, its_address, -1e9)
         stale = [
             one
-            for one, known in self.accords.items()
+            for one, known in self.control_daemons.items()
             if known[2] > 0 and now - known[2] > constants.ADDRESS_FORGET
         ]
         for one in stale:
-            del self.accords[one]
+            del self.control_daemons[one]
 
     def _on_greet(self, *rest):
         *fields, now = rest
         self._hear(*fields, now)
-        told = (self.leader, None, self.leader_clock.floor(now))
-        self._send(fields[3], ("greeted", *self._greeting(), *told))
+        leader_fields = (self.leader, None, self.leader_clock.floor(now))
+        self._send(fields[3], ("greeted", *self._greeting(), *leader_fields))
 
     def _on_greeted(self, *rest):
         *fields, leader, _, reading, now = rest
@@ -178,40 +195,44 @@
         if fields[1] == "accord" and leader:
             self.leader = leader
 
-    def _unled_for(self, now):
-        """How long no leader has been heard, in seconds; NEWS_HOLD and less while there is one."""
-        return now - (self.begun_at if self.news_at is None else self.news_at)
+    def _leaderless_for(self, now):
+        """How long no leader has been heard, in seconds; UPDATES_DEFERRAL and less while there is one."""
+        return now - (self.begun_at if self.updated_at is None else self.updated_at)
 
     # --- carrying ---------------------------------------------------------------------
-    def _way(self, avoid):
+    def _next_address(self, avoid):
         """Where to carry a call: the leader if known, else accords in turn."""
         if self.leader is not None and self.leader != avoid:
             return self.leader
-        others = sorted(one[1] for one in self.accords.values() if one[1] != avoid)
+        others = sorted(one[1] for one in self.control_daemons.values() if one[1] != avoid)
         if not others:
             return self.leader
         self.turn += 1
         return others[self.turn % len(others)]
 
-    def carry(self, request, call, arguments, now):
+    def forward(self, request, call, arguments, now):
         """Begins to carry a call for the HTTP request `request`."""
         self.count += 1
         self.counts["carried"] += 1
         token = f"{self.identity}-{self.count}"
-        self._carry(token, Carried(request, call, arguments, now, now, ""), self._way(""), now)
+        self._forward(
+            token, ForwardedCall(request, call, arguments, now, now, ""), self._next_address(""), now
+        )
 
-    def _carry(self, token, carried, address, now):
-        self.carried[token] = carried._replace(sent=now, to=address or "")
+    def _forward(self, token, forwarded_call, address, now):
+        self.forwarded_calls[token] = forwarded_call._replace(sent=now, to=address or "")
         if address is not None:
-            end = self.leader_clock.end(carried.begun + constants.CARRY_TIMEOUT, now)
-            self._send(address, ("ask", self.address, token, carried.call, carried.arguments, 0, end))
+            end = self.leader_clock.end(forwarded_call.begun + constants.FORWARD_TIMEOUT, now)
+            self._send(
+                address, ("ask", self.address, token, forwarded_call.call, forwarded_call.arguments, 0, end)
+            )
 
-    def _give_up(self, carried):
+    def _give_up(self, forwarded_call):
         """No answer came while the call was to be carried."""
         self.counts["unanswered"] += 1
         message = "no leader answered in time; the call may have been taken"
         problem = {"error": {"code": "no_leader", "message": message}}
-        self._reply(carried.request, 503, problem, constants.COME_BACK)
+        self._reply(forwarded_call.request, 503, problem, constants.RETRY_AFTER)
 
     def _on_call(self, request, call, arguments, patience, now):
         """A call about jobs, carried to whoever leads; or whether this verge is ready."""
@@ -220,14 +241,18 @@
             ready = self.configured and not self.stopping
             self.effects.append(("reply", request, 200 if ready else 503, {}, ()))
             return
-        token = self.confirmed_calls.begin(request, call, arguments, now, patience)
-        self._carry_call(token, now)
-
-    def _carry_call(self, token, now):
-        call = self.carrier.calls[token]
-        address = self._way(call.to or "") if call.to == self.leader and call.open else self._way("")
+        token = self.indexed_forwarder.begin(request, call, arguments, now, patience)
+        self._forward_call(token, now)
+
+    def _forward_call(self, token, now):
+        call = self.forwarder.calls[token]
+        address = (
+            self._next_address(call.to or "")
+            if call.to == self.leader and call.open
+            else self._next_address("")
+        )
         end = self.leader_clock.end(call.until, now)
-        sending = self.carrier.sent(token, address, now, end)
+        sending = self.forwarder.sent(token, address, now, end)
         self._send(address, ("ask", self.address, token, call.call, call.arguments, sending, end))
 
     def _on_seeds(self, seeds, now):
@@ -235,67 +260,67 @@
         self.seeds = tuple(seeds)
         self._event(182, seeds=list(seeds))
 
-    def _on_unsure(self, token, now):
-        self.carrier.unsure(token)
+    def _on_in_doubt(self, token, now):
+        self.forwarder.in_doubt(token)
 
     def _on_answer(self, token, answer, key, now):
-        carried = self.carried.get(token)
-        if carried is None:
-            self.effects.extend(self.confirmed_calls.answered(token, answer, key, now))
+        forwarded_call = self.forwarded_calls.get(token)
+        if forwarded_call is None:
+            self.effects.extend(self.indexed_forwarder.answered(token, answer, key, now))
             return
-        if key_of(carried.call, carried.arguments) != tuple(key):
-            self._event(145, token=token, call=carried.call, told=list(key))
+        if key_of(forwarded_call.call, forwarded_call.arguments) != tuple(key):
+            self._event(145, token=token, call=forwarded_call.call, told=list(key))
             return
-        del self.carried[token]
-        if now - carried.begun >= constants.CARRY_TIMEOUT:  # read after a stall
-            self._give_up(carried)
+        del self.forwarded_calls[token]
+        if now - forwarded_call.begun >= constants.FORWARD_TIMEOUT:  # read after a stall
+            self._give_up(forwarded_call)
             return
         status, document, retry = answer
         self.counts["answered"] += 1
         self.counts["shed"] += status == 429
         headers = ()
-        if carried.call in ("setup", "change", "back") and status == 200:
+        if forwarded_call.call in ("setup", "change", "back") and status == 200:
             headers = (("ETag", f'"{document["version"]}"'),)
-        self._reply(carried.request, status, document, retry, headers)
+        self._reply(forwarded_call.request, status, document, retry, headers)
 
-    def _on_elsewhere(self, token, leader, sending, reading, now):
+    def _on_not_taken(self, token, leader, sending, reading, now):
         """An accord that doesn't take a call says who leads, and what the leader's clock has passed."""
         self.leader_clock.hear(reading, now)
-        if token == self.news_token:
-            self.news_token = None
+        if token == self.updates_token:
+            self.updates_token = None
             if leader is None or leader != self.leader:
                 self.leader = leader
             if leader is None:
-                self._ask_news_soon(token, now)
+                self._request_updates_later(token, now)
             return
-        call = self.carrier.calls.get(token)
+        call = self.forwarder.calls.get(token)
         if call is not None:
-            self.carrier.refused(token, sending)
+            self.forwarder.not_taken(token, sending)
             newer = (call.term or 0) < self.leader_clock.term
             if leader is not None and (leader != call.to or newer):
                 self.leader = leader
-                self._carry_call(token, now)
+                self._forward_call(token, now)
             elif leader is None and self.leader == call.to:
                 self.leader = None
             return
-        carried = self.carried.get(token)
-        if carried is None:
+        forwarded_call = self.forwarded_calls.get(token)
+        if forwarded_call is None:
             return
-        if leader is not None and leader != carried.to:
+        if leader is not None and leader != forwarded_call.to:
             self.leader = leader
-            self._carry(token, carried, leader, now)
-        elif leader is None and self.leader == carried.to:
+            self._forward(token, forwarded_call, leader, now)
+        elif leader is None and self.leader == forwarded_call.to:
             self.leader = None
 
     def _on_undelivered(self, token, sending, now):
         """That sending under `token` reached nobody: no connection could be made."""
-        if token == self.news_token:
-            self._ask_news_soon(token, now)
+        if token == self.updates_token:
+            self._request_updates_later(token, now)
             return
-        call = self.carrier.calls.get(token)
+        call = self.forwarder.calls.get(token)
         if call is not None and call.to == self.leader:
             self.leader = None
-        self.carrier.refused(token, sending)
+        self.forwarder.not_taken(token, sending)
 
     def _reply(self, request, status, document, retry=None, headers=()):
         if retry is not None:
@@ -306,9 +331,15 @@
     def _on_http(self, request, method, target, headers, body, now):
         """A request passes the chain of filters; the first answer counts."""
         self.counts["calls"] += 1
-        ticket = {"request": request, "method": method, "target": target, "headers": headers, "body": body}
+        http_request = {
+            "request": request,
+            "method": method,
+            "target": target,
+            "headers": headers,
+            "body": body,
+        }
         for one in FILTERS:
-            answer = one(self, ticket, now)
+            answer = one(self, http_request, now)
             if answer is not None:
                 if answer != "carried":
                     self._reply(request, *answer)
@@ -318,47 +349,51 @@
         """What this verge knows of itself."""
         return {
             "identity": self.identity,
-            "area": self.area,
-            "cohort": self.cohort,
+            "area": self.zone,
+            "cohort": self.cluster,
             "leader": self.leader,
             "stale": self.stale,
             "setup_version": (self.body or {}).get("setup_version"),
-            "accords": sorted(one[1] for one in self.accords.values()),
+            "accords": sorted(one[1] for one in self.control_daemons.values()),
             "time": self.earliest(now),
             "orders_under_way": len(self.waiting_orders),
         }
 
     # --- news and orders --------------------------------------------------------------
-    def _ask_news(self, now):
-        patience = constants.NEWS_HOLD + constants.CARRY_AGAIN
-        waiting = self.news_token is not None
+    def _request_updates(self, now):
+        patience = constants.UPDATES_DEFERRAL + constants.FORWARD_RETRY
+        waiting = self.updates_token is not None
         fresh = len(self.outcomes) > self.outcomes_sent
-        if waiting and now - self.news_asked < (constants.TICK if fresh else patience):
+        if waiting and now - self.updates_requested_at < (constants.TICK if fresh else patience):
             return
         address = self.leader
         if waiting and not fresh or address is None:
-            address = self._way(self.leader or "")
+            address = self._next_address(self.leader or "")
         if address is None or self.stopping:
             return
         self.count += 1
-        self.news_token = f"{self.identity}-{self.count}"
-        self.news_asked = self.asked[self.news_token] = now
+        self.updates_token = f"{self.identity}-{self.count}"
+        self.updates_requested_at = self.asked[self.updates_token] = now
         for old in list(self.asked)[: -constants.ASKED_KEPT]:
             del self.asked[old]
         self.outcomes_sent = len(self.outcomes)
         self._send(
             address,
-            ("news", self.identity, self.address, self.news_token, self.version, tuple(self.outcomes)),
+            ("news", self.identity, self.address, self.updates_token, self.version, tuple(self.outcomes)),
         )
 
-    def _ask_news_soon(self, token, now):
+    def _request_updates_later(self, token, now):
         """Nobody answers this question: it is asked again after a while, of another."""
-        self.news_token = token
-        self.news_asked = now + constants.CARRY_SEEK - constants.NEWS_HOLD - constants.CARRY_AGAIN
+        self.updates_token = token
+        self.updates_requested_at = (
+            now + constants.FORWARD_RETRY_UNTAKEN - constants.UPDATES_DEFERRAL - constants.FORWARD_RETRY
+        )
 
-    def _on_told(self, token, version, body, orders, kills, time, held, accords, cohort, now):
-        if token == self.news_token:
-            self.news_token = None
+    def _on_updates(
+        self, token, version, body, orders, kills, time, deferred_for, control_daemons, cluster, now
+    ):
+        if token == self.updates_token:
+            self.updates_token = None
             del self.outcomes[: self.outcomes_sent]
             self.outcomes_sent = 0
         version = tuple(version)
@@ -368,12 +403,14 @@
                 self.version, self.body = version, body
                 self.configured = self.configured or bool(body["configuration"])
             if asked is not None:  # as old as that at most, however long it lay unread here
-                self.news_at = max(asked + held, asked if self.news_at is None else self.news_at)
-            self._learn_time(token, time, held, now)
-            self.cohort = self.cohort or cohort
-        for one, area, address in accords:
-            known = self.accords.get(one)
-            self.accords[one] = (area, address, known[2] if known else -1e9)
+                self.updated_at = max(
+                    asked + deferred_for, asked if self.updated_at is None else self.updated_at
+                )
+            self._learn_time(token, time, deferred_for, now)
+            self.cluster = self.cluster or cluster
+        for one, zone, address in control_daemons:
+            known = self.control_daemons.get(one)
+            self.control_daemons[one] = (zone, address, known[2] if known else -1e9)
         for ref, attempt, address in kills:
             self.kills[(ref, attempt)] = now
             if (ref, attempt) in self.waiting_orders:
@@ -387,7 +424,7 @@
                 self.waiting_orders[key] = order
                 self.outcomes.append((*key, "taken"))
         self._send_waiting(now)
-        self._ask_news(now)
+        self._request_updates(now)
 
     def _send_waiting(self, now):
         """Sends each order whose time has come, once, unless news has overtaken it."""
@@ -431,13 +468,13 @@
             if outcome == "unknown":
                 self._event(153, task=key[0], attempt=key[1])
             self.outcomes.append((*key, outcome))
-            self._ask_news(now)
+            self._request_updates(now)
 
     def _on_stop(self, now):
         """SIGTERM: takes no more tickets, leaves its session."""
         self.stopping = True
         self._event(101)
-        for _, address, _ in self.accords.values():
+        for _, address, _ in self.control_daemons.values():
             self._send(address, ("leave", self.identity))
 
     def may_end(self, now):
@@ -447,17 +484,17 @@
 
 # The registry of inputs: message kind -> handler.
 INPUTS = {
-    "tick": Verge._tick,
-    "greet": Verge._on_greet,
-    "greeted": Verge._on_greeted,
-    "answer": Verge._on_answer,
-    "elsewhere": Verge._on_elsewhere,
-    "told": Verge._on_told,
-    "http": Verge._on_http,
-    "call": Verge._on_call,
-    "unsure": Verge._on_unsure,
-    "undelivered": Verge._on_undelivered,
-    "seeds": Verge._on_seeds,
-    "posted": Verge._on_posted,
-    "stop": Verge._on_stop,
+    "tick": FrontDaemon._tick,
+    "greet": FrontDaemon._on_greet,
+    "greeted": FrontDaemon._on_greeted,
+    "answer": FrontDaemon._on_answer,
+    "elsewhere": FrontDaemon._on_not_taken,
+    "told": FrontDaemon._on_updates,
+    "http": FrontDaemon._on_http,
+    "call": FrontDaemon._on_call,
+    "unsure": FrontDaemon._on_in_doubt,
+    "undelivered": FrontDaemon._on_undelivered,
+    "seeds": FrontDaemon._on_seeds,
+    "posted": FrontDaemon._on_posted,
+    "stop": FrontDaemon._on_stop,
 }
