--- a/src/pinepitch/front/filters.py
+++ b/src/pinepitch/front/filters.py
@@ -25,56 +25,58 @@
     )
 
 
-def stopping(verge, ticket, now):
+def stopping(front, http_request, now):
     """A stopping verge takes nothing more."""
-    if verge.stopping:
-        return no(503, "stopping", "this verge is stopping", constants.COME_BACK)
+    if front.stopping:
+        return no(503, "stopping", "this verge is stopping", constants.RETRY_AFTER)
 
 
-def bounds(verge, ticket, now):
+def bounds(front, http_request, now):
     """Sizes."""
-    if len(ticket["body"]) > constants.BODY_MOST:
-        return no(413, "too_large", f"over {constants.BODY_MOST} bytes")
+    if len(http_request["body"]) > constants.MAX_BODY_BYTES:
+        return no(413, "too_large", f"over {constants.MAX_BODY_BYTES} bytes")
 
 
-def target(verge, ticket, now):
+def target(front, http_request, now):
     """Finds the way that fits the method and path."""
     try:
-        parts = urlsplit(ticket["target"])
+        parts = urlsplit(http_request["target"])
     except ValueError:
         return no(400, "malformed", "the target can't be read")
     path = [unquote(one) for one in parts.path.split("/") if one]
-    ticket["query"] = dict(parse_qsl(parts.query))
+    http_request["query"] = dict(parse_qsl(parts.query))
     allowed = []
-    for method, pattern, handler in WAYS:
+    for method, pattern, handler in ROUTES:
         names = [one for one in pattern.split("/") if one]
         if len(names) != len(path):
             continue
         if any(name != part for name, part in zip(names, path, strict=False) if not name.startswith("{")):
             continue
-        if method != ticket["method"]:
+        if method != http_request["method"]:
             allowed.append(method)
             continue
-        ticket["handler"] = handler
-        ticket["names"] = [part for name, part in zip(names, path, strict=False) if name.startswith("{")]
+        http_request["handler"] = handler
+        http_request["names"] = [
+            part for name, part in zip(names, path, strict=False) if name.startswith("{")
+        ]
         return None
     if allowed:
         return no(405, "method", f"allowed: {', '.join(sorted(set(allowed)))}")
     return no(404, "no_such_way", f"nothing at {parts.path}")
 
 
-def document(verge, ticket, now):
+def document(front, http_request, now):
     """Reads a JSON body."""
-    ticket["document"] = None
-    if ticket["body"]:
-        ticket["document"], why = documents.read(ticket["body"])
+    http_request["document"] = None
+    if http_request["body"]:
+        http_request["document"], why = documents.read(http_request["body"])
         if why:
             return no(400, "malformed", why)
 
 
-def serve(verge, ticket, now):
+def serve(front, http_request, now):
     """Answers or carries."""
-    return ticket["handler"](verge, ticket, now)
+    return http_request["handler"](front, http_request, now)
 
 
 # The chain, in order.
@@ -82,47 +84,47 @@
 
 
 # --- handlers ------------------------------------------------------------------------
-def _submit(verge, ticket, now):
-    body = ticket["document"]
+def _submit(front, http_request, now):
+    body = http_request["document"]
     if not isinstance(body, dict):
         return no(400, "malformed", "expected a JSON object")
-    key = ticket["headers"].get("idempotency-key") or body.get("key") or secrets.token_hex(12)
+    key = http_request["headers"].get("idempotency-key") or body.get("key") or secrets.token_hex(12)
     body = {**body, "key": key}
     plain, faults = tickets.checked(body)
     if faults:
         return _faulty(faults)
     del plain["key"]
-    verge.carry(ticket["request"], "submit", (key, tickets.digest_of(plain), plain), now)
+    front.forward(http_request["request"], "submit", (key, tickets.digest_of(plain), plain), now)
     return "carried"
 
 
-def _report(verge, ticket, now):
-    report, faults = minions.checked(ticket["document"])
+def _report(front, http_request, now):
+    report, faults = minions.checked(http_request["document"])
     if faults:
         return _faulty(faults)
-    verge.carry(ticket["request"], "report", tuple(report), now)
+    front.forward(http_request["request"], "report", tuple(report), now)
     return "carried"
 
 
 def _named(call, *more):
-    def handler(verge, ticket, now):
-        verge.carry(ticket["request"], call, (*ticket["names"], *more), now)
+    def handler(front, http_request, now):
+        front.forward(http_request["request"], call, (*http_request["names"], *more), now)
         return "carried"
 
     return handler
 
 
-def _tickets(verge, ticket, now):
-    query = ticket["query"]
+def _pushed_jobs(front, http_request, now):
+    query = http_request["query"]
     try:
         after = int(query.get("after", "0"))
-        most = int(query.get("limit", str(constants.PAGE_MOST)))
+        most = int(query.get("limit", str(constants.MAX_PAGE_ROWS)))
     except ValueError:
         return no(400, "malformed", "after and limit are whole numbers")
-    if not 1 <= most <= constants.PAGE_MOST or after < 0:
-        return no(400, "malformed", f"limit is 1 to {constants.PAGE_MOST}, after is not negative")
-    verge.carry(
-        ticket["request"],
+    if not 1 <= most <= constants.MAX_PAGE_ROWS or after < 0:
+        return no(400, "malformed", f"limit is 1 to {constants.MAX_PAGE_ROWS}, after is not negative")
+    front.forward(
+        http_request["request"],
         "tickets",
         (after, most, query.get("state", ""), query.get("queue", ""), query.get("key", "")),
         now,
@@ -130,73 +132,82 @@
     return "carried"
 
 
-def _withdraw(verge, ticket, now):
-    body = ticket["document"] or {}
+def _withdraw(front, http_request, now):
+    body = http_request["document"] or {}
     due = body.get("due", 0) if isinstance(body, dict) else None
     if isinstance(due, bool) or not isinstance(due, (int, float)):
         return _faulty((("due", "expected a time"),))
-    verge.carry(ticket["request"], "withdraw", (ticket["names"][0], float(due)), now)
+    front.forward(http_request["request"], "withdraw", (http_request["names"][0], float(due)), now)
     return "carried"
 
 
-def _base(ticket):
+def _base(http_request):
     """The version an If-Match names, or None; ValueError when it is none of ours."""
-    text = ticket["headers"].get("if-match")
+    text = http_request["headers"].get("if-match")
     if text is None or text == "*":
         return None
     return int(text.strip().removeprefix("W/").strip('"'))
 
 
-def _setup(verge, ticket, now):
+def _queue_configuration(front, http_request, now):
     try:
-        wanted = int(ticket["names"][0]) if ticket["names"] else 0
+        wanted = int(http_request["names"][0]) if http_request["names"] else 0
     except ValueError:
         return no(400, "malformed", "a version is a whole number")
-    verge.carry(ticket["request"], "setup", (wanted,), now)
+    front.forward(http_request["request"], "setup", (wanted,), now)
     return "carried"
 
 
-def _who(ticket):
-    headers = ticket["headers"]
-    return headers.get("x-operator", "unnamed")[: constants.NAME_MOST], headers.get("x-reason", "")[:500]
+def _who(http_request):
+    headers = http_request["headers"]
+    return headers.get("x-operator", "unnamed")[: constants.MAX_NAME_LENGTH], headers.get("x-reason", "")[
+        :500
+    ]
 
 
 def _change(manner):
-    def handler(verge, ticket, now):
+    def handler(front, http_request, now):
         try:
-            base = _base(ticket)
+            base = _base(http_request)
         except ValueError:
             return no(400, "malformed", "If-Match takes a version")
-        if base is None and ticket["headers"].get("if-match") != "*":
+        if base is None and http_request["headers"].get("if-match") != "*":
             return no(428, "base_needed", "name the version this builds on in If-Match, or * for any")
-        if not isinstance(ticket["document"], dict):
+        if not isinstance(http_request["document"], dict):
             return no(400, "malformed", "expected a JSON object")
-        if len(ticket["body"]) > constants.SETUP_MOST:
-            return no(413, "too_large", f"a setup has at most {constants.SETUP_MOST} bytes")
-        verge.carry(ticket["request"], "change", (base, manner, ticket["document"], *_who(ticket)), now)
+        if len(http_request["body"]) > constants.MAX_QUEUE_CONFIGURATION_BYTES:
+            return no(
+                413, "too_large", f"a setup has at most {constants.MAX_QUEUE_CONFIGURATION_BYTES} bytes"
+            )
+        front.forward(
+            http_request["request"],
+            "change",
+            (base, manner, http_request["document"], *_who(http_request)),
+            now,
+        )
         return "carried"
 
     return handler
 
 
-def _back(verge, ticket, now):
-    body = ticket["document"]
+def _back(front, http_request, now):
+    body = http_request["document"]
     if not isinstance(body, dict) or type(body.get("version")) is not int:
         return _faulty((("version", "expected a whole number"),))
     try:
-        base = _base(ticket)
+        base = _base(http_request)
     except ValueError:
         return no(400, "malformed", "If-Match takes a version")
-    verge.carry(ticket["request"], "back", (base, body["version"], *_who(ticket)), now)
+    front.forward(http_request["request"], "back", (base, body["version"], *_who(http_request)), now)
     return "carried"
 
 
-def _draft(verge, ticket, now):
-    body = ticket["document"]
+def _draft(front, http_request, now):
+    body = http_request["document"]
     if not isinstance(body, dict) or type(body.get("base")) is not int:
         return _faulty((("base", "expected the version the draft builds on"),))
-    if len(ticket["body"]) > constants.SETUP_MOST:
-        return no(413, "too_large", f"a draft has at most {constants.SETUP_MOST} bytes")
+    if len(http_request["body"]) > constants.MAX_QUEUE_CONFIGURATION_BYTES:
+        return no(413, "too_large", f"a draft has at most {constants.MAX_QUEUE_CONFIGURATION_BYTES} bytes")
     patch, faults = body.get("patch"), ()
     if patch is None:
         found = body.get("cells")
@@ -207,65 +218,65 @@
         faults = (("patch", "expected an object"),)
     if faults:
         return _faulty(faults)
-    verge.carry(ticket["request"], "draft", (body["base"], patch, *_who(ticket)), now)
+    front.forward(http_request["request"], "draft", (body["base"], patch, *_who(http_request)), now)
     return "carried"
 
 
-def _approve(verge, ticket, now):
-    verge.carry(ticket["request"], "approve", (ticket["names"][0], *_who(ticket)), now)
+def _approve(front, http_request, now):
+    front.forward(http_request["request"], "approve", (http_request["names"][0], *_who(http_request)), now)
     return "carried"
 
 
-def _health(verge, ticket, now):
-    ready = verge.cohort is not None and not verge.stale
-    return (200 if ready else 503, verge.health(now), None if ready else constants.COME_BACK)
+def _health(front, http_request, now):
+    ready = front.cluster is not None and not front.stale
+    return (200 if ready else 503, front.health(now), None if ready else constants.RETRY_AFTER)
 
 
-def _metrics(verge, ticket, now):
+def _metrics(front, http_request, now):
     return (
         200,
         metrics.text(
             [
                 *(
-                    ("counter", f"verge_{name}", told, (), [((), verge.counts[name])])
-                    for name, told in COUNTED
+                    ("counter", f"verge_{name}", help_text, (), [((), front.counts[name])])
+                    for name, help_text in COUNTED
                 ),
                 (
                     "gauge",
                     "verge_stale",
                     "1 while this verge can't learn news.",
                     (),
-                    [((), int(verge.stale))],
+                    [((), int(front.stale))],
                 ),
                 (
                     "gauge",
                     "verge_news_age_seconds",
                     "Since the newest news; -1 before any.",
                     (),
-                    [((), now - verge.news_at if verge.news_at is not None else -1)],
+                    [((), now - front.updated_at if front.updated_at is not None else -1)],
                 ),
                 (
                     "gauge",
                     "verge_setup_version",
                     "Version of the setup in force here.",
                     (),
-                    [((), (verge.body or {}).get("setup_version") or 0)],
+                    [((), (front.body or {}).get("setup_version") or 0)],
                 ),
                 (
                     "gauge",
                     "verge_calls_carried_now",
                     "Calls on their way to the leader.",
                     (),
-                    [((), len(verge.carried))],
+                    [((), len(front.forwarded_calls))],
                 ),
                 (
                     "gauge",
                     "verge_orders_waiting",
                     "Orders whose time has not come.",
                     (),
-                    [((), len(verge.waiting_orders))],
+                    [((), len(front.waiting_orders))],
                 ),
-                metrics.event_figures(verge.event_counts),
+                metrics.event_figures(front.event_counts),
             ]
         ),
         None,
@@ -283,9 +294,9 @@
 
 
 # The registry of ways: method, path, handler.
-WAYS = (
+ROUTES = (
     ("POST", "/v1/tickets", _submit),
-    ("GET", "/v1/tickets", _tickets),
+    ("GET", "/v1/tickets", _pushed_jobs),
     ("GET", "/v1/tickets/{ticket}", _named("ticket")),
     ("GET", "/v1/tickets/{ticket}/whence", _named("whence")),
     ("POST", "/v1/tickets/{ticket}/cancel", _named("cancel")),
@@ -299,8 +310,8 @@
     ("GET", "/v1/areas", _named("areas")),
     ("POST", "/v1/areas/{area}/empty", _named("area", True)),
     ("POST", "/v1/areas/{area}/take-back", _named("area", False)),
-    ("GET", "/v1/setup", _setup),
-    ("GET", "/v1/setup/versions/{version}", _setup),
+    ("GET", "/v1/setup", _queue_configuration),
+    ("GET", "/v1/setup/versions/{version}", _queue_configuration),
     ("GET", "/v1/setup/versions", _named("setups")),
     ("PUT", "/v1/setup", _change("whole")),
     ("PATCH", "/v1/setup", _change("merge")),
--- a/src/pinepitch/front/program.py
+++ b/src/pinepitch/front/program.py
@@ -5,8 +5,8 @@
 import fire
 
 from ..common import events
-from ..runtime.process import checked_env, serve
-from .daemon import Verge
+from ..runtime.process import checked_settings, serve
+from .daemon import FrontDaemon
 
 
 def run(settings=None, address=None, area=None, seeds=None, http=None, level=None):
@@ -20,7 +20,7 @@
         seeds: three IP:PORT of other daemons, parted by commas.
         level: log level: debug, info, warning, error, critical.
     """
-    found = checked_env(
+    found = checked_settings(
         "verge",
         settings,
         {
@@ -33,7 +33,7 @@
     )
     identity = secrets.token_hex(6)
     log = events.logger("verge", identity, found.level)
-    serve("verge", Verge(identity, found.address, found.area, found.seeds), found, log)
+    serve("verge", FrontDaemon(identity, found.address, found.zone, found.seeds), found, log)
 
 
 def main():
--- a/src/pinepitch/model/contract.py
+++ b/src/pinepitch/model/contract.py
@@ -62,13 +62,13 @@
     return isinstance(value, pattern) and not (pattern is int and isinstance(value, bool))
 
 
-ACCORD = (str, str, Address)  # identity, area, address
+CONTROL_DAEMON = (str, str, Address)  # identity, area, address
 HISTORY = Pairs(int, str)
-COHORT = [(Pairs(str, str), str)]
+MEMBERSHIP = [(Pairs(str, str), str)]
 ENTRY = (int, Number, Operation)
 OUTCOME = (str, int, str)
 READING = (int, Number)  # a term, and what the steady clock of its leader has passed
-GREETING = (str, str, str, Address, Maybe(str), [str], Number, [ACCORD], [str], int)
+GREETING = (str, str, str, Address, Maybe(str), [str], Number, [CONTROL_DAEMON], [str], int)
 
 RAFT = {
     "prevote": (int, int, int),
@@ -81,7 +81,7 @@
     "stranger": (int, int),
     "append": (int, int, int, [ENTRY], int, int),
     "appended": (int, bool, Maybe(int), int),
-    "piece": (int, int, int, COHORT, int, int, bytes, int),
+    "piece": (int, int, int, MEMBERSHIP, int, int, bytes, int),
     "pieced": (int, int, int, int, int),
 }
 # The registry of contracts: message kind -> pattern of what follows it.
@@ -101,7 +101,17 @@
     "answer": (str, (int, ANY, Maybe(int)), (str, str)),
     "elsewhere": (str, Maybe(Address), int, Maybe(READING)),
     "unsure": (str,),
-    "told": (str, (int, int), Maybe(dict), [dict], [(str, int, str)], Number, Number, [ACCORD], Maybe(str)),
+    "told": (
+        str,
+        (int, int),
+        Maybe(dict),
+        [dict],
+        [(str, int, str)],
+        Number,
+        Number,
+        [CONTROL_DAEMON],
+        Maybe(str),
+    ),
 }
 # What a carried call's arguments must look like, by call.
 ARGUMENTS = {
@@ -138,7 +148,7 @@
 }
 
 
-def kept(message):
+def keeps_contract(message):
     """Whether a message from another process keeps its contract."""
     kind, *rest = message
     if not isinstance(kind, str) or kind not in CONTRACTS or not fits(rest, CONTRACTS[kind]):
--- a/src/pinepitch/model/push_worker.py
+++ b/src/pinepitch/model/push_worker.py
@@ -5,7 +5,7 @@
 import voluptuous
 
 from ..common import constants, daemon_settings
-from .pushed_job import _number, _whole, name, shaped
+from .pushed_job import _number, _whole_number, name, shaped
 
 
 class Report(NamedTuple):
@@ -15,10 +15,10 @@
     all it runs now; ended holds (reference, attempt, how) until each is acknowledged;
     heard is the newest cohort time an answer told it, so the report was begun later."""
 
-    minion: str
-    area: str
+    worker: str
+    zone: str
     address: str
-    room: int
+    capacity: int
     labels: tuple
     guards: bool
     incarnation: str
@@ -36,11 +36,11 @@
         voluptuous.Required("minion"): name,
         voluptuous.Required("area"): name,
         voluptuous.Required("address"): daemon_settings.address,
-        voluptuous.Required("room"): _whole(0, constants.UNITS_MOST),
+        voluptuous.Required("room"): _whole_number(0, constants.MAX_UNITS),
         voluptuous.Optional("labels", default=[]): [name],
         voluptuous.Optional("guards", default=False): bool,
         voluptuous.Required("incarnation"): name,
-        voluptuous.Required("counter"): _whole(0, 10**15),
+        voluptuous.Required("counter"): _whole_number(0, 10**15),
         voluptuous.Optional("heard", default=0): _number(0, 1e11),
         voluptuous.Required("running"): [_PAIR],
         voluptuous.Required("ended"): [_TRIPLE],
@@ -74,7 +74,7 @@
     ), ()
 
 
-class Minion:
+class PushWorker:
     """What the leader has gathered of one minion. Not stored: rebuilt from reports.
 
     Invariants: report is the newest by (incarnation, counter); failing lies in [0, 1]."""
@@ -91,9 +91,9 @@
         weight = 1.0 / constants.LIVENESS_HALF
         self.failing += weight * ((0.0 if well else 1.0) - self.failing)
 
-    def silent(self, now):
+    def unresponsive(self, now):
         """Whether no report came for so long that it gets no work."""
-        return now - self.heard_at > constants.MINION_SILENT
+        return now - self.heard_at > constants.PUSH_WORKER_TIMEOUT
 
     def poor(self):
         return self.failing > constants.LIVENESS_POOR
--- a/src/pinepitch/model/pushed_job.py
+++ b/src/pinepitch/model/pushed_job.py
@@ -11,7 +11,7 @@
 from .task import Task
 
 
-class Ticket(NamedTuple):
+class PushedJob(NamedTuple):
     """Invariants: identity is unique in the record; tasks and standings have the same
     names; state is pending until every task is final, then finished only if all are
     done, else failed or cancelled; cancelled_at is 0 until a cancel is in force."""
@@ -29,8 +29,8 @@
     state: str = "pending"
     cancelled_at: float = 0.0
     ended_at: float = 0.0
-    named: bool = False  # whether it named its own urgency
-    parked: str = ""  # why no minion then known could take it, if that was so when it came
+    urgency_given: bool = False  # whether it named its own urgency
+    unplaceable: str = ""  # why no minion then known could take it, if that was so when it came
 
     def ready_since(self, task):
         """When a task of it, its forerunners all done, could first start."""
@@ -47,14 +47,14 @@
     return value
 
 
-def _whole(low, high):
+def _whole_number(low, high):
     return voluptuous.All(int, _not_bool, voluptuous.Range(low, high))
 
 
 def name(value):
     """A name: printable, no slash (it parts a task's reference), bounded."""
-    if not isinstance(value, str) or not 0 < len(value) <= constants.NAME_MOST:
-        raise voluptuous.Invalid(f"expected a text of 1 to {constants.NAME_MOST} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= constants.MAX_NAME_LENGTH:
+        raise voluptuous.Invalid(f"expected a text of 1 to {constants.MAX_NAME_LENGTH} characters")
     if "/" in value or not value.isprintable():
         raise voluptuous.Invalid("expected a name without a slash or control characters")
     return value
@@ -63,11 +63,11 @@
 TIME_MOST = 1e11
 TASK_SHAPE = {
     voluptuous.Required("name"): name,
-    voluptuous.Optional("units", default=1): _whole(1, constants.UNITS_MOST),
+    voluptuous.Optional("units", default=1): _whole_number(1, constants.MAX_UNITS),
     voluptuous.Optional("labels", default=[]): [name],
     voluptuous.Optional("after", default=[]): [name],
     voluptuous.Optional("not_before", default=0): _number(0, TIME_MOST),
-    voluptuous.Optional("attempts", default=0): _whole(0, constants.ATTEMPTS_MOST),
+    voluptuous.Optional("attempts", default=0): _whole_number(0, constants.MAX_ATTEMPTS),
     voluptuous.Optional("limit", default=0): _number(0, TIME_MOST),
     voluptuous.Optional("gang", default=""): voluptuous.Any("", name),
     voluptuous.Optional("work", default=None): voluptuous.Any(None, dict, str, int, float),
@@ -76,13 +76,11 @@
     {
         voluptuous.Required("queue"): name,
         voluptuous.Optional("kind", default="batch"): voluptuous.In(("batch", "feed")),
-        voluptuous.Optional("urgency", default=-1): _whole(-1, constants.URGENCY_MOST),
+        voluptuous.Optional("urgency", default=-1): _whole_number(-1, constants.MAX_URGENCY),
         voluptuous.Optional("not_before", default=0): _number(0, TIME_MOST),
         voluptuous.Optional("due", default=0): _number(0, TIME_MOST),
         voluptuous.Optional("key"): name,
-        voluptuous.Required("tasks"): voluptuous.All(
-            [TASK_SHAPE], voluptuous.Length(1, constants.TASKS_MOST)
-        ),
+        voluptuous.Required("tasks"): voluptuous.All([TASK_SHAPE], voluptuous.Length(1, constants.MAX_TASKS)),
     }
 )
 
@@ -181,11 +179,11 @@
     return sorted(waits)
 
 
-def tasks_from(plain, row_retries, feed):
+def tasks_from(plain, queue_retries, feed):
     """name -> Task of a checked document; attempts are bounded by the row."""
     tasks = {}
     for one in plain["tasks"]:
-        attempts = row_retries + 1
+        attempts = queue_retries + 1
         if one["attempts"]:
             attempts = min(attempts, one["attempts"])
         tasks[one["name"]] = Task(
--- a/src/pinepitch/model/queue_settings.py
+++ b/src/pinepitch/model/queue_settings.py
@@ -5,10 +5,10 @@
 import voluptuous
 
 from ..common import constants
-from .pushed_job import _number, _whole, name, shaped
+from .pushed_job import _number, _whole_number, name, shaped
 
 
-class Row(NamedTuple):
+class QueueSettings(NamedTuple):
     """Invariants: 0 <= share <= limit; a running task holds its units in credits, lent
     by its own queue first; units running never pass limit."""
 
@@ -24,11 +24,11 @@
 
 
 COLUMNS = {
-    "share": _whole(0, constants.UNITS_MOST),
-    "urgency": _whole(0, constants.URGENCY_MOST),
-    "retries": _whole(0, constants.ATTEMPTS_MOST - 1),
-    "limit": _whole(1, constants.UNITS_MOST),
-    "pending": _whole(1, 10 * constants.PENDING_MOST),
+    "share": _whole_number(0, constants.MAX_UNITS),
+    "urgency": _whole_number(0, constants.MAX_URGENCY),
+    "retries": _whole_number(0, constants.MAX_ATTEMPTS - 1),
+    "limit": _whole_number(1, constants.MAX_UNITS),
+    "pending": _whole_number(1, 10 * constants.MAX_PENDING_TASKS),
     "lends": bool,
     "preempts": bool,
     "yields": bool,
@@ -38,8 +38,8 @@
     "share": 0,
     "urgency": 4,
     "retries": 2,
-    "limit": constants.UNITS_MOST,
-    "pending": constants.PENDING_MOST,
+    "limit": constants.MAX_UNITS,
+    "pending": constants.MAX_PENDING_TASKS,
     "lends": True,
     "preempts": False,
     "yields": True,
@@ -74,7 +74,7 @@
                 }
             }
         ),
-        voluptuous.Optional("room", default=0): _whole(0, constants.UNITS_MOST),
+        voluptuous.Optional("room", default=0): _whole_number(0, constants.MAX_UNITS),
         voluptuous.Optional("silence", default=dict): {name: voluptuous.In(("hold",))},
         voluptuous.Optional("objective", default=dict): OBJECTIVE,
         voluptuous.Optional("notes", default=dict): dict,
@@ -94,9 +94,20 @@
     those of the setup `known`, checked before, are not checked again."""
     same = {}
     if known is not None and isinstance(document, dict) and isinstance(document.get("queues"), dict):
-        same = {queue: row for queue, row in document["queues"].items() if known["queues"].get(queue) is row}
+        same = {
+            queue: queue_settings
+            for queue, queue_settings in document["queues"].items()
+            if known["queues"].get(queue) is queue_settings
+        }
     part = (
-        {**document, "queues": {queue: row for queue, row in document["queues"].items() if queue not in same}}
+        {
+            **document,
+            "queues": {
+                queue: queue_settings
+                for queue, queue_settings in document["queues"].items()
+                if queue not in same
+            },
+        }
         if same
         else document
     )
@@ -107,14 +118,19 @@
         plain["queues"] = {
             queue: same[queue] if queue in same else plain["queues"][queue] for queue in document["queues"]
         }
-    if not 0 < len(plain["queues"]) <= constants.QUEUES_MOST:
-        return None, (("queues", f"expected 1 to {constants.QUEUES_MOST} queues"),)
+    if not 0 < len(plain["queues"]) <= constants.MAX_QUEUES:
+        return None, (("queues", f"expected 1 to {constants.MAX_QUEUES} queues"),)
     faults = []
     total = 0
-    for queue, row in plain["queues"].items():
-        total += row["share"]
-        if row["share"] > row["limit"]:
-            faults.append((f"queues.{queue}.share", f"share {row['share']} is over the limit {row['limit']}"))
+    for queue, queue_settings in plain["queues"].items():
+        total += queue_settings["share"]
+        if queue_settings["share"] > queue_settings["limit"]:
+            faults.append(
+                (
+                    f"queues.{queue}.share",
+                    f"share {queue_settings['share']} is over the limit {queue_settings['limit']}",
+                )
+            )
     if plain["room"] and total > plain["room"]:
         faults.append(("queues", f"shares add up to {total}, over the room of {plain['room']}"))
     return (None, tuple(faults)) if faults else (plain, ())
@@ -126,9 +142,9 @@
     return {**WEIGHTS, "queues": {}, **given, "guard": {**GUARD, **given.get("guard", {})}}
 
 
-def row_of(document):
+def queue_settings_of(document):
     """The Row of a checked one."""
-    return Row(**document)
+    return QueueSettings(**document)
 
 
 def merged(document, patch):
@@ -147,8 +163,8 @@
 def cells(document):
     """The table of a setup: a dict a row, in the order of the columns."""
     return [
-        {"queue": queue, **{column: row[column] for column in COLUMNS}}
-        for queue, row in sorted(document["queues"].items())
+        {"queue": queue, **{column: queue_settings[column] for column in COLUMNS}}
+        for queue, queue_settings in sorted(document["queues"].items())
     ]
 
 
--- a/src/pinepitch/model/task.py
+++ b/src/pinepitch/model/task.py
@@ -33,9 +33,9 @@
     attempt: int = 0
     failures: int = 0
     earliest: float = 0.0
-    minion: str = ""
+    worker: str = ""
     incarnation: str = ""
-    verge: str = ""
+    front_daemon: str = ""
     send_by: float = 0.0
     yields_to: str = (
         ""  # a task reference, "move", "limit", "gang", "cancel" or "failing", while it is to stop
@@ -45,16 +45,16 @@
     took: float = 0.0  # seconds from placing to proven end of the newest attempt
     lost: float = 0.0  # seconds of all attempts that failed
     address: str = ""  # of the minion as it was known when placed
-    ground: tuple = ()  # (epoch, setup version) under which it was placed
+    placed_under: tuple = ()  # (epoch, setup version) under which it was placed
     past: tuple = ()  # the newest attempts: (attempt, minion, verge, how, placed, ended, ground, charges)
 
 
 FINAL = ("done", "failed", "cancelled")
 
 
-def reference(ticket, name):
+def reference(job, name):
     """How a task is named outside its ticket."""
-    return f"{ticket}/{name}"
+    return f"{job}/{name}"
 
 
 def unit_of(task):
--- a/src/pinepitch/runtime/host.py
+++ b/src/pinepitch/runtime/host.py
@@ -20,7 +20,7 @@
 from . import stall_detector
 
 
-def call_sending(message):
+def call_attempt(message):
     """(token, number of the sending) of a message that waits for an answer, None for any other."""
     if message[0] == "ask":
         return message[2], message[5]
@@ -33,7 +33,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Breath:
+class Pauser:
     """Called between slices of a long work in a thread: sleeps as long as the slice took, so
     that the decider's own thread has the interpreter for at least half of the time."""
 
@@ -41,7 +41,7 @@
         self.since = time.monotonic()
 
     def __call__(self):
-        time.sleep(min(constants.BREATH_MOST, time.monotonic() - self.since))
+        time.sleep(min(constants.MAX_REST, time.monotonic() - self.since))
         self.since = time.monotonic()
 
 
@@ -56,14 +56,14 @@
         log,
         store=None,
         http_address=None,
-        doors=(),
+        adapters=(),
         stop_within=constants.STOP_WITHIN,
         watch=None,
     ):
         self.core, self.address, self.log = core, address, log
         self.store, self.http_address = store, http_address
-        self.doors, self.stop_within = (
-            doors,
+        self.adapters, self.stop_within = (
+            adapters,
             stop_within,
         )  # (address, translator) of ports that speak another way
         self.stopping = False
@@ -88,8 +88,8 @@
             if self.http_address:
                 host, port = split(self.http_address)
                 await self.tasks.spawn(curio.tcp_server, host, port, self._serve_http)
-            for address, door in self.doors:
-                await self.tasks.spawn(curio.tcp_server, *split(address), Entrance(self, door).serve)
+            for address, adapter in self.adapters:
+                await self.tasks.spawn(curio.tcp_server, *split(address), AdapterServer(self, adapter).serve)
             if self.store is not None:
                 await self.tasks.spawn(self._disk)
             await self.tasks.spawn(self._clock)
@@ -122,12 +122,12 @@
             limits = getattr(self.core, "limits", USUAL)
             link = self.links[address] = Link(address, self._undelivered, limits)
             await self.tasks.spawn(link.run)
-        sending = call_sending(message)
-        await link.put(framing.encode(self.address, message), sending)
+        attempt = call_attempt(message)
+        await link.put(framing.encode(self.address, message), attempt)
 
-    async def _undelivered(self, sendings):
+    async def _undelivered(self, attempts):
         """Tells the decider which sendings of calls reached nobody."""
-        for token, number in sendings:
+        for token, number in attempts:
             await self.inbox.put(("undelivered", token, number))
 
     async def _event(self, number, fields):
@@ -155,10 +155,10 @@
     async def _rehearse_apart(self, work):
         """Measures in a thread of its own, so that nothing here waits for it."""
         epoch, draft, asked, *rest = work
-        measure = await curio.run_in_thread(self.core.measure, *rest, Breath())
+        measure = await curio.run_in_thread(self.core.measure, *rest, Pauser())
         await self.inbox.put(("rehearsed", epoch, draft, asked, measure))
 
-    async def _note(self, payload):
+    async def _write_note(self, payload):
         done = curio.Event()
         await self._job("note", done, ["note", payload])
         await done.wait()
@@ -212,7 +212,7 @@
         self.stopping = True
         await self.inbox.put(("stop",))
         until = time.monotonic() + self.stop_within * 0.6
-        if self.doors:  # callers are sent elsewhere only after a while: they are served until then
+        if self.adapters:  # callers are sent elsewhere only after a while: they are served until then
             await curio.sleep(max(0.0, self.stop_within * 0.6 - constants.CALL_PATIENCE))
         while time.monotonic() < until and (self.requests or self.jobs or not self.beside.empty()):
             await curio.sleep(constants.TICK)
@@ -265,7 +265,7 @@
             await self.beside.task_done()
 
     async def _encode(self, index, image):
-        data = await curio.run_in_thread(type(self.core.record).encode, image)
+        data = await curio.run_in_thread(type(self.core.cluster_state).encode, image)
         await self.inbox.put(("encoded", index, data))
 
     async def _durable(self, write, *arguments):
@@ -290,7 +290,7 @@
             while True:
                 body = await framing.read_frame(stream)
                 frame = body if isinstance(body, framing.Refused) else framing.decode(body)
-                if not isinstance(frame, framing.Refused) and not contract.kept(frame[1]):
+                if not isinstance(frame, framing.Refused) and not contract.keeps_contract(frame[1]):
                     frame = framing.Refused((f"a message that keeps no contract: {str(frame[1][0])[:40]}",))
                 if isinstance(frame, framing.Refused):
                     events.emit(self.log, 105, why=frame[0], peer=str(address))
@@ -300,7 +300,7 @@
             return
 
     async def _serve_http(self, socket, address):
-        if self.connections >= constants.CONNECTIONS_MOST:
+        if self.connections >= constants.MAX_CONNECTIONS:
             return
         self.connections += 1
         socket.setsockopt(curio.socket.IPPROTO_TCP, curio.socket.TCP_NODELAY, 1)
@@ -331,16 +331,16 @@
     return http.Response(*stall_detector.timely(reply, until, steady_clock()))
 
 
-class Entrance:
+class AdapterServer:
     """A port whose callers speak another way: the door translates both ways, and decides nothing."""
 
-    def __init__(self, host, door):
-        self.host, self.door = host, door
+    def __init__(self, host, adapter):
+        self.host, self.adapter = host, adapter
 
     async def serve(self, socket, address):
         """One connection."""
         host = self.host
-        if host.connections >= constants.CONNECTIONS_MOST:
+        if host.connections >= constants.MAX_CONNECTIONS:
             return
         host.connections += 1
         socket.setsockopt(curio.socket.IPPROTO_TCP, curio.socket.TCP_NODELAY, 1)
@@ -352,14 +352,14 @@
                 if isinstance(request, http.Fault):
                     await server.refuse(request)
                     return
-                made = self.door.read(request)
+                made = self.adapter.read(request)
                 if isinstance(made, http.Response):
                     response = made
                 else:
                     host.request_count += 1
                     host.requests[host.request_count] = answers
                     await host.inbox.put(("call", host.request_count, *made))
-                    response = self.door.write(made[0], await _timely_response(answers))
+                    response = self.adapter.write(made[0], await _timely_response(answers))
                 if host.stopping:
                     response = response._replace(headers=(*response.headers, ("Connection", "close")))
                 if not await server.answer(response):
@@ -375,7 +375,7 @@
     "save": Host._save,
     "base": Host._base,
     "segment": Host._segment,
-    "note": Host._note,
+    "note": Host._write_note,
     "snapshot": Host._snapshot,
     "rehearse": Host._rehearse,
     "reply": Host._reply,
--- a/src/pinepitch/runtime/process.py
+++ b/src/pinepitch/runtime/process.py
@@ -8,9 +8,9 @@
 from .host import Host
 
 
-def checked_env(program, settings, flags):
+def checked_settings(program, settings_file, flags):
     """The Env, or exit 2 with one line per fault."""
-    found, faults = daemon_settings.read(program, settings, flags)
+    found, faults = daemon_settings.read(program, settings_file, flags)
     if faults:
         for fault in faults:
             print(f"{program}: {fault}", file=sys.stderr)
@@ -18,9 +18,9 @@
     return found
 
 
-def serve(program, core, found, log, store=None, doors=(), stop_within=constants.STOP_WITHIN, watch=None):
+def serve(program, core, found, log, store=None, adapters=(), stop_within=constants.STOP_WITHIN, watch=None):
     """Runs a decider until it is told to stop; a broken invariant ends the process."""
-    host = Host(core, found.address, log, store, found.http, doors, stop_within, watch)
+    host = Host(core, found.address, log, store, found.http, adapters, stop_within, watch)
     try:
         curio.run(host.run)
     except AssertionError as broken:
--- a/src/pinepitch/runtime/stall_detector.py
+++ b/src/pinepitch/runtime/stall_detector.py
@@ -5,7 +5,7 @@
 PAUSED = (
     503,
     {"error": {"code": "paused", "message": "this daemon was stopped for a while; the call was not taken"}},
-    (("Retry-After", str(constants.COME_BACK)),),
+    (("Retry-After", str(constants.RETRY_AFTER)),),
 )
 LATE = (
     504,
@@ -19,14 +19,14 @@
     STALL_AFTERMATH past the end of the newest stall."""
 
     def __init__(self):
-        self.turned = None
+        self.last_turn = None
         self.until = -1e9
 
     def turn(self, now):
         """Notes one turn of the daemon's loop, which ticks at the least; the seconds of the stall
         that it ends, 0.0 if there was none."""
-        passed = 0.0 if self.turned is None else now - self.turned
-        self.turned = now
+        passed = 0.0 if self.last_turn is None else now - self.last_turn
+        self.last_turn = now
         if passed <= constants.STALL:
             return 0.0
         self.until = now + constants.STALL_AFTERMATH
--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -4,17 +4,17 @@
 
 from ..common import constants
 from . import policy as policies
-from .budgets import RoomBudgets
-from .candidate_workers import open_seats
-from .idle_capacity import IdleRoomCheck
+from .budgets import CapacityBudgets
+from .candidate_workers import candidate_workers
+from .idle_capacity import IdleCapacityCheck
 from .reservations import Reservations
-from .resources import RESOURCES, less, tasks_in
+from .resources import RESOURCE_KINDS, less, tasks_in
 
 # Why a round left tasks waiting, as operators are told it.
-NO_WORKER = "no minion"
-NO_ROOM = "no room"
-ROOM_KEPT = "room is kept for other work"
-OVER_BUDGET = "held back for other work"
+REASON_NO_WORKER = "no minion"
+REASON_NO_CAPACITY = "no room"
+REASON_CAPACITY_KEPT = "room is kept for other work"
+REASON_OVER_BUDGET = "held back for other work"
 
 
 class Assigner:
@@ -25,37 +25,39 @@
         self.short = {}  # key of a wave -> since when it found no room
         self.kept_since = {}  # service -> since when some of its seats are kept without a break
         self.exhausted = set()  # what waves ask of a seat that no seat has left in this round
-        self.idle_room = IdleRoomCheck()
+        self.idle_capacity = IdleCapacityCheck()
         self.violations = ()  # of the newest round
         self.near = {}  # rack -> tasks of this round that want to be there
-        self.budgets = RoomBudgets(pace, policy)
+        self.budgets = CapacityBudgets(pace, policy)
         self.hot_at = None
         self.hot = {}  # rack -> work of late that wanted to be there
         self.why = {}  # key of a wave -> why the newest round left some of it
 
-    def round(self, board, workers, keeper, now, time):
+    def round(self, leased_jobs, workers, assignments, now, time):
         """(assign items, stop items)."""
-        self.budgets.learn(board, now)
+        self.budgets.learn(leased_jobs, now)
         self._forget_hot(now)
         self.near, self.why, self.exhausted = {}, {}, set()
-        waves = [wave for wave in board.ready.values() if wave.due <= time]
+        waves = [wave for wave in leased_jobs.ready.values() if wave.due <= time]
         if not waves:
             self.kept_since.clear()
             self.violations = ()
-            self.short = {key: since for key, since in self.short.items() if key in board.ready}
+            self.short = {key: since for key, since in self.short.items() if key in leased_jobs.ready}
             return (), ()
-        seats = open_seats(board, workers, now)
+        candidates = candidate_workers(leased_jobs, workers, now)
         items, count = [], 0
-        self.budgets.open(board, seats, waves, time)
+        self.budgets.open(leased_jobs, candidates, waves, time)
         waves.sort(key=self._rank)
-        reservations = Reservations(board, keeper, self.budgets, seats, self.kept_since, time, self.policy)
+        reservations = Reservations(
+            leased_jobs, assignments, self.budgets, candidates, self.kept_since, time, self.policy
+        )
         stops = reservations.keep(waves, self.short, now) if self.policy.keep_seats else ()
         for wave in waves:
-            if count >= constants.ASSIGN_MOST:
+            if count >= constants.MAX_ASSIGNED_TASKS:
                 break
-            mine = seats.get(wave.job.service, ())
+            mine = candidates.get(wave.job.service, ())
             if not mine:
-                self.why.setdefault(wave.key(), NO_WORKER)
+                self.why.setdefault(wave.key(), REASON_NO_WORKER)
                 continue
             if wave.step.gang:
                 group = self._gang(wave, mine, wave.key() in reservations.kept, time)
@@ -69,19 +71,19 @@
                 self.why.setdefault(wave.key(), self._why_left(wave, reservations))
             else:
                 self.short.pop(wave.key(), None)
-        for key in [key for key in self.short if key not in board.ready]:
+        for key in [key for key in self.short if key not in leased_jobs.ready]:
             del self.short[key]
-        if count < constants.ASSIGN_MOST:
-            self._check(board, seats, reservations, items, now)
+        if count < constants.MAX_ASSIGNED_TASKS:
+            self._check(leased_jobs, candidates, reservations, items, now)
         return tuple(items), tuple(stops)
 
-    def _check(self, board, seats, reservations, items, now):
+    def _check(self, leased_jobs, candidates, reservations, items, now):
         """Looks whether a whole round left work beside idle room."""
-        kept = {key: (board.ready[key], mine) for key, mine in reservations.kept.items()}
+        kept = {key: (leased_jobs.ready[key], mine) for key, mine in reservations.kept.items()}
         placed = {item[:3]: len(item[3]) for item in items}
         self.violations = (
-            *self.idle_room.after_round(kept, placed, self.short, now),
-            *self.idle_room.look(board, seats, self.short, now),
+            *self.idle_capacity.after_round(kept, placed, self.short, now),
+            *self.idle_capacity.look(leased_jobs, candidates, self.short, now),
         )
 
     def _rank(self, wave):
@@ -89,16 +91,22 @@
         is expected to take several turns of it."""
         job, step = wave.job, wave.step
         begun = wave.due if job.times else job.accepted
-        wide = len(wave.waiting) * self._largest_share(step, self.budgets.whole.get(job.service))
+        wide = len(wave.waiting) * self._largest_share(step, self.budgets.total_capacity.get(job.service))
         turns = max(1.0, wide / constants.WIDE_PART) if self.policy.rank_by_turns else 1.0
-        aim = job.aim_ms / 1000 + job.stretch * turns * step.est_ms / 1000 if self.policy.rank_by_due else 0
-        return (job.priority, begun + aim, job.identity)
+        time_allowed = (
+            job.latency_target_ms / 1000 + job.stretch * turns * step.est_ms / 1000
+            if self.policy.rank_by_due
+            else 0
+        )
+        return (job.priority, begun + time_allowed, job.identity)
 
-    def _largest_share(self, step, whole):
+    def _largest_share(self, step, total):
         """The part of a service's room that one task of a step takes, of the resource it takes most of."""
-        if whole is None:
+        if total is None:
             return 0.0
-        return max((step.room[kind] / whole[kind] for kind in RESOURCES if whole[kind]), default=0.0)
+        return max(
+            (step.resources[kind] / total[kind] for kind in RESOURCE_KINDS if total[kind]), default=0.0
+        )
 
     def _forget_hot(self, now):
         """What racks were wanted for counts less with time."""
@@ -107,89 +115,91 @@
         for rack in self.hot:
             self.hot[rack] *= left
 
-    def _score(self, wave, seat):
+    def _score(self, wave, candidate):
         """The better the lower: near its data, then where it leaves least room over."""
         step = wave.step
-        far = self.policy.prefer_near and bool(step.near) and step.near not in seat.labels
-        left = less(seat.free, step.room)
+        far = self.policy.prefer_near and bool(step.near) and step.near not in candidate.labels
+        left = less(candidate.free, step.resources)
         hot = (
             0
             if step.near or not self.policy.avoid_hot_racks
-            else round(constants.HOT_STEPS * self.hot.get(seat.rack, 0) / max(1, *self.hot.values(), 1))
+            else round(constants.HOT_STEPS * self.hot.get(candidate.rack, 0) / max(1, *self.hot.values(), 1))
         )
         return (
-            seat.poor,
-            seat.kept is not None and seat.kept is not wave,
+            candidate.unreliable,
+            candidate.kept is not None and candidate.kept is not wave,
             far,
             hot,
-            round(seat.worker.speed * constants.SPEED_STEPS) if self.policy.prefer_fast_workers else 0,
+            round(candidate.worker.speed * constants.SPEED_STEPS) if self.policy.prefer_fast_workers else 0,
             left[2],
             left[0],
-            seat.identity,
+            candidate.identity,
         )
 
-    def _single(self, wave, seats, kept, time):
+    def _single(self, wave, candidates, kept, time):
         """[(index, worker)] for tasks of a wave that is no gang: on the seats kept for it, and on others as
         far as its budget goes."""
         step, waiting = wave.step, sorted(wave.waiting)
-        patience = self._patience(wave, seats, time) if step.near and self.policy.wait_near else 0
+        patience = self._patience(wave, candidates, time) if step.near and self.policy.wait_near else 0
         if step.near:
-            self.hot[step.near] = max(self.hot.get(step.near, 0), len(waiting) * max(step.room[0], 1))
+            self.hot[step.near] = max(self.hot.get(step.near, 0), len(waiting) * max(step.resources[0], 1))
         group = self._take(wave, kept, waiting)
         self.budgets.charge(wave, len(group))
         waiting = waiting[len(group) :]
         allowed = self.budgets.allowance(wave, len(waiting))
         if allowed < len(waiting):
-            self.why[wave.key()] = OVER_BUDGET
-        near_by = [seat for seat in seats if step.near in seat.labels] if patience else ()
+            self.why[wave.key()] = REASON_OVER_BUDGET
+        near_by = [candidate for candidate in candidates if step.near in candidate.labels] if patience else ()
         patient = max(0, min(allowed, patience - len(group)))
         more = self._take(wave, near_by, waiting[:patient])
         if len(more) == patient:
-            more += self._take_anywhere(wave, seats, waiting[patient:allowed])
+            more += self._take_anywhere(wave, candidates, waiting[patient:allowed])
         if len(more) < allowed:
             self.why.pop(wave.key(), None)  # what lacked was room
         self.budgets.charge(wave, len(more))
         return group + more
 
-    def _take_anywhere(self, wave, seats, indices):
+    def _take_anywhere(self, wave, candidates, indices):
         """As _take, on all seats; waves like one that found too few of them are not tried again."""
         step = wave.step
         alike = (
             wave.job.service,
             wave.job.priority,
-            step.room,
+            step.resources,
             step.needs,
             wave.job.identity if step.apart else None,
         )
         if alike in self.exhausted:
             return []
-        group = self._take(wave, seats, indices)
+        group = self._take(wave, candidates, indices)
         if len(group) < len(indices):
             self.exhausted.add(alike)
         return group
 
-    def _take(self, wave, seats, indices):
+    def _take(self, wave, candidates, indices):
         """[(index, worker)] for the first of some tasks, as many as find a seat."""
         group = []
-        order = self._order(wave, seats) if indices else ()
+        order = self._order(wave, candidates) if indices else ()
         for index in indices:
-            seat = self._next(wave, order)
-            if seat is None:
+            candidate = self._next(wave, order)
+            if candidate is None:
                 break
-            group.append((index, seat.identity))
+            group.append((index, candidate.identity))
         return group
 
     def _why_left(self, wave, reservations):
         """Why some of a wave found no seat."""
-        for key, seats in reservations.kept.items():
-            if key != wave.key() and any(seat.takes(wave) for seat in seats):
-                return ROOM_KEPT
-        return NO_ROOM
+        for key, candidates in reservations.kept.items():
+            if key != wave.key() and any(candidate.can_run(wave) for candidate in candidates):
+                return REASON_CAPACITY_KEPT
+        return REASON_NO_CAPACITY
 
-    def _order(self, wave, seats):
+    def _order(self, wave, candidates):
         """The seats that a wave's task may take, as a heap, the best first."""
         order = [
-            (self._score(wave, seat), place, seat) for place, seat in enumerate(seats) if seat.allows(wave)
+            (self._score(wave, candidate), place, candidate)
+            for place, candidate in enumerate(candidates)
+            if candidate.may_place(wave)
         ]
         heapq.heapify(order)
         return order
@@ -198,43 +208,45 @@
         """The best seat, taken for one task, or None. Only the score of the seat taken changes."""
         if not order:
             return None
-        _, place, seat = order[0]
-        seat.take(wave)
-        if seat.allows(wave):
-            heapq.heapreplace(order, (self._score(wave, seat), place, seat))
+        _, place, candidate = order[0]
+        candidate.place(wave)
+        if candidate.may_place(wave):
+            heapq.heapreplace(order, (self._score(wave, candidate), place, candidate))
         else:
             heapq.heappop(order)
-        return seat
+        return candidate
 
-    def _patience(self, wave, seats, time):
+    def _patience(self, wave, candidates, time):
         """How many of a wave's tasks had better wait for room near their data than start far away:
         those that would be done there sooner, if what stands before them takes as long as they do."""
         length = self.pace.expected(wave)
-        if time - wave.since > min((self.pace.far - 1) * length, constants.NEAR_WAIT_MOST):
+        if time - wave.since > min((self.pace.far - 1) * length, constants.MAX_NEAR_WAIT):
             return 0
         turns = sum(
-            tasks_in(seat.worker.room, wave.step.room) or 0 for seat in seats if wave.step.near in seat.labels
+            tasks_in(candidate.worker.capacity, wave.step.resources) or 0
+            for candidate in candidates
+            if wave.step.near in candidate.labels
         )
         ahead = self.near.get(wave.step.near, 0)
         self.near[wave.step.near] = ahead + len(wave.waiting)
         return max(0, int(turns * constants.NEAR_PART * (self.pace.far - 1)) - ahead)
 
-    def _gang(self, wave, seats, kept, time):
+    def _gang(self, wave, candidates, kept, time):
         """Seats for all members, in one rack where the step asks for that and it may be had. Where none are
         kept for it, a gang leaves free what less urgent work is guaranteed."""
         step = wave.step
         if not kept and self.budgets.beside_claims(wave, len(wave.waiting)) < len(wave.waiting):
-            self.why[wave.key()] = OVER_BUDGET
+            self.why[wave.key()] = REASON_OVER_BUDGET
             return []
         racks = {}
-        for seat in seats:
-            racks.setdefault(seat.rack, []).append(seat)
+        for candidate in candidates:
+            racks.setdefault(candidate.rack, []).append(candidate)
         tries = []
         tight = step.tight and self.policy.gang_in_one_rack
         if tight:
-            tries = sorted(racks.values(), key=lambda one: sum(seat.free[0] for seat in one))
+            tries = sorted(racks.values(), key=lambda one: sum(candidate.free[0] for candidate in one))
         if not tight or time - wave.since >= constants.RACK_WAIT:
-            tries.append(seats)
+            tries.append(candidates)
         for some in tries:
             group = self._fill(wave, some)
             if group is not None:
@@ -242,17 +254,17 @@
                 return group
         return []
 
-    def _fill(self, wave, seats):
+    def _fill(self, wave, candidates):
         """One seat for each member among `seats`, or None with all as it was."""
-        order, before, group = self._order(wave, seats), {}, []
+        order, before, group = self._order(wave, candidates), {}, []
         for index in sorted(wave.waiting):
             if order:
-                seat = order[0][2]
-                before.setdefault(seat.identity, (seat, seat.free, dict(seat.steps)))
-            seat = self._next(wave, order)
-            if seat is None:
-                for seat, free, steps in before.values():
-                    seat.free, seat.steps = free, steps
+                candidate = order[0][2]
+                before.setdefault(candidate.identity, (candidate, candidate.free, dict(candidate.steps)))
+            candidate = self._next(wave, order)
+            if candidate is None:
+                for candidate, free, steps in before.values():
+                    candidate.free, candidate.steps = free, steps
                 return None
-            group.append((index, seat.identity))
+            group.append((index, candidate.identity))
         return group
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -8,14 +8,14 @@
 from ..common import constants, events
 from . import policy as policies
 from .assigner import Assigner
-from .leases import HoldWatch
+from .leases import LeaseWatch
 from .progress import ProgressWatch
 from .run_ends import EndIntake
 from .run_speed import Pace
 from .worker import Worker
 
 
-class Keeper:
+class AssignmentManager:
     """Invariants: empty unless its accord leads; a start is answered only while the lease
     stands, to a beat that is fresh, for a committed placement that is still wanted and whose
     end is not being proposed; an absence proves that a run never started only in a fresh
@@ -24,12 +24,14 @@
     def __init__(self, core, now, policy=policies.DEFAULT):
         self.core, self.since, self.policy = core, now, policy
         self.workers = {}
-        self.parked = {}  # identity -> (reply address, token, taken at) of beats to be answered
-        self.look = {}  # of those, whose answer may be due
-        self.open = collections.deque()  # (taken at, identity) of beats of idle workers, oldest first
+        self.deferred_heartbeats = {}  # identity -> (reply address, token, taken at) of beats to be answered
+        self.answers_to_check = {}  # of those, whose answer may be due
+        self.idle_heartbeats = (
+            collections.deque()
+        )  # (taken at, identity) of beats of idle workers, oldest first
         self.pace = Pace(core.far)
         self.ends = EndIntake(core, self.pace)
-        self.holds = HoldWatch(core, now)
+        self.leases = LeaseWatch(core, now)
         self.assigner = Assigner(self.pace, policy)
         self.progress = ProgressWatch(self.pace, policy)
         self.assigning = 0  # entries that assign and are not yet applied
@@ -42,55 +44,55 @@
         self.stop_counts = collections.Counter()  # why a run is to end -> runs
 
     @property
-    def board(self):
-        return self.core.record.board
+    def leased_jobs(self):
+        return self.core.cluster_state.leased_jobs
 
     # --- beats ------------------------------------------------------------------------
-    def beat(self, identity, beat, address, token, now):
+    def take_heartbeat(self, identity, heartbeat, address, token, now):
         """A worker's beat; it is answered by flush()."""
         self.counts["beats"] += 1
         worker = self.workers.get(identity)
         if worker is None:
             worker = self.workers[identity] = Worker(identity, now)
-        if not worker.beat(beat, now):
+        if not worker.take_heartbeat(heartbeat, now):
             self.core.answer(address, token, (200, {}, None))
             return
-        older = self.parked.pop(identity, None)
+        older = self.deferred_heartbeats.pop(identity, None)
         if older is not None:
             self.core.answer(older[0], older[1], (200, {}, None))
-        self.ends.take(worker, beat["ended"])
+        self.ends.take(worker, heartbeat["ended"])
         self._take_absences(worker, now)
-        self.parked[identity] = (address, token, now)
-        self.look[identity] = True
-        self.due = self.due or worker.news != worker.before
+        self.deferred_heartbeats[identity] = (address, token, now)
+        self.answers_to_check[identity] = True
+        self.due = self.due or worker.scheduling_state != worker.previous_scheduling_state
 
     def leave(self, identity, now):
         """A worker says that it ends now."""
-        self.holds.leave(identity, now)
+        self.leases.leave(identity, now)
 
     def _take_absences(self, worker, now):
         """A run neither running nor ended in a fresh beat never started from an earlier answer."""
-        if worker.stale or worker.beats < 2:
+        if worker.stale or worker.heartbeats < 2:
             return
-        for (reference, run), placement in self.board.placements.get(worker.identity, {}).items():
+        for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
             if (reference, run) in worker.running or (reference, run) in worker.listed:
                 continue
-            if placement.epoch != self.core.epoch and now - self.since < constants.GATHER:
+            if placement.epoch != self.core.epoch and now - self.since < constants.REPORT_GATHERING:
                 continue
-            if not self.board.wanted(placement) or not self._open_for(worker):
+            if not self.leased_jobs.wanted(placement) or not self._open_for(worker):
                 self.ends.propose(worker.identity, reference, run, "unsent", "", False)
 
     def _open_for(self, worker):
         """Whether a worker may be told to start anything."""
-        return worker.state == "ready" and worker.zone not in self.board.evacuated
+        return worker.state == "ready" and worker.zone not in self.leased_jobs.evacuated
 
     def _gone(self, identity, why):
         """A worker's life is over: what it ran has ended."""
         worker = self.workers.pop(identity, None)
-        parked = self.parked.pop(identity, None)
-        if parked is not None:
-            self.core.answer(parked[0], parked[1], (200, {}, None))
-        for (reference, run), _placement in self.board.placements.get(identity, {}).items():
+        deferred = self.deferred_heartbeats.pop(identity, None)
+        if deferred is not None:
+            self.core.answer(deferred[0], deferred[1], (200, {}, None))
+        for (reference, run), _placement in self.leased_jobs.placements.get(identity, {}).items():
             saved = worker.running.get((reference, run), ("", 0))[0] if worker else ""
             self.ends.propose(identity, reference, run, "lapsed", saved, False)
         self.core._event(180, minion=identity, why=why)
@@ -98,48 +100,52 @@
     # --- answers ----------------------------------------------------------------------
     def flush(self, now):
         """Answers the beats whose ends are agreed on, or that have waited long enough."""
-        if not self.parked or not self.core.leased(now):
+        if not self.deferred_heartbeats or not self.core.leased(now):
             return
-        while self.open and now - self.open[0][0] >= constants.IDLE_HOLD:
-            self.look[self.open.popleft()[1]] = True
-        for identity in list(self.look):
-            if identity not in self.parked:
-                del self.look[identity]
+        while self.idle_heartbeats and now - self.idle_heartbeats[0][0] >= constants.IDLE_HEARTBEAT_DEFERRAL:
+            self.answers_to_check[self.idle_heartbeats.popleft()[1]] = True
+        for identity in list(self.answers_to_check):
+            if identity not in self.deferred_heartbeats:
+                del self.answers_to_check[identity]
                 continue
             worker = self.workers[identity]
-            address, token, taken = self.parked[identity]
-            if now - taken < constants.BEAT_HOLD and (worker.pending or self.assigned.get(identity)):
+            address, token, taken = self.deferred_heartbeats[identity]
+            if now - taken < constants.HEARTBEAT_DEFERRAL and (worker.pending or self.assigned.get(identity)):
                 continue
-            del self.look[identity]
-            if now - taken < constants.IDLE_HOLD and self._idle(worker):
-                self.open.append((taken, identity))
+            del self.answers_to_check[identity]
+            if now - taken < constants.IDLE_HEARTBEAT_DEFERRAL and self._idle(worker):
+                self.idle_heartbeats.append((taken, identity))
                 continue
-            del self.parked[identity]
+            del self.deferred_heartbeats[identity]
             self.core.answer(address, token, (200, self._orders(worker, taken, now), None))
 
     def _idle(self, worker):
         """Whether nothing can be said to a worker that has nothing to say: where there are many its beat
         stays open, so that a start reaches it at once; what runs nothing has no end to tell meanwhile."""
         return (
-            self.policy.hold_idle_heartbeats
-            and self._pace() > constants.BEAT_AGAIN
+            self.policy.defer_idle_heartbeats
+            and self._pace() > constants.HEARTBEAT_INTERVAL
             and worker.state == "ready"
             and not worker.running
             and not worker.listed
-            and worker.beats > 1
-            and worker.identity not in self.board.placements
+            and worker.heartbeats > 1
+            and worker.identity not in self.leased_jobs.placements
         )
 
     def _orders(self, worker, taken, now):
         """What a worker is told in answer to its newest beat, taken at `taken`."""
         start, stop = (
             [],
-            [key for key in worker.running if key not in self.board.placements.get(worker.identity, {})],
+            [
+                key
+                for key in worker.running
+                if key not in self.leased_jobs.placements.get(worker.identity, {})
+            ],
         )
         strays = len(stop)
-        held = self.board.placements.get(worker.identity, {})
-        for (reference, run), placement in held.items():
-            wanted = self.board.wanted(placement)
+        placements = self.leased_jobs.placements.get(worker.identity, {})
+        for (reference, run), placement in placements.items():
+            wanted = self.leased_jobs.wanted(placement)
             if (reference, run) in worker.running:
                 if not wanted:
                     stop.append((reference, run))
@@ -151,30 +157,35 @@
                 and not worker.stale
                 and (worker.identity, reference, run) not in self.ends.proposed
             ):
-                wave, task = self.board.task(placement)
+                wave, task = self.leased_jobs.task(placement)
                 start.append((reference, run, wave.job.spec, task.saved))
                 self.core.trace(189, task=reference, run=run, minion=worker.identity)
                 self.pace.start(worker.identity, reference, run, self.pace.is_far(wave, worker), now)
         for reference, run in stop[:strays]:
             self.core._event(156, minion=worker.identity, task=reference, run=run)
-        worker.held_from = taken
+        worker.leased_from = taken
         self.counts["starts"] += len(start)
         self.counts["stops"] += len(stop)
-        taken_up = sum(one.room[0] for one in held.values())
-        room = worker.state == "ready" and taken_up < worker.room[0]
+        taken_up = sum(one.resources[0] for one in placements.values())
+        has_capacity = worker.state == "ready" and taken_up < worker.capacity[0]
         return {
-            "hold_ms": int(self.core.hold * 1000),
+            "hold_ms": int(self.core.lease_duration * 1000),
             "seen": worker.acknowledged(),
             "fence": self.core.epoch,
             "start": tuple(start),
             "stop": tuple(stop),
             "home": self.core.address,
-            "again_ms": int(1000 * (self._pace() if room or start else constants.BEAT_FULL)),
+            "again_ms": int(
+                1000 * (self._pace() if has_capacity or start else constants.HEARTBEAT_INTERVAL_FULL)
+            ),
         }
 
     def _pace(self):
         """Seconds until a worker with room beats again: more of them beat less often."""
-        return min(constants.BEAT_FULL, max(constants.BEAT_AGAIN, len(self.workers) * constants.BEAT_EACH))
+        return min(
+            constants.HEARTBEAT_INTERVAL_FULL,
+            max(constants.HEARTBEAT_INTERVAL, len(self.workers) * constants.HEARTBEAT_INTERVAL_PER_WORKER),
+        )
 
     # --- time -------------------------------------------------------------------------
     def tick(self, now):
@@ -184,7 +195,7 @@
         if now - self.looked >= constants.WATCH_EVERY:
             self.looked = now
             self._watch(now)
-        rest = constants.ROUND_REST * (len(self.board.ready) + len(self.workers))
+        rest = constants.ROUND_REST * (len(self.leased_jobs.ready) + len(self.workers))
         if now - self.placed_at >= (
             rest if self.due and not self.assigning else max(rest, constants.PLACE_IDLE)
         ):
@@ -194,30 +205,31 @@
         if self.assigning:
             return
         self.due, self.placed_at = False, now
-        items, stops = self.assigner.round(self.board, self.workers, self, now, self.core._now(now))
+        items, stops = self.assigner.round(self.leased_jobs, self.workers, self, now, self.core._now(now))
         for violation in self.assigner.violations:
             self.core._event(events.PLACING_VIOLATED, **violation._asdict())
         if items:
             self.assigning += 1
             for _, _, _, group in items:
-                for _, minion in group:
-                    self.assigned[minion] = self.assigned.get(minion, 0) + 1
+                for _, worker_id in group:
+                    self.assigned[worker_id] = self.assigned.get(worker_id, 0) + 1
             self.core.propose(("job-assign", self.core.epoch, items), None, now)
         self._stop(stops, now)
 
     def _watch(self, now):
         """Holds that have lapsed, workers that said they end, and those long silent."""
-        for identity, why in self.holds.over(self.workers, self.ends, now):
+        for identity, why in self.leases.over(self.workers, self.ends, now):
             self._gone(identity, why)
-        self.pace.forget(self.board.jobs)
+        self.pace.forget(self.leased_jobs.jobs)
         self._copy_what_may_run_twice(now)
-        self._stop(self.progress.look(self.workers, self.board, self.stopping, now), now)
-        for minion, reference, run in self.progress.take_misjudged():
-            self.core._event(185, minion=minion, task=reference, run=run)
+        self._stop(self.progress.look(self.workers, self.leased_jobs, self.stopping, now), now)
+        for worker_id, reference, run in self.progress.take_misjudged():
+            self.core._event(185, minion=worker_id, task=reference, run=run)
         for identity in [
             one
             for one, worker in self.workers.items()
-            if now - worker.heard_at > constants.MINION_FORGOTTEN and one not in self.board.placements
+            if now - worker.heard_at > constants.WORKER_FORGET_AFTER
+            and one not in self.leased_jobs.placements
         ]:
             del self.workers[identity]
 
@@ -225,10 +237,10 @@
         """What a silent worker runs is let go at once where the step says that a second run does no
         harm; should the first be done before, its late end still counts."""
         for worker in self.workers.values():
-            if not worker.silent(now):
+            if not worker.unresponsive(now):
                 continue
-            for (reference, run), placement in self.board.placements.get(worker.identity, {}).items():
-                found = self.board.task(placement)
+            for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
+                found = self.leased_jobs.task(placement)
                 if (
                     found is not None
                     and found[0].step.twice
@@ -242,25 +254,25 @@
         """Proposes that runs end; each is (minion, reference, run, why)."""
         if stops:
             self.stopping.update((reference, run) for _, reference, run, _ in stops)
-            for minion, reference, run, why in stops:
+            for worker_id, reference, run, why in stops:
                 self.stop_counts[why] += 1
-                self.core._event(183, minion=minion, task=reference, run=run, why=why)
+                self.core._event(183, minion=worker_id, task=reference, run=run, why=why)
             self.core.propose(("job-stop", self.core.epoch, stops), None, now)
 
     # --- what was agreed --------------------------------------------------------------
     def ended(self, index, items, outcomes):
         """An entry of ends was applied."""
         self.due = True
-        for (minion, reference, run, how, _, heard), result in zip(items, outcomes, strict=False):
+        for (worker_id, reference, run, how, _, heard), result in zip(items, outcomes, strict=False):
             self.end_counts[how] += 1
             self.stopping.discard((reference, run))
-            self.progress.ended(minion, reference, run, how)
-            worker = self.workers.get(minion)
+            self.progress.ended(worker_id, reference, run, how)
+            worker = self.workers.get(worker_id)
             if worker is not None and heard:
                 if how in ("done", "failed"):
                     worker.judge(how == "done")
-                elif how == "refused" and self.policy.be_wary:
-                    worker.wary_until = self.core.step_at + constants.WARY
+                elif how == "refused" and self.policy.avoid_troubled_workers:
+                    worker.avoided_until = self.core.step_at + constants.AVOID_AFTER_REFUSAL
             self.core._event(155, task=reference, attempt=run, how=how, result=result)
         self.ends.applied(index, items, self.workers)
 
@@ -268,10 +280,10 @@
         self.due = True
         self.assigning = max(0, self.assigning - 1)
         for _, _, _, group in items:
-            for _, minion in group:
-                self.look[minion] = True
-                left = self.assigned.get(minion, 0) - 1
+            for _, worker_id in group:
+                self.answers_to_check[worker_id] = True
+                left = self.assigned.get(worker_id, 0) - 1
                 if left > 0:
-                    self.assigned[minion] = left
+                    self.assigned[worker_id] = left
                 else:
-                    self.assigned.pop(minion, None)
+                    self.assigned.pop(worker_id, None)
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -5,23 +5,24 @@
 
 from ..common import constants
 from . import policy as policies
-from .resources import NO_ROOM, RESOURCES, less, more, tasks_in, times
+from .resources import NO_RESOURCES, RESOURCE_KINDS, less, more, tasks_in, times
 
 
-def slack(aim_ms, stretch, length):
+def slack(latency_target_ms, stretch, length):
     """Seconds that work of so many seconds can lose and still be in time by its queue's terms."""
-    return aim_ms / 1000 + (stretch - 1) * length
+    return latency_target_ms / 1000 + (stretch - 1) * length
 
 
-class RoomBudgets:
+class CapacityBudgets:
     """How much room waves may still take in the round under way.
 
     Room is held back for more urgent work by what it took at most of late, from work that would keep the
     room for longer than the urgent work can wait. What is sooner done than that holds nobody up.
 
-    And each urgency with work that has waited for as long as it well can is guaranteed SHARE_LEAST of a
-    service's room, and one task in any case: more urgent work leaves free what it lacks of that, and
-    makes nothing of it yield. Only work that some worker could take has such a claim.
+    And each urgency with work that has waited for as long as it well can is guaranteed
+    MIN_GUARANTEED_SHARE of a service's room, and one task in any case: more urgent work leaves free
+    what it lacks of that, and makes nothing of it yield. Only work that some worker could
+    take has such a claim.
 
     Invariants: a budget is charged for what a round places, never for what waves ask for, so that
     a wave that finds no seat takes nothing from those behind it; a budget that is not used up admits
@@ -31,76 +32,86 @@
         self.pace, self.policy = pace, policy
         self.peaks = {}  # (service, priority) -> the most room it used of late
         self.learnt_at = None
-        self.whole = {}  # service -> room of all its seats
+        self.total_capacity = {}  # service -> room of all its seats
         self.used = {}  # (service, priority) -> room that its work takes, by this round's placements too
         self.waits = {}  # (service, priority) -> seconds that its work can well wait for room
         self.claims = {}  # (service, priority) -> room that more urgent work leaves to it
         self.sums = {}  # (service, priority) -> room of work as urgent and less; made anew after a charge
 
-    def learn(self, board, now):
+    def learn(self, leased_jobs, now):
         """How much room the work of each urgency took at most of late."""
         passed = 0 if self.learnt_at is None else now - self.learnt_at
         self.learnt_at, left = now, 0.5 ** (passed / constants.PEAK_HALF)
-        for key in {*board.used, *self.peaks}:
-            used = board.used.get(key, NO_ROOM)
-            before = self.peaks.get(key, NO_ROOM)
+        for key in {*leased_jobs.used, *self.peaks}:
+            used = leased_jobs.used.get(key, NO_RESOURCES)
+            before = self.peaks.get(key, NO_RESOURCES)
             self.peaks[key] = [max(one, other * left) for one, other in zip(used, before, strict=True)]
 
-    def open(self, board, seats, waves, time):
+    def open(self, leased_jobs, candidates, waves, time):
         """Begins a round: seats by service, and the waves that wait at a record time."""
-        self.whole = {
-            service: [sum(seat.worker.room[kind] for seat in mine) for kind in RESOURCES]
-            for service, mine in seats.items()
+        self.total_capacity = {
+            service: [sum(candidate.worker.capacity[kind] for candidate in mine) for kind in RESOURCE_KINDS]
+            for service, mine in candidates.items()
         }
-        self.used = self._used_of(board, seats)
+        self.used = self._used_of(leased_jobs, candidates)
         self.sums = {}
-        self.waits = self._waits(board.configuration.routes)
-        self.claims = self._claims(seats, waves, time)
+        self.waits = self._waits(leased_jobs.configuration.routes)
+        self.claims = self._claims(candidates, waves, time)
 
-    def _used_of(self, board, seats):
+    def _used_of(self, leased_jobs, candidates):
         """(service, priority) -> room that its work takes of these seats. What runs on workers that get no
         work now, being silent or closed, takes nothing of the room that is shared out."""
-        used = {key: tuple(taken) for key, taken in board.used.items()}
-        shared = {seat.identity for mine in seats.values() for seat in mine}
-        for identity in board.placements.keys() - shared:
-            for placement in board.placements[identity].values():
+        used = {key: tuple(taken) for key, taken in leased_jobs.used.items()}
+        shared = {candidate.identity for mine in candidates.values() for candidate in mine}
+        for identity in leased_jobs.placements.keys() - shared:
+            for placement in leased_jobs.placements[identity].values():
                 key = (placement.service, placement.priority)
-                used[key] = less(used[key], placement.room)
+                used[key] = less(used[key], placement.resources)
         return used
 
     def guaranteed(self, service):
         """Room of a service that each urgency with work that waits has a right to."""
-        return [room * constants.SHARE_LEAST for room in self.whole.get(service, NO_ROOM)]
+        return [
+            resources * constants.MIN_GUARANTEED_SHARE
+            for resources in self.total_capacity.get(service, NO_RESOURCES)
+        ]
 
-    def _claims(self, seats, waves, time):
+    def _claims(self, candidates, waves, time):
         """(service, priority) -> what an urgency lacks of its guaranteed room and has long waited for."""
         claims, able = {}, {}
         if not self.policy.guarantee_shares:
             return claims
         for wave in waves:
             key = (wave.job.service, wave.job.priority)
-            if key[0] not in seats or time - wave.since < self._patience(wave):
+            if key[0] not in candidates or time - wave.since < self._patience(wave):
                 continue
-            asks = (key[0], wave.step.room, wave.step.needs, wave.job.identity if wave.step.apart else None)
+            asks = (
+                key[0],
+                wave.step.resources,
+                wave.step.needs,
+                wave.job.identity if wave.step.apart else None,
+            )
             if asks not in able:
-                able[asks] = any(seat.whole_members(wave, NO_ROOM) for seat in seats[key[0]])
+                able[asks] = any(
+                    candidate.potential_members(wave, NO_RESOURCES) for candidate in candidates[key[0]]
+                )
             if able[asks]:
-                claims[key] = self._claimed(key, wave, claims.get(key, NO_ROOM))
+                claims[key] = self._claimed(key, wave, claims.get(key, NO_RESOURCES))
         return claims
 
     def _claimed(self, key, wave, claimed):
         """The claim of an urgency that claims so much already, with one more wave that waits."""
-        had = more(claimed, self.used.get(key, NO_ROOM))
-        count = tasks_in(less(self.guaranteed(key[0]), had), wave.step.room)
+        had = more(claimed, self.used.get(key, NO_RESOURCES))
+        count = tasks_in(less(self.guaranteed(key[0]), had), wave.step.resources)
         if not any(had):
             count = max(1, count or 0)
         waiting = len(wave.waiting)
-        return more(claimed, times(wave.step.room, waiting if count is None else min(waiting, count)))
+        return more(claimed, times(wave.step.resources, waiting if count is None else min(waiting, count)))
 
     def _patience(self, wave):
         """Seconds that a wave can wait for room and still be in time."""
         job = wave.job
-        return constants.WAIT_PART * slack(job.aim_ms, job.stretch, self.pace.expected(wave))
+        return constants.WAIT_PART * slack(job.latency_target_ms, job.stretch, self.pace.expected(wave))
 
     def _waits(self, routes):
         """(service, priority) -> seconds that work of each urgency can wait for room and still be in time,
@@ -118,7 +129,7 @@
     def left_by_less_urgent(self, wave):
         """Room that a wave may take without taking what less urgent work is guaranteed."""
         service, priority = wave.job.service, wave.job.priority
-        left = self.whole[service]
+        left = self.total_capacity[service]
         for (name, _), used in self.used.items():
             if name == service:
                 left = less(left, used)
@@ -136,15 +147,18 @@
 
     def _cap(self, wave):
         """Room that work as urgent as a wave, and less urgent work, may take together."""
-        service, lasts, held = wave.job.service, self._lasts(wave), NO_ROOM
-        if not self.policy.hold_back_room:
-            return self.whole[service]
+        service, lasts, reserved = wave.job.service, self._lasts(wave), NO_RESOURCES
+        if not self.policy.reserve_for_urgent:
+            return self.total_capacity[service]
         for key, peak in self.peaks.items():
             if key[0] == service and key[1] < wave.job.priority:
                 waits = lasts <= self.waits.get(key, 0)
-                held = more(held, self.used.get(key, NO_ROOM) if waits else peak)
-        whole = self.whole[service]
-        return [max(room * constants.BUDGET_PART, room - one) for room, one in zip(whole, held, strict=True)]
+                reserved = more(reserved, self.used.get(key, NO_RESOURCES) if waits else peak)
+        total = self.total_capacity[service]
+        return [
+            max(resources * constants.BUDGET_PART, resources - one)
+            for resources, one in zip(total, reserved, strict=True)
+        ]
 
     def _lasts(self, wave):
         """Seconds that a task of a wave is likely to keep its room."""
@@ -156,7 +170,7 @@
         """Room that work as urgent as a wave, and less urgent work, takes by now."""
         key = (wave.job.service, wave.job.priority)
         if key not in self.sums:
-            taken = NO_ROOM
+            taken = NO_RESOURCES
             for (service, priority), used in self.used.items():
                 if service == key[0] and priority >= key[1]:
                     taken = more(taken, used)
@@ -165,8 +179,10 @@
 
     def allowance(self, wave, wanted):
         """How many of `wanted` tasks a wave may be given."""
-        left, room = self.left(wave), wave.step.room
-        admitted = (math.ceil(max(0, left[kind]) / room[kind]) for kind in RESOURCES if room[kind])
+        left, resources = self.left(wave), wave.step.resources
+        admitted = (
+            math.ceil(max(0, left[kind]) / resources[kind]) for kind in RESOURCE_KINDS if resources[kind]
+        )
         return min((wanted, self.beside_claims(wave, wanted), *admitted))
 
     def beside_claims(self, wave, wanted):
@@ -174,13 +190,13 @@
         service, priority = wave.job.service, wave.job.priority
         if not any(name == service and level > priority for name, level in self.claims):
             return wanted
-        count = tasks_in(self.left_by_less_urgent(wave), wave.step.room)
+        count = tasks_in(self.left_by_less_urgent(wave), wave.step.resources)
         return wanted if count is None else min(wanted, count)
 
     def charge(self, wave, count):
         """So many tasks of a wave were placed."""
         key = (wave.job.service, wave.job.priority)
-        self.used[key] = more(self.used.get(key, NO_ROOM), times(wave.step.room, count))
+        self.used[key] = more(self.used.get(key, NO_RESOURCES), times(wave.step.resources, count))
         self.sums.clear()
 
     def keepable(self, wave, kept):
@@ -188,20 +204,24 @@
         more than it may use, and not what less urgent work is guaranteed. A gang, which needs all its
         room at once, is not asked what else of its urgency runs, unless less urgent work lacks room now."""
         service, priority = wave.job.service, wave.job.priority
-        claims = [room for (name, level), room in self.claims.items() if name == service and level > priority]
+        claims = [
+            resources
+            for (name, level), resources in self.claims.items()
+            if name == service and level > priority
+        ]
         alone = wave.step.gang and not any(map(any, claims))
-        own = kept if alone else more(kept, self.used.get((service, priority), NO_ROOM))
-        if not wave.step.gang and not self._below(own, self._cap(wave), wave.step.room):
+        own = kept if alone else more(kept, self.used.get((service, priority), NO_RESOURCES))
+        if not wave.step.gang and not self._below(own, self._cap(wave), wave.step.resources):
             return 0
-        allowed = less(self.whole[service], times(self.guaranteed(service), len(claims)))
-        most = tasks_in(less(allowed, own), wave.step.room)
+        allowed = less(self.total_capacity[service], times(self.guaranteed(service), len(claims)))
+        most = tasks_in(less(allowed, own), wave.step.resources)
         return len(wave.waiting) if most is None else most
 
-    def _below(self, used, cap, room):
+    def _below(self, used, cap, resources):
         """Whether less than a cap is used of all that a room takes."""
-        return all(used[kind] < cap[kind] for kind in RESOURCES if room[kind])
+        return all(used[kind] < cap[kind] for kind in RESOURCE_KINDS if resources[kind])
 
     def is_guaranteed(self, key):
         """Whether all the room that a (service, priority) takes is guaranteed to it."""
-        used, right = self.used.get(key, NO_ROOM), self.guaranteed(key[0])
+        used, right = self.used.get(key, NO_RESOURCES), self.guaranteed(key[0])
         return all(one <= other for one, other in zip(used, right, strict=True))
--- a/src/pinepitch/scheduling/configuration.py
+++ b/src/pinepitch/scheduling/configuration.py
@@ -7,20 +7,22 @@
 import voluptuous
 
 from ..common import constants
-from ..model.pushed_job import _number, _whole, shaped
+from ..model.pushed_job import _number, _whole_number, shaped
 
-_NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.NAME_MOST))
-_PREFIX = voluptuous.All(str, voluptuous.Length(min=1, max=constants.PREFIX_MOST), voluptuous.Match(r"^/"))
+_NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_NAME_LENGTH))
+_PREFIX = voluptuous.All(
+    str, voluptuous.Length(min=1, max=constants.MAX_PREFIX_LENGTH), voluptuous.Match(r"^/")
+)
 ROUTE = {
     voluptuous.Required("name"): _NAME,
     voluptuous.Required("host"): _NAME,
     voluptuous.Required("prefix"): _PREFIX,
     voluptuous.Required("service"): _NAME,
-    voluptuous.Optional("timeout_ms"): _number(0, constants.NUMBER_MOST),
-    voluptuous.Optional("aim_ms"): _number(0, constants.NUMBER_MOST),
-    voluptuous.Optional("priority"): _whole(0, constants.NUMBER_MOST),
-    voluptuous.Optional("attempts"): _whole(0, constants.NUMBER_MOST),
-    voluptuous.Optional("stretch"): _number(0, constants.NUMBER_MOST),
+    voluptuous.Optional("timeout_ms"): _number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("aim_ms"): _number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("priority"): _whole_number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("attempts"): _whole_number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("stretch"): _number(0, constants.MAX_NUMBER),
     voluptuous.Extra: object,
 }
 SERVICE = {
@@ -30,7 +32,7 @@
 }
 SHAPE = voluptuous.Schema(
     {
-        voluptuous.Required("version"): _whole(1, constants.NUMBER_MOST),
+        voluptuous.Required("version"): _whole_number(1, constants.MAX_NUMBER),
         voluptuous.Required("routes"): [ROUTE],
         voluptuous.Required("services"): [SERVICE],
         voluptuous.Extra: object,
@@ -130,28 +132,28 @@
         """The version below which calls may have been taken and forgotten, 0 if none is forgotten."""
         return next(iter(self.taken)) if len(self.taken) >= constants.CONFIGURATIONS_KEPT else 0
 
-    def _settled(self, base, version, digest):
+    def _earlier_outcome(self, base, version, digest):
         """The outcome of a call that was taken before or comes too late, or None: it may be taken.
 
         A call older than all that is remembered may have been taken, so it is not refused."""
-        whole = type(version) is int
-        if whole and self.taken.get(version) == digest:
+        is_number = type(version) is int
+        if is_number and self.taken.get(version) == digest:
             return ("configured", version)
         if base == self.version:
             return None
-        if whole and base < version < self._forgotten_below():
+        if is_number and base < version < self._forgotten_below():
             return ("forgotten", version)
         return ("stale", self.version)
 
     def take(self, base, document, digest):
         """Brings a whole configuration into force, or says why not."""
         version = document.get("version")
-        settled = self._settled(base, version, digest)
-        if settled is not None and settled[0] != "forgotten":
-            return settled
+        earlier_outcome = self._earlier_outcome(base, version, digest)
+        if earlier_outcome is not None and earlier_outcome[0] != "forgotten":
+            return earlier_outcome
         faults = checked(document)
-        if not faults and settled is not None:
-            return settled
+        if not faults and earlier_outcome is not None:
+            return earlier_outcome
         if not faults and version <= self.version:
             faults = (("version", f"{version} is not above {self.version}"),)
         if faults:
@@ -164,9 +166,9 @@
 
     def amend(self, base, version, upserts, removes, digest):
         """The same for named items."""
-        settled = self._settled(base, version, digest)
-        if settled is not None:
-            return settled
+        earlier_outcome = self._earlier_outcome(base, version, digest)
+        if earlier_outcome is not None:
+            return earlier_outcome
         if self.document is None:
             return ("invalid", (("version", "there is no configuration to change yet"),))
         document, faults = amended(self.document, version, upserts, removes)
--- a/src/pinepitch/scheduling/evacuation.py
+++ b/src/pinepitch/scheduling/evacuation.py
@@ -36,7 +36,7 @@
         newest = self.newest.get(zone)
         if confirmed < (newest.index if newest else self.forgotten):
             return ("ok",) if (zone in self.since) == begun else ("superseded",)
-        if begun and zone not in self.since and len(self.since) >= constants.EVACUATED_MOST:
+        if begun and zone not in self.since and len(self.since) >= constants.MAX_EVACUATED_ZONES:
             return ("full",)
         self._turn(now, zone, begun)
         self.newest.pop(zone, None)
@@ -59,7 +59,7 @@
 
     def _forget_oldest(self):
         """Drops the oldest zone that is not evacuated once there are too many."""
-        if len(self.newest) <= 2 * constants.EVACUATED_MOST:
+        if len(self.newest) <= 2 * constants.MAX_EVACUATED_ZONES:
             return
         zone = next(one for one in self.newest if one not in self.since)
         self.forgotten = max(self.forgotten, self.newest.pop(zone).index)
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -3,29 +3,31 @@
 
 from ..common import constants
 
-ROOM = ("cpu", "mem_mb", "gpu")
+RESOURCE_NAMES = ("cpu", "mem_mb", "gpu")
 
 
 def _answer(document):
     return ("answer", (200, document, None))
 
 
-def _room(room):
-    return dict(zip(ROOM, room, strict=False))
+def _resources_of(resources):
+    return dict(zip(RESOURCE_NAMES, resources, strict=False))
 
 
-def _taken(held):
+def _taken(placements):
     """The room of placements, added up."""
-    return tuple(sum(one.room[place] for one in held.values()) for place in range(len(ROOM)))
+    return tuple(
+        sum(one.resources[place] for one in placements.values()) for place in range(len(RESOURCE_NAMES))
+    )
 
 
 # --- jobs ----------------------------------------------------------------------------
 def job(core, token, arguments, now):
     """A job's waves and placements, and why what waits does."""
-    identity, board = arguments[0], core.record.board
-    found = board.jobs.get(identity)
+    identity, leased_jobs = arguments[0], core.cluster_state.leased_jobs
+    found = leased_jobs.jobs.get(identity)
     if found is None:
-        final = board.final.get(identity)
+        final = leased_jobs.final.get(identity)
         if final is None:
             return (
                 "answer",
@@ -46,19 +48,19 @@
     time = core._now(now)
     # what is not done comes first, so that a page's bound leaves out what is of least interest
     waves = sorted(found.waves.values(), key=lambda wave: (not wave.left, wave.time, wave.number))
-    told = [_wave(core, wave, time, now) for wave in waves[: constants.PAGE_MOST]]
+    listed_waves = [_wave(core, wave, time, now) for wave in waves[: constants.MAX_PAGE_ROWS]]
     return _answer(
         {
             "job": identity,
-            "state": board.state(identity),
+            "state": leased_jobs.state(identity),
             "queue": found.queue,
             "service": found.service,
             "priority": found.priority,
             "attempts": found.attempts,
             "accepted": found.accepted,
             "ended": None,
-            "waves": told,
-            "more_waves": len(waves) - len(told),
+            "waves": listed_waves,
+            "more_waves": len(waves) - len(listed_waves),
             "placements": _placements(core, identity),
         }
     )
@@ -96,13 +98,13 @@
         return f"not before {wave.due:.3f}"
     if wave.breaking():
         return "waits for the ends of the rest of its gang"
-    return core.keeper.assigner.why.get(wave.key(), "not yet looked at by a round")
+    return core.assignments.assigner.why.get(wave.key(), "not yet looked at by a round")
 
 
 def _candidates(core, wave, now):
     """How many workers of the job's service each reason rules out."""
     counts = {}
-    for worker in core.keeper.workers.values():
+    for worker in core.assignments.workers.values():
         if worker.service == wave.job.service:
             why = _ruled_out(core, worker, wave, now)
             counts[why] = counts.get(why, 0) + 1
@@ -111,53 +113,53 @@
 
 def _ruled_out(core, worker, wave, now):
     """What keeps a worker from one more task of a wave, or "open"."""
-    board, step = core.record.board, wave.step
-    held = board.placements.get(worker.identity, {})
+    leased_jobs, step = core.cluster_state.leased_jobs, wave.step
+    placements = leased_jobs.placements.get(worker.identity, {})
     lacking = sorted(set(step.needs) - worker.labels)
-    free = [all_of - taken for all_of, taken in zip(worker.room, _taken(held), strict=False)]
-    of_step = sum((one.job, one.number) == (wave.job.identity, wave.number) for one in held.values())
-    closed = _closed(board, worker, now)
+    free = [all_of - taken for all_of, taken in zip(worker.capacity, _taken(placements), strict=False)]
+    of_step = sum((one.job, one.number) == (wave.job.identity, wave.number) for one in placements.values())
+    closed = _closed(leased_jobs, worker, now)
     if closed:
         return closed
-    if any(key not in held for key in worker.running):
+    if any(key not in placements for key in worker.running):
         return "runs what is not placed there"
     if lacking:
         return "lacks " + ", ".join(lacking)
-    if any(wants > left for wants, left in zip(step.room, free, strict=False)):
+    if any(wants > left for wants, left in zip(step.resources, free, strict=False)):
         return "no room"
     if step.apart and of_step >= step.apart:
         return f"has {of_step} of the step, apart {step.apart}"
-    if worker.failing > constants.LIVENESS_POOR and held:
+    if worker.failing > constants.LIVENESS_POOR and placements:
         return "on trial"
     return "open"
 
 
-def _closed(board, worker, now):
+def _closed(leased_jobs, worker, now):
     """Why a worker gets no new work of any kind, or ""."""
-    if worker.silent(now):
+    if worker.unresponsive(now):
         return "silent"
     if worker.state != "ready":
         return worker.state
-    if worker.zone in board.evacuated:
+    if worker.zone in leased_jobs.evacuated:
         return "its zone is evacuated"
     if worker.stale:
         return "its beats come late"
-    return "wary" if now < worker.wary_until else ""
+    return "wary" if now < worker.avoided_until else ""
 
 
 def _placements(core, identity):
     """Every run of a job whose end is not proven, as recorded and as its worker told it."""
     listed = []
-    for minion, held in core.record.board.placements.items():
-        worker = core.keeper.workers.get(minion)
-        for (reference, run), one in held.items():
+    for worker_id, placements in core.cluster_state.leased_jobs.placements.items():
+        worker = core.assignments.workers.get(worker_id)
+        for (reference, run), one in placements.items():
             if one.job == identity:
                 seen = worker.running.get((reference, run)) if worker else None
                 listed.append(
                     {
                         "task": reference,
                         "run": run,
-                        "minion": minion,
+                        "minion": worker_id,
                         "since": one.since,
                         "epoch": one.epoch,
                         "stop": one.stop,
@@ -171,9 +173,9 @@
 # --- workers, evacuations ------------------------------------------------------------
 def workers(core, token, arguments, now):
     """Each worker this leader knows, and those that only placements name."""
-    board, listed = core.record.board, []
-    for identity in sorted(set(core.keeper.workers) | set(board.placements)):
-        worker, held = core.keeper.workers.get(identity), board.placements.get(identity, {})
+    leased_jobs, listed = core.cluster_state.leased_jobs, []
+    for identity in sorted(set(core.assignments.workers) | set(leased_jobs.placements)):
+        worker, placements = core.assignments.workers.get(identity), leased_jobs.placements.get(identity, {})
         line = {
             "minion": identity,
             "service": None,
@@ -183,7 +185,7 @@
             "closed": "silent",
             "room": None,
             "free": None,
-            "placed": len(held),
+            "placed": len(placements),
             "running": 0,
             "silent": True,
             "wary": False,
@@ -192,18 +194,20 @@
             "heard": None,
         }
         if worker is not None:
-            free = [all_of - taken for all_of, taken in zip(worker.room, _taken(held), strict=False)]
+            free = [
+                all_of - taken for all_of, taken in zip(worker.capacity, _taken(placements), strict=False)
+            ]
             line.update(
                 service=worker.service,
                 zone=worker.zone,
                 rack=worker.rack,
                 state=worker.state,
-                closed=_closed(board, worker, now),
-                room=_room(worker.room),
-                free=_room(free),
+                closed=_closed(leased_jobs, worker, now),
+                room=_resources_of(worker.capacity),
+                free=_resources_of(free),
                 running=len(worker.running),
-                silent=worker.silent(now),
-                wary=now < worker.wary_until,
+                silent=worker.unresponsive(now),
+                wary=now < worker.avoided_until,
                 failing=round(worker.failing, 3),
                 speed=round(worker.speed, 3),
                 heard=round(now - worker.heard_at, 3),
@@ -217,7 +221,8 @@
     return _answer(
         {
             "evacuations": [
-                {"zone": zone, "since": since} for zone, since in sorted(core.record.board.evacuated.items())
+                {"zone": zone, "since": since}
+                for zone, since in sorted(core.cluster_state.leased_jobs.evacuated.items())
             ]
         }
     )
--- a/src/pinepitch/scheduling/idle_capacity.py
+++ b/src/pinepitch/scheduling/idle_capacity.py
@@ -19,11 +19,11 @@
     seconds: float  # that the wave looked at has been short of room
 
 
-class IdleRoomCheck:
+class IdleCapacityCheck:
     """Looks at each round's outcome, and counts what must not be.
 
     KEPT_UNTAKEN: after a round a wave, no gang, still waits although a seat kept for it would take one more
-    of its tasks. IDLE_BESIDE_WORK: for IDLE_WAIT_MOST seconds a job had nothing placed and waited for
+    of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had nothing placed and waited for
     room while its service had room for twice what it needs at once and under half of its room was in use.
 
     Invariant: a violation is counted once for each wave and each time that it begins."""
@@ -38,37 +38,39 @@
         """Violations of KEPT_UNTAKEN. Takes `kept` (key of a wave -> (wave, seats)), `placed` (key of a
         wave -> tasks placed in this round) and `short` (key of a wave -> since when)."""
         found = {}
-        for key, (wave, seats) in kept.items():
+        for key, (wave, candidates) in kept.items():
             waits = len(wave.waiting) > placed.get(key, 0) and not wave.step.gang
-            if waits and any(seat.allows(wave) for seat in seats):
+            if waits and any(candidate.may_place(wave) for candidate in candidates):
                 found[key] = wave
         return self._counted(KEPT_UNTAKEN, found, short, now)
 
-    def look(self, board, seats, short, now):
+    def look(self, leased_jobs, candidates, short, now):
         """Violations of IDLE_BESIDE_WORK, looked for once in IDLE_LOOK_EVERY seconds."""
         if self.looked_at is not None and now - self.looked_at < constants.IDLE_LOOK_EVERY:
             return ()
         self.looked_at = now
-        idle = [service for service, mine in seats.items() if in_use(mine) < constants.RESERVE_BUSY]
+        idle = [service for service, mine in candidates.items() if in_use(mine) < constants.RESERVE_BUSY]
         beside = {}
         for key in short:
-            wave = board.ready.get(key)
-            if wave is not None and wave.job.service in idle and self._ample(wave, seats[wave.job.service]):
+            wave = leased_jobs.ready.get(key)
+            if (
+                wave is not None
+                and wave.job.service in idle
+                and self._ample(wave, candidates[wave.job.service])
+            ):
                 beside[key] = wave
         self.since = {key: self.since.get(key, now) for key in beside}
-        found = {
-            key: wave for key, wave in beside.items() if now - self.since[key] > constants.IDLE_WAIT_MOST
-        }
+        found = {key: wave for key, wave in beside.items() if now - self.since[key] > constants.MAX_IDLE_WAIT}
         return self._counted(IDLE_BESIDE_WORK, found, short, now)
 
-    def _ample(self, wave, seats):
+    def _ample(self, wave, candidates):
         """Whether nothing of a wave's job is placed, and there is room for twice what it needs at once."""
         if any(task.state == "placed" for one in wave.job.waves.values() for task in one.tasks):
             return False
-        wanted, room = 2 * (len(wave.waiting) if wave.step.gang else 1), 0
-        for seat in seats:
-            room += seat.members(wave)
-            if room >= wanted:
+        wanted, count = 2 * (len(wave.waiting) if wave.step.gang else 1), 0
+        for candidate in candidates:
+            count += candidate.free_members(wave)
+            if count >= wanted:
                 return True
         return False
 
--- a/src/pinepitch/scheduling/leased_job.py
+++ b/src/pinepitch/scheduling/leased_job.py
@@ -6,7 +6,7 @@
 import voluptuous
 
 from ..common import constants
-from ..model.pushed_job import _number, _whole, shaped
+from ..model.pushed_job import _number, _whole_number, shaped
 
 
 def _short(most):
@@ -14,17 +14,17 @@
 
 
 STEP = {
-    voluptuous.Required("count", default=1): _whole(1, constants.STEP_TASKS_MOST),
-    voluptuous.Optional("cpu", default=0): _whole(0, constants.NUMBER_MOST),
-    voluptuous.Optional("mem_mb", default=0): _whole(0, constants.NUMBER_MOST),
-    voluptuous.Optional("gpu", default=0): _whole(0, constants.NUMBER_MOST),
-    voluptuous.Optional("est_ms", default=0): _number(0, constants.NUMBER_MOST),
-    voluptuous.Optional("after", default=list): [_whole(0, constants.STEPS_MOST)],
+    voluptuous.Required("count", default=1): _whole_number(1, constants.MAX_STEP_TASKS),
+    voluptuous.Optional("cpu", default=0): _whole_number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("mem_mb", default=0): _whole_number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("gpu", default=0): _whole_number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("est_ms", default=0): _number(0, constants.MAX_NUMBER),
+    voluptuous.Optional("after", default=list): [_whole_number(0, constants.MAX_STEPS)],
     voluptuous.Optional("gang", default=False): bool,
     voluptuous.Optional("tight", default=False): bool,
     voluptuous.Optional("needs", default=None): voluptuous.Any(None, str, [str]),
-    voluptuous.Optional("near", default=""): _short(constants.NAME_MOST),
-    voluptuous.Optional("apart", default=0): _whole(0, constants.NUMBER_MOST),
+    voluptuous.Optional("near", default=""): _short(constants.MAX_NAME_LENGTH),
+    voluptuous.Optional("apart", default=0): _whole_number(0, constants.MAX_NUMBER),
     voluptuous.Optional("saves", default=False): bool,
     voluptuous.Optional("twice", default=False): bool,
     voluptuous.Optional("lasts", default=False): bool,
@@ -32,13 +32,13 @@
 }
 SHAPE = voluptuous.Schema(
     {
-        voluptuous.Optional("spec", default=""): _short(constants.SPEC_MOST),
+        voluptuous.Optional("spec", default=""): _short(constants.MAX_SPEC_LENGTH),
         voluptuous.Required("steps"): voluptuous.All(
-            [STEP], voluptuous.Length(min=1, max=constants.STEPS_MOST)
+            [STEP], voluptuous.Length(min=1, max=constants.MAX_STEPS)
         ),
-        voluptuous.Optional("first_ms", default=0): _number(0, constants.NUMBER_MOST),
-        voluptuous.Optional("every_ms", default=0): _number(0, constants.NUMBER_MOST),
-        voluptuous.Optional("times", default=0): _whole(0, constants.TIMES_MOST),
+        voluptuous.Optional("first_ms", default=0): _number(0, constants.MAX_NUMBER),
+        voluptuous.Optional("every_ms", default=0): _number(0, constants.MAX_NUMBER),
+        voluptuous.Optional("times", default=0): _whole_number(0, constants.MAX_TIMES),
         voluptuous.Optional("lasts", default=False): bool,
         voluptuous.Extra: object,
     }
@@ -77,8 +77,8 @@
         step["lasts"] = step["lasts"] or plain["lasts"]
         steps.append(tuple(step[field] for field in FIELDS))
     total = sum(step[0] for step in steps) * max(1, plain["times"])
-    if total > constants.JOB_TASKS_MOST:
-        return None, (("steps", f"{total} tasks, over the {constants.JOB_TASKS_MOST} of one job"),)
+    if total > constants.MAX_JOB_TASKS:
+        return None, (("steps", f"{total} tasks, over the {constants.MAX_JOB_TASKS} of one job"),)
     return (plain["spec"], tuple(steps), plain["first_ms"], plain["every_ms"], plain["times"]), ()
 
 
@@ -93,7 +93,7 @@
 
     __slots__ = (
         "count",
-        "room",
+        "resources",
         "est_ms",
         "after",
         "gang",
@@ -123,7 +123,7 @@
             self.twice,
             self.lasts,
         ) = image
-        self.room = (cpu, memory, accelerators)
+        self.resources = (cpu, memory, accelerators)
         self.after, self.needs = tuple(after), tuple(needs)
 
 
@@ -132,14 +132,21 @@
     highest run number ever given to it; a run in open_runs was let go without its end being
     heard, so that its end, should it come, still counts once."""
 
-    __slots__ = ("state", "run", "failures", "saved", "minion", "open_runs")
+    __slots__ = ("state", "run", "failures", "saved", "worker_id", "open_runs")
 
-    def __init__(self, state="waiting", run=0, failures=0, saved="", minion="", open_runs=()):
+    def __init__(self, state="waiting", run=0, failures=0, saved="", worker_id="", open_runs=()):
         self.state, self.run, self.failures, self.saved = state, run, failures, saved
-        self.minion, self.open_runs = minion, set(open_runs)
+        self.worker_id, self.open_runs = worker_id, set(open_runs)
 
     def image(self):
-        return (self.state, self.run, self.failures, self.saved, self.minion, tuple(sorted(self.open_runs)))
+        return (
+            self.state,
+            self.run,
+            self.failures,
+            self.saved,
+            self.worker_id,
+            tuple(sorted(self.open_runs)),
+        )
 
 
 class Wave:
@@ -191,7 +198,7 @@
         return (tuple(sorted(self.failed_runs)), self.since, tuple(task.image() for task in self.tasks))
 
 
-class Job:
+class LeasedJob:
     """A job accepted and not yet final. Invariants: times below 1 mean once, under time 0;
     waves has one entry for each time and step; begun is whether any task was ever placed."""
 
@@ -201,7 +208,7 @@
         "service",
         "attempts",
         "priority",
-        "aim_ms",
+        "latency_target_ms",
         "stretch",
         "spec",
         "steps",
@@ -218,7 +225,7 @@
 
     def __init__(self, identity, queue, terms, plain, accepted):
         self.identity, self.queue, self.accepted = identity, queue, accepted
-        self.service, self.attempts, self.priority, self.aim_ms, self.stretch = terms
+        self.service, self.attempts, self.priority, self.latency_target_ms, self.stretch = terms
         self.plain = plain
         self.spec, steps, self.first_ms, self.every_ms, self.times = plain
         self.steps = [Step(step) for step in steps]
@@ -232,7 +239,7 @@
         self.digest = digest_of(plain)
 
     def terms(self):
-        return (self.service, self.attempts, self.priority, self.aim_ms, self.stretch)
+        return (self.service, self.attempts, self.priority, self.latency_target_ms, self.stretch)
 
     def image(self):
         return (
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -8,11 +8,11 @@
 from ..common import constants
 from .configuration import Configuration
 from .evacuation import Evacuations
-from .leased_job import Job
+from .leased_job import LeasedJob
 from .placement import Placement
 
 
-class Board:
+class LeasedJobState:
     """Invariants: jobs holds those not final, final the state of those that are, oldest end
     first; taken and used are the sums of the placements' rooms; ready holds every wave with
     waiting tasks whose earlier steps are all done and that is not breaking;
@@ -34,29 +34,29 @@
         return (
             tuple(job.image() for job in self.jobs.values()),
             tuple((identity, *rest) for identity, rest in self.final.items()),
-            tuple(one.image() for held in self.placements.values() for one in held.values()),
+            tuple(one.image() for placements in self.placements.values() for one in placements.values()),
             self.configuration.image(),
             self.evacuations.image(),
         )
 
     @classmethod
     def from_image(cls, image):
-        board = cls()
+        leased_jobs = cls()
         jobs, final, placements, configuration, evacuations = image
-        board.configuration = Configuration(*configuration)
-        board.evacuations = Evacuations(*evacuations)
-        board.final = {identity: tuple(rest) for identity, *rest in final}
+        leased_jobs.configuration = Configuration(*configuration)
+        leased_jobs.evacuations = Evacuations(*evacuations)
+        leased_jobs.final = {identity: tuple(rest) for identity, *rest in final}
         for one in placements:
             placement = Placement(*one)
-            board._hold(placement)
+            leased_jobs._add_placement(placement)
         for one in jobs:
-            job = Job.from_image(one)
-            board.jobs[job.identity] = job
+            job = LeasedJob.from_image(one)
+            leased_jobs.jobs[job.identity] = job
             if not job.begun:
-                board.counts[job.queue] = board.counts.get(job.queue, 0) + 1
+                leased_jobs.counts[job.queue] = leased_jobs.counts.get(job.queue, 0) + 1
             for wave in job.waves.values():
-                board._index(wave)
-        return board
+                leased_jobs._index(wave)
+        return leased_jobs
 
     @property
     def evacuated(self):
@@ -70,35 +70,37 @@
         else:
             self.ready.pop(wave.key(), None)
 
-    def _hold(self, placement):
+    def _add_placement(self, placement):
         """A run takes its room."""
-        self.placements.setdefault(placement.minion, {})[(placement.reference(), placement.run)] = placement
+        self.placements.setdefault(placement.worker_id, {})[(placement.reference(), placement.run)] = (
+            placement
+        )
         for totals, key in (
-            (self.taken, placement.minion),
+            (self.taken, placement.worker_id),
             (self.used, (placement.service, placement.priority)),
         ):
             totals[key] = [
-                one + more for one, more in zip(totals.get(key, (0, 0, 0)), placement.room, strict=False)
+                one + more for one, more in zip(totals.get(key, (0, 0, 0)), placement.resources, strict=False)
             ]
 
-    def _release(self, minion, key):
+    def _remove_placement(self, worker_id, key):
         """A run's room is free again; its placement, or None when there was none."""
-        held = self.placements.get(minion, {})
-        placement = held.pop(key, None)
+        placements = self.placements.get(worker_id, {})
+        placement = placements.pop(key, None)
         if placement is None:
             return None
         self.used[(placement.service, placement.priority)] = [
             one - less
             for one, less in zip(
-                self.used[(placement.service, placement.priority)], placement.room, strict=False
+                self.used[(placement.service, placement.priority)], placement.resources, strict=False
             )
         ]
-        if held:
-            self.taken[minion] = [
-                one - less for one, less in zip(self.taken[minion], placement.room, strict=False)
+        if placements:
+            self.taken[worker_id] = [
+                one - less for one, less in zip(self.taken[worker_id], placement.resources, strict=False)
             ]
         else:
-            del self.placements[minion], self.taken[minion]
+            del self.placements[worker_id], self.taken[worker_id]
         return placement
 
     # --- reading ----------------------------------------------------------------------
@@ -117,7 +119,7 @@
         if wave is None:
             return None
         task = wave.tasks[placement.index]
-        if task.state == "placed" and task.run == placement.run and task.minion == placement.minion:
+        if task.state == "placed" and task.run == placement.run and task.worker_id == placement.worker_id:
             return wave, task
         return None
 
@@ -137,7 +139,7 @@
         route = self.configuration.routes.get(queue)
         if route is None:
             return ("missing", queue)
-        if len(self.jobs) >= constants.JOBS_MOST:
+        if len(self.jobs) >= constants.MAX_LEASED_JOBS:
             return ("full", queue)
         terms = (
             route["service"],
@@ -146,7 +148,7 @@
             route.get("aim_ms", 0),
             route.get("stretch", 1),
         )
-        job = self.jobs[identity] = Job(identity, queue, terms, plain, now)
+        job = self.jobs[identity] = LeasedJob(identity, queue, terms, plain, now)
         self.counts[queue] = self.counts.get(queue, 0) + 1
         for wave in job.waves.values():
             wave.since = max(wave.due, now)
@@ -170,7 +172,7 @@
             self.ready.pop(wave.key(), None)
         self.final[job.identity] = (state, now, job.queue, job.digest)
         for identity, (_, ended, *_) in list(itertools.islice(self.final.items(), constants.FINAL_SWEEP)):
-            if ended + constants.FINAL_LASTS > now and len(self.final) <= constants.FINAL_MOST:
+            if ended + constants.FINAL_LASTS > now and len(self.final) <= constants.MAX_FINAL_JOBS:
                 break
             del self.final[identity]
 
@@ -182,16 +184,16 @@
             wave = job.waves.get((time, number)) if job else None
             if wave is None or wave.blocked or wave.breaking() or now < wave.due:
                 continue
-            group = [(index, minion) for index, minion in dict(group).items() if index in wave.waiting]
+            group = [(index, worker_id) for index, worker_id in dict(group).items() if index in wave.waiting]
             if wave.step.gang and len(group) != wave.left:
                 continue
             gang_run = max(task.run for task in wave.tasks) + 1
-            for index, minion in group:
+            for index, worker_id in group:
                 task = wave.tasks[index]
                 if not wave.step.lasts and not wave.step.gang and task.failures >= job.attempts:
                     continue
                 task.run = gang_run if wave.step.gang else task.run + 1
-                task.state, task.minion = "placed", minion
+                task.state, task.worker_id = "placed", worker_id
                 wave.waiting.discard(index)
                 placement = Placement(
                     identity,
@@ -199,14 +201,14 @@
                     number,
                     index,
                     task.run,
-                    minion,
-                    wave.step.room,
+                    worker_id,
+                    wave.step.resources,
                     job.service,
                     job.priority,
                     now,
                     epoch,
                 )
-                self._hold(placement)
+                self._add_placement(placement)
                 placed.append(placement)
             if not job.begun and group:
                 job.begun = True
@@ -216,8 +218,8 @@
 
     def stop(self, now, items):
         """Runs that are to end. Items: (minion, reference, run, why)."""
-        for minion, reference, run, why in items:
-            placement = self.placements.get(minion, {}).get((reference, run))
+        for worker_id, reference, run, why in items:
+            placement = self.placements.get(worker_id, {}).get((reference, run))
             if placement is not None and not placement.stop:
                 placement.stop = why
         return ("ok",)
@@ -226,8 +228,8 @@
         """Proven ends. Items: (minion, reference, run, how, saved, heard): heard says that the
         minion itself told it, so that it can't come again; what follows is told by item."""
         outcomes = []
-        for minion, reference, run, how, saved, heard in items:
-            placement = self._release(minion, (reference, run))
+        for worker_id, reference, run, how, saved, heard in items:
+            placement = self._remove_placement(worker_id, (reference, run))
             outcomes.append(self._ended(now, placement, reference, run, how, saved, heard))
         return ("ended", tuple(outcomes))
 
@@ -248,8 +250,10 @@
             task.open_runs.discard(run)
         elif not heard and how != "unsent":
             task.open_runs.add(run)
-        under_way = wave.step.gang and any(one.state == "placed" and one.run > run for one in wave.tasks)
-        if saved and task.state != "done" and run + 1 >= task.run and not under_way:
+        newer_run_placed = wave.step.gang and any(
+            one.state == "placed" and one.run > run for one in wave.tasks
+        )
+        if saved and task.state != "done" and run + 1 >= task.run and not newer_run_placed:
             for one in wave.tasks if wave.step.gang else (task,):
                 one.saved = saved
         if task.state == "done":
@@ -265,7 +269,7 @@
                 self._finish(now, job, "failed")
                 return "failed"
         if current:
-            task.state, task.minion = "waiting", ""
+            task.state, task.worker_id = "waiting", ""
             wave.waiting.add(index)
             wave.since = now
             self._index(wave)
--- a/src/pinepitch/scheduling/leases.py
+++ b/src/pinepitch/scheduling/leases.py
@@ -5,7 +5,7 @@
 LEFT, LAPSED = "left", "hold lapsed"
 
 
-class HoldWatch:
+class LeaseWatch:
     """Invariant: a hold counts as lapsed only once it is over by the slowest clock a worker may have,
     counted from the newest heartbeat whose answer may have extended it, by whichever leader."""
 
@@ -24,21 +24,21 @@
             if now - at >= constants.LEAVE_MARGIN:
                 del self.left_at[identity]
                 yield identity, LEFT
-        for identity, held in list(self.core.record.board.placements.items()):
-            if ends.all_proposed(identity, held):
+        for identity, placements in list(self.core.cluster_state.leased_jobs.placements.items()):
+            if ends.all_proposed(identity, placements):
                 continue
-            if now - self._held_from(workers.get(identity), held) > self._span():
+            if now - self._leased_from(workers.get(identity), placements) > self._span():
                 yield identity, LAPSED
 
     def _span(self):
         """Seconds after which a hold is over, whatever the worker's clock."""
-        return self.core.hold * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN
+        return self.core.lease_duration * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN
 
-    def _held_from(self, worker, held):
+    def _leased_from(self, worker, placements):
         """When the newest hold on what a worker runs may have begun."""
-        if worker is not None and worker.held_from is not None:
-            return worker.held_from
-        if worker is not None and all(one.epoch == self.core.epoch for one in held.values()):
+        if worker is not None and worker.leased_from is not None:
+            return worker.leased_from
+        if worker is not None and all(one.epoch == self.core.epoch for one in placements.values()):
             # no answer ever told it of any of these
-            return worker.heard_at + constants.BEAT_SILENT - self._span()
+            return worker.heard_at + constants.WORKER_TIMEOUT - self._span()
         return self.since + constants.ELECTION_TIMEOUT
--- a/src/pinepitch/scheduling/placement.py
+++ b/src/pinepitch/scheduling/placement.py
@@ -13,8 +13,8 @@
         "number",
         "index",
         "run",
-        "minion",
-        "room",
+        "worker_id",
+        "resources",
         "service",
         "priority",
         "stop",
@@ -22,9 +22,11 @@
         "epoch",
     )
 
-    def __init__(self, job, time, number, index, run, minion, room, service, priority, since, epoch, stop=""):
+    def __init__(
+        self, job, time, number, index, run, worker_id, resources, service, priority, since, epoch, stop=""
+    ):
         self.job, self.time, self.number, self.index = job, time, number, index
-        self.run, self.minion, self.room, self.service = run, minion, tuple(room), service
+        self.run, self.worker_id, self.resources, self.service = run, worker_id, tuple(resources), service
         self.priority, self.since, self.epoch, self.stop = priority, since, epoch, stop
 
     def reference(self):
@@ -37,8 +39,8 @@
             self.number,
             self.index,
             self.run,
-            self.minion,
-            self.room,
+            self.worker_id,
+            self.resources,
             self.service,
             self.priority,
             self.since,
@@ -50,7 +52,7 @@
 def parsed(reference):
     """(job, time, number, index) of a task's reference, or None."""
     parts = reference.split(".")
-    numbers = [document.whole(part) for part in parts[1:]]
+    numbers = [document.whole_number(part) for part in parts[1:]]
     if len(parts) != 4 or None in numbers:
         return None
     return (parts[0], *numbers)
--- a/src/pinepitch/scheduling/policy.py
+++ b/src/pinepitch/scheduling/policy.py
@@ -7,7 +7,7 @@
 class Policy(NamedTuple):
     """Invariant: no field bears on whether a run may start, only on which does, where and when."""
 
-    hold_back_room: bool = True  # from work that would keep it for longer than more urgent work can wait
+    reserve_for_urgent: bool = True  # from work that would keep it for longer than more urgent work can wait
     guarantee_shares: bool = True  # to each urgency whose work has waited as long as it well can
     keep_seats: bool = True  # for the first waves that have been short of room for long
     yielding: bool = True  # less urgent runs end for a wave that seats are kept for
@@ -17,11 +17,11 @@
     wait_near: bool = True  # for room beside the data rather than start away from it
     avoid_hot_racks: bool = True  # by work that wants no data
     prefer_fast_workers: bool = True  # by what is learnt of their speed
-    be_wary: bool = True  # no new work for a while at a worker that refused or stalled some
+    avoid_troubled_workers: bool = True  # no new work for a while at a worker that refused or stalled some
     stop_stalled: bool = True
     stop_slow: bool = True
     gang_in_one_rack: bool = True  # where its step asks for that
-    hold_idle_heartbeats: bool = True  # an idle worker's stays open, so that a start reaches it at once
+    defer_idle_heartbeats: bool = True  # an idle worker's stays open, so that a start reaches it at once
 
 
 DEFAULT = Policy()
--- a/src/pinepitch/scheduling/progress.py
+++ b/src/pinepitch/scheduling/progress.py
@@ -47,7 +47,7 @@
 
     watched: WatchedRun
     left: float  # seconds
-    whole: float  # seconds that it would take near its data
+    total: float  # seconds that it would take near its data
 
 
 class Slowdown(NamedTuple):
@@ -58,7 +58,7 @@
 
     @property
     def ratio(self):
-        return self.projected.whole / self.usual
+        return self.projected.total / self.usual
 
     @property
     def reference(self):
@@ -73,10 +73,10 @@
     """How long the runs of one wave take, seconds. Invariant: all is sorted."""
 
     def __init__(self, projected, ended):
-        self.all = sorted([*(one.whole for one in projected), *ended])
+        self.all = sorted([*(one.total for one in projected), *ended])
         self.by_worker = collections.defaultdict(list)
         for one in projected:
-            self.by_worker[one.watched.worker.identity].append(one.whole)
+            self.by_worker[one.watched.worker.identity].append(one.total)
 
     def usual_beside(self, worker):
         """The median of all but one worker's, or None while too few are known."""
@@ -108,24 +108,26 @@
         self.misjudged_count = 0
         self.stopped_slow = set()  # references of tasks not done, of which a run was stopped as slow
 
-    def look(self, workers, board, stopping, now):
+    def look(self, workers, leased_jobs, stopping, now):
         """The runs that are to end (tuple of RunStop): those that stand still, or go so slowly beside their
         like on other workers that a new start elsewhere would be done sooner. `stopping` holds the
         (reference, run) whose stop is on the way."""
         self._look_back(workers)
-        self._forget_tasks(board)
+        self._forget_tasks(leased_jobs)
         stops, projected = [], []
-        for watched in self._watched(workers, board, stopping, now):
+        for watched in self._watched(workers, leased_jobs, stopping, now):
             if self.policy.stop_stalled and self._stalled(watched):
-                if self.policy.be_wary:
-                    watched.worker.wary_until = max(watched.worker.wary_until, now + constants.STALLED_WARY)
+                if self.policy.avoid_troubled_workers:
+                    watched.worker.avoided_until = max(
+                        watched.worker.avoided_until, now + constants.AVOID_AFTER_STALL
+                    )
                 self.judged[(watched.worker.identity, *watched.key)] = watched.progress.percent
                 stops.append(watched.stopped_as(STALLED))
                 continue
-            told = self.pace.projected(watched.worker, watched.key)
-            if told is not None and not watched.wave.step.gang:
+            projection = self.pace.projected(watched.worker, watched.key)
+            if projection is not None and not watched.wave.step.gang:
                 far = self.pace.far if self.pace.is_far(watched.wave, watched.worker) else 1
-                projected.append(Projected(watched, told[0], told[1] / far))
+                projected.append(Projected(watched, projection[0], projection[1] / far))
         return (*stops, *(self._slow(projected) if self.policy.stop_slow else ()))
 
     def ended(self, worker, reference, run, how):
@@ -151,25 +153,25 @@
                 del self.judged[key]
                 self._count_misjudged(key)
 
-    def _forget_tasks(self, board):
+    def _forget_tasks(self, leased_jobs):
         """Forgets the tasks of jobs that are over."""
-        for reference in [one for one in self.stopped_slow if one.partition(".")[0] not in board.jobs]:
+        for reference in [one for one in self.stopped_slow if one.partition(".")[0] not in leased_jobs.jobs]:
             self.stopped_slow.discard(reference)
 
     def _count_misjudged(self, key):
         self.misjudged.append(key)
         self.misjudged_count += 1
 
-    def _watched(self, workers, board, stopping, now):
+    def _watched(self, workers, leased_jobs, stopping, now):
         """The runs that may be judged."""
         gangs = {}
         for worker in workers.values():
-            if worker.silent(now) or worker.stale:
+            if worker.unresponsive(now) or worker.stale:
                 continue
-            held = board.placements.get(worker.identity, {})
+            placements = leased_jobs.placements.get(worker.identity, {})
             for key, progress in worker.progress.items():
-                placement = held.get(key)
-                found = board.task(placement) if placement is not None and not placement.stop else None
+                placement = placements.get(key)
+                found = leased_jobs.task(placement) if placement is not None and not placement.stop else None
                 if found is None or found[0].step.lasts or key in stopping:
                     continue
                 wave, members = found[0], ()
@@ -182,7 +184,7 @@
         """The Progress of all members of a gang, None for each that no worker has listed."""
         members = []
         for index, task in enumerate(wave.tasks):
-            worker = workers.get(task.minion)
+            worker = workers.get(task.worker_id)
             key = (wave.reference(index), task.run)
             members.append(worker.progress.get(key) if worker is not None else None)
         return tuple(members)
@@ -226,7 +228,7 @@
             ratio = _median(telling)
             if ratio > (constants.SLOW if len(slowdowns) > 1 else constants.SLOW_ALONE):
                 slowdowns[0].projected.watched.worker.pace(ratio, constants.SLOW_WEIGHT)
-                stops.extend(self._worth_a_new_start(slowdowns))
+                stops.extend(self._faster_restarted(slowdowns))
         self.stopped_slow.update(stop.reference for stop in stops)
         return stops
 
@@ -242,7 +244,7 @@
             lengths[key] = Lengths(alike, ended)
         return lengths
 
-    def _worth_a_new_start(self, slowdowns):
+    def _faster_restarted(self, slowdowns):
         """Stops of the runs that a new start elsewhere would end sooner."""
         for one in slowdowns:
             watched, left = one.projected.watched, one.projected.left
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -21,17 +21,17 @@
 
 
 def _unready(core):
-    if not core.record.board.configuration.version:
+    if not core.cluster_state.leased_jobs.configuration.version:
         return (
             "answer",
-            problem(503, "unconfigured", "no configuration is in force yet", constants.COME_BACK),
+            problem(503, "unconfigured", "no configuration is in force yet", constants.RETRY_AFTER),
         )
     return None
 
 
 def _route(core, host, path):
     """(route, rest of the path), or the answer that there is none."""
-    return core.record.board.configuration.find(host, path)
+    return core.cluster_state.leased_jobs.configuration.find(host, path)
 
 
 def submit(core, token, arguments, now):
@@ -53,8 +53,8 @@
                 faults=[{"path": path, "message": message} for path, message in faults],
             ),
         )
-    board = core.record.board
-    state = board.state(identity)
+    leased_jobs = core.cluster_state.leased_jobs
+    state = leased_jobs.state(identity)
     if state is not None:
         return _answer(200, {"state": state}, None)
     core.trace(186, job=identity, queue=route["name"])
@@ -68,10 +68,10 @@
 
 def submitted(core, outcome, extra, now):
     if outcome[0] in ("accepted", "known"):
-        return (200, {"state": core.record.board.state(outcome[1]) or "completed"}, None)
+        return (200, {"state": core.cluster_state.leased_jobs.state(outcome[1]) or "completed"}, None)
     if outcome[0] == "missing":
         return problem(404, "no_queue", "the route is gone")
-    return problem(429, "full", "too many jobs are open", constants.COME_BACK)
+    return problem(429, "full", "too many jobs are open", constants.RETRY_AFTER)
 
 
 def read(core, token, arguments, now):
@@ -81,10 +81,10 @@
     if found is None:
         return _unready(core) or ("answer", problem(404, "no_queue", "no route fits"))
     route, identity = found
-    board = core.record.board
+    leased_jobs = core.cluster_state.leased_jobs
     if not identity:
-        return _answer(200, {"waiting": board.counts.get(route["name"], 0)}, None)
-    state = board.state(identity)
+        return _answer(200, {"waiting": leased_jobs.counts.get(route["name"], 0)}, None)
+    state = leased_jobs.state(identity)
     if state is None:
         return ("answer", problem(410, "no_job", "no such job"))
     if state not in UNFINISHED:
@@ -98,7 +98,7 @@
     if found is None:
         return _unready(core) or ("answer", problem(404, "no_queue", "no route fits"))
     identity = found[1]
-    state = core.record.board.state(identity)
+    state = core.cluster_state.leased_jobs.state(identity)
     if state is None:
         return ("answer", problem(410, "no_job", "no such job"))
     if state not in UNFINISHED:
@@ -112,7 +112,7 @@
     return (200, {"state": "cancelled" if outcome[0] == "cancelled" else outcome[1]}, None)
 
 
-def beat(core, token, arguments, now):
+def heartbeat(core, token, arguments, now):
     identity, document = arguments
     if not workers.checked(document):
         return ("answer", problem(400, "beat", "the beat can't be read"))
@@ -120,7 +120,7 @@
 
 
 def leave(core, token, arguments, now):
-    core.keeper.leave(arguments[0], now)
+    core.assignments.leave(arguments[0], now)
     return _answer(200, {}, None)
 
 
@@ -158,16 +158,19 @@
 
 
 def configuration_read(core, token, arguments, now):
-    return _unready(core) or _answer(200, core.record.board.configuration.document, None)
+    return _unready(core) or _answer(200, core.cluster_state.leased_jobs.configuration.document, None)
 
 
 def evacuate(core, token, arguments, now):
     """An order for a zone, with the index of the log that was confirmed as it came."""
     zone, begun, confirmed = arguments
-    if not 0 < len(zone) <= constants.NAME_MOST:
-        return ("answer", problem(400, "zone", f"a zone has a name of 1 to {constants.NAME_MOST} characters"))
+    if not 0 < len(zone) <= constants.MAX_NAME_LENGTH:
+        return (
+            "answer",
+            problem(400, "zone", f"a zone has a name of 1 to {constants.MAX_NAME_LENGTH} characters"),
+        )
     operation = ("evacuation", zone, begun, confirmed)
-    if core.record.levels["evacuation"] > core.common_level():
+    if core.cluster_state.levels["evacuation"] > core.common_level():
         operation = ("evacuate", zone, begun)
     return ("agree", operation, "evacuated", None)
 
@@ -175,9 +178,9 @@
 def evacuated(core, outcome, extra, now):
     if outcome[0] == "superseded":
         why = "another order for the zone came first; this one was not taken, send it again"
-        return problem(503, "superseded", why, constants.COME_BACK)
+        return problem(503, "superseded", why, constants.RETRY_AFTER)
     if outcome[0] == "full":
-        return problem(429, "full", "too many zones are evacuated", constants.COME_BACK)
+        return problem(429, "full", "too many zones are evacuated", constants.RETRY_AFTER)
     return (200, {}, None)
 
 
@@ -186,7 +189,7 @@
     "job": submit,
     "job-read": read,
     "job-cancel": cancel,
-    "beat": beat,
+    "beat": heartbeat,
     "beat-leave": leave,
     "configure": configure,
     "amend": amend,
--- a/src/pinepitch/scheduling/reservations.py
+++ b/src/pinepitch/scheduling/reservations.py
@@ -3,7 +3,7 @@
 from ..common import constants
 from . import policy as policies
 from .candidate_workers import in_use
-from .resources import NO_ROOM, less, more, times
+from .resources import NO_RESOURCES, less, more, times
 
 
 class Reservations:
@@ -16,15 +16,17 @@
     service's room is in use nothing is kept for over RESERVE_LASTS without a break: in the round
     between, whatever waits may take what stood empty."""
 
-    def __init__(self, board, keeper, budgets, seats, kept_since, time, policy=policies.DEFAULT):
+    def __init__(
+        self, leased_jobs, assignments, budgets, candidates, kept_since, time, policy=policies.DEFAULT
+    ):
         self.policy = policy
-        self.board, self.keeper, self.budgets = board, keeper, budgets
-        self.seats, self.time = seats, time
+        self.leased_jobs, self.assignments, self.budgets = leased_jobs, assignments, budgets
+        self.candidates, self.time = candidates, time
         self.kept_since = kept_since  # service -> since when some of its seats are kept
         self.counts = {}  # service -> waves that seats are kept for
         self.taken = {}  # service -> seats kept
         self.kept = {}  # key of a wave -> the seats kept for it
-        self.kept_room = {}  # (service, priority) -> room kept for its waves
+        self.kept_resources = {}  # (service, priority) -> room kept for its waves
         self.lasting = {}  # worker -> room of what lasts there
         self.waste = 0.0  # core-seconds that may still be thrown away for the wave looked at
 
@@ -57,8 +59,8 @@
         patience = constants.RESERVE_AFTER * (1 if wave.job.priority else 0.5)
         return (
             now - short.get(wave.key(), now) >= patience
-            and service in self.seats
-            and self.counts.get(service, 0) < constants.RESERVE_MOST
+            and service in self.candidates
+            and self.counts.get(service, 0) < constants.MAX_RESERVED_WAVES
             and not self._lapsed(service, now)
         )
 
@@ -66,7 +68,7 @@
         """Whether some of a service's room was kept for long while most of it is idle."""
         if now - self.kept_since.get(service, now) < constants.RESERVE_LASTS:
             return False
-        return in_use(self.seats[service]) < constants.RESERVE_BUSY
+        return in_use(self.candidates[service]) < constants.RESERVE_BUSY
 
     def _shape(self, wave):
         """What decides which seats a wave may have: waves of one shape are refused alike."""
@@ -75,7 +77,7 @@
         return (
             wave.job.service,
             wave.job.priority,
-            step.room,
+            step.resources,
             step.needs,
             step.near,
             step.apart,
@@ -91,12 +93,14 @@
         self.counts[service] = self.counts.get(service, 0) + 1
         self.taken[service] = self.taken.get(service, 0) + len(chosen)
         stops, enough, self.waste = [], True, constants.YIELD_WASTE
-        self.kept[wave.key()] = [seat for seat, _ in chosen]
-        kept = times(wave.step.room, sum(members for _, members in chosen))
-        self.kept_room[self._level(wave)] = more(self.kept_room.get(self._level(wave), NO_ROOM), kept)
-        for seat, members in chosen:
-            seat.kept = wave
-            found = self._victims(wave, seat, members)
+        self.kept[wave.key()] = [candidate for candidate, _ in chosen]
+        kept = times(wave.step.resources, sum(members for _, members in chosen))
+        self.kept_resources[self._level(wave)] = more(
+            self.kept_resources.get(self._level(wave), NO_RESOURCES), kept
+        )
+        for candidate, members in chosen:
+            candidate.kept = wave
+            found = self._victims(wave, candidate, members)
             enough = enough and found is not None
             stops.extend(found or ())
         return stops if enough or not wave.step.gang else []
@@ -107,20 +111,22 @@
         any rack is large enough. A gang gets seats for all its members or none; other waves get fewer
         when there are not enough, or not enough that may be kept."""
         step, wanted = wave.step, len(wave.waiting)
-        keepable = self.budgets.keepable(wave, self.kept_room.get(self._level(wave), NO_ROOM))
+        keepable = self.budgets.keepable(wave, self.kept_resources.get(self._level(wave), NO_RESOURCES))
         if not keepable or step.gang and keepable < wanted:
             return None
         wanted = min(wanted, keepable)
-        able = [one for seat in self.seats[wave.job.service] if (one := self._able(wave, seat))]
+        able = [
+            one for candidate in self.candidates[wave.job.service] if (one := self._able(wave, candidate))
+        ]
         able.sort(key=lambda one: one[:2])
         able = [one for one in able if step.near in one[2].labels] or able if step.near else able
         if step.gang and step.tight:
             able = self._one_rack(able, wanted)
         chosen, left = [], wanted
-        for _, _, seat, members in able[: self._may_keep_more(wave.job.service)]:
+        for _, _, candidate, members in able[: self._may_keep_more(wave.job.service)]:
             if left <= 0:
                 break
-            chosen.append((seat, min(members, left)))
+            chosen.append((candidate, min(members, left)))
             left -= members
         return chosen if left <= 0 or not step.gang else None
 
@@ -130,27 +136,27 @@
 
     def _may_keep_more(self, service):
         """How many more seats of a service may be kept."""
-        most = max(1, int(len(self.seats[service]) * constants.RESERVE_PART))
+        most = max(1, int(len(self.candidates[service]) * constants.RESERVE_PART))
         return max(0, most - self.taken.get(service, 0))
 
-    def _able(self, wave, seat):
+    def _able(self, wave, candidate):
         """(rank, identity, seat, members) of a seat that may be kept for a wave, else None."""
         step = wave.step
-        if seat.kept is not None or seat.poor:
+        if candidate.kept is not None or candidate.unreliable:
             return None
-        members = seat.whole_members(wave, self._lasting_on(seat))
-        return (-seat.free_share(step), seat.identity, seat, members) if members else None
+        members = candidate.potential_members(wave, self._lasting_on(candidate))
+        return (-candidate.free_share(step), candidate.identity, candidate, members) if members else None
 
-    def _lasting_on(self, seat):
+    def _lasting_on(self, candidate):
         """Room on a seat of runs that last, which no wait brings back."""
-        if seat.identity not in self.lasting:
-            room = NO_ROOM
-            for placement in self.board.placements.get(seat.identity, {}).values():
-                found = None if placement.stop else self.board.task(placement)
+        if candidate.identity not in self.lasting:
+            resources = NO_RESOURCES
+            for placement in self.leased_jobs.placements.get(candidate.identity, {}).values():
+                found = None if placement.stop else self.leased_jobs.task(placement)
                 if found is not None and found[0].step.lasts:
-                    room = more(room, placement.room)
-            self.lasting[seat.identity] = room
-        return self.lasting[seat.identity]
+                    resources = more(resources, placement.resources)
+            self.lasting[candidate.identity] = resources
+        return self.lasting[candidate.identity]
 
     def _one_rack(self, able, wanted):
         """The able seats of the rack with most room free that is large enough, or all of them."""
@@ -160,29 +166,32 @@
         large = [rack for rack in racks.values() if sum(one[3] for one in rack) >= wanted]
         return min(large, key=lambda rack: sum(one[0] for one in rack) / len(rack), default=able)
 
-    def _victims(self, wave, seat, members):
+    def _victims(self, wave, candidate, members):
         """Stops that make room for so many members on a seat; None when there is no such way."""
-        missing = [members * room - free for room, free in zip(wave.step.room, seat.free, strict=True)]
+        missing = [
+            members * resources - free
+            for resources, free in zip(wave.step.resources, candidate.free, strict=True)
+        ]
         stops = []
         if max(missing) <= 0:
             return stops
-        held = self.board.placements.get(seat.identity, {})
-        for key, placement in sorted(held.items(), key=lambda one: -one[1].since):
+        placements = self.leased_jobs.placements.get(candidate.identity, {})
+        for key, placement in sorted(placements.items(), key=lambda one: -one[1].since):
             if max(missing) <= 0:
                 break
-            if placement.stop or key in self.keeper.stopping:
-                missing = less(missing, placement.room)
+            if placement.stop or key in self.assignments.stopping:
+                missing = less(missing, placement.resources)
                 continue
-            if not self._yields(wave, seat, key, placement):
+            if not self._yields(wave, candidate, key, placement):
                 continue
-            missing = less(missing, placement.room)
-            stops.append((seat.identity, *key, "yields"))
+            missing = less(missing, placement.resources)
+            stops.append((candidate.identity, *key, "yields"))
         return stops if max(missing) <= 0 else None
 
-    def _yields(self, wave, seat, key, placement):
+    def _yields(self, wave, candidate, key, placement):
         """Whether a run may be stopped for a wave; what that throws away is taken from the waste allowed."""
-        found = self.board.task(placement)
-        if not self.policy.yielding or found is None or key not in seat.worker.running:
+        found = self.leased_jobs.task(placement)
+        if not self.policy.yielding or found is None or key not in candidate.worker.running:
             return False
         step = found[0].step
         if step.gang or step.lasts or found[0].job.priority <= wave.job.priority:
@@ -193,7 +202,7 @@
             return True
         if placement.run > constants.YIELD_RUNS:
             return False
-        cores = placement.room[0] / 1000 + constants.GPU_CORES * placement.room[2]
+        cores = placement.resources[0] / 1000 + constants.GPU_CORES * placement.resources[2]
         lost = (self.time - placement.since) * cores
         if lost > self.waste:
             return False
--- a/src/pinepitch/scheduling/resources.py
+++ b/src/pinepitch/scheduling/resources.py
@@ -1,7 +1,7 @@
 """Arithmetic of room: (thousandths of a core, megabytes, accelerators)."""
 
-NO_ROOM = (0, 0, 0)
-RESOURCES = range(3)  # places of the resources in a room
+NO_RESOURCES = (0, 0, 0)
+RESOURCE_KINDS = range(3)  # places of the resources in a room
 
 
 def less(one, other):
@@ -14,12 +14,12 @@
     return (one[0] + other[0], one[1] + other[1], one[2] + other[2])
 
 
-def times(room, count):
+def times(resources, count):
     """Room of so many alike tasks."""
-    return (room[0] * count, room[1] * count, room[2] * count)
+    return (resources[0] * count, resources[1] * count, resources[2] * count)
 
 
-def tasks_in(room, task):
+def tasks_in(resources, task):
     """How many whole tasks of the room `task` fit into a room, 0 or more; unbounded is None."""
-    counts = [max(0, room[kind]) // task[kind] for kind in RESOURCES if task[kind]]
+    counts = [max(0, resources[kind]) // task[kind] for kind in RESOURCE_KINDS if task[kind]]
     return int(min(counts)) if counts else None
--- a/src/pinepitch/scheduling/run_ends.py
+++ b/src/pinepitch/scheduling/run_ends.py
@@ -14,11 +14,11 @@
         self.gathered = []  # (minion, reference, run, how, saved, heard)
         self.numbers = []  # (minion, number) of those that their workers told
         self.proposed = set()  # (minion, reference, run) gathered, or proposed and not yet applied
-        self.under_way = {}  # index of an entry of ends -> [(minion, number)]
+        self.proposed_numbers = {}  # index of an entry of ends -> [(minion, number)]
 
     def take(self, worker, ended):
         """Takes what a worker's heartbeat lists as ended."""
-        held = self.core.record.board.placements.get(worker.identity, {})
+        placements = self.core.cluster_state.leased_jobs.placements.get(worker.identity, {})
         blocked, worker.blocked = worker.blocked, set()
         for number, reference, run, how, saved in ended:
             if number in worker.pending or number <= worker.seen and number not in blocked:
@@ -27,22 +27,22 @@
             if (worker.identity, reference, run) in self.proposed:
                 worker.blocked.add(number)  # what is agreed on now may leave the run's end open
                 continue
-            if (reference, run) in held or self._is_open(reference, run):
+            if (reference, run) in placements or self._is_open(reference, run):
                 self.propose(worker.identity, reference, run, how, saved, True)
                 self.pace.end(worker, self._wave(reference), reference, run, how, worker.heard_at)
                 worker.pending.add(number)
                 self.numbers.append((worker.identity, number))
 
-    def propose(self, minion, reference, run, how, saved, heard):
+    def propose(self, worker_id, reference, run, how, saved, heard):
         """Gathers one end, unless one of the same run is under way. `heard`: its worker told it itself."""
-        key = (minion, reference, run)
+        key = (worker_id, reference, run)
         if key not in self.proposed:
             self.proposed.add(key)
-            self.gathered.append((minion, reference, run, how, saved, heard))
+            self.gathered.append((worker_id, reference, run, how, saved, heard))
 
-    def all_proposed(self, minion, keys):
+    def all_proposed(self, worker_id, keys):
         """Whether an end is under way of each (reference, run) at a worker."""
-        return all((minion, *key) in self.proposed for key in keys)
+        return all((worker_id, *key) in self.proposed for key in keys)
 
     def flush(self, now):
         """Proposes what was gathered."""
@@ -52,20 +52,20 @@
         self.gathered, self.numbers = [], []
         index = self.core.propose_at(("job-ended", ends), now)
         if index is not None:
-            self.under_way[index] = numbers
+            self.proposed_numbers[index] = numbers
 
     def applied(self, index, items, workers):
         """An entry of ends was applied."""
-        for minion, reference, run, *_ in items:
-            self.proposed.discard((minion, reference, run))
-        for minion, number in self.under_way.pop(index, ()):
-            if minion in workers:
-                workers[minion].pending.discard(number)
+        for worker_id, reference, run, *_ in items:
+            self.proposed.discard((worker_id, reference, run))
+        for worker_id, number in self.proposed_numbers.pop(index, ()):
+            if worker_id in workers:
+                workers[worker_id].pending.discard(number)
 
     def _wave(self, reference):
         """The wave of a task, or None when its job is over or unknown."""
         found = parsed(reference)
-        job = self.core.record.board.jobs.get(found[0]) if found else None
+        job = self.core.cluster_state.leased_jobs.jobs.get(found[0]) if found else None
         return job.waves.get(found[1:3]) if job else None
 
     def _is_open(self, reference, run):
--- a/src/pinepitch/scheduling/run_speed.py
+++ b/src/pinepitch/scheduling/run_speed.py
@@ -18,9 +18,9 @@
         self.started = {}  # (minion, reference, run) -> (when its start was answered, whether far)
         self.swept = 0  # waves and runs known when those of jobs that are over were dropped last
 
-    def start(self, minion, reference, run, far, now):
+    def start(self, worker_id, reference, run, far, now):
         """A start is answered; the first answer counts."""
-        self.started.setdefault((minion, reference, run), (now, far))
+        self.started.setdefault((worker_id, reference, run), (now, far))
 
     def end(self, worker, wave, reference, run, how, now):
         """A run has ended."""
@@ -41,8 +41,8 @@
     def forget(self, jobs):
         """Drops what is known of jobs that are over; `jobs`: those that are not. Once what is held has
         doubled, so that it costs little for each job."""
-        held = len(self.waves) + len(self.started)
-        if held < 2 * max(constants.LENGTHS_KEPT, self.swept):
+        known_count = len(self.waves) + len(self.started)
+        if known_count < 2 * max(constants.LENGTHS_KEPT, self.swept):
             return
         self.waves = {key: known for key, known in self.waves.items() if key[0] in jobs}
         self.started = {
@@ -68,7 +68,7 @@
         percent, _, first = worker.progress.get(key, UNKNOWN)
         begun = self.started.get((worker.identity, *key), (first, False))[0]
         elapsed = worker.heard_at - begun
-        if percent < constants.PROGRESS_LEAST or elapsed < constants.PROGRESS_AFTER:
+        if percent < constants.MIN_PROGRESS or elapsed < constants.PROGRESS_AFTER:
             return None
-        whole = elapsed * 100 / percent
-        return whole - elapsed, whole
+        total = elapsed * 100 / percent
+        return total - elapsed, total
--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -24,18 +24,18 @@
     def __init__(self, identity, now):
         self.identity = identity
         self.sequence = -1
-        self.beats = 0  # taken: the first may be the late word of a life that is over
+        self.heartbeats = 0  # taken: the first may be the late word of a life that is over
         self.heard_at = now
-        self.held_from = None
+        self.leased_from = None
         self.offset = None  # least of own time less the worker's clock, milliseconds, slackened with time
         self.offset_at = now
         self.stale = False
-        self.news = self.before = (
+        self.scheduling_state = self.previous_scheduling_state = (
             None  # what an assigning round reads of the newest beat, and of the one before
         )
         self.service = self.address = self.zone = self.state = ""
         self.labels, self.rack = frozenset(), ""
-        self.room = (0, 0, 0)  # all it has, whatever runs: thousandths of a core, megabytes, accelerators
+        self.capacity = (0, 0, 0)  # all it has, whatever runs: thousandths of a core, megabytes, accelerators
         self.leaves_at = None
         self.running = {}  # (reference, run) -> (saved, percent)
         self.listed = set()  # (reference, run) of all it listed as ended
@@ -43,40 +43,40 @@
         self.blocked = set()  # numbers of ends that wait for another entry about the same run
         self.seen = 0  # the highest number of an end it has told
         self.progress = {}  # (reference, run) -> Progress
-        self.wary_until = -1e9  # no new work before: it refused, stalled or failed some
+        self.avoided_until = -1e9  # no new work before: it refused, stalled or failed some
         self.failing = 0.0  # failure rate of late, of ends that say something about it
         self.speed = 1.0  # times as long as usual that its work takes
 
-    def beat(self, beat, now):
+    def take_heartbeat(self, heartbeat, now):
         """Takes a beat; False when it is older than one taken."""
-        if beat["sequence"] <= self.sequence:
+        if heartbeat["sequence"] <= self.sequence:
             return False
-        self.before = self.news
-        self.sequence, self.heard_at = beat["sequence"], now
-        self.beats += 1
-        offset = now * 1000 - beat["clock_ms"]
+        self.previous_scheduling_state = self.scheduling_state
+        self.sequence, self.heard_at = heartbeat["sequence"], now
+        self.heartbeats += 1
+        offset = now * 1000 - heartbeat["clock_ms"]
         if self.offset is None:
             self.offset = offset
         slack = (now - self.offset_at) * constants.CLOCK_DRIFT * 1000
         self.offset, self.offset_at = min(self.offset + slack, offset), now
-        self.stale = offset - self.offset > constants.BEAT_STALE * 1000
-        self.service, self.address, self.zone = beat["service"], beat["address"], beat["zone"]
-        self.state = beat["state"]
-        self.labels = frozenset(beat["labels"])
-        self.rack = beat["labels"][-1] if beat["labels"] else ""
-        self.room = tuple(beat["room"])
-        leaves = beat["leaves_ms"]
+        self.stale = offset - self.offset > constants.HEARTBEAT_STALE * 1000
+        self.service, self.address, self.zone = heartbeat["service"], heartbeat["address"], heartbeat["zone"]
+        self.state = heartbeat["state"]
+        self.labels = frozenset(heartbeat["labels"])
+        self.rack = heartbeat["labels"][-1] if heartbeat["labels"] else ""
+        self.capacity = tuple(heartbeat["room"])
+        leaves = heartbeat["leaves_ms"]
         self.leaves_at = now + leaves / 1000 if leaves is not None and self.state != "ready" else None
-        self.running = {(ref, run): (saved, percent) for ref, run, saved, percent in beat["running"]}
-        self.listed = {(ref, run) for _, ref, run, _, _ in beat["ended"]}
-        self.news = (
-            self.beats >= 2,
+        self.running = {(ref, run): (saved, percent) for ref, run, saved, percent in heartbeat["running"]}
+        self.listed = {(ref, run) for _, ref, run, _, _ in heartbeat["ended"]}
+        self.scheduling_state = (
+            self.heartbeats >= 2,
             self.stale,
             self.service,
             self.zone,
             self.state,
             self.labels,
-            self.room,
+            self.capacity,
             frozenset(self.running),
         )
         for key, (_, percent) in self.running.items():
@@ -92,12 +92,12 @@
         open_ends = self.pending | self.blocked
         return min(open_ends) - 1 if open_ends else self.seen
 
-    def silent(self, now):
-        return now - self.heard_at > constants.BEAT_SILENT
+    def unresponsive(self, now):
+        return now - self.heard_at > constants.WORKER_TIMEOUT
 
     def pace(self, ratio, weight):
         """Learns from one run's length beside that of its like."""
-        ratio = min(constants.SPEED_MOST, max(1 / constants.SPEED_MOST, ratio))
+        ratio = min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, ratio))
         self.speed += (ratio - self.speed) * weight
 
     def judge(self, well):
@@ -105,37 +105,40 @@
         self.failing += ((0.0 if well else 1.0) - self.failing) / constants.LIVENESS_HALF
 
 
-def checked(beat):
+def checked(heartbeat):
     """Whether a beat from outside has the form that Worker.beat takes."""
     try:
         return (
-            all(isinstance(beat[field], str) for field in ("service", "address", "zone", "state"))
-            and _whole(beat["sequence"])
-            and _number(beat["clock_ms"])
-            and (beat["leaves_ms"] is None or _number(beat["leaves_ms"]))
-            and all(isinstance(one, str) for one in beat["labels"])
-            and len(beat["room"]) == 3
-            and all(map(_number, beat["room"]))
+            all(isinstance(heartbeat[field], str) for field in ("service", "address", "zone", "state"))
+            and _is_whole_number(heartbeat["sequence"])
+            and _is_number(heartbeat["clock_ms"])
+            and (heartbeat["leaves_ms"] is None or _is_number(heartbeat["leaves_ms"]))
+            and all(isinstance(one, str) for one in heartbeat["labels"])
+            and len(heartbeat["room"]) == 3
+            and all(map(_is_number, heartbeat["room"]))
             and all(
-                isinstance(ref, str) and _whole(run) and isinstance(saved, str) and _number(percent)
-                for ref, run, saved, percent in beat["running"]
+                isinstance(ref, str)
+                and _is_whole_number(run)
+                and isinstance(saved, str)
+                and _is_number(percent)
+                for ref, run, saved, percent in heartbeat["running"]
             )
             and all(
-                _whole(number)
+                _is_whole_number(number)
                 and isinstance(ref, str)
-                and _whole(run)
+                and _is_whole_number(run)
                 and isinstance(how, str)
                 and isinstance(saved, str)
-                for number, ref, run, how, saved in beat["ended"]
+                for number, ref, run, how, saved in heartbeat["ended"]
             )
         )
     except (KeyError, TypeError, ValueError):
         return False
 
 
-def _whole(value):
+def _is_whole_number(value):
     return type(value) is int
 
 
-def _number(value):
+def _is_number(value):
     return type(value) is int or type(value) is float and math.isfinite(value)
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -35,12 +35,12 @@
 
 def folder_bytes(disk):
     """Bytes that a simulated data folder holds, a base under way included."""
-    under_way = {id(job): job for job in (disk.beside, disk.under_way) if job is not None}
-    files = [disk.base or b"", *disk.steps, *(job[0][1] for job in under_way.values())]
+    in_progress = {id(job): job for job in (disk.beside, disk.in_progress) if job is not None}
+    files = [disk.base or b"", *disk.steps, *(job[0][1] for job in in_progress.values())]
     return sum(map(len, files))
 
 
-class Held:
+class Maxima:
     """The most that any member held at any look. Invariant: each field only grows."""
 
     def __init__(self):
@@ -55,15 +55,17 @@
                 self.disk = max(self.disk, folder_bytes(node.disk))
 
 
-class Cohort(Simulator):
+class ControlCluster(Simulator):
     """Accords alone, to whose leader changes are handed. Invariants: version is that of the newest
     change handed over; acknowledged holds the versions that were answered 200."""
 
-    def __init__(self, seed, accords=("a", "b", "c"), limits=USUAL, size=BODY):
+    def __init__(self, seed, control_daemons=("a", "b", "c"), limits=USUAL, size=BODY):
         self.limits, self.size = limits, size
-        super().__init__(seed, accords=accords, verges=(), minions=(), founders=len(accords))
+        super().__init__(
+            seed, control_daemons=control_daemons, fronts=(), workers=(), founders=len(control_daemons)
+        )
         self.loss = 0.0
-        self.version, self.acknowledged, self.held = 0, [], Held()
+        self.version, self.acknowledged, self.maxima = 0, [], Maxima()
         self.appends = 0  # bytes of the largest frame
 
     def start(self, name):
@@ -75,8 +77,8 @@
 
     def kill(self, name):
         super().kill(name)
-        if self.ways is not None:
-            self.ways.broken(name)
+        if self.link_rates is not None:
+            self.link_rates.broken(name)
 
     def leaderships(self):
         """(when, name) of every leadership so far."""
@@ -99,16 +101,16 @@
         leader = self.serving()
         if leader is None:
             return False
-        base = leader.core.record.board.configuration.version
+        base = leader.core.cluster_state.leased_jobs.configuration.version
         self.version = max(self.version, base) + 1
         document = document_of(self.version, self.size)
 
-        def told(status, answer):
+        def answered(status, answer):
             if status == 200:
                 self.acknowledged.append(answer["version"])
 
         self.request_count += 1
-        self.requests[self.request_count] = ("call", "operator", 0, ("told", told), leader.name)
+        self.requests[self.request_count] = ("call", "operator", 0, ("told", answered), leader.name)
         self.give(leader, ("call", self.request_count, "configure", (base, document), patience))
         return True
 
@@ -117,14 +119,14 @@
         for _ in range(count):
             self.change()
             self.run(every)
-            self.held.look(self)
+            self.maxima.look(self)
 
     def lacks(self, name):
         """Entries that a member has not applied of what its leader committed."""
         leader, core = self.leader(), self.nodes[name].core
         if leader is None or core is None or core.consensus is None:
             return None
-        return leader.core.consensus.commit - core.record.index
+        return leader.core.consensus.commit - core.cluster_state.index
 
     def faults(self):
         """What is wrong at the end: members that differ, or a version acknowledged and not held."""
@@ -132,7 +134,9 @@
         leader = self.leader()
         if leader is None:
             return [*found, "nobody leads"]
-        if self.acknowledged and leader.core.record.board.configuration.version < max(self.acknowledged):
+        if self.acknowledged and leader.core.cluster_state.leased_jobs.configuration.version < max(
+            self.acknowledged
+        ):
             found.append(f"version {max(self.acknowledged)} was acknowledged and is not in force")
         return found
 
@@ -144,16 +148,16 @@
     simulator.stream(count, every)
     if wiped:
         simulator.wipe(name)
-    before = sum(size for (_, target), size in simulator.ways.sent.items() if target == name)
+    before = sum(size for (_, target), size in simulator.link_rates.sent.items() if target == name)
     begun = simulator.now
     simulator.start(name)
     while simulator.now - begun < 120.0:
         simulator.change()
         simulator.run(meanwhile)
-        simulator.held.look(simulator)
+        simulator.maxima.look(simulator)
         lacks = simulator.lacks(name)
         if lacks is not None and lacks <= 2 and simulator.nodes[name].core.consensus.role == "follower":
-            after = sum(size for (_, target), size in simulator.ways.sent.items() if target == name)
+            after = sum(size for (_, target), size in simulator.link_rates.sent.items() if target == name)
             return simulator.now - begun, after - before
     return None
 
@@ -165,7 +169,7 @@
     original_send_piece(self, identity, follower, now)
 
 
-original_send_piece = Consensus._send_piece
+original_send_piece = Consensus._send_chunk
 
 
 def _taken_forgotten(self, document=None, taken=()):
@@ -178,13 +182,13 @@
     return [(Limits, name, property(lambda self: 1 << 50)) for name in names]
 
 
-PLANTS = {
+INJECTED_FAULTS = {
     "bytes-uncounted": _boundless("since_base", "tail", "laggard"),
     "never-full": _boundless("log"),
-    "laggards-by-entries": [*_boundless("tail", "laggard"), (constants, "SNAPSHOT_WORTH", 1 << 50)],
+    "laggards-by-entries": [*_boundless("tail", "laggard"), (constants, "SNAPSHOT_RATIO", 1 << 50)],
     "one-connection": [(constants, "LINK_BULK", 1 << 50)],
-    "snapshot-begun-anew": [(Consensus, "_send_piece", _begun_anew)],
-    "answers-twice": [(Transfer, "repeats", lambda self, offset, held: False)],
+    "snapshot-begun-anew": [(Consensus, "_send_chunk", _begun_anew)],
+    "answers-twice": [(Transfer, "repeats", lambda self, offset, maxima: False)],
     "taken-forgotten": [(Configuration, "__init__", _taken_forgotten)],
 }
 
@@ -193,7 +197,7 @@
 def planted(name):
     """The fault of that name in place."""
     with contextlib.ExitStack() as stack:
-        for owner, attribute, replacement in PLANTS[name]:
+        for owner, attribute, replacement in INJECTED_FAULTS[name]:
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         yield
 
@@ -202,14 +206,15 @@
     """A trial: so many changes of a large configuration, five a second; what is held of them."""
     limits = Limits(296_000_000, 128_000_000)
     begun = time.perf_counter()
-    simulator = Cohort(int(seed), limits=limits, size=int(size))
+    simulator = ControlCluster(int(seed), limits=limits, size=int(size))
     simulator.begin()
     simulator.stream(int(changes), 0.2)
     simulator.run(3.0)
-    held = simulator.held
+    maxima = simulator.maxima
     print(
-        f"{len(simulator.acknowledged)} of {changes} changes acknowledged, log at most {held.log} bytes and "
-        f"{held.entries} entries (bound {limits.log}), folder at most {held.disk} (bound {limits.disk}), "
+        f"{len(simulator.acknowledged)} of {changes} changes acknowledged, log at most "
+        f"{maxima.log} bytes and {maxima.entries} entries (bound {limits.log}), "
+        f"folder at most {maxima.disk} (bound {limits.disk}), "
         f"leaderships {len(simulator.leaderships())}, {time.perf_counter() - begun:.0f} s, "
         f"faults {simulator.faults()}"
     )
--- a/src/pinepitch/simulation/checks.py
+++ b/src/pinepitch/simulation/checks.py
@@ -4,18 +4,18 @@
 from ..model.queue_settings import merged
 
 
-def starts_and_ends(minion_history):
+def starts_and_ends(worker_history):
     """(starts by task, ends by (task, attempt)) of the minions' histories."""
     starts, ends = {}, {}
-    for event in sorted(minion_history, key=lambda one: one[1]):
+    for event in sorted(worker_history, key=lambda one: one[1]):
         if event[0] == "start":
-            _, when, minion, incarnation, ref, attempt, units = event
-            starts.setdefault(ref, []).append((when, minion, incarnation, attempt, units))
+            _, when, worker, incarnation, ref, attempt, units = event
+            starts.setdefault(ref, []).append((when, worker, incarnation, attempt, units))
         elif event[0] == "end":
-            _, when, minion, incarnation, ref, attempt, how = event
+            _, when, worker, incarnation, ref, attempt, how = event
             ends.setdefault((ref, attempt), []).append((when, how, incarnation))
         elif event[0] == "gone":
-            _, when, minion, incarnation, ref, attempt = event
+            _, when, worker, incarnation, ref, attempt = event
             ends.setdefault((ref, attempt), []).append((when, "gone", incarnation))
     return starts, ends
 
@@ -30,13 +30,13 @@
     return well
 
 
-def never_twice(minion_history, repeating=()):
+def never_twice(worker_history, repeating=()):
     """No task runs twice at once, none starts again after it has ended well. An end that
     its minion took along when it died is excused for the tickets in `repeating` alone."""
-    starts, ends = starts_and_ends(minion_history)
+    starts, ends = starts_and_ends(worker_history)
     unsaid = {
         (event[4], event[5])
-        for event in minion_history
+        for event in worker_history
         if event[0] == "unsaid" and event[4].partition("/")[0] in repeating
     }
     faults = []
@@ -59,53 +59,53 @@
     return faults
 
 
-def in_order(minion_history, documents):
+def in_order(worker_history, documents):
     """No task starts before its forerunners ended well, nor a tenth of a second early."""
-    starts, ends = starts_and_ends(minion_history)
+    starts, ends = starts_and_ends(worker_history)
     well, faults = ended_well(ends), []
-    for ticket, document in documents.items():
+    for pushed_job, document in documents.items():
         for task in document["tasks"]:
-            for when, *_ in starts.get(f"{ticket}/{task['name']}", ()):
+            for when, *_ in starts.get(f"{pushed_job}/{task['name']}", ()):
                 for one in task.get("after", ()):
-                    if well.get(f"{ticket}/{one}", 1e18) > when:
-                        faults.append(f"{ticket}/{task['name']} started before {one} ended well")
+                    if well.get(f"{pushed_job}/{one}", 1e18) > when:
+                        faults.append(f"{pushed_job}/{task['name']} started before {one} ended well")
                 if when < max(task.get("not_before", 0), document.get("not_before", 0)) - 0.1:
-                    faults.append(f"{ticket}/{task['name']} started early")
+                    faults.append(f"{pushed_job}/{task['name']} started early")
     return faults
 
 
-def attempts_kept(minion_history, documents, rows, withdrawn=()):
+def attempts_kept(worker_history, documents, rows, withdrawn=()):
     """No task but a feed starts again after as many failures as it may have: an end that
     failed, a run over its time limit, or one lost with its minion, unless an operator gave
     his word that the machine is withdrawn."""
-    starts, ends = starts_and_ends(minion_history)
+    starts, ends = starts_and_ends(worker_history)
     faults = []
-    for ticket, document in documents.items():
+    for pushed_job, document in documents.items():
         if document.get("kind") == "feed":
             continue
         for task in document["tasks"]:
-            ref = f"{ticket}/{task['name']}"
+            ref = f"{pushed_job}/{task['name']}"
             allowed = rows[document["queue"]].get("retries", 0) + 1
             if task.get("attempts"):
                 allowed = min(allowed, task["attempts"])
             failed = 0
-            for when, minion, _, attempt, _ in starts.get(ref, ()):
+            for when, worker, _, attempt, _ in starts.get(ref, ()):
                 if failed >= allowed:
                     faults.append(f"{ref} started after {failed} failures")
                 for ended, how, _ in ends.get((ref, attempt), ()):
                     over = how == "killed" and task.get("limit") and ended - when > task["limit"]
-                    failed += how == "failed" or bool(over) or (how == "gone" and minion not in withdrawn)
+                    failed += how == "failed" or bool(over) or (how == "gone" and worker not in withdrawn)
     return faults
 
 
-def limits_kept(minion_history, documents, changes, within=2.0):
+def limits_kept(worker_history, documents, changes, within=2.0):
     """No queue starts work beyond its limit later than `within` after the change that set
     it was acknowledged. Changes, in order of version: (asked, acknowledged or None, {queue:
     limit})."""
-    queue_of = {ticket: document["queue"] for ticket, document in documents.items()}
-    _, ends = starts_and_ends(minion_history)
+    queue_of = {pushed_job: document["queue"] for pushed_job, document in documents.items()}
+    _, ends = starts_and_ends(worker_history)
     moments = []
-    for event in minion_history:
+    for event in worker_history:
         if event[0] == "start" and event[4].partition("/")[0] in queue_of:
             queue = queue_of[event[4].partition("/")[0]]
             moments.append((event[1], 1, queue, event[6], event[4]))
@@ -130,22 +130,22 @@
     return faults
 
 
-def room_kept(minion_history, rooms):
+def room_kept(worker_history, capacities):
     """No minion holds more than its room at any time."""
     moments = []
-    _, ends = starts_and_ends(minion_history)
-    for event in minion_history:
+    _, ends = starts_and_ends(worker_history)
+    for event in worker_history:
         if event[0] == "start":
-            _, when, minion, incarnation, ref, attempt, units = event
-            moments.append((when, 1, minion, units))
+            _, when, worker, incarnation, ref, attempt, units = event
+            moments.append((when, 1, worker, units))
             over = ends.get((ref, attempt))
             if over:
-                moments.append((over[0][0], 0, minion, -units))
+                moments.append((over[0][0], 0, worker, -units))
     used, faults = {}, []
-    for when, _, minion, units in sorted(moments):
-        used[minion] = used.get(minion, 0) + units
-        if used[minion] > rooms[minion]:
-            faults.append(f"{minion} held {used[minion]} of {rooms[minion]} at {when:.3f}")
+    for when, _, worker, units in sorted(moments):
+        used[worker] = used.get(worker, 0) + units
+        if used[worker] > capacities[worker]:
+            faults.append(f"{worker} held {used[worker]} of {capacities[worker]} at {when:.3f}")
     return faults
 
 
@@ -168,9 +168,9 @@
     return faults
 
 
-def finished_truly(caller_history, minion_history):
+def finished_truly(caller_history, worker_history):
     """A ticket shown finished has every task ended well on a minion, before it was shown."""
-    _, ends = starts_and_ends(minion_history)
+    _, ends = starts_and_ends(worker_history)
     well, faults = ended_well(ends), []
     for event in caller_history:
         if event[0] == "final" and event[3] == "finished":
@@ -180,21 +180,21 @@
     return faults
 
 
-def cancelled_truly(caller_history, minion_history, away=(), starts_within=3.0, runs_within=5.0):
+def cancelled_truly(caller_history, worker_history, away=(), starts_within=3.0, runs_within=5.0):
     """After a cancel nothing starts for long, and nothing keeps running for long. Nothing
     is owed of a minion while it was away, as (minion, from, to): cut off, frozen or down."""
-    starts, ends = starts_and_ends(minion_history)
+    starts, ends = starts_and_ends(worker_history)
     cancelled = {event[2]: event[1] for event in reversed(caller_history) if event[0] == "cancelled"}
     faults = []
     for ref, runs in starts.items():
         since = cancelled.get(ref.partition("/")[0])
         if since is None:
             continue
-        for when, minion, _, attempt, _ in runs:
+        for when, worker, _, attempt, _ in runs:
             over = ends.get((ref, attempt))
             owed = since
             for name, begun, ended in sorted(away, key=lambda one: one[1]):
-                if name == minion and begun <= owed + runs_within and ended > owed:
+                if name == worker and begun <= owed + runs_within and ended > owed:
                     owed = ended
             if when > owed + starts_within:
                 faults.append(f"{ref} started {when - since:.1f} s after its cancel")
@@ -203,40 +203,40 @@
     return faults
 
 
-def gangs_together(minion_history, documents, within=1.0):
+def gangs_together(worker_history, documents, within=1.0):
     """While all is healthy, every member of a gang starts within a moment of the others."""
-    starts, _ = starts_and_ends(minion_history)
+    starts, _ = starts_and_ends(worker_history)
     faults = []
-    for ticket, document in documents.items():
+    for pushed_job, document in documents.items():
         gangs = {}
         for task in document["tasks"]:
             if task.get("gang"):
-                runs = starts.get(f"{ticket}/{task['name']}")
+                runs = starts.get(f"{pushed_job}/{task['name']}")
                 gangs.setdefault(task["gang"], []).append(runs[0][0] if runs else None)
         for gang, moments in gangs.items():
             begun = [one for one in moments if one is not None]
             if begun and (len(begun) < len(moments) or max(begun) - min(begun) > within):
-                faults.append(f"gang {gang} of {ticket} did not start together")
+                faults.append(f"gang {gang} of {pushed_job} did not start together")
     return faults
 
 
-def closed_kept(minion_history, spans, areas):
+def closed_kept(worker_history, spans, zones):
     """No closed minion gets new work 2 s after it was closed, no emptied area 5 s after.
     Spans: (kind, subject, from, to or None); areas: minion -> area."""
     faults = []
     for kind, subject, begun, ended in spans:
         grace = 2.0 if kind == "minion" else 5.0
-        for event in minion_history:
+        for event in worker_history:
             if event[0] != "start" or not begun + grace < event[1] < (ended or 1e18):
                 continue
-            if subject == (event[2] if kind == "minion" else areas[event[2]]):
+            if subject == (event[2] if kind == "minion" else zones[event[2]]):
                 faults.append(
                     f"{event[4]} started on {event[2]} {event[1] - begun:.1f} s after {subject} closed"
                 )
     return faults
 
 
-def setups_kept(histories, documents, changes, refused):
+def queue_configurations_kept(histories, documents, changes, refused):
     """Every acknowledged change is in the history that each verge tells, holds just its own
     change, and nothing of a refused one is there. Documents: version -> setup; changes:
     (asked, acknowledged, version, manner, document, base or None, reason)."""
@@ -271,17 +271,19 @@
     return faults
 
 
-def all_checks(caller_history, minion_history, documents, rows, rooms, away=(), withdrawn=()):
+def all_checks(caller_history, worker_history, documents, rows, capacities, away=(), withdrawn=()):
     """Every check that needs no moment of its own; `rows` are those of the table."""
     repeating = {
-        ticket for ticket, document in documents.items() if rows[document["queue"]].get("repeats", False)
+        pushed_job
+        for pushed_job, document in documents.items()
+        if rows[document["queue"]].get("repeats", False)
     }
     return [
-        *never_twice(minion_history, repeating),
-        *in_order(minion_history, documents),
-        *attempts_kept(minion_history, documents, rows, withdrawn),
-        *room_kept(minion_history, rooms),
+        *never_twice(worker_history, repeating),
+        *in_order(worker_history, documents),
+        *attempts_kept(worker_history, documents, rows, withdrawn),
+        *room_kept(worker_history, capacities),
         *never_forgotten(caller_history),
-        *finished_truly(caller_history, minion_history),
-        *cancelled_truly(caller_history, minion_history, away),
+        *finished_truly(caller_history, worker_history),
+        *cancelled_truly(caller_history, worker_history, away),
     ]
