--- a/src/pinepitch/simulation/fault_scenarios.py
+++ b/src/pinepitch/simulation/fault_scenarios.py
@@ -40,7 +40,7 @@
         simulator.run(simulator.draw.uniform(0.5, 3))
 
 
-def cuts(simulator, operator):
+def partitions(simulator, operator):
     """Partitions: halves, single machines, one-way, around the leader."""
     for _ in range(6):
         daemons = _daemons(simulator)
@@ -48,37 +48,37 @@
         leader = simulator.leader()
         if manner == "halves":
             part = [one for one in daemons if simulator.draw.random() < 0.5]
-            simulator.cut(part, [one for one in daemons if one not in part])
+            simulator.partition(part, [one for one in daemons if one not in part])
         elif manner in ("leader", "leader-deaf") and leader is not None:
             rest = [one for one in daemons if one != leader.name]
             if manner == "leader":
-                simulator.cut([leader.name], rest)
+                simulator.partition([leader.name], rest)
             else:
-                simulator.cut(rest, [leader.name], both=False)
+                simulator.partition(rest, [leader.name], both=False)
         else:
             name = simulator.draw.choice(list(simulator.nodes))
             rest = [one for one in simulator.nodes if one != name]
-            simulator.cut([name], rest, both=manner == "alone")
+            simulator.partition([name], rest, both=manner == "alone")
         simulator.run(simulator.draw.uniform(0.5, 5))
         simulator.heal()
         simulator.run(simulator.draw.uniform(0.2, 3))
 
 
-def areas_fall(simulator, operator):
+def zones_fall(simulator, operator):
     """A whole area goes, the leader's among them, and comes back."""
     for _ in range(3):
         leader = simulator.leader()
-        areas = sorted({node.area for node in simulator.nodes.values()})
-        area = leader.area if leader and simulator.draw.random() < 0.6 else simulator.draw.choice(areas)
-        names = [name for name, node in simulator.nodes.items() if node.area == area]
+        zones = sorted({node.zone for node in simulator.nodes.values()})
+        zone = leader.zone if leader and simulator.draw.random() < 0.6 else simulator.draw.choice(zones)
+        names = [name for name, node in simulator.nodes.items() if node.zone == zone]
         for name in names:
             if simulator.nodes[name].kind != "minion":
                 simulator.kill(name)
-        simulator.cut(
+        simulator.partition(
             [name for name in names if simulator.nodes[name].kind == "minion"], list(simulator.nodes)
         )
         simulator.run(simulator.draw.uniform(3, 6))
-        _served(simulator, operator, f"without area {area}")
+        _served(simulator, operator, f"without area {zone}")
         simulator.heal()
         for name in names:
             if simulator.nodes[name].core is None:
@@ -137,12 +137,12 @@
 def _is_in(node):
     """Whether an accord is a member by its own knowledge."""
     consensus = node.core.consensus
-    return consensus is not None and node.core.identity in consensus.cohort.members()
+    return consensus is not None and node.core.identity in consensus.membership.members()
 
 
 def _is_member(node):
     """The same, with no change of members under way."""
-    return _is_in(node) and not node.core.consensus.cohort.coming
+    return _is_in(node) and not node.core.consensus.membership.coming
 
 
 def wiped(simulator, operator):
@@ -168,7 +168,7 @@
         old = simulator.nodes[name]
         simulator.kill(name)
         simulator.run(simulator.draw.uniform(0.5, 4))
-        fresh = simulator.add(f"fresh{turn}", "accord", old.area)
+        fresh = simulator.add(f"fresh{turn}", "accord", old.zone)
         live = [
             node.address
             for node in simulator.nodes.values()
@@ -179,9 +179,9 @@
         old.kind = "retired"
         if simulator.until(functools.partial(_is_in, fresh), 30) is None:
             operator.faults.append(f"{fresh.name} was not let in")
-        for verge in _daemons(simulator, "verge"):
-            simulator.kill(verge)
-            simulator.start(verge)
+        for front in _daemons(simulator, "verge"):
+            simulator.kill(front)
+            simulator.start(front)
         simulator.run(5)
 
 
@@ -220,7 +220,7 @@
     leader = simulator.leader()
     followers = [one for one in _daemons(simulator, "accord") if leader and one != leader.name]
     lagging, losing = simulator.draw.sample(followers, 2)
-    simulator.cut([lagging], list(simulator.nodes))
+    simulator.partition([lagging], list(simulator.nodes))
     simulator.run(4)
     simulator.kill(leader.name)
     simulator.kill(losing)
@@ -239,7 +239,7 @@
     simulator.run(12)
 
 
-def minions_fail(simulator, operator):
+def workers_fail(simulator, operator):
     """Minions crash, are cut off and run on, slow down, stall, fail their work, come back."""
     for _ in range(8):
         name = simulator.draw.choice(_daemons(simulator, "minion"))
@@ -251,7 +251,7 @@
             simulator.start(name)
         elif manner in ("cut", "one-way"):
             rest = [one for one in simulator.nodes if one != name]
-            simulator.cut([name], rest, both=manner == "cut")
+            simulator.partition([name], rest, both=manner == "cut")
         elif manner == "slow":
             core.slow = 10.0
         elif manner == "fail":
@@ -324,9 +324,9 @@
     for one in simulator.callers.values():
         one.rate = 1.0
     simulator.run(4)
-    for ticket in impossible:
-        if not operator.act(f"/v1/tickets/{ticket}/cancel"):
-            operator.faults.append(f"impossible {ticket} could not be cancelled")
+    for pushed_job in impossible:
+        if not operator.act(f"/v1/tickets/{pushed_job}/cancel"):
+            operator.faults.append(f"impossible {pushed_job} could not be cancelled")
 
 
 def scattered(simulator, operator):
@@ -350,12 +350,12 @@
     simulator.run(12)
     simulator.loss = LOSS
     documents = {
-        ticket: one[2]
+        pushed_job: one[2]
         for caller in simulator.callers.values()
-        for ticket, one in caller.accepted.items()
+        for pushed_job, one in caller.accepted.items()
         if one[1] >= begun
     }
-    operator.faults.extend(checks.gangs_together(simulator.minion_history, documents))
+    operator.faults.extend(checks.gangs_together(simulator.worker_history, documents))
 
 
 def _cancel_running(simulator, operator):
@@ -374,9 +374,9 @@
         )
     )
     simulator.run(1.5)
-    for ticket, one in caller.accepted.items():
+    for pushed_job, one in caller.accepted.items():
         if one[0] == key:
-            simulator._caller_calls("caller", caller.cancel(ticket, operator.now()))
+            simulator._send_client_calls("caller", caller.cancel(pushed_job, operator.now()))
 
 
 def operators(simulator, operator):
@@ -385,27 +385,27 @@
     _cancel_running(simulator, operator)
     for turn in range(8):
         manner = draw.choice(("race", "change", "drain", "empty", "cancel", "cancel"))
-        row = draw.choice(("default", "urgent", "feeds"))
+        settings = draw.choice(("default", "urgent", "feeds"))
         if manner == "race":
-            operator.race([{"queues": {row: {"limit": 40 + 3 * turn + one}}} for one in range(3)])
+            operator.race([{"queues": {settings: {"limit": 40 + 3 * turn + one}}} for one in range(3)])
         elif manner == "change":
-            operator.change({"queues": {row: {"limit": 40 + turn, "share": draw.randrange(8, 20)}}})
+            operator.change({"queues": {settings: {"limit": 40 + turn, "share": draw.randrange(8, 20)}}})
         elif manner == "drain":
             name = draw.choice(_daemons(simulator, "minion"))
             operator.close("minion", name)
             simulator.run(draw.uniform(1, 6))
             operator.open("minion", name)
         elif manner == "empty":
-            area = draw.choice(("a", "b", "c"))
-            operator.close("area", area)
+            zone = draw.choice(("a", "b", "c"))
+            operator.close("area", zone)
             simulator.run(draw.uniform(2, 9))
-            operator.open("area", area)
+            operator.open("area", zone)
         else:
             operator.cancel_some()
         simulator.run(draw.uniform(0.1, 2))
 
 
-def verges_restart(simulator, operator):
+def fronts_restart(simulator, operator):
     """All verges die at once; seeds are swapped."""
     for _ in range(3):
         simulator.run(simulator.draw.uniform(1, 3))
@@ -428,7 +428,9 @@
     """One thing after another, on fouler links, while operators work."""
     simulator.loss, simulator.double = 0.01, 0.02
     for _ in range(2):
-        for one in simulator.draw.sample((kills, cuts, freezes, disks, minions_fail, operators, clocks), 3):
+        for one in simulator.draw.sample(
+            (kills, partitions, freezes, disks, workers_fail, operators, clocks), 3
+        ):
             one(simulator, operator)
             if simulator.draw.random() < 0.5:
                 operator.cancel_some()
@@ -438,7 +440,7 @@
     """Asks at one verge after another until one answers through a leader."""
     begun = simulator.now
     back = simulator.until(
-        lambda: simulator.ask("GET", "/v1/setup", verge=simulator.draw.randrange(9), seconds=3.0)[0] == 200,
+        lambda: simulator.ask("GET", "/v1/setup", front=simulator.draw.randrange(9), seconds=3.0)[0] == 200,
         30,
     )
     if back is None or simulator.now - begun > within:
@@ -484,10 +486,10 @@
             simulator.start(name)
         _served(simulator, operator, "with one clock wrong")
         simulator.run(draw.uniform(2, 5))
-        status, cohort = simulator.ask("GET", "/v1/cohort")
-        if status == 200 and abs(cohort["time"] - START - simulator.now) > 1.0:
+        status, cluster = simulator.ask("GET", "/v1/cohort")
+        if status == 200 and abs(cluster["time"] - START - simulator.now) > 1.0:
             operator.faults.append(
-                f"cohort time is off by {cohort['time'] - START - simulator.now:.1f} s after {manner}"
+                f"cohort time is off by {cluster['time'] - START - simulator.now:.1f} s after {manner}"
             )
         simulator.nodes[wrong].skew = 0.0
         simulator.run(1)
@@ -495,7 +497,7 @@
 
 def impossible(simulator, operator):
     """Impossible tickets pile up until they are shed, each with its reason; good work goes on."""
-    shed, made = 0, []
+    rejected, made = 0, []
     for place in range(60):
         document = {
             "queue": "default",
@@ -509,41 +511,41 @@
             if "unheard-of" not in answer["parked"]:
                 operator.faults.append("an impossible ticket was taken without a word")
         elif status == 429:
-            shed += 1
+            rejected += 1
             if "unheard-of" not in answer["error"]["message"]:
                 operator.faults.append(f"an impossible ticket was shed without its reason: {answer}")
-    if not shed or len(made) > 45:
-        operator.faults.append(f"{len(made)} impossible tickets were taken, {shed} shed")
+    if not rejected or len(made) > 45:
+        operator.faults.append(f"{len(made)} impossible tickets were taken, {rejected} shed")
     simulator.run(6)
     for caller in simulator.callers.values():
         if any(one[0] == "shed" for one in caller.history):
             operator.faults.append("good work was shed because of impossible work")
-    for ticket in made:
-        simulator.persist("POST", f"/v1/tickets/{ticket}/cancel")
+    for pushed_job in made:
+        simulator.persist("POST", f"/v1/tickets/{pushed_job}/cancel")
 
 
-def setup_storm(simulator, operator):
+def queue_configuration_storm(simulator, operator):
     """Fifty changes a second, whole and partial, while a leader dies and links are cut."""
     draw = simulator.draw
     simulator.callers["caller"].rate = 3.0  # so that limits bind
     for turn in range(2):
         changes = []
         for _one in range(150):
-            row = {"limit": 8 + draw.randrange(16), "share": draw.randrange(4, 8)}
+            settings = {"limit": 8 + draw.randrange(16), "share": draw.randrange(4, 8)}
             queue = draw.choice(("default", "urgent", "feeds"))
             if draw.random() < 0.2:
-                whole = {name: {**value} for name, value in simulator.setup["queues"].items()}
-                whole[queue].update(row)
-                changes.append(("whole", {"queues": whole}))
+                complete = {name: {**value} for name, value in simulator.setup["queues"].items()}
+                complete[queue].update(settings)
+                changes.append(("whole", {"queues": complete}))
             else:
-                changes.append(("merge", {"queues": {queue: row}}))
+                changes.append(("merge", {"queues": {queue: settings}}))
         leader = simulator.leader()
         if leader is not None and (turn or draw.random() < 0.5):
             rest = [one for one in _daemons(simulator) if one != leader.name]
             if draw.random() < 0.5:
                 simulator.kill(leader.name)
             else:
-                simulator.cut([leader.name], rest)
+                simulator.partition([leader.name], rest)
         statuses = operator.storm(changes, 50)
         simulator.heal()
         if leader is not None and leader.core is None:
@@ -554,11 +556,14 @@
     simulator.run(2)
 
 
-def large_setup(simulator, operator):
+def large_queue_configuration(simulator, operator):
     """A setup of hundreds of rows comes and is changed by cells, races and a kill between."""
     draw = simulator.draw
-    rows = {**simulator.setup["queues"], **{f"q{one:04d}": {"share": 0, "limit": 10} for one in range(600)}}
-    operator.change({"queues": rows}, "whole")
+    queue_settings = {
+        **simulator.setup["queues"],
+        **{f"q{one:04d}": {"share": 0, "limit": 10} for one in range(600)},
+    }
+    operator.change({"queues": queue_settings}, "whole")
     for turn in range(5):
         queue = f"q{draw.randrange(600):04d}"
         operator.change({"queues": {queue: {"limit": 20 + turn}, "default": {"limit": 40 + turn}}})
@@ -580,26 +585,28 @@
     simulator.run(8)
     simulator.callers["caller"].rate = 1.0
     caller = simulator.callers["caller"]
-    shed = [one for one in caller.history if one[0] == "shed"]
-    if not shed:
+    rejected = [one for one in caller.history if one[0] == "shed"]
+    if not rejected:
         operator.faults.append("ten times the traffic shed nothing")
-    if any(one[3] > 1.0 for one in shed):
-        operator.faults.append(f"a ticket was shed only after {max(one[3] for one in shed):.1f} s")
+    if any(one[3] > 1.0 for one in rejected):
+        operator.faults.append(f"a ticket was shed only after {max(one[3] for one in rejected):.1f} s")
     simulator.run(6)
     first = {}
-    for event in simulator.minion_history:
+    for event in simulator.worker_history:
         if event[0] == "start":
             first.setdefault(event[4].partition("/")[0], event[1])
     late = sorted(
-        first.get(ticket, operator.now()) - accepted
-        for ticket, (_, accepted, document) in caller.accepted.items()
+        first.get(pushed_job, operator.now()) - accepted
+        for pushed_job, (_, accepted, document) in caller.accepted.items()
         if document["queue"] == "urgent" and accepted > begun
     )
     if len(late) > 10 and late[len(late) // 2] > 1.0:
         operator.faults.append(f"urgent work started {late[len(late) // 2]:.1f} s late in the median")
     leader = simulator.leader()
-    if leader is not None and leader.core.record.waiting.get("default", 0) > 60 + 40:
-        operator.faults.append(f"{leader.core.record.waiting['default']} tasks wait, over the bound")
+    if leader is not None and leader.core.cluster_state.waiting_counts.get("default", 0) > 60 + 40:
+        operator.faults.append(
+            f"{leader.core.cluster_state.waiting_counts['default']} tasks wait, over the bound"
+        )
 
 
 def final(simulator, operator):
@@ -607,33 +614,33 @@
     for turn in range(3):
         operator.change({"queues": {"default": {"limit": 40 + turn}}})
     manner = ("power", "wiped", "frozen", "cut", "full", "clocks", "verges")[simulator.seed % 7]
-    accords, verges = _daemons(simulator, "accord"), _daemons(simulator, "verge")
+    control_daemons, fronts = _daemons(simulator, "accord"), _daemons(simulator, "verge")
     if manner == "frozen":
-        for name in accords:
+        for name in control_daemons:
             simulator.freeze(name)
     elif manner == "cut":
-        simulator.cut(accords, accords)
+        simulator.partition(control_daemons, control_daemons)
     elif manner == "full":
-        for name in accords:
+        for name in control_daemons:
             simulator.nodes[name].disk.full = True
     elif manner == "clocks":
-        for name in simulator.draw.sample(accords, (len(accords) - 1) // 2):
+        for name in simulator.draw.sample(control_daemons, (len(control_daemons) - 1) // 2):
             simulator.nodes[name].skew = simulator.draw.choice((-1, 1)) * 600.0
     simulator.run(simulator.draw.uniform(0.5, 4))
     simulator.heal()
-    for name in verges if manner == "verges" else accords + verges:
+    for name in fronts if manner == "verges" else control_daemons + fronts:
         simulator.kill(name)
         if simulator.nodes[name].disk is not None:
             simulator.nodes[name].disk.full = False
     if manner == "wiped":
-        simulator.wipe(simulator.draw.choice(accords))
-    for name in accords + verges:
+        simulator.wipe(simulator.draw.choice(control_daemons))
+    for name in control_daemons + fronts:
         if simulator.nodes[name].core is None:
             simulator.start(name)
     _served(simulator, operator, f"after a day that ended with {manner}")
 
 
-def cancel_cut(simulator, operator):
+def cancel_during_partition(simulator, operator):
     """Tickets are cancelled while the minions that run them are cut off, frozen or gone."""
     draw = simulator.draw
     for turn in range(3):
@@ -651,20 +658,20 @@
             )
         )
         simulator.run(1.5)
-        ticket = next((ticket for ticket, one in caller.accepted.items() if one[0] == key), None)
+        pushed_job = next((pushed_job for pushed_job, one in caller.accepted.items() if one[0] == key), None)
         runs = [
             event[2]
-            for event in simulator.minion_history
-            if event[0] == "start" and event[4].partition("/")[0] == ticket
+            for event in simulator.worker_history
+            if event[0] == "start" and event[4].partition("/")[0] == pushed_job
         ]
         if not runs:
             continue
         name = draw.choice(runs)
         if draw.random() < 0.5:
-            simulator.cut([name], list(simulator.nodes))
+            simulator.partition([name], list(simulator.nodes))
         else:
             simulator.freeze(name)
-        simulator._caller_calls("caller", caller.cancel(ticket, operator.now()))
+        simulator._send_client_calls("caller", caller.cancel(pushed_job, operator.now()))
         simulator.run(draw.uniform(1, 6))
         simulator.heal()
         if simulator.nodes[name].frozen:
@@ -673,12 +680,12 @@
 
 
 # The registry of weathers.
-WEATHERS = {
+FAULT_SCENARIOS = {
     "calm": calm,
     "kills": kills,
     "leaders-fall": leaders_fall,
-    "cuts": cuts,
-    "areas-fall": areas_fall,
+    "cuts": partitions,
+    "areas-fall": zones_fall,
     "freezes": freezes,
     "clocks": clocks,
     "disks": disks,
@@ -688,21 +695,21 @@
     "power": power,
     "forgotten": forgotten,
     "failing": failing,
-    "minions-fail": minions_fail,
+    "minions-fail": workers_fail,
     "crashes": crashes,
     "withdrawn": withdrawn,
     "crowds": crowds,
     "scattered": scattered,
     "operators": operators,
-    "verges-restart": verges_restart,
+    "verges-restart": fronts_restart,
     "foul": foul,
     "storm": storm,
     "full": full,
     "clock-outage": clock_outage,
     "impossible": impossible,
-    "setup-storm": setup_storm,
-    "large-setup": large_setup,
+    "setup-storm": queue_configuration_storm,
+    "large-setup": large_queue_configuration,
     "crowds-ten": crowds_ten,
     "final": final,
-    "cancel-cut": cancel_cut,
+    "cancel-cut": cancel_during_partition,
 }
--- a/src/pinepitch/simulation/fleet.py
+++ b/src/pinepitch/simulation/fleet.py
@@ -22,16 +22,16 @@
 class Plan(NamedTuple):
     """A deployment. Invariants: accords, verges and minions name areas of the plan."""
 
-    accords: tuple  # areas, one an accord
-    verges: tuple  # areas, one a verge
-    minions: tuple  # (prefix, count, room, labels, guards)
-    areas: tuple
+    control_daemons: tuple  # areas, one an accord
+    fronts: tuple  # areas, one a verge
+    workers: tuple  # (prefix, count, room, labels, guards)
+    zones: tuple
     traffic: tuple
     setup: dict
     founders: int
 
 
-def _row(share, limit, **more):
+def _queue_settings(share, limit, **more):
     return {"share": share, "limit": limit, **more}
 
 
@@ -48,7 +48,7 @@
                 {"queue": "default", "urgency": 4, "count": 3, "shape": "chain", "units": 1, "seconds": 0.1},
             ),
         ),
-        {"queues": {"default": _row(16, 16, retries=3)}},
+        {"queues": {"default": _queue_settings(16, 16, retries=3)}},
         3,
     ),
     "nkansah": Plan(
@@ -59,10 +59,10 @@
         stand_in_client.NKANSAH,
         {
             "queues": {
-                "field": _row(80, 160, urgency=6, retries=5, preempts=True, yields=False),
-                "planning": _row(30, 100, urgency=2, retries=5),
-                "feeds": _row(50, 120, urgency=7, retries=5, yields=False),
-                "imaging": _row(32, 32, urgency=4, retries=5),
+                "field": _queue_settings(80, 160, urgency=6, retries=5, preempts=True, yields=False),
+                "planning": _queue_settings(30, 100, urgency=2, retries=5),
+                "feeds": _queue_settings(50, 120, urgency=7, retries=5, yields=False),
+                "imaging": _queue_settings(32, 32, urgency=4, retries=5),
             }
         },
         5,
@@ -75,9 +75,9 @@
         stand_in_client.PINTURAS,
         {
             "queues": {
-                "counter": _row(66, 132, urgency=7, retries=5, preempts=True, yields=False),
-                "planning": _row(33, 100, urgency=2, retries=5),
-                "lab": _row(33, 100, urgency=3, retries=5),
+                "counter": _queue_settings(66, 132, urgency=7, retries=5, preempts=True, yields=False),
+                "planning": _queue_settings(33, 100, urgency=2, retries=5),
+                "lab": _queue_settings(33, 100, urgency=3, retries=5),
             }
         },
         3,
@@ -107,22 +107,26 @@
         self.data = data or folder
         self.processes = {}
         self.commands = {}
-        self.away = []  # [minion, from, to] of being frozen or gone
+        self.absences = []  # [minion, from, to] of being frozen or gone
         self.operator = FleetOperator(self)
         ports = iter(
-            free_ports(2 * len(plan.accords) + 2 * len(plan.verges) + sum(one[1] for one in plan.minions))
+            free_ports(
+                2 * len(plan.control_daemons) + 2 * len(plan.fronts) + sum(one[1] for one in plan.workers)
+            )
         )
-        self.accords = [(area, f"127.0.0.1:{next(ports)}") for area in plan.accords]
-        self.own = [f"127.0.0.1:{next(ports)}" for _ in plan.accords]  # the accords' ports for metrics
-        self.verges = [(area, f"127.0.0.1:{next(ports)}", f"127.0.0.1:{next(ports)}") for area in plan.verges]
-        self.minions = []
-        for prefix, count, room, labels, guards in plan.minions:
+        self.control_daemons = [(zone, f"127.0.0.1:{next(ports)}") for zone in plan.control_daemons]
+        self.own = [
+            f"127.0.0.1:{next(ports)}" for _ in plan.control_daemons
+        ]  # the accords' ports for metrics
+        self.fronts = [(zone, f"127.0.0.1:{next(ports)}", f"127.0.0.1:{next(ports)}") for zone in plan.fronts]
+        self.workers = []
+        for prefix, count, room, labels, guards in plan.workers:
             for place in range(count):
-                area = plan.areas[place % len(plan.areas)]
-                self.minions.append(
-                    [f"{prefix}{place}", area, f"127.0.0.1:{next(ports)}", room, list(labels), guards]
+                zone = plan.zones[place % len(plan.zones)]
+                self.workers.append(
+                    [f"{prefix}{place}", zone, f"127.0.0.1:{next(ports)}", room, list(labels), guards]
                 )
-        addresses = [one[1] for one in self.accords] + [one[1] for one in self.verges]
+        addresses = [one[1] for one in self.control_daemons] + [one[1] for one in self.fronts]
         self.seeds = ",".join(addresses[: constants.SEEDS])
 
     def start(self, name, *command):
@@ -137,13 +141,13 @@
         """Starts a process anew with the command it had."""
         self.start(name, *self.commands[name])
 
-    def start_accord(self, place):
-        area, address = self.accords[place]
+    def start_control_daemon(self, place):
+        zone, address = self.control_daemons[place]
         self.start(
             f"accord{place}",
             "from pinepitch.control.program import main; main()",
             f"--address={address}",
-            f"--area={area}",
+            f"--area={zone}",
             f"--seeds={self.seeds}",
             f"--data={os.path.join(self.data, f'accord{place}')}",
             f"--founders={self.plan.founders}",
@@ -151,32 +155,32 @@
             *([f"--http={self.own[place]}"] if place < len(self.own) else []),
         )
 
-    def start_verge(self, place):
-        area, address, web = self.verges[place]
+    def start_front(self, place):
+        zone, address, web = self.fronts[place]
         self.start(
             f"verge{place}",
             "from pinepitch.front.program import main; main()",
             f"--address={address}",
             f"--http={web}",
-            f"--area={area}",
+            f"--area={zone}",
             f"--seeds={self.seeds}",
             f"--level={self.level}",
         )
 
     def start_all(self):
-        for place in range(len(self.accords)):
-            self.start_accord(place)
-        for place in range(len(self.verges)):
-            self.start_verge(place)
-        self.start_minions()
+        for place in range(len(self.control_daemons)):
+            self.start_control_daemon(place)
+        for place in range(len(self.fronts)):
+            self.start_front(place)
+        self.start_workers()
 
-    def start_minions(self, groups=4):
+    def start_workers(self, groups=4):
         """The first minion has a process of its own, so that it can be frozen or killed alone."""
-        self._start_minions("minions-alone", self.minions[:1])
+        self._start_workers("minions-alone", self.workers[:1])
         for place in range(groups):
-            self._start_minions(f"minions{place}", self.minions[1 + place :: groups])
+            self._start_workers(f"minions{place}", self.workers[1 + place :: groups])
 
-    def _start_minions(self, name, own):
+    def _start_workers(self, name, own):
         if own:
             path = os.path.join(self.folder, f"{name}.json")
             with open(path, "w") as file:
@@ -185,28 +189,28 @@
                 name,
                 "from pinepitch.simulation.worker_program import main; main()",
                 f"--minions={path}",
-                f"--verges={','.join(one[2] for one in self.verges)}",
+                f"--verges={','.join(one[2] for one in self.fronts)}",
                 f"--history={os.path.join(self.folder, f'{name}.history')}",
             )
 
-    def lose_minion(self):
+    def lose_worker(self):
         """Kills the minion that is alone; what it ran is noted as gone for the checks."""
-        name, moment = self.minions[0][0], time.time()
+        name, moment = self.workers[0][0], time.time()
         self.kill("minions-alone")
-        events = [one for one in self.minion_history() if one[2] == name]
+        events = [one for one in self.worker_history() if one[2] == name]
         over = {(one[4], one[5]) for one in events if one[0] in ("end", "gone")}
         with open(os.path.join(self.folder, "lost.history"), "a") as file:
             for one in events:
                 if one[0] == "start" and (one[4], one[5]) not in over:
                     file.write(json.dumps(["gone", moment, name, one[3], one[4], one[5]]) + "\n")
-        self.away.append([name, moment, 1e18])
+        self.absences.append([name, moment, 1e18])
 
-    def more_accord(self, area, seeds):
+    def add_control_daemon(self, zone, seeds):
         """A further accord with an empty folder at a new address; its place."""
-        place = len(self.accords)
-        self.accords.append((area, f"127.0.0.1:{free_ports(1)[0]}"))
+        place = len(self.control_daemons)
+        self.control_daemons.append((zone, f"127.0.0.1:{free_ports(1)[0]}"))
         self.seeds = ",".join(seeds)
-        self.start_accord(place)
+        self.start_control_daemon(place)
         return place
 
     def kill(self, name, number=signal.SIGKILL):
@@ -230,7 +234,7 @@
                 process.wait()
         self.processes = {}
 
-    def minion_history(self):
+    def worker_history(self):
         events = []
         for name in sorted(os.listdir(self.folder)):
             if name.endswith(".history"):
@@ -239,8 +243,8 @@
         return events
 
     # --- talking to it ----------------------------------------------------------------
-    async def call(self, method, target, document=None, headers=(), verge=0):
-        client = http.Client(*split(self.verges[verge % len(self.verges)][2]))
+    async def call(self, method, target, document=None, headers=(), front=0):
+        client = http.Client(*split(self.fronts[front % len(self.fronts)][2]))
         answer = await curio.ignore_after(5, client.call(method, target, document, headers))
         await client.close()
         return answer
@@ -257,7 +261,7 @@
 
     async def served(self):
         """True once any verge reads through the leader."""
-        answer = await self.call("GET", "/v1/setup", verge=time.time_ns())
+        answer = await self.call("GET", "/v1/setup", front=time.time_ns())
         return isinstance(answer, http.Response) and answer.status == 200
 
     async def set_up(self):
@@ -286,7 +290,7 @@
 
         async def answered():
             self.count += 1
-            answer = await self.fleet.call(method, target, document, headers, verge=self.count)
+            answer = await self.fleet.call(method, target, document, headers, front=self.count)
             return isinstance(answer, http.Response) and answer.status not in (429, 503) and answer
 
         return await self.fleet.until(answered, seconds, f"an answer to {method} {target}")
@@ -300,7 +304,7 @@
             "/v1/setup",
             document,
             (("If-Match", "*" if base is None else f'"{base}"'), ("X-Reason", reason)),
-            verge=self.count,
+            front=self.count,
         )
         status = answer.status if isinstance(answer, http.Response) else 0
         if status == 200:
@@ -334,8 +338,8 @@
     async def check(self):
         """Faults in what was acknowledged, as read at every verge."""
         histories, documents = [], {}
-        for place in range(len(self.fleet.verges)):
-            answer = await self.fleet.call("GET", "/v1/setup/versions", verge=place)
+        for place in range(len(self.fleet.fronts)):
+            answer = await self.fleet.call("GET", "/v1/setup/versions", front=place)
             if not isinstance(answer, http.Response) or answer.status != 200:
                 answer = await self.persist("GET", "/v1/setup/versions")
             histories.append(answer.document)
@@ -343,10 +347,10 @@
             documents[version] = (await self.persist("GET", f"/v1/setup/versions/{version}")).document[
                 "setup"
             ]
-        areas = {one[0]: one[1] for one in self.fleet.minions}
+        zones = {one[0]: one[1] for one in self.fleet.workers}
         return [
-            *checks.setups_kept(histories, documents, self.changes, self.refused),
-            *checks.closed_kept(self.fleet.minion_history(), self.spans, areas),
+            *checks.queue_configurations_kept(histories, documents, self.changes, self.refused),
+            *checks.closed_kept(self.fleet.worker_history(), self.spans, zones),
         ]
 
 
@@ -355,7 +359,7 @@
 
     def __init__(self, fleet, seed=0, rate=1.0, fail=0.02, name="caller", cancels=0.02):
         self.fleet = fleet
-        self.caller = stand_in_client.StandInCaller(
+        self.caller = stand_in_client.StandInClient(
             name, fleet.plan.traffic, seed, rate, fail, cancels=cancels
         )
         self.idle = {}
@@ -376,9 +380,9 @@
 
     def _unfinished(self):
         return (
-            [ticket for ticket in self.caller.open]
+            [pushed_job for pushed_job in self.caller.open]
             + [one[1] for one in self.caller.retry]
-            + [one[1] for one in self.caller.under_way.values() if one[0] == "submit"]
+            + [one[1] for one in self.caller.pending_calls.values() if one[0] == "submit"]
         )
 
     async def _turn(self):
@@ -387,7 +391,7 @@
         await curio.sleep(constants.TICK)
 
     async def _call(self, call, draw, method, target, document):
-        web = self.fleet.verges[draw % len(self.fleet.verges)][2]
+        web = self.fleet.fronts[draw % len(self.fleet.fronts)][2]
         clients = self.idle.setdefault(web, [])
         client = clients.pop() if clients else http.Client(*split(web))
         answer = await curio.ignore_after(5, client.call(method, target, document))
@@ -399,16 +403,18 @@
             self.caller.step(("answered", call, 0, None), time.time())
 
 
-def summary(history, minion_history):
+def summary(history, worker_history):
     """Figures of a run, from the histories alone."""
     accept = sorted(event[4] for event in history if event[0] == "accepted")
     accepted_at = {event[3]: event[1] - event[4] for event in history if event[0] == "accepted"}
     first = {}
-    for event in minion_history:
+    for event in worker_history:
         if event[0] == "start":
-            ticket = event[4].partition("/")[0]
-            first[ticket] = min(first.get(ticket, 1e18), event[1])
-    start = sorted(first[ticket] - accepted_at[ticket] for ticket in first if ticket in accepted_at)
+            pushed_job = event[4].partition("/")[0]
+            first[pushed_job] = min(first.get(pushed_job, 1e18), event[1])
+    start = sorted(
+        first[pushed_job] - accepted_at[pushed_job] for pushed_job in first if pushed_job in accepted_at
+    )
     states = {}
     for event in history:
         if event[0] == "final":
@@ -426,21 +432,21 @@
         "accept_99": at(accept, 0.99),
         "start_median": at(start, 0.5),
         "start_99": at(start, 0.99),
-        "started": sum(one[0] == "start" for one in minion_history),
+        "started": sum(one[0] == "start" for one in worker_history),
     }
 
 
 def check(fleet, traffic):
     """Faults that the history checks find in a fleet run."""
-    documents = {ticket: one[2] for ticket, one in traffic.caller.accepted.items()}
-    rooms = {one[0]: one[3] for one in fleet.minions}
+    documents = {pushed_job: one[2] for pushed_job, one in traffic.caller.accepted.items()}
+    capacities = {one[0]: one[3] for one in fleet.workers}
     return checks.all_checks(
         traffic.caller.history,
-        fleet.minion_history(),
+        fleet.worker_history(),
         documents,
         fleet.plan.setup["queues"],
-        rooms,
-        fleet.away,
+        capacities,
+        fleet.absences,
         fleet.operator.withdrawn,
     )
 
@@ -464,7 +470,7 @@
 
 async def run(one, seconds, rate=1.0, seed=0, disturb=""):
     """One fleet from its start to its checks; what was seen."""
-    from .fleet_faults import DISTURBANCES
+    from .fleet_faults import FLEET_FAULTS
 
     begun = time.monotonic()
     one.start_all()
@@ -473,16 +479,16 @@
         up = time.monotonic() - begun
         traffic = Traffic(one, seed, rate)
         running = await curio.spawn(traffic.run, seconds)
-        told = None
+        observed = None
         if disturb:
             await curio.sleep(min(5.0, seconds / 2))
-            told = await DISTURBANCES[disturb](one)
+            observed = await FLEET_FAULTS[disturb](one)
         unfinished = await running.join()
         figures = await one.call("GET", "/v1/figures")
-        history = one.minion_history()
+        history = one.worker_history()
         return {
             "served_after": round(up, 2),
-            "disturbed": told,
+            "disturbed": observed,
             "figures": getattr(figures, "document", None),
             "summary": summary(traffic.caller.history, history),
             "unfinished": unfinished[:20],
@@ -501,9 +507,9 @@
         only: names of disturbances, parted by commas; all when empty.
         seconds: how long tickets come in each run.
     """
-    from .fleet_faults import DISTURBANCES
+    from .fleet_faults import FLEET_FAULTS
 
-    names = [one for one in (only.split(",") if isinstance(only, str) else only) if one] or list(DISTURBANCES)
+    names = [one for one in (only.split(",") if isinstance(only, str) else only) if one] or list(FLEET_FAULTS)
     failed = 0
     print(f"{'plan':10}{'disturbance':20}{'accepted':>9}{'shed':>6}{'faults':>7}  seen")
     for plan in plans.split(",") if isinstance(plans, str) else plans:
@@ -533,19 +539,19 @@
         sys.exit(1)
 
 
-def traffic(verge="127.0.0.1:8080", seconds=30, rate=1.0):
+def traffic(front="127.0.0.1:8080", seconds=30, rate=1.0):
     """Sends stand-in tickets to one verge's queue `default` for some seconds."""
 
     class Running(NamedTuple):
         """What Traffic needs of a fleet that runs already."""
 
         plan: Plan
-        verges: tuple
+        fronts: tuple
 
     shape = {"queue": "default", "urgency": 4, "count": 3, "shape": "fan", "units": 1, "seconds": 0.6}
     plan = PLANS["small"]._replace(traffic=(("job", 2.0, shape),))
     one = Traffic(
-        Running(plan, (("", "", verge),)), time.time_ns(), rate, 0.0, f"try-{time.time_ns()}", cancels=0.0
+        Running(plan, (("", "", front),)), time.time_ns(), rate, 0.0, f"try-{time.time_ns()}", cancels=0.0
     )
     unfinished = curio.run(one.run, seconds)
     print(f"{len(one.caller.accepted)} tickets accepted, {len(unfinished)} not finished")
@@ -582,15 +588,15 @@
         await curio.sleep(seconds)
         await running.cancel()
         first = {}
-        for event in one.minion_history():
+        for event in one.worker_history():
             if event[0] == "start":
-                ticket = event[4].partition("/")[0]
-                first[ticket] = min(first.get(ticket, 1e18), event[1])
+                pushed_job = event[4].partition("/")[0]
+                first[pushed_job] = min(first.get(pushed_job, 1e18), event[1])
         waits = {"before": [], "after": []}
-        for ticket, (_, accepted, document) in traffic.caller.accepted.items():
+        for pushed_job, (_, accepted, document) in traffic.caller.accepted.items():
             if document["queue"] == queue:
                 waits["before" if accepted < changed else "after"].append(
-                    first.get(ticket, time.time()) - accepted
+                    first.get(pushed_job, time.time()) - accepted
                 )
         line = next(line for line in measure["queues"] if line["queue"] == queue)
         seen = {
@@ -613,7 +619,7 @@
     for plan, queue, narrow, wide in FORECASTS:
         for before, after in ((narrow, wide), (wide, narrow)):
             with tempfile.TemporaryDirectory(prefix="pinepitch-") as folder:
-                told = curio.run(
+                observed = curio.run(
                     forecast, Fleet(copy.deepcopy(PLANS[plan]), folder), queue, before, after, seconds
                 )
-            print(f"{plan} {queue}.limit {before} -> {after}: {json.dumps(told)}", flush=True)
+            print(f"{plan} {queue}.limit {before} -> {after}: {json.dumps(observed)}", flush=True)
--- a/src/pinepitch/simulation/fleet_faults.py
+++ b/src/pinepitch/simulation/fleet_faults.py
@@ -14,13 +14,13 @@
 
 async def _leader_place(fleet):
     async def found():
-        answer = await fleet.call("GET", "/v1/cohort", verge=time.time_ns())
+        answer = await fleet.call("GET", "/v1/cohort", front=time.time_ns())
         return isinstance(answer, http.Response) and answer.status == 200 and answer.document
 
-    cohort = await fleet.until(found, 30, "the cohort")
-    for member in cohort["members"]:
-        if member["accord"] == cohort["leader"]:
-            return [one[1] for one in fleet.accords].index(member["address"])
+    cluster = await fleet.until(found, 30, "the cohort")
+    for member in cluster["members"]:
+        if member["accord"] == cluster["leader"]:
+            return [one[1] for one in fleet.control_daemons].index(member["address"])
     return 0
 
 
@@ -34,30 +34,30 @@
     return await _kill_beside_leader(fleet, 0)
 
 
-async def kill_accord(fleet):
+async def kill_control_daemon(fleet):
     return await _kill_beside_leader(fleet, 1)
 
 
 async def _kill_beside_leader(fleet, step):
     """An accord dies hard, `step` places after the leader, and comes back."""
-    place = (await _leader_place(fleet) + step) % len(fleet.accords)
+    place = (await _leader_place(fleet) + step) % len(fleet.control_daemons)
     fleet.kill(f"accord{place}")
     back = await _back_within(fleet)
     await curio.sleep(2)
-    fleet.start_accord(place)
+    fleet.start_control_daemon(place)
     return {"killed": place, "served_again_after": back}
 
 
-async def kill_area(fleet):
+async def kill_zone(fleet):
     """The leader's area: its accords and verges die and stay dead."""
-    area = fleet.accords[await _leader_place(fleet)][0]
-    for place, one in enumerate(fleet.accords):
-        if one[0] == area:
+    zone = fleet.control_daemons[await _leader_place(fleet)][0]
+    for place, one in enumerate(fleet.control_daemons):
+        if one[0] == zone:
             fleet.kill(f"accord{place}")
-    for place, one in enumerate(fleet.verges):
-        if one[0] == area:
+    for place, one in enumerate(fleet.fronts):
+        if one[0] == zone:
             fleet.kill(f"verge{place}")
-    return {"area": area, "served_again_after": await _back_within(fleet)}
+    return {"area": zone, "served_again_after": await _back_within(fleet)}
 
 
 async def wipe(fleet):
@@ -65,7 +65,7 @@
     place = await _leader_place(fleet)
     fleet.kill(f"accord{place}")
     shutil.rmtree(os.path.join(fleet.data, f"accord{place}"))
-    fleet.start_accord(place)
+    fleet.start_control_daemon(place)
     return {"wiped": place, "served_again_after": await _back_within(fleet)}
 
 
@@ -106,80 +106,80 @@
     return {"frozen": name, "served_again_after": await _back_within(fleet)}
 
 
-async def freeze_verge(fleet):
+async def freeze_front(fleet):
     await _freeze(fleet, "verge0", FROZEN)
     return {"frozen": "verge0", "served_again_after": await _back_within(fleet)}
 
 
-async def freeze_minion(fleet):
+async def freeze_worker(fleet):
     begun = time.time()
     await _freeze(fleet, "minions-alone", FROZEN)
-    fleet.away.append([fleet.minions[0][0], begun, time.time()])
-    return {"frozen": fleet.minions[0][0]}
+    fleet.absences.append([fleet.workers[0][0], begun, time.time()])
+    return {"frozen": fleet.workers[0][0]}
 
 
-async def kill_minion(fleet):
+async def kill_worker(fleet):
     """A minion dies with all that it ran and starts anew."""
-    fleet.lose_minion()
+    fleet.lose_worker()
     await curio.sleep(2)
     fleet.again("minions-alone")
-    fleet.away[-1][2] = time.time()
-    return {"killed": fleet.minions[0][0]}
+    fleet.absences[-1][2] = time.time()
+    return {"killed": fleet.workers[0][0]}
 
 
-async def lose_minion(fleet):
+async def lose_worker(fleet):
     """A minion dies and never comes back; an operator says so some seconds later."""
-    fleet.lose_minion()
+    fleet.lose_worker()
     await curio.sleep(4)
-    await fleet.operator.withdraw(fleet.minions[0][0], time.time())
-    return {"lost": fleet.minions[0][0]}
+    await fleet.operator.withdraw(fleet.workers[0][0], time.time())
+    return {"lost": fleet.workers[0][0]}
 
 
-async def withdraw_minion(fleet):
+async def withdraw_worker(fleet):
     """A machine is withdrawn at two seconds' notice."""
-    await fleet.operator.withdraw(fleet.minions[0][0], time.time() + 2)
+    await fleet.operator.withdraw(fleet.workers[0][0], time.time() + 2)
     await curio.sleep(1.9)
-    fleet.lose_minion()
-    return {"withdrawn": fleet.minions[0][0]}
+    fleet.lose_worker()
+    return {"withdrawn": fleet.workers[0][0]}
 
 
-async def empty_area(fleet):
+async def empty_zone(fleet):
     """An area is emptied and taken back, a minion elsewhere drained and let in again."""
-    area = fleet.plan.areas[1]
-    await fleet.operator.close("area", area)
-    await fleet.operator.close("minion", fleet.minions[0][0])
+    zone = fleet.plan.zones[1]
+    await fleet.operator.close("area", zone)
+    await fleet.operator.close("minion", fleet.workers[0][0])
     await curio.sleep(8)
-    await fleet.operator.open("minion", fleet.minions[0][0])
-    await fleet.operator.open("area", area)
-    return {"emptied": area, "drained": fleet.minions[0][0]}
+    await fleet.operator.open("minion", fleet.workers[0][0])
+    await fleet.operator.open("area", zone)
+    return {"emptied": zone, "drained": fleet.workers[0][0]}
 
 
-async def replace_accord(fleet):
+async def replace_control_daemon(fleet):
     """An accord is gone for good; an empty one at a new address takes its place, with other
     seeds; then the verges start anew with seeds that name the new one."""
-    place = (await _leader_place(fleet) + 1) % len(fleet.accords)
-    area = fleet.accords[place][0]
+    place = (await _leader_place(fleet) + 1) % len(fleet.control_daemons)
+    zone = fleet.control_daemons[place][0]
     fleet.kill(f"accord{place}")
-    live = [one[1] for other, one in enumerate(fleet.accords) if other != place]
-    fresh = fleet.more_accord(area, [live[0], fleet.verges[0][1], fleet.verges[-1][1]])
-    address = fleet.accords[fresh][1]
+    live = [one[1] for other, one in enumerate(fleet.control_daemons) if other != place]
+    fresh = fleet.add_control_daemon(zone, [live[0], fleet.fronts[0][1], fleet.fronts[-1][1]])
+    address = fleet.control_daemons[fresh][1]
 
     async def member():
-        cohort = await fleet.call("GET", "/v1/cohort", verge=time.time_ns())
+        cluster = await fleet.call("GET", "/v1/cohort", front=time.time_ns())
         return (
-            isinstance(cohort, http.Response)
-            and cohort.status == 200
-            and not cohort.document["changing"]
-            and any(one["address"] == address for one in cohort.document["members"])
+            isinstance(cluster, http.Response)
+            and cluster.status == 200
+            and not cluster.document["changing"]
+            and any(one["address"] == address for one in cluster.document["members"])
         )
 
     begun = time.monotonic()
     await fleet.until(member, 40, "the new accord as a member")
     took = round(time.monotonic() - begun, 2)
     fleet.seeds = ",".join([address, *live[:2]])
-    for verge in range(len(fleet.verges)):
-        fleet.kill(f"verge{verge}")
-        fleet.start_verge(verge)
+    for front in range(len(fleet.fronts)):
+        fleet.kill(f"verge{front}")
+        fleet.start_front(front)
     return {"gone": place, "member_after": took, "served_again_after": await _back_within(fleet)}
 
 
@@ -237,21 +237,21 @@
 
 
 # The registry of disturbances.
-DISTURBANCES = {
-    "kill-accord": kill_accord,
+FLEET_FAULTS = {
+    "kill-accord": kill_control_daemon,
     "kill-leader": kill_leader,
-    "kill-area": kill_area,
+    "kill-area": kill_zone,
     "wipe": wipe,
     "outage": outage,
     "restart-verges": restart_verges,
     "freeze-leader": freeze_leader,
-    "freeze-verge": freeze_verge,
-    "freeze-minion": freeze_minion,
-    "kill-minion": kill_minion,
-    "lose-minion": lose_minion,
-    "withdraw-minion": withdraw_minion,
-    "empty-area": empty_area,
-    "replace-accord": replace_accord,
+    "freeze-verge": freeze_front,
+    "freeze-minion": freeze_worker,
+    "kill-minion": kill_worker,
+    "lose-minion": lose_worker,
+    "withdraw-minion": withdraw_worker,
+    "empty-area": empty_zone,
+    "replace-accord": replace_control_daemon,
     "rolling-restart": rolling_restart,
     "race-operators": race_operators,
     "fill-disk": fill_disk,
--- a/src/pinepitch/simulation/guarantees.py
+++ b/src/pinepitch/simulation/guarantees.py
@@ -3,92 +3,92 @@
 
 from typing import NamedTuple
 
-from .fault_scenarios import WEATHERS
-from .injected_faults import PLANTS
-from .jobs.control_injected_faults import CONTROL_PLANTS
+from .fault_scenarios import FAULT_SCENARIOS
+from .injected_faults import INJECTED_FAULTS
+from .jobs.control_injected_faults import CONTROL_INJECTED_FAULTS
 from .jobs.control_scenarios import CONTROL_SCENARIOS
 
 
-class Promise(NamedTuple):
+class Guarantee(NamedTuple):
     """One line of what must never happen. Invariant: each plant breaks just this promise's
     ground, and a check of it finds it."""
 
     line: str
     checks: tuple
-    plants: tuple
+    injected_faults: tuple
     owed: object = None  # the weathers under which it is owed; None for all
     why: str = ""  # why it is not owed under the others
 
 
 HEALTHY = ("scattered",)
 OUTAGES = ("outage", "power", "final", "clock-outage", "areas-fall", "full")
-PROMISES = (
-    Promise(
+GUARANTEES = (
+    Guarantee(
         "a task runs twice at once, or again after its end",
         ("never_twice",),
         ("early-proof", "silence-is-an-end", "sent-again", "lost-is-tried-again", "saved-too-soon"),
     ),
-    Promise(
+    Guarantee(
         "an accepted job is forgotten, or unknown after 3 s",
         ("never_forgotten", "read_again", "never quiet again"),
         ("amnesia", "promises-when-full"),
     ),
-    Promise(
+    Guarantee(
         "a task starts before its forerunners, or over 0.1 s early",
         ("in_order",),
         ("forerunners-ignored", "not-before-ignored", "own-clock", "any-clock"),
     ),
-    Promise(
+    Guarantee(
         "a task retries beyond its allowed failures",
         ("attempts_kept",),
         ("attempts-unbounded", "lost-not-counted"),
     ),
-    Promise(
+    Guarantee(
         "a cancelled job starts tasks after 3 s or keeps any running",
         ("cancelled_truly",),
         ("cancel-in-word", "killed-once"),
     ),
-    Promise(
+    Guarantee(
         "a draining minion gets work after 2 s, an emptied zone after 5 s",
         ("closed_kept",),
         ("closed-ignored",),
     ),
-    Promise("an unguarded minion is packed beyond its room", ("room_kept",), ("room-doubled",)),
-    Promise(
+    Guarantee("an unguarded minion is packed beyond its room", ("room_kept",), ("room-doubled",)),
+    Guarantee(
         "a gang member waits alone while all is healthy",
         ("gangs_together",),
         ("gangs-apart",),
         HEALTHY,
         "owed only while all is healthy; a member that did not start is tried in features/placing.feature",
     ),
-    Promise(
+    Guarantee(
         "an acknowledged change is not in force within 2 s, slips back, or is missing at day's end",
-        ("Operator.in_force", "limits_kept", "setups_kept"),
+        ("Operator.in_force", "limits_kept", "queue_configurations_kept"),
         ("change-not-kept", "news-kept-back", "limit-ignored", "history-cut"),
     ),
-    Promise(
+    Guarantee(
         "a refused or losing change takes effect, or two on one version are accepted",
-        ("Operator.race", "setups_kept"),
+        ("Operator.race", "queue_configurations_kept"),
         ("base-ignored", "refused-takes-effect"),
     ),
-    Promise(
+    Guarantee(
         "a job shows finished while a task hasn't ended well", ("finished_truly",), ("failed-counts-as-done",)
     ),
-    Promise(
+    Guarantee(
         "service is not back 12 s after a total outage",
         ("the weather itself",),
         ("slow-elections",),
         OUTAGES,
         "no total outage there; that service goes on is seen by every trial's end",
     ),
-    Promise(
+    Guarantee(
         "good work is shed, or crowds are not shed at once",
         ("the weather itself",),
         ("impossible-unseen", "bound-ignored"),
         ("impossible", "crowds", "crowds-ten"),
         "bounds are not reached there",
     ),
-    Promise(
+    Guarantee(
         "(the ground of all) two leaders of a term, logs or records that differ",
         ("Simulator._event", "Simulator.agreement"),
         ("votes-twice",),
@@ -131,7 +131,7 @@
 
     scenario: str
     fails: str
-    plant: str = ""  # a planted fault that it was seen to find
+    injected_fault: str = ""  # a planted fault that it was seen to find
 
 
 CONTROL_FAULTS = (
@@ -161,41 +161,47 @@
 
 def missing():
     """What stands in no row: weathers, fault scenarios and plants, named."""
-    shown = {weather for _, weathers in FAILURES for weather in weathers}
-    planted = {plant for promise in PROMISES for plant in promise.plants} | set(CONDITIONS)
+    shown = {fault_scenario for _, scenarios_listed in FAILURES for fault_scenario in scenarios_listed}
+    injected = {
+        injected_fault for guarantee in GUARANTEES for injected_fault in guarantee.injected_faults
+    } | set(CONDITIONS)
     scenarios = {fault.scenario for fault in CONTROL_FAULTS}
-    unseen = set(CONTROL_PLANTS) - {fault.plant for fault in CONTROL_FAULTS}
+    unseen = set(CONTROL_INJECTED_FAULTS) - {fault.injected_fault for fault in CONTROL_FAULTS}
     return sorted(
-        (set(WEATHERS) ^ shown) | (set(PLANTS) ^ planted) | (set(CONTROL_SCENARIOS) ^ scenarios) | unseen
+        (set(FAULT_SCENARIOS) ^ shown)
+        | (set(INJECTED_FAULTS) ^ injected)
+        | (set(CONTROL_SCENARIOS) ^ scenarios)
+        | unseen
     )
 
 
 def matrix():
     """The tables of docs/proof.md, in Markdown."""
     lines = ["| | must never happen | checks | planted faults that they find |", "| --- | --- | --- | --- |"]
-    for place, promise in enumerate(PROMISES, 1):
-        checks = ", ".join(f"`{one}`" for one in promise.checks)
-        lines.append(
-            f"| {place} | {promise.line} | {checks} | {', '.join(f'`{one}`' for one in promise.plants)} |"
-        )
+    for place, guarantee in enumerate(GUARANTEES, 1):
+        checks = ", ".join(f"`{one}`" for one in guarantee.checks)
+        found_faults = ", ".join(f"`{one}`" for one in guarantee.injected_faults)
+        lines.append(f"| {place} | {guarantee.line} | {checks} | {found_faults} |")
     lines += [
         "",
-        "| what fails | " + " | ".join(str(place) for place in range(1, len(PROMISES) + 1)) + " |",
-        "| --- |" + " --- |" * len(PROMISES),
+        "| what fails | " + " | ".join(str(place) for place in range(1, len(GUARANTEES) + 1)) + " |",
+        "| --- |" + " --- |" * len(GUARANTEES),
     ]
-    for failure, weathers in FAILURES:
+    for failure, scenarios_listed in FAILURES:
         cells = []
-        for place, promise in enumerate(PROMISES):
-            owed = [one for one in weathers if promise.owed is None or one in promise.owed]
+        for place, guarantee in enumerate(GUARANTEES):
+            owed = [one for one in scenarios_listed if guarantee.owed is None or one in guarantee.owed]
             cells.append(", ".join(owed) if owed else f"({chr(97 + place)})")
         lines.append(f"| {failure} | " + " | ".join(cells) + " |")
     lines.append("")
-    lines += [f"({chr(97 + place)}) {promise.why}." for place, promise in enumerate(PROMISES) if promise.why]
+    lines += [
+        f"({chr(97 + place)}) {guarantee.why}." for place, guarantee in enumerate(GUARANTEES) if guarantee.why
+    ]
     lines += ["", "| fault scenario of control daemons | what fails | a planted fault that it finds |"]
     lines.append("| --- | --- | --- |")
     for fault in CONTROL_FAULTS:
-        plant = f"`{fault.plant}`" if fault.plant else ""
-        lines.append(f"| `{fault.scenario}` | {fault.fails} | {plant} |")
+        injected_fault = f"`{fault.injected_fault}`" if fault.injected_fault else ""
+        lines.append(f"| `{fault.scenario}` | {fault.fails} | {injected_fault} |")
     return "\n".join(lines)
 
 
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -11,12 +11,12 @@
 from ..consensus.replica import Consensus
 from ..control import daemon, requests
 from ..front import daemon as verge_core
-from ..front.daemon import Verge
+from ..front.daemon import FrontDaemon
 from ..model import push_worker, pushed_job
 from ..model import queue_settings as rows
-from ..model.queue_settings import Row
+from ..model.queue_settings import QueueSettings
 from ..state import cluster_state, configuration_history
-from ..state.cluster_state import Record
+from ..state.cluster_state import ClusterState
 from . import simulator
 
 
@@ -30,37 +30,37 @@
     return [(cluster_state, "tasks_from", planted)]
 
 
-def _silence(self, report, listed):
+def _silent_report(self, report, listed):
     """Takes one silent report for a proof, however early it was begun."""
-    for ref in sorted(self.record.reserved.get(report.minion, {})):
-        standing = self.record.find(ref)[2]
+    for ref in sorted(self.cluster_state.reserved.get(report.worker, {})):
+        standing = self.cluster_state.find(ref)[2]
         if (ref, standing.attempt) not in listed:
             yield (ref, standing.attempt, "never")
 
 
-def _silent_minions(self, now):
+def _unresponsive_workers(self, now):
     """Places again what a silent minion ran."""
     original_watch(self, now)
-    for name, known in self.minions.items():
-        if now - known.heard_at > constants.MINION_SILENT:
+    for name, known in self.push_workers.items():
+        if now - known.heard_at > constants.PUSH_WORKER_TIMEOUT:
             self._propose_ends(
                 [
-                    (ref, self.record.find(ref)[2].attempt, "never")
-                    for ref in self.record.reserved.get(name, {})
+                    (ref, self.cluster_state.find(ref)[2].attempt, "never")
+                    for ref in self.cluster_state.reserved.get(name, {})
                 ],
                 None,
                 now,
             )
 
 
-original_watch = daemon.Accord._watch
+original_watch = daemon.ControlDaemon._watch
 
 
 def _early_saved(self, node, sequence, change):
     """Tells a save durable before it is."""
     node.disk.jobs.append(("save", sequence, ["raft", change]))
     self._disk_next(node)
-    self.at(0.0, "give", node.name, node.life, ("saved", sequence))
+    self.at(0.0, "give", node.name, node.incarnation, ("saved", sequence))
 
 
 def _keep_identity(self, name):
@@ -77,15 +77,15 @@
     return now + offset
 
 
-def _late_told(self, *arguments):
+def _repeated_updates(self, *arguments):
     """Forgets what it has taken, and so sends again what is told again."""
     self.taken.clear()
-    original_told(self, *arguments)
+    original_updates(self, *arguments)
 
 
-original_told = Verge._on_told
-original_change = Record._change
-original_end = Record._end
+original_updates = FrontDaemon._on_updates
+original_change = ClusterState._change
+original_end = ClusterState._end
 original_checked = push_worker.checked
 
 
@@ -101,9 +101,9 @@
     return original_end(self, found, task, standing, "failed" if how == "lost" else how)
 
 
-def _double_room(document):
+def _double_capacity(document):
     report, faults = original_checked(document)
-    return (report and report._replace(room=2 * report.room)), faults
+    return (report and report._replace(capacity=2 * report.capacity)), faults
 
 
 def _forgetful(self, document, who, why, base):
@@ -128,26 +128,26 @@
 
 
 def _cancel_in_word(self, identity):
-    found = self.tickets.get(identity)
+    found = self.pushed_jobs.get(identity)
     return ("missing",) if found is None else ("ok",)
 
 
 def _all_orders(self, verge, now):
     """Tells every placement of a verge again and again, sent or not."""
-    told = []
-    for held in self.record.reserved.values():
-        for ref in held:
-            standing = self.record.find(ref)[2]
-            known = self.minions.get(standing.minion)
-            if standing.verge == verge and known is not None:
+    orders_again = []
+    for references in self.cluster_state.reserved.values():
+        for ref in references:
+            standing = self.cluster_state.find(ref)[2]
+            known = self.push_workers.get(standing.worker)
+            if standing.front_daemon == verge and known is not None:
                 self._order(ref, now)
-                told.append(self.outbox[verge][(ref, standing.attempt)])
-    return tuple(told)
+                orders_again.append(self.outbox[verge][(ref, standing.attempt)])
+    return tuple(orders_again)
 
 
-def _promises_when_full(self, node, what, job, life):
+def _confirms_when_full(self, node, what, job, incarnation):
     """Tells a save durable though the disk refused it."""
-    return node.disk.full or original_durable(self, node, what, job, life)
+    return node.disk.full or original_durable(self, node, what, job, incarnation)
 
 
 original_durable = simulator.Simulator._durable
@@ -158,7 +158,7 @@
     return original_read(self, now, agreed, 1)
 
 
-original_read = cluster_clock.CohortTime.read
+original_read = cluster_clock.ClusterClock.read
 
 
 def _no_strays(self, report, now):
@@ -166,7 +166,7 @@
     return ends, acknowledged, []
 
 
-original_report = daemon.Accord.take_report
+original_report = daemon.ControlDaemon.take_report
 
 
 def _short_history(self, *line):
@@ -176,7 +176,7 @@
         self.lines[2] = (*self.lines[2][:2], "forgotten", *self.lines[2][3:])
 
 
-original_add = configuration_history.History.add
+original_add = configuration_history.ConfigurationHistory.add
 
 
 def _free_tries(self, pushed_job, task, standing, how):
@@ -184,40 +184,45 @@
     return original_end(self, pushed_job, task, standing, "never" if how == "lost" else how)
 
 
-PLANTS = {
-    "promises-when-full": [(simulator.Simulator, "_durable", _promises_when_full)],
-    "any-clock": [(cluster_clock.CohortTime, "read", _any_clock)],
-    "impossible-unseen": [(requests, "_impossible", lambda daemon, plain, now: "")],
-    "bound-ignored": [(Record, "ticket_refusal", lambda self, plain, parked="": None)],
-    "limit-ignored": [(rows, "row_of", lambda document: Row(**{**document, "limit": 1000}))],
-    "killed-once": [(constants, "KILL_AGAIN", 1e9), (daemon.Accord, "take_report", _no_strays)],
-    "history-cut": [(configuration_history.History, "add", _short_history)],
-    "lost-not-counted": [(Record, "_end", _free_tries)],
-    "early-proof": [(daemon.Accord, "_absent", _silence)],
-    "silence-is-an-end": [(daemon.Accord, "_watch", _silent_minions)],
-    "sent-again": [(Verge, "_on_told", _late_told), (daemon.Accord, "_due_orders", _all_orders)],
+INJECTED_FAULTS = {
+    "promises-when-full": [(simulator.Simulator, "_durable", _confirms_when_full)],
+    "any-clock": [(cluster_clock.ClusterClock, "read", _any_clock)],
+    "impossible-unseen": [(requests, "_why_unplaceable", lambda daemon, plain, now: "")],
+    "bound-ignored": [(ClusterState, "job_refusal", lambda self, plain, parked="": None)],
+    "limit-ignored": [
+        (rows, "queue_settings_of", lambda document: QueueSettings(**{**document, "limit": 1000}))
+    ],
+    "killed-once": [(constants, "KILL_AGAIN", 1e9), (daemon.ControlDaemon, "take_report", _no_strays)],
+    "history-cut": [(configuration_history.ConfigurationHistory, "add", _short_history)],
+    "lost-not-counted": [(ClusterState, "_end", _free_tries)],
+    "early-proof": [(daemon.ControlDaemon, "_absent", _silent_report)],
+    "silence-is-an-end": [(daemon.ControlDaemon, "_watch", _unresponsive_workers)],
+    "sent-again": [
+        (FrontDaemon, "_on_updates", _repeated_updates),
+        (daemon.ControlDaemon, "_due_orders", _all_orders),
+    ],
     "saved-too-soon": [(simulator.Simulator, "_save", _early_saved)],
     "forerunners-ignored": _tasks(after=()),
     "not-before-ignored": _tasks(not_before=0.0),
     "attempts-unbounded": _tasks(attempts=100),
-    "own-clock": [(cluster_clock.CohortTime, "read", _own_clock)],
-    "cancel-in-word": [(Record, "_cancel", _cancel_in_word)],
+    "own-clock": [(cluster_clock.ClusterClock, "read", _own_clock)],
+    "cancel-in-word": [(ClusterState, "_cancel", _cancel_in_word)],
     "closed-ignored": [
-        (Record, "closed", lambda self, name, area: ""),
-        (Verge, "_closed", lambda self, order: False),
+        (ClusterState, "closed", lambda self, name, area: ""),
+        (FrontDaemon, "_closed", lambda self, order: False),
     ],
-    "room-doubled": [(push_worker, "checked", _double_room)],
+    "room-doubled": [(push_worker, "checked", _double_capacity)],
     "gangs-apart": _tasks(gang=""),
-    "base-ignored": [(Record, "_change", _no_base)],
-    "refused-takes-effect": [(Record, "_change", _takes_refused)],
-    "change-not-kept": [(Record, "_take_setup", _forgetful)],
-    "news-kept-back": [(daemon.Accord, "_news_version", lambda self: (self.consensus.term, 0))],
-    "failed-counts-as-done": [(Record, "_end", _as_if_done)],
-    "lost-is-tried-again": [(Record, "_end", _repeats_lost)],
+    "base-ignored": [(ClusterState, "_change", _no_base)],
+    "refused-takes-effect": [(ClusterState, "_change", _takes_refused)],
+    "change-not-kept": [(ClusterState, "_apply_queue_configuration", _forgetful)],
+    "news-kept-back": [(daemon.ControlDaemon, "_update_version", lambda self: (self.consensus.term, 0))],
+    "failed-counts-as-done": [(ClusterState, "_end", _as_if_done)],
+    "lost-is-tried-again": [(ClusterState, "_end", _repeats_lost)],
     "slow-elections": [
         (constants, "ELECTION_TIMEOUT", 15.0),
         (constants, "CHECK_QUORUM", 15.0),
-        (constants, "LEAD_LEASE", 15.0),
+        (constants, "LEADER_LEASE", 15.0),
     ],
     "amnesia": [(simulator.Simulator, "wipe", _keep_identity)],
     # No fault but a condition under which nothing may break: the log is compacted all the time.
@@ -225,8 +230,8 @@
         (constants, "SNAPSHOT_ENTRIES", 50),
         (constants, "SNAPSHOT_TAIL", 10),
         (constants, "FINISHED_LIVE", 5),
-        (constants, "SEGMENT_TICKETS", 4),
-        (constants, "SNAPSHOT_PIECE", 20_000),
+        (constants, "SEGMENT_JOBS", 4),
+        (constants, "SNAPSHOT_CHUNK", 20_000),
     ],
     "votes-twice": [(Consensus, "_on_vote", _votes_again), (constants, "ELECTION_JITTER", 0.01)],
 }
@@ -236,16 +241,16 @@
 def planted(name):
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
-        for owner, attribute, replacement in PLANTS[name] if name else ():
+        for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         if name:
             registries = [
                 (simulator.EFFECTS, "save", simulator.Simulator._save),
-                (cluster_state.ACTIONS, "cancel", Record._cancel),
+                (cluster_state.ACTIONS, "cancel", ClusterState._cancel),
             ]
             registries += [
                 (replica.HANDLERS, "vote", Consensus._on_vote),
-                (verge_core.INPUTS, "told", Verge._on_told),
+                (verge_core.INPUTS, "told", FrontDaemon._on_updates),
             ]
             for registry, key, value in registries:
                 stack.enter_context(mock.patch.dict(registry, {key: value}))
--- a/src/pinepitch/simulation/isolation/checks.py
+++ b/src/pinepitch/simulation/isolation/checks.py
@@ -2,8 +2,8 @@
 
 from ...common import constants
 
-ON_ITS_WAY = 0.1  # seconds; an answer that was written may be read this much later
-EFFECT_WITHIN = constants.CALL_PATIENCE + ON_ITS_WAY  # seconds; after it was sent an order may take effect
+IN_TRANSIT = 0.1  # seconds; an answer that was written may be read this much later
+EFFECT_WITHIN = constants.CALL_PATIENCE + IN_TRANSIT  # seconds; after it was sent an order may take effect
 NOT_TAKEN = (400, 412, 429, 503)  # statuses that say that an order was not and will not be taken
 
 
@@ -26,7 +26,7 @@
             continue
         if min(newer) < read.sent:
             faults.append(f"version {version} was read after a newer one was acknowledged")
-        most = ON_ITS_WAY if read.strict else EFFECT_WITHIN
+        most = IN_TRANSIT if read.strict else EFFECT_WITHIN
         if read.answered > min(newer) + most:
             late = read.answered - min(newer)
             faults.append(f"version {version} was handed out {late:.2f} s after a newer one was acknowledged")
--- a/src/pinepitch/simulation/isolation/fleet.py
+++ b/src/pinepitch/simulation/isolation/fleet.py
@@ -17,39 +17,39 @@
     def __init__(self, seed):
         self.holding, self.kept = False, []
         super().__init__(seed)
-        self.patron.rate = 0.5  # jobs are not what these trials are about
+        self.client_stand_in.rate = 0.5  # jobs are not what these trials are about
         self.operators = None
 
     def accords(self):
         return [node for node in self.nodes.values() if node.kind == "accord"]
 
-    def ask_once(self, node, call, arguments, told):
+    def ask_once(self, node, call, arguments, answered):
         """One call to one daemon, whose answer may take ANSWER_WITHIN."""
         self.request_count += 1
         number = self.request_count
-        self.requests[number] = ("call", "operator", 0, ("told", told), node.name)
+        self.requests[number] = ("call", "operator", 0, ("told", answered), node.name)
         self.at(ANSWER_WITHIN, "answer", number, 0, "null")
         plain = tuple(json.loads(json.dumps(arguments)))
         message = ("call", number, call, plain, constants.CALL_PATIENCE)
-        self.at(self.latency(), "give", node.name, node.life, message)
+        self.at(self.latency(), "give", node.name, node.incarnation, message)
 
     def carry_out(self, node, effect):
         """As ever, but for a frame into a cut while links hold back what they carry."""
         target = self.by_address.get(effect[1]) if effect[0] == "send" else None
-        if self.holding and target is not None and (node.name, target.name) in self.cuts:
+        if self.holding and target is not None and (node.name, target.name) in self.partitions:
             _, plain = framing.decode(framing.encode(node.address, effect[2])[framing.LENGTH.size :])
-            self.kept.append((target.name, target.life, tuple(plain)))
+            self.kept.append((target.name, target.incarnation, tuple(plain)))
             return
         super().carry_out(node, effect)
 
     def heal(self):
         super().heal()
         kept, self.kept = self.kept, []
-        for place, (name, life, message) in enumerate(kept):
-            self.at(self.latency() + place * 1e-5, "give", name, life, message)
+        for place, (name, incarnation, message) in enumerate(kept):
+            self.at(self.latency() + place * 1e-5, "give", name, incarnation, message)
 
     def begin(self):
         super().begin()
-        documents = {change.version: change.document for change in self.governor.changes}
+        documents = {change.version: change.document for change in self.operator_stand_in.changes}
         self.operators = Operators(self, documents)
         self.at(0.0, "later", self.operators.tick)
--- a/src/pinepitch/simulation/isolation/injected_faults.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -6,11 +6,11 @@
 from ...common import constants
 from ...consensus.leader_clock import LeaderClock, Reading
 from ...consensus.replica import Consensus
-from ...control.leader import Lead
+from ...control.leader import LeaderRole
 from ...runtime import stall_detector
 from ...scheduling.configuration import Configuration
 from ...transport import indexed_forwarder
-from ...transport.forwarder import Carrier
+from ...transport.forwarder import Forwarder
 
 
 def _never_in_doubt(self, call):
@@ -32,8 +32,8 @@
 def _carried_unconfirmed(self, request, call, arguments, now, patience):
     """Carries an order for a zone at once, as if the newest index of all had been confirmed."""
     if call in indexed_forwarder.CALLS:
-        arguments = (*arguments, constants.NUMBER_MOST)
-    return self.carrier.begin(request, call, arguments, now, patience)
+        arguments = (*arguments, constants.MAX_NUMBER)
+    return self.forwarder.begin(request, call, arguments, now, patience)
 
 
 def _refusing(take):
@@ -47,14 +47,14 @@
     return refusing
 
 
-original_given_up = Carrier._given_up
-UNCONFIRMED_ORDERS = (indexed_forwarder.ConfirmedCalls, "begin", _carried_unconfirmed)
+original_given_up = Forwarder._given_up
+UNCONFIRMED_ORDERS = (indexed_forwarder.IndexedForwarder, "begin", _carried_unconfirmed)
 # The registry of planted faults: name -> [(owner, attribute, replacement)].
-PLANTS = {
+INJECTED_FAULTS = {
     # What a late copy of an order for a zone would undo, its confirmed index keeps too: each of these
     # faults does harm only beside one that carries orders without that.
     "asks-without-end": [
-        (Lead, "_in_time", lambda self, end, now: True),
+        (LeaderRole, "_in_time", lambda self, end, now: True),
         UNCONFIRMED_ORDERS,
     ],
     "ends-on-own-clock": [
@@ -70,7 +70,7 @@
         (Consensus, "leased", lambda self, now: self.serving()),
         (constants, "CHECK_QUORUM", 15.0),
     ],
-    "doubt-unsaid": [(Carrier, "_given_up", _never_in_doubt)],
+    "doubt-unsaid": [(Forwarder, "_given_up", _never_in_doubt)],
     "refused-at-will": [(Configuration, "take", _refusing(Configuration.take))],
     "taken-forgotten": [(Configuration, "take", _forgetting(Configuration.take))],
 }
@@ -80,6 +80,6 @@
 def planted(name):
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
-        for owner, attribute, replacement in PLANTS[name] if name else ():
+        for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         yield
--- a/src/pinepitch/simulation/isolation/orders.py
+++ b/src/pinepitch/simulation/isolation/orders.py
@@ -83,7 +83,7 @@
         order = Order(call, subject, self.now(), **more)
         self.orders.append(order)
 
-        def told(status, document):
+        def on_answer(status, document):
             if status:
                 order.answered, order.status, order.document = self.now(), status, document
             if status == 200 and call == "configure":
@@ -91,7 +91,7 @@
             elif status == 200 and call == "configuration":
                 self.known = max(self.known, document["version"])
 
-        self.simulator.ask_once(node, call, arguments, told)
+        self.simulator.ask_once(node, call, arguments, on_answer)
         return order
 
     def look(self):
--- a/src/pinepitch/simulation/isolation/scenarios.py
+++ b/src/pinepitch/simulation/isolation/scenarios.py
@@ -7,11 +7,11 @@
     """(the accord, the verge beside it) that lose contact: the leader's with every other seed."""
     leader = simulator.leader()
     others = [node for node in simulator.accords() if node is not leader]
-    accord = leader if simulator.seed % 2 == 0 else simulator.draw.choice(others)
-    return accord, simulator.nodes[f"verge{simulator.seed % 3}"]
+    control_daemon = leader if simulator.seed % 2 == 0 else simulator.draw.choice(others)
+    return control_daemon, simulator.nodes[f"verge{simulator.seed % 3}"]
 
 
-def _cut(simulator, manner):
+def _partition(simulator, manner):
     machine = [node.name for node in _machine(simulator)]
     rest = [
         node.name
@@ -20,38 +20,41 @@
     ]
     simulator.holding = simulator.seed % 4 < 2
     if manner == "in":
-        simulator.cut(rest, machine, both=False)
+        simulator.partition(rest, machine, both=False)
     else:
-        simulator.cut(machine, rest, both=manner == "both")
+        simulator.partition(machine, rest, both=manner == "both")
     simulator.run(ISOLATED)
     simulator.heal()
 
 
-def cut_both(simulator):
+def partition_both(simulator):
     """No frame reaches the machine, none leaves it."""
-    _cut(simulator, "both")
+    _partition(simulator, "both")
 
 
-def cut_in(simulator):
+def partition_inbound(simulator):
     """No frame reaches the machine."""
-    _cut(simulator, "in")
+    _partition(simulator, "in")
 
 
-def cut_out(simulator):
+def partition_outbound(simulator):
     """No frame leaves the machine."""
-    _cut(simulator, "out")
+    _partition(simulator, "out")
 
 
 def seeds_swapped(simulator):
     """The machine is cut off, and all are told other seeds meanwhile: it just its own address and
     one where nobody is, the others one that is cut off."""
-    accord, verge = _machine(simulator)
-    seeds = {True: (accord.address, "10.9.9.9:7000"), False: (accord.address, simulator.accords()[0].address)}
+    control_daemon, front = _machine(simulator)
+    seeds = {
+        True: (control_daemon.address, "10.9.9.9:7000"),
+        False: (control_daemon.address, simulator.accords()[0].address),
+    }
     for node in simulator.nodes.values():
         if node.kind in ("accord", "verge"):
-            message = ("seeds", list(seeds[node in (accord, verge)]))
-            simulator.at(simulator.draw.uniform(1, 5), "give", node.name, node.life, message)
-    _cut(simulator, "both")
+            message = ("seeds", list(seeds[node in (control_daemon, front)]))
+            simulator.at(simulator.draw.uniform(1, 5), "give", node.name, node.incarnation, message)
+    _partition(simulator, "both")
 
 
 def frozen(simulator):
@@ -67,14 +70,14 @@
 def _stopped_before(simulator, wanted, seconds):
     """An accord is stopped just before it carries out an effect of one kind, three times."""
     for _ in range(3):
-        accord, _ = _machine(simulator)
-        accord.stops_at = wanted
-        simulator.operators.evacuate(accord)
-        simulator.operators.read(accord, strict=accord is simulator.leader())
+        control_daemon, _ = _machine(simulator)
+        control_daemon.stops_at = wanted
+        simulator.operators.evacuate(control_daemon)
+        simulator.operators.read(control_daemon, strict=control_daemon is simulator.leader())
         simulator.run(seconds)
-        accord.stops_at = None
-        if accord.frozen:
-            simulator.thaw(accord.name)
+        control_daemon.stops_at = None
+        if control_daemon.frozen:
+            simulator.thaw(control_daemon.name)
         simulator.run(2)
 
 
@@ -98,9 +101,9 @@
 
 # The registry of scenarios: name -> what it does to the fleet.
 SCENARIOS = {
-    "cut-both": cut_both,
-    "cut-in": cut_in,
-    "cut-out": cut_out,
+    "cut-both": partition_both,
+    "cut-in": partition_inbound,
+    "cut-out": partition_outbound,
     "seeds-swapped": seeds_swapped,
     "frozen": frozen,
     "stopped-at-write": stopped_at_write,
--- a/src/pinepitch/simulation/isolation/trials.py
+++ b/src/pinepitch/simulation/isolation/trials.py
@@ -38,11 +38,11 @@
         faults.extend(checks.changes_kept(simulator.operators.orders, final[0].document["version"]))
         faults.extend(checks.reads_fresh(simulator.operators.orders))
         faults.extend(checks.evacuations_kept(simulator.operators.orders))
-    history, patron = simulator.minion_history, simulator.patron
+    history, client = simulator.worker_history, simulator.client_stand_in
     for found in (
         job_checks.never_twice(history),
-        job_checks.attempts_kept(history, patron.jobs),
-        job_checks.told_truly(history, patron),
+        job_checks.attempts_kept(history, client.jobs),
+        job_checks.outcomes_true(history, client),
         simulator.agreement(),
     ):
         faults.extend(found)
--- a/src/pinepitch/simulation/jobs/checks.py
+++ b/src/pinepitch/simulation/jobs/checks.py
@@ -41,14 +41,14 @@
     """No task runs twice at once, none starts after a run of it ended done that was noted."""
     faults, last = [], {}
     noted = noted_ends(history)
-    for began, ended, _how, tenant, _identity, reference, run, _ in runs_of(history):
+    for began, ended, _how, worker, _identity, reference, run, _ in runs_of(history):
         for other in last.get(reference, ()):
             if other[0] is None or other[0] > began:
                 faults.append(
-                    f"{reference} run {run} started on {tenant} at {began:.3f} while run {other[1]} ran "
+                    f"{reference} run {run} started on {worker} at {began:.3f} while run {other[1]} ran "
                     f"on {other[2]}"
                 )
-        last.setdefault(reference, []).append((ended, run, tenant))
+        last.setdefault(reference, []).append((ended, run, worker))
         for over, ended_how, earlier in noted.get(reference, ()):
             if ended_how == "done" and over < began:
                 faults.append(
@@ -69,7 +69,7 @@
     for event in history:
         if event[0] == "end" and event[8]:
             texts.setdefault(event[8].rpartition(":")[0], set()).add(event[8])
-    for began, ended, _, tenant, identity, reference, run, event in runs:
+    for began, ended, _, worker, identity, reference, run, event in runs:
         job, time, number, index = reference.split(".")
         standing = jobs.get(job)
         if standing is None:
@@ -88,7 +88,7 @@
                 faults.append(f"{reference} started {due - began:.3f} s early")
         if event[9] != standing["document"]["spec"]:
             faults.append(f"{reference} was started with another text")
-        place = int(tenant[1:])
+        place = int(worker[1:])
         if step.get("needs") and step["needs"] != "ab"[place // 2 % 2]:
             faults.append(f"{reference} started where its label is missing")
         if standing["queue"] != ("bare" if place % 2 else "held"):
@@ -138,10 +138,11 @@
     faults = []
     for event in history:
         if event[0] == "start":
-            _, when, tenant, _, reference, run, _, room, _, _, used = event
-            if any(used[place] + room[place] > ROOM[place] for place in range(3)):
+            _, when, worker, _, reference, run, _, capacity, _, _, used = event
+            if any(used[place] + capacity[place] > ROOM[place] for place in range(3)):
                 faults.append(
-                    f"{reference} run {run} took {tenant} beyond its room at {when:.3f}: {used} and {room}"
+                    f"{reference} run {run} took {worker} beyond its room at {when:.3f}: "
+                    f"{used} and {capacity}"
                 )
     return faults
 
@@ -149,7 +150,7 @@
 def cancels_kept(history, jobs, running_most):
     """After a cancel nothing starts but from an answer under way, and nothing runs on for long."""
     faults = []
-    for began, ended, _, tenant, _, reference, run, _ in runs_of(history):
+    for began, ended, _, worker, _, reference, run, _ in runs_of(history):
         standing = jobs.get(reference.split(".")[0])
         if standing is None or standing["cancelled"] is None:
             continue
@@ -157,7 +158,7 @@
         if began > since + IN_FLIGHT:
             faults.append(f"{reference} run {run} started {began - since:.2f} s after its cancel")
         if ended is None or ended > max(began, since) + running_most:
-            faults.append(f"{reference} run {run} on {tenant} ran on after its cancel")
+            faults.append(f"{reference} run {run} on {worker} ran on after its cancel")
     return faults
 
 
@@ -179,9 +180,9 @@
     return faults
 
 
-def told_truly(history, patron):
+def outcomes_true(history, client):
     """What callers are told of jobs agrees with what ran."""
-    faults, done, failed = list(patron.faults), {}, {}
+    faults, done, failed = list(client.faults), {}, {}
     runs = runs_of(history)
     for _, ended, how, _, _, reference, run, _ in runs:
         job, time, number, index = reference.split(".")
@@ -191,12 +192,12 @@
         elif how == "failed":
             failed.setdefault((job, time, number), []).append((index, run))
     for _, _, _, _, _, reference, _, _ in runs:
-        standing = patron.jobs.get(reference.split(".")[0])
+        standing = client.jobs.get(reference.split(".")[0])
         if standing is not None and standing["refused"] is not None:
             faults.append(f"{reference} started, though its job was refused")
     finals = {}
-    for _, sent, answered, identity, status, state in sorted(patron.history, key=lambda one: one[2]):
-        standing = patron.jobs[identity]
+    for _, sent, answered, identity, status, state in sorted(client.history, key=lambda one: one[2]):
+        standing = client.jobs[identity]
         document = standing["document"]
         if status == 410:
             faults.append(f"{identity} is unknown {sent - standing['accepted']:.2f} s after it was accepted")
--- a/src/pinepitch/simulation/jobs/control_faults.py
+++ b/src/pinepitch/simulation/jobs/control_faults.py
@@ -20,13 +20,13 @@
     return [name for name, node in simulator.nodes.items() if node.kind == "verge"]
 
 
-def cut_off(simulator, names, manner):
+def partition_off(simulator, names, manner):
     """Cuts control daemons off from the others, silently; callers, tenants and fronts reach them still."""
     others = [name for name, node in simulator.nodes.items() if node.kind == "accord" and name not in names]
     if manner == INCOMING:
-        simulator.cut(others, names, both=False)
+        simulator.partition(others, names, both=False)
     else:
-        simulator.cut(names, others, both=manner == BOTH)
+        simulator.partition(names, others, both=manner == BOTH)
 
 
 def start_soon(simulator, names):
@@ -69,16 +69,16 @@
     return fresh()[0][2] if fresh() else None
 
 
-def name_seeds(simulator, first=(), told=()):
+def name_seeds(simulator, first=(), informed=()):
     """The settings name other contact points, `first` ahead; those of `told` read them again now."""
     live = [simulator.nodes[name].address for name in control_names(simulator)]
     ahead = [simulator.nodes[name].address for name in first]
     others = [one for one in live if one not in ahead]
     simulator.seeds = [*ahead, *simulator.draw.sample(others, len(others))][: constants.SEEDS]
-    for name in told:
+    for name in informed:
         node = simulator.nodes[name]
         if node.core is not None:
-            simulator.at(0.0, "give", name, node.life, ("seeds", tuple(simulator.seeds)))
+            simulator.at(0.0, "give", name, node.incarnation, ("seeds", tuple(simulator.seeds)))
 
 
 def publish_list(simulator):
@@ -86,17 +86,17 @@
     addresses = [simulator.nodes[name].address for name in control_names(simulator)]
     for node in simulator.nodes.values():
         if node.kind == "minion":
-            node.core.accords = addresses
+            node.core.control_daemons = addresses
 
 
-def add_control(simulator, area):
+def add_control(simulator, zone):
     """Starts an empty control daemon at a new address; its node. Its contact points are as the platform
     names them then: should all of those named before be gone, others are."""
     live = {simulator.nodes[name].address for name in control_names(simulator)}
     if not live & set(simulator.seeds):
         name_seeds(simulator)
     number = next(one for one in itertools.count() if f"fresh{one}" not in simulator.nodes)
-    node = simulator.add(f"fresh{number}", "accord", area)
+    node = simulator.add(f"fresh{number}", "accord", zone)
     simulator.start(node.name)
     publish_list(simulator)
     return node
@@ -112,17 +112,17 @@
 
 def replace(simulator, name, after=1.0):
     """A control daemon is gone for good; an empty one comes at another address. The new one's node."""
-    area = simulator.nodes[name].area
+    zone = simulator.nodes[name].zone
     retire(simulator, name)
     simulator.run(after)
-    return add_control(simulator, area)
+    return add_control(simulator, zone)
 
 
 def replace_planned(simulator, name, after=1.0):
     """An empty control daemon comes first, then the old one gets SIGTERM and ends in its grace.
     Returns the new one's node as soon as neither counts as lost any more."""
     begun = simulator.now
-    fresh = add_control(simulator, simulator.nodes[name].area)
+    fresh = add_control(simulator, simulator.nodes[name].zone)
     simulator.run(after)
     terminate(simulator, name)
     retire(simulator, name)
--- a/src/pinepitch/simulation/jobs/control_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/control_injected_faults.py
@@ -1,23 +1,23 @@
 """Planted faults of the control daemons: each must be found by a fault scenario of theirs."""
 
 from ...common import constants
-from ...consensus.cluster_clock import CohortTime
-from ...consensus.quorum import Cohort
-from ...control.daemon import Accord
+from ...consensus.cluster_clock import ClusterClock
+from ...consensus.quorum import Membership
+from ...control.daemon import ControlDaemon
 from ...scheduling.configuration import Configuration
-from ...scheduling.leased_job_state import Board
+from ...scheduling.leased_job_state import LeasedJobState
 from ..simulator import Simulator
 
 
 def _saved_early(self, node, sequence, change):
     """Says that a save is durable before it is."""
     original_save(self, node, sequence, change)
-    self.at(0.0, "give", node.name, node.life, ("saved", sequence))
+    self.at(0.0, "give", node.name, node.incarnation, ("saved", sequence))
 
 
-def _durable_when_full(self, node, what, job, life):
+def _durable_when_full(self, node, what, job, incarnation):
     """Says that a save is durable though the disk took nothing of it."""
-    return node.disk.full or original_durable(self, node, what, job, life)
+    return node.disk.full or original_durable(self, node, what, job, incarnation)
 
 
 def _sent_again_unknown(self, base, document, digest):
@@ -37,9 +37,11 @@
     return now + offset
 
 
-def _no_admission(self, identity, area, members, *rest):
+def _no_admission(self, identity, zone_name, members, *rest):
     """Never lets a newcomer in once the cohort is whole."""
-    return None if len(members) >= self.voters else original_admission(self, identity, area, members, *rest)
+    return (
+        None if len(members) >= self.voters else original_admission(self, identity, zone_name, members, *rest)
+    )
 
 
 def _begun_again(self, now, zone, begun, *rest):
@@ -49,17 +51,17 @@
 
 original_save, original_durable = Simulator._save, Simulator._durable
 original_take, original_amend = Configuration.take, Configuration.amend
-original_admission, original_evacuate = Accord._admission, Board.evacuate
-CONTROL_PLANTS = {
-    "committed-alone": [(Cohort, "commits", lambda self, identities, leader: leader in identities)],
+original_admission, original_evacuate = ControlDaemon._admission, LeasedJobState.evacuate
+CONTROL_INJECTED_FAULTS = {
+    "committed-alone": [(Membership, "commits", lambda self, identities, leader: leader in identities)],
     "saved-early": [(Simulator, "_save", _saved_early)],
     "durable-when-full": [(Simulator, "_durable", _durable_when_full)],
     "versions-forgotten": [
         (Configuration, "take", _sent_again_unknown),
         (Configuration, "amend", _amended_again_unknown),
     ],
-    "clock-of-its-own": [(CohortTime, "read", _own_clock)],
-    "never-admitted": [(Accord, "_admission", _no_admission)],
+    "clock-of-its-own": [(ClusterClock, "read", _own_clock)],
+    "never-admitted": [(ControlDaemon, "_admission", _no_admission)],
     "elections-slow": [(constants, "ELECTION_TIMEOUT", 15.0), (constants, "CHECK_QUORUM", 15.0)],
-    "evacuation-endless": [(Board, "evacuate", _begun_again)],
+    "evacuation-endless": [(LeasedJobState, "evacuate", _begun_again)],
 }
--- a/src/pinepitch/simulation/jobs/control_scenarios.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios.py
@@ -8,7 +8,7 @@
 from .plans import LEADER_PART, tolerated
 from .scenarios import JOINS_WITHIN, is_member, tenant_names
 
-CUT_LASTS = 20.0  # seconds; of a control daemon cut off from the others
+PARTITION_LASTS = 20.0  # seconds; of a control daemon cut off from the others
 CLIENT_CALLS = ("job",)
 ORDER_CALLS = ("configure", "amend", "evacuate")
 MANY_CHANGES = 200  # in one run
@@ -17,39 +17,39 @@
 SLOW_MACHINE = (0.02, 0.15)  # seconds; that a slow machine takes longer for whatever it does
 
 
-def _whole(simulator):
+def _complete(simulator):
     """Whether every member runs, as the leader knows the members, and no change of them is under way."""
     leader = simulator.leader()
-    if leader is None or leader.core.consensus.cohort.coming is not None:
+    if leader is None or leader.core.consensus.membership.coming is not None:
         return False
     running = {simulator.nodes[name].core.identity for name in faults.control_names(simulator)}
-    return set(leader.core.consensus.cohort.members()) <= running
+    return set(leader.core.consensus.membership.members()) <= running
 
 
-def _expect_whole(simulator, why):
+def _expect_complete(simulator, why):
     """Ends the trial unless the seats of lost daemons are taken by running ones in time."""
-    if simulator.until(functools.partial(_whole, simulator), JOINS_WITHIN) is None:
+    if simulator.until(functools.partial(_complete, simulator), JOINS_WITHIN) is None:
         raise AssertionError(f"a seat was left to a lost daemon {why}")
 
 
 # --- cuts -------------------------------------------------------------------------------------
-def _cut(simulator, more):
+def _partition(simulator, more):
     names = tolerated(simulator.plan, simulator)
     manner = simulator.draw.choice((faults.BOTH, faults.BOTH, faults.OUTGOING, faults.INCOMING))
-    faults.cut_off(simulator, names, manner)
+    faults.partition_off(simulator, names, manner)
     if simulator.draw.random() < 0.5:  # some tenants reach only those that are cut off
         others = [one for one in faults.control_names(simulator) if one not in names]
-        simulator.cut(simulator.draw.sample(tenant_names(simulator), 2), others)
+        simulator.partition(simulator.draw.sample(tenant_names(simulator), 2), others)
     more(simulator, names)
     simulator.served(f"while {', '.join(names)} were cut off ({manner})")
-    simulator.run(CUT_LASTS - simulator.draw.uniform(0, 8))
+    simulator.run(PARTITION_LASTS - simulator.draw.uniform(0, 8))
     simulator.heal()
     simulator.run(faults.CATCH_UP)
 
 
-def control_cut(simulator):
+def control_partitioned(simulator):
     """Control daemons are cut off from the others for 20 s, both ways or one way, the leader often."""
-    _cut(simulator, lambda *_: None)
+    _partition(simulator, lambda *_: None)
 
 
 def _seeds_and_restart(simulator, names):
@@ -61,9 +61,9 @@
     faults.start_soon(simulator, faults.front_names(simulator))
 
 
-def control_cut_seeds(simulator):
+def control_partitioned_seeds(simulator):
     """The same, while the settings name those that are cut off as contact points and fronts restart."""
-    _cut(simulator, _seeds_and_restart)
+    _partition(simulator, _seeds_and_restart)
 
 
 def _restart_each(simulator, names):
@@ -77,20 +77,20 @@
         faults.start_soon(simulator, [name])
 
 
-def control_cut_restart(simulator):
+def control_partitioned_restart(simulator):
     """The same, while all are restarted, those that are cut off first."""
-    _cut(simulator, _restart_each)
+    _partition(simulator, _restart_each)
 
 
-def zone_cut(simulator):
+def zone_partitioned(simulator):
     """A zone is cut off from the others, the leader's often; callers reach it still."""
     leader = simulator.leader()
     zone = simulator.draw.choice(sorted(set(simulator.plan.areas)))
     if leader is not None and simulator.draw.random() < LEADER_PART:
-        zone = leader.area
-    inside = [name for name, node in simulator.nodes.items() if node.area == zone]
-    outside = [name for name, node in simulator.nodes.items() if node.area != zone]
-    simulator.cut(inside, outside)
+        zone = leader.zone
+    inside = [name for name, node in simulator.nodes.items() if node.zone == zone]
+    outside = [name for name, node in simulator.nodes.items() if node.zone != zone]
+    simulator.partition(inside, outside)
     simulator.run(simulator.draw.uniform(4, 14))
     simulator.heal()
     simulator.run(faults.CATCH_UP)
@@ -133,7 +133,7 @@
 
 
 # --- losses right after a promise --------------------------------------------------------------
-def _strike_after_promise(simulator, strike):
+def _strike_after_acknowledgement(simulator, strike):
     """Strikes right after an acknowledgement, or some time after an order was sent."""
     if simulator.draw.random() < 0.3:
         simulator.orders.change()
@@ -150,30 +150,30 @@
     return names
 
 
-def killed_after_promise(simulator):
+def killed_after_acknowledgement(simulator):
     """Those that have just acknowledged something lose power, as many as may be lost; all are back
     within some seconds."""
     for _ in range(3):
-        names = _strike_after_promise(simulator, faults.lose_power)
+        names = _strike_after_acknowledgement(simulator, faults.lose_power)
         simulator.served(f"while {', '.join(names)} were down")
         faults.start_soon(simulator, names)
         simulator.run(faults.CATCH_UP)
 
 
-def wiped_after_promise(simulator):
+def wiped_after_acknowledgement(simulator):
     """Those that have just acknowledged something lose their disks, as many as may be lost, while
     at times all others, whose disks may be slow, lose power too."""
     for turn in range(2):
         _slow_some_disks(simulator)
-        names = _strike_after_promise(simulator, faults.wipe)
+        names = _strike_after_acknowledgement(simulator, faults.wipe)
         if turn or simulator.draw.random() < 0.5:
             faults.lose_power(simulator, faults.control_names(simulator))
-        _mend_disks(simulator)
+        _repair_disks(simulator)
         simulator.run(simulator.draw.choice((0.0, 0.5, 2.0)))
         every = [name for name, node in simulator.nodes.items() if node.kind == "accord"]
         faults.start_soon(simulator, every)
         simulator.served(f"after {', '.join(names)} had lost their disks")
-        _expect_whole(simulator, f"after {', '.join(names)} had lost their disks")
+        _expect_complete(simulator, f"after {', '.join(names)} had lost their disks")
         simulator.run(faults.CATCH_UP)
 
 
@@ -182,7 +182,7 @@
         simulator.nodes[name].disk.slow = simulator.draw.choice((1.0, SLOW_DISK))
 
 
-def _mend_disks(simulator):
+def _repair_disks(simulator):
     for node in simulator.nodes.values():
         if node.disk is not None:
             node.disk.slow, node.disk.stalled, node.disk.full = 1.0, False, False
@@ -198,7 +198,7 @@
         every = [name for name, node in simulator.nodes.items() if node.kind in ("accord", "verge")]
         faults.lose_power(simulator, every)
         simulator.run(simulator.draw.choice((0.1, 1.5, 5.0)))
-        _mend_disks(simulator)
+        _repair_disks(simulator)
         faults.start_soon(simulator, every)
         if simulator.draw.random() < 0.7:
             simulator.served("after all had lost power")
@@ -210,7 +210,7 @@
     for _ in range(2):
         zone = simulator.draw.choice(sorted(set(simulator.plan.areas)))
         names = [
-            name for name, node in simulator.nodes.items() if node.area == zone and node.kind != "retired"
+            name for name, node in simulator.nodes.items() if node.zone == zone and node.kind != "retired"
         ]
         counted = [name for name in names if simulator.nodes[name].kind == "accord"]
         for name in names:
@@ -241,7 +241,7 @@
         if simulator.draw.random() < 0.4:
             faults.lose_power(simulator, names)
             faults.start_soon(simulator, names)
-        _mend_disks(simulator)
+        _repair_disks(simulator)
         simulator.run(faults.CATCH_UP)
 
 
@@ -294,8 +294,8 @@
     """The settings name other contact points, machines read them again or restart with them."""
     for _ in range(4):
         names = [name for name, node in simulator.nodes.items() if node.kind in ("accord", "verge")]
-        told = simulator.draw.sample(names, max(1, len(names) // 3))
-        faults.name_seeds(simulator, simulator.draw.sample(faults.control_names(simulator), 1), told)
+        informed = simulator.draw.sample(names, max(1, len(names) // 3))
+        faults.name_seeds(simulator, simulator.draw.sample(faults.control_names(simulator), 1), informed)
         simulator.run(simulator.draw.uniform(0.1, 1))
         name = simulator.draw.choice(faults.control_names(simulator))
         faults.terminate(simulator, name)
@@ -312,15 +312,15 @@
     )
 
 
-def _snapshot_under_way(simulator, node):
+def _snapshot_in_transit(simulator, node):
     leader = simulator.leader()
     follower = leader.core.consensus.followers.get(node.core.identity) if leader and node.core else None
-    return follower is not None and follower.transfer is not None and follower.transfer.whole is not None
+    return follower is not None and follower.transfer is not None and follower.transfer.payload is not None
 
 
 def _change_begun(simulator, node):
     leader = simulator.leader()
-    return leader is not None and leader.core.consensus.cohort.coming is not None
+    return leader is not None and leader.core.consensus.membership.coming is not None
 
 
 def _change_committed(simulator, node):
@@ -329,7 +329,7 @@
     if leader is None:
         return False
     consensus = leader.core.consensus
-    return consensus.cohort.coming is None and consensus.cohort_index > consensus.commit
+    return consensus.membership.coming is None and consensus.membership_index > consensus.commit
 
 
 def _admitted(simulator, node):
@@ -338,7 +338,7 @@
 
 REPAIR_STEPS = {
     "asked to join": _asked_to_join,
-    "a snapshot is under way": _snapshot_under_way,
+    "a snapshot is under way": _snapshot_in_transit,
     "the change of members has begun": _change_begun,
     "the joint list is committed": _change_committed,
     "the newcomer is a member": _admitted,
@@ -358,7 +358,7 @@
     name = simulator.draw.choice([one for one in victims if one in names] or names)
     manner = simulator.draw.choice(("power", "cut", "wipe" if simulator.plan.machines_lost > 1 else "power"))
     if manner == "cut":
-        faults.cut_off(
+        faults.partition_off(
             simulator, [name], simulator.draw.choice((faults.BOTH, faults.OUTGOING, faults.INCOMING))
         )
         simulator.run(simulator.draw.uniform(0.5, 6))
@@ -383,7 +383,7 @@
             node = faults.replace(simulator, victim)
         _lose_second(simulator, step, node)
         simulator.served(f"after a loss as {step}", within=JOINS_WITHIN)
-        _expect_whole(simulator, f"after a loss as {step}")
+        _expect_complete(simulator, f"after a loss as {step}")
         simulator.run(faults.CATCH_UP)
 
 
@@ -399,7 +399,7 @@
         if simulator.draw.random() < 0.3:
             faults.name_seeds(simulator, [last], faults.front_names(simulator))
     simulator.served("after six replacements")
-    _expect_whole(simulator, "after six replacements")
+    _expect_complete(simulator, "after six replacements")
 
 
 def replacement_planned(simulator):
@@ -461,13 +461,13 @@
         )
 
 
-def _tenant_killed(simulator):
+def _worker_killed(simulator):
     name = simulator.draw.choice(tenant_names(simulator))
     simulator.kill(name)
-    simulator.at(simulator.draw.uniform(0.1, 2), "later", functools.partial(_tenant_back, simulator, name))
+    simulator.at(simulator.draw.uniform(0.1, 2), "later", functools.partial(_worker_back, simulator, name))
 
 
-def _tenant_back(simulator, name):
+def _worker_back(simulator, name):
     if simulator.nodes[name].down:
         simulator.start(name)
 
@@ -492,7 +492,7 @@
     simulator.acknowledgement_loss = simulator.draw.choice((0.0, 0.3, 0.7))
 
 
-BESIDE = (_front_killed, _tenant_killed, _front_clock, _some_resets, _settings, _losses)
+BESIDE = (_front_killed, _worker_killed, _front_clock, _some_resets, _settings, _losses)
 BESIDE_EVERY = 1.5  # seconds; about, between two small faults beside the others
 
 
@@ -512,11 +512,11 @@
 
 
 MIXABLE = (
-    control_cut,
-    control_cut_seeds,
-    zone_cut,
-    killed_after_promise,
-    wiped_after_promise,
+    control_partitioned,
+    control_partitioned_seeds,
+    zone_partitioned,
+    killed_after_acknowledgement,
+    wiped_after_acknowledgement,
     herd_killed,
     disks_bad,
     machines_slow,
@@ -525,14 +525,14 @@
     replacement_chain,
 )
 CONTROL_SCENARIOS = {
-    "control-cut": control_cut,
-    "control-cut-seeds": control_cut_seeds,
-    "control-cut-restart": control_cut_restart,
-    "zone-cut": zone_cut,
+    "control-cut": control_partitioned,
+    "control-cut-seeds": control_partitioned_seeds,
+    "control-cut-restart": control_partitioned_restart,
+    "zone-cut": zone_partitioned,
     "acknowledgements-lost": acknowledgements_lost,
     "connections-reset": connections_reset,
-    "killed-after-promise": killed_after_promise,
-    "wiped-after-promise": wiped_after_promise,
+    "killed-after-promise": killed_after_acknowledgement,
+    "wiped-after-promise": wiped_after_acknowledgement,
     "herd-killed": herd_killed,
     "zone-lost": zone_lost,
     "disks-bad": disks_bad,
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -4,15 +4,15 @@
 import json
 
 from ...common import constants, events
-from ...scheduling.leased_job_state import Board
+from ...scheduling.leased_job_state import LeasedJobState
 from .. import simulator as simulators
 from ..simulator import START, Simulator
-from ..stand_in_lease_worker import StandInTenant
+from ..stand_in_lease_worker import StandInLeaseWorker
 from .limits import BEAT_PATIENCE, ENDS_WITHIN, FIVE, ROOM, SERVED_WITHIN, TENANTS, THREE, TIMEOUT
 from .operator_traffic import OperatorTraffic
 from .plans import FleetPlan
-from .stand_in_client import Patron
-from .stand_in_operator import Governor
+from .stand_in_client import StandInClient
+from .stand_in_operator import StandInOperator
 
 ACKNOWLEDGED = ("job", "job-cancel", "configure", "amend", "evacuate")  # calls whose answer is a promise
 
@@ -22,7 +22,9 @@
     at verges; answers get lost or late by chance as answer_loss, answer_late and beat_late say."""
 
     def __init__(self, seed, plan=None):
-        self.plan = plan or FleetPlan(FIVE if seed % 3 == 0 else THREE, "static", constants.FOUNDERS, 1)
+        self.plan = plan or FleetPlan(
+            FIVE if seed % 3 == 0 else THREE, "static", constants.BOOTSTRAP_MEMBERS, 1
+        )
         self.gangs = {}
         self.answer_loss = self.late_part = 0.0  # parts; of answers lost, of beats and answers late
         self.late_most = 0.0  # seconds
@@ -32,30 +34,30 @@
         super().__init__(
             seed,
             self.plan.areas,
-            minions=(("w", TENANTS, ROOM, (), True),),
-            founders=constants.FOUNDERS if self.plan.mode == "single" else len(self.plan.areas),
+            workers=(("w", TENANTS, ROOM, (), True),),
+            founders=constants.BOOTSTRAP_MEMBERS if self.plan.mode == "single" else len(self.plan.areas),
             mode=self.plan.mode,
             kinds={"minion": self._tenant},
         )
-        self.patron = Patron(seed)
-        self.governor = Governor(self)
+        self.client_stand_in = StandInClient(seed)
+        self.operator_stand_in = StandInOperator(self)
         self.orders = OperatorTraffic(self)
 
-    def _tenant(self, name, zone, address, room, labels, guards, seed, history):
+    def _tenant(self, name, zone, address, capacity, labels, guards, seed, history):
         place = int(name[1:])
         guards = place % 2 == 0
-        accords = [node.address for node in self.nodes.values() if node.kind == "accord"]
-        return StandInTenant(
+        control_daemons = [node.address for node in self.nodes.values() if node.kind == "accord"]
+        return StandInLeaseWorker(
             name,
             zone,
             address,
-            room,
+            capacity,
             ["ab"[place // 2 % 2], f"r1-{place % 3}"],
             guards,
             seed,
             history,
             "held" if guards else "bare",
-            accords,
+            control_daemons,
             self.gangs,
         )
 
@@ -65,23 +67,23 @@
         node = self.nodes[name]
         if node.kind == "accord":
             node.core.voters = self.plan.voters
-            node.core.may_found = self.now == 0.0
+            node.core.may_bootstrap = self.now == 0.0
             if self.plan.mode == "single":
-                node.core.found_among = tuple(self.seeds)
+                node.core.bootstrap_among = tuple(self.seeds)
 
     # --- calls ------------------------------------------------------------------------
-    def _sent(self, source, life, node, call, arguments, patience, told, late=0.0):
+    def _sent(self, source, incarnation, node, call, arguments, patience, answered, late=0.0):
         """A call to one daemon; told(status, document) comes back, or (0, None) in the end."""
 
         def heard(status, document):
             if status == 200 and call in ACKNOWLEDGED:
                 self.acknowledgements.append((self.now, call, node.name))
-            told(status, document)
+            answered(status, document)
 
         self.request_count += 1
         number = self.request_count
-        self.requests[number] = ("call", source, life, ("told", heard), node.name)
-        if node.core is None and (source, node.name) not in self.cuts:
+        self.requests[number] = ("call", source, incarnation, ("told", heard), node.name)
+        if node.core is None and (source, node.name) not in self.partitions:
             self.at(0.01, "answer", number, 0, "null")
             return
         self.at(TIMEOUT + late, "answer", number, 0, "null")
@@ -91,29 +93,29 @@
                 self.latency() + late,
                 "give",
                 node.name,
-                node.life,
+                node.incarnation,
                 ("call", number, call, tuple(plain), patience),
             )
 
     def _lateness(self):
         return self.draw.uniform(0, self.late_most) if self.draw.random() < self.late_part else 0.0
 
-    def _minion_effects(self, node, effects, message):
+    def _worker_effects(self, node, effects, message):
         for effect in effects:
             target = self.by_address[effect[1]]
             if effect[0] == "leave":
                 self._sent(
                     node.name,
-                    node.life,
+                    node.incarnation,
                     target,
                     "beat-leave",
                     (effect[2],),
                     BEAT_PATIENCE,
-                    lambda *told: None,
+                    lambda *answered: None,
                 )
                 node.down = True
-                node.life += 1
-                self._goes(node.name)
+                node.incarnation += 1
+                self._mark_absent(node.name)
                 continue
             _, _, number, identity, document = effect
             if node.name in self.under_way:
@@ -121,42 +123,44 @@
                 continue
             self._sent(
                 node.name,
-                node.life,
+                node.incarnation,
                 target,
                 "beat",
                 (identity, document),
                 BEAT_PATIENCE,
-                self._beat_told(node, node.life, number),
+                self._heartbeat_answered(node, node.incarnation, number),
                 self._lateness(),
             )
 
     def arrive(self, target, identity, document):
         """A beat that was under way for long, whose sender waits for no answer any more."""
-        self._sent("late", 0, target, "beat", (identity, document), BEAT_PATIENCE, lambda *told: None)
+        self._sent("late", 0, target, "beat", (identity, document), BEAT_PATIENCE, lambda *answered: None)
 
-    def _beat_told(self, node, life, number):
+    def _heartbeat_answered(self, node, incarnation, number):
         """What brings a beat's answer back, late or never by chance."""
 
-        def told(status, document):
+        def answered(status, document):
             if self.draw.random() >= self.answer_loss and (status or document is None):
                 late = self._lateness()
-                if status or not (late or node.life != life):
-                    self.at(late, "give", node.name, life, ("told", number, status, document or {}))
+                if status or not (late or node.incarnation != incarnation):
+                    self.at(late, "give", node.name, incarnation, ("told", number, status, document or {}))
 
-        return told
+        return answered
 
-    def _caller_calls(self, name, effects):
+    def _send_client_calls(self, name, effects):
         for _, draw, call, arguments, tag in effects:
-            verges = [node for node in self.nodes.values() if node.kind == "verge"]
+            fronts = [node for node in self.nodes.values() if node.kind == "verge"]
 
-            def told(status, document, tag=tag):
+            def answered(status, document, tag=tag):
                 if self.draw.random() < self.answer_loss:
                     status, document = 0, None
-                self._caller_calls(
-                    name, self.patron.step(("answered", tag, status, document), START + self.now)
+                self._send_client_calls(
+                    name, self.client_stand_in.step(("answered", tag, status, document), START + self.now)
                 )
 
-            self._sent(name, 0, verges[draw % len(verges)], call, arguments, constants.CALL_PATIENCE, told)
+            self._sent(
+                name, 0, fronts[draw % len(fronts)], call, arguments, constants.CALL_PATIENCE, answered
+            )
 
     def persist_call(self, kind, call, arguments, decided, seconds):
         """An operator's call, sent again unchanged to one daemon after another until it is clearly
@@ -173,10 +177,10 @@
                     call,
                     arguments,
                     constants.CALL_PATIENCE,
-                    told,
+                    answered,
                 )
 
-        def told(status, document):
+        def answered(status, document):
             if self.draw.random() < max(self.answer_loss, self.acknowledgement_loss):
                 status = 0
             if status in (0, 408, 429) or status >= 500:
@@ -195,24 +199,28 @@
             raise AssertionError("no leader within 30 s")
         if self.plan.mode == "single" and self.until(self._grown, 30) is None:
             raise AssertionError(f"fewer than {self.plan.voters} members within 30 s")
-        self.governor.found()
-        self.callers["patron"] = self.patron
+        self.operator_stand_in.found()
+        self.callers["patron"] = self.client_stand_in
         self.at(0.0, "caller", "patron")
 
     def _grown(self):
         """Whether as many are members as are wanted, with no change of members under way."""
         leader = self.leader()
-        cohort = leader.core.consensus.cohort if leader is not None else None
-        return cohort is not None and cohort.coming is None and len(cohort.now.members) >= self.plan.voters
+        membership = leader.core.consensus.membership if leader is not None else None
+        return (
+            membership is not None
+            and membership.coming is None
+            and len(membership.now.members) >= self.plan.voters
+        )
 
     def quiet(self):
-        return self.patron.quiet()
+        return self.client_stand_in.quiet()
 
     def finish(self, seconds=ENDS_WITHIN):
         self.answer_loss = self.late_part = self.late_most = self.acknowledgement_loss = 0.0
-        for span in self.governor.spans:
+        for span in self.operator_stand_in.spans:
             if span[2] is None:
-                self.governor.restore(span)
+                self.operator_stand_in.restore(span)
         for node in self.nodes.values():
             if node.kind == "minion" and node.core.state == "draining" and not node.down:
                 self.until(lambda node=node: node.down, 10)
@@ -223,48 +231,50 @@
         begun = START + self.now
         if (
             self.until(
-                lambda: any(job["sent"] >= begun and job["accepted"] for job in self.patron.jobs.values()),
+                lambda: any(
+                    job["sent"] >= begun and job["accepted"] for job in self.client_stand_in.jobs.values()
+                ),
                 within,
             )
             is None
         ):
-            self.governor.faults.append(f"no job was taken within {within:.0f} s {why}")
+            self.operator_stand_in.faults.append(f"no job was taken within {within:.0f} s {why}")
 
     def agreement(self):
         """Beside the record, the boards: alike where as much is applied, and as their image says; and
         the invariants of placing, which each accord checks itself."""
-        faults, boards = super().agreement(), {}
+        faults, leased_jobs_of = super().agreement(), {}
         for node in self.nodes.values():
             if node.kind != "accord" or node.core is None or node.core.consensus is None:
                 continue
             broken = node.core.event_counts.get(events.PLACING_VIOLATED, 0)
             if broken:
                 faults.append(f"{node.name} found invariants of placing broken {broken} times")
-            board, index = node.core.record.board, node.core.record.index
+            leased_jobs, index = node.core.cluster_state.leased_jobs, node.core.cluster_state.index
             image = json.dumps(
-                board.image()
+                leased_jobs.image()
             )  # an entry of one's own holds tuples where one that came holds lists
-            if boards.setdefault(index, image) != image:
+            if leased_jobs_of.setdefault(index, image) != image:
                 faults.append(f"the board of {node.name} differs at {index}")
-            again = Board.from_image(json.loads(image))
+            again = LeasedJobState.from_image(json.loads(image))
             for name, derived in (
                 ("ready", lambda one: set(one.ready)),
                 ("counts", _counted),
                 ("waves", _waves),
             ):
-                if derived(board) != derived(again):
+                if derived(leased_jobs) != derived(again):
                     faults.append(f"at {node.name} {name} of the board drifted")
         return faults
 
 
-def _counted(board):
-    return {queue: count for queue, count in board.counts.items() if count}
+def _counted(leased_jobs):
+    return {queue: count for queue, count in leased_jobs.counts.items() if count}
 
 
-def _waves(board):
+def _waves(leased_jobs):
     return {
         wave.key(): (wave.blocked, wave.left, tuple(sorted(wave.waiting)))
-        for job in board.jobs.values()
+        for job in leased_jobs.jobs.values()
         for wave in job.waves.values()
     }
 
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -6,24 +6,24 @@
 
 from ...common import constants
 from ...consensus.replica import Consensus
-from ...control.leader import Lead
+from ...control.leader import LeaderRole
 from ...scheduling import assigner
-from ...scheduling.assignment_manager import Keeper
-from ...scheduling.leased_job_state import Board
+from ...scheduling.assignment_manager import AssignmentManager
+from ...scheduling.leased_job_state import LeasedJobState
 from ...scheduling.worker import Worker
-from ...transport.forwarder import Carrier
+from ...transport.forwarder import Forwarder
 from .. import order_injected_faults
 from ..simulator import EFFECTS, Simulator
-from .control_injected_faults import CONTROL_PLANTS
+from .control_injected_faults import CONTROL_INJECTED_FAULTS
 
 
 def _absent_at_once(self, worker, now):
     """Takes what is missing in a beat for a proof, whoever gave the start and however old the beat."""
-    for (reference, run), placement in self.board.placements.get(worker.identity, {}).items():
+    for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
         if (reference, run) not in worker.running and (reference, run) not in worker.listed:
             if (
                 placement.epoch != self.core.epoch
-                or not self.board.wanted(placement)
+                or not self.leased_jobs.wanted(placement)
                 or not self._open_for(worker)
             ):
                 self.ends.propose(worker.identity, reference, run, "unsent", "", False)
@@ -36,17 +36,17 @@
     def proposed(operation, waiting, when):
         if operation[0] == "job-assign":
             for identity, time, number, group in operation[2]:
-                wave = self.board.jobs[identity].waves[(time, number)]
+                wave = self.leased_jobs.jobs[identity].waves[(time, number)]
                 run = max(task.run for task in wave.tasks) + 1
-                for index, minion in group:
+                for index, worker_name in group:
                     task = wave.tasks[index]
-                    told = (
+                    answer = (
                         wave.reference(index),
                         run if wave.step.gang else task.run + 1,
                         wave.job.spec,
                         task.saved,
                     )
-                    self.__dict__.setdefault("told_early", {}).setdefault(minion, []).append(told)
+                    self.__dict__.setdefault("told_early", {}).setdefault(worker_name, []).append(answer)
         propose(operation, waiting, when)
 
     with mock.patch.object(self.core, "propose", proposed):
@@ -55,9 +55,9 @@
 
 
 def _orders_early(self, worker, taken, now):
-    told = original_orders(self, worker, taken, now)
+    answer = original_orders(self, worker, taken, now)
     more = self.__dict__.get("told_early", {}).pop(worker.identity, ())
-    return {**told, "start": (*told["start"], *(one for one in more if one not in told["start"]))}
+    return {**answer, "start": (*answer["start"], *(one for one in more if one not in answer["start"]))}
 
 
 def _failures_forgotten(self, now, placement, reference, run, how, saved, heard):
@@ -66,22 +66,24 @@
     )
 
 
-def _always_ready(self, beat, now):
+def _always_ready(self, heartbeat, now):
     """Reads no beat that says "draining"."""
-    return original_beat(self, {**beat, "state": "ready", "leaves_ms": None}, now)
+    return original_heartbeat(self, {**heartbeat, "state": "ready", "leaves_ms": None}, now)
 
 
-def _told_levels_alone(self):
-    return min((self.told_levels.get(one, 1) for one in self.consensus.cohort.members()), default=1)
+def _notified_levels_alone(self):
+    return min((self.advertised_levels.get(one, 1) for one in self.consensus.membership.members()), default=1)
 
 
-def _room_twice(board, workers, now):
+def _capacity_twice(leased_jobs, workers, now):
     """Gives the room of runs that are to end away before they have ended."""
-    seats = original_seats(board, workers, now)
+    seats = original_seats(leased_jobs, workers, now)
     for seat in itertools.chain(*seats.values()):
-        for placement in board.placements.get(seat.identity, {}).values():
-            if not board.wanted(placement):
-                seat.free = tuple(free + room for free, room in zip(seat.free, placement.room, strict=False))
+        for placement in leased_jobs.placements.get(seat.identity, {}).values():
+            if not leased_jobs.wanted(placement):
+                seat.free = tuple(
+                    free + capacity for free, capacity in zip(seat.free, placement.resources, strict=False)
+                )
     return seats
 
 
@@ -95,15 +97,15 @@
     original_index(self, wave)
 
 
-original_assign, original_orders = Keeper._assign, Keeper._orders
-original_ended, original_index = Board._ended, Board._index
-original_seats, original_beat = assigner.open_seats, Worker.beat
-PLANTS = {
-    **CONTROL_PLANTS,
+original_assign, original_orders = AssignmentManager._assign, AssignmentManager._orders
+original_ended, original_index = LeasedJobState._ended, LeasedJobState._index
+original_seats, original_heartbeat = assigner.candidate_workers, Worker.take_heartbeat
+INJECTED_FAULTS = {
+    **CONTROL_INJECTED_FAULTS,
     # An old heartbeat is stopped by the end that its carried copy bears, too: without both it proves.
     "absence-at-once": [
-        (Keeper, "_take_absences", _absent_at_once),
-        (Lead, "_in_time", lambda self, end, now: True),
+        (AssignmentManager, "_take_absences", _absent_at_once),
+        (LeaderRole, "_in_time", lambda self, end, now: True),
     ],
     "hold-not-waited-out": [(constants, "LAPSE_MARGIN", -3.5)],
     "lease-ignored": [
@@ -111,24 +113,27 @@
         (constants, "CHECK_QUORUM", 15.0),
     ],
     "copies-told-early": [(Consensus, "_after_flush", lambda self: self.saved_sequence)],
-    "starts-proposed": [(Keeper, "_assign", _starts_proposed), (Keeper, "_orders", _orders_early)],
+    "starts-proposed": [
+        (AssignmentManager, "_assign", _starts_proposed),
+        (AssignmentManager, "_orders", _orders_early),
+    ],
     "ends-noted-early": [(Worker, "acknowledged", lambda self: self.seen)],
-    "levels-forgotten": [(Lead, "common_level", _told_levels_alone)],
-    "evacuation-in-word": [(Board, "evacuate", lambda self, *order: ("ok",))],
-    "failures-forgotten": [(Board, "_ended", _failures_forgotten)],
-    "room-given-early": [(assigner, "open_seats", _room_twice)],
-    "cancel-in-word": [(Board, "cancel", _cancel_in_word)],
-    "stops-forgotten": [(Board, "wanted", lambda self, placement: True)],
-    "drain-unseen": [(Worker, "beat", _always_ready)],
-    "order-unheeded": [(Board, "_index", _after_unheeded)],
-    "answers-unchecked": [(Carrier, "waiting", lambda self, token, key: self.calls.get(token))],
+    "levels-forgotten": [(LeaderRole, "common_level", _notified_levels_alone)],
+    "evacuation-in-word": [(LeasedJobState, "evacuate", lambda self, *order: ("ok",))],
+    "failures-forgotten": [(LeasedJobState, "_ended", _failures_forgotten)],
+    "room-given-early": [(assigner, "candidate_workers", _capacity_twice)],
+    "cancel-in-word": [(LeasedJobState, "cancel", _cancel_in_word)],
+    "stops-forgotten": [(LeasedJobState, "wanted", lambda self, placement: True)],
+    "drain-unseen": [(Worker, "take_heartbeat", _always_ready)],
+    "order-unheeded": [(LeasedJobState, "_index", _after_unheeded)],
+    "answers-unchecked": [(Forwarder, "waiting", lambda self, token, key: self.calls.get(token))],
     # No fault but a condition under which nothing may break: the log is compacted all the time.
     "frequent-snapshots": [
         (constants, "SNAPSHOT_ENTRIES", 50),
         (constants, "SNAPSHOT_TAIL", 10),
-        (constants, "SNAPSHOT_PIECE", 5_000),
+        (constants, "SNAPSHOT_CHUNK", 5_000),
     ],
-    **order_injected_faults.PLANTS,
+    **order_injected_faults.INJECTED_FAULTS,
 }
 
 
@@ -136,7 +141,7 @@
 def planted(name):
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
-        for owner, attribute, replacement in PLANTS[name] if name else ():
+        for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         stack.enter_context(mock.patch.dict(EFFECTS, save=Simulator._save))
         yield
--- a/src/pinepitch/simulation/jobs/kinds.py
+++ b/src/pinepitch/simulation/jobs/kinds.py
@@ -3,7 +3,7 @@
 
 def step_of(count, seconds, cpu, fail=0.0, **more):
     """(step as it is handed in, what the spec says of it)."""
-    told = {"count": count, "cpu": cpu, "mem_mb": 256, "est_ms": int(seconds * 1000), **more}
+    step = {"count": count, "cpu": cpu, "mem_mb": 256, "est_ms": int(seconds * 1000), **more}
     what = {
         "seconds": seconds,
         "fail": fail,
@@ -12,7 +12,7 @@
         "saves": bool(more.get("saves")),
         "lasts": bool(more.get("lasts")),
     }
-    return told, what
+    return step, what
 
 
 # kind -> (jobs each second, its steps)
--- a/src/pinepitch/simulation/jobs/operator_traffic.py
+++ b/src/pinepitch/simulation/jobs/operator_traffic.py
@@ -3,7 +3,7 @@
 from .stand_in_operator import ORDER_LASTS, Change
 
 EVERY = 0.25  # seconds; between two looks at what is due
-UNDER_WAY_MOST = 8  # changes; not yet answered at any time
+IN_FLIGHT_MOST = 8  # changes; not yet answered at any time
 ROUTES = 20  # routes; that the changes put in, by turns
 EVACUATED = (1.0, 4.0)  # seconds; from the end of an evacuation's sending until it is taken back
 
@@ -32,28 +32,28 @@
         return not self.running and not self.changes and self.span is None
 
     def _turn(self):
-        draw, governor = self.simulator.draw, self.simulator.governor
+        draw, operator = self.simulator.draw, self.simulator.operator_stand_in
         self.changes = [one for one in self.changes if one.under_way and not one.answers]
         if self.running:
-            if draw.random() < self.change_rate and len(self.changes) < UNDER_WAY_MOST:
+            if draw.random() < self.change_rate and len(self.changes) < IN_FLIGHT_MOST:
                 self.change()
             if draw.random() < self.read_rate:
-                governor._ask_read(lambda document: None)
+                operator._ask_read(lambda document: None)
             if draw.random() < self.evacuate_rate and self.span is None:
-                self.span = governor.evacuate(draw.choice(("a", "b", "c")))
+                self.span = operator.evacuate(draw.choice(("a", "b", "c")))
                 self.restore_at = self.simulator.now + ORDER_LASTS + draw.uniform(*EVACUATED)
         if self.span is not None and self.simulator.now >= self.restore_at:
-            governor.restore(self.span)
+            operator.restore(self.span)
             self.span = None
         if not self.quiet():
             self.simulator.at(EVERY, "later", self._turn)
 
     def change(self, **more):
         """A change on top of the newest version that is known to be in force, whole or of one item."""
-        governor = self.simulator.governor
-        known = [one for one in governor.changes if one.acknowledged() is not None]
+        operator = self.simulator.operator_stand_in
+        known = [one for one in operator.changes if one.acknowledged() is not None]
         before = max(known, key=lambda one: one.version).document
-        version = governor._next_version(before)
+        version = operator._next_version(before)
         name = f"extra{version // 2 % ROUTES}"
         route = {**before["routes"][0], "name": name, "prefix": f"/{name}/", "timeout_ms": 3000 + version}
         names = [one["name"] for one in before["routes"]]
@@ -66,4 +66,4 @@
         else:
             arguments = (before["version"], version, {"routes": [route]}, {})
             change = Change("amend", before["version"], document, arguments)
-        self.changes.append(governor._give(change))
+        self.changes.append(operator._give(change))
--- a/src/pinepitch/simulation/jobs/plans.py
+++ b/src/pinepitch/simulation/jobs/plans.py
@@ -27,8 +27,8 @@
         else simulator.draw.choice(names)
     )
     if plan.machines_lost == 0:
-        area = simulator.nodes[first].area
-        return [name for name in names if simulator.nodes[name].area == area]
+        zone = simulator.nodes[first].zone
+        return [name for name in names if simulator.nodes[name].zone == zone]
     others = [name for name in names if name != first]
     more = simulator.draw.randrange(plan.machines_lost)
     return [first, *simulator.draw.sample(others, min(more, len(others)))]
--- a/src/pinepitch/simulation/jobs/replays.py
+++ b/src/pinepitch/simulation/jobs/replays.py
@@ -18,14 +18,14 @@
 DISTORTED = 0.3  # of these are distorted
 
 
-def _other_cohort(draw, message):
-    kind, cohort, *rest = message
-    return (kind, f"{cohort}-other", *rest)
+def _other_cluster(draw, message):
+    kind, cluster, *rest = message
+    return (kind, f"{cluster}-other", *rest)
 
 
 def _other_receiver(draw, message):
-    kind, cohort, sender, receiver, inner = message
-    return (kind, cohort, sender, f"{receiver}-other", inner)
+    kind, cluster, sender, receiver, inner = message
+    return (kind, cluster, sender, f"{receiver}-other", inner)
 
 
 def _to_nobody(draw, message):
@@ -51,7 +51,7 @@
 
 # message kind -> what may be done to it
 DISTORTIONS = {
-    "raft": (_other_cohort, _other_receiver),
+    "raft": (_other_cluster, _other_receiver),
     "answer": (_to_nobody, _to_another_call),
     "elsewhere": (_to_nobody, _other_sending),
     "unsure": (_to_nobody,),
@@ -65,7 +65,7 @@
     if known is None or draw.random() >= DISTORTED:
         return message
     changed = draw.choice(known)(draw, message)
-    if not contract.kept(changed):
+    if not contract.keeps_contract(changed):
         raise AssertionError(f"a distorted frame breaks the contract: {changed!r}")
     return changed
 
@@ -100,9 +100,9 @@
     while zones are evacuated and taken back."""
     with frames_again(simulator):
         for turn in range(4):
-            span = simulator.governor.evacuate(simulator.draw.choice(("a", "b", "c")))
+            span = simulator.operator_stand_in.evacuate(simulator.draw.choice(("a", "b", "c")))
             simulator.run(simulator.draw.uniform(1, 2.5))
-            simulator.governor.restore(span)
+            simulator.operator_stand_in.restore(span)
             leader = simulator.leader()
             if turn % 2 and leader is not None:
                 name = leader.name
--- a/src/pinepitch/simulation/jobs/scenarios.py
+++ b/src/pinepitch/simulation/jobs/scenarios.py
@@ -12,7 +12,7 @@
 JOINS_WITHIN = 30.0  # seconds; until an empty control daemon is a member, no change under way
 
 
-def accord_names(simulator):
+def control_daemon_names(simulator):
     return [name for name, node in simulator.nodes.items() if node.kind == "accord"]
 
 
@@ -21,7 +21,7 @@
 
 
 def accepted_count(simulator):
-    return sum(job["accepted"] is not None for job in simulator.patron.jobs.values())
+    return sum(job["accepted"] is not None for job in simulator.client_stand_in.jobs.values())
 
 
 def run_until_accepted(simulator):
@@ -35,8 +35,8 @@
     consensus = node.core.consensus
     return (
         consensus is not None
-        and not consensus.cohort.coming
-        and node.core.identity in consensus.cohort.members()
+        and not consensus.membership.coming
+        and node.core.identity in consensus.membership.members()
     )
 
 
@@ -75,11 +75,11 @@
     for _ in range(4):
         leader = simulator.leader()
         if leader is not None:
-            rest = [one for one in accord_names(simulator) if one != leader.name]
+            rest = [one for one in control_daemon_names(simulator) if one != leader.name]
             also = simulator.draw.choice(rest)
             manner = simulator.draw.choice(("alone", "alone", "cut", "both"))
             if manner == "cut":
-                simulator.cut([also], [one for one in simulator.nodes if one != also])
+                simulator.partition([also], [one for one in simulator.nodes if one != also])
             simulator.stop(leader.name)
             if manner == "both":
                 simulator.run(simulator.draw.uniform(0, 0.05))
@@ -101,14 +101,16 @@
         leader = simulator.leader()
         if leader is not None:
             rest = [
-                one for one in (*accord_names(simulator), "verge0", "verge1", "verge2") if one != leader.name
+                one
+                for one in (*control_daemon_names(simulator), "verge0", "verge1", "verge2")
+                if one != leader.name
             ]
             rest += simulator.draw.sample(tenant_names(simulator), 4)
             manner = simulator.draw.choice(("deaf", "dumb", "both"))
             if manner == "dumb":
-                simulator.cut([leader.name], rest, both=False)
+                simulator.partition([leader.name], rest, both=False)
             else:
-                simulator.cut(rest, [leader.name], both=manner == "both")
+                simulator.partition(rest, [leader.name], both=manner == "both")
             simulator.run(simulator.draw.choice((1.5, 4, 12)) * simulator.draw.uniform(0.8, 1.2))
             simulator.heal()
         simulator.run(simulator.draw.uniform(0.5, 3))
@@ -119,13 +121,13 @@
     for turn in range(2):
         run_until_accepted(simulator)
         leader = simulator.leader()
-        name = leader.name if leader and turn == 0 else simulator.draw.choice(accord_names(simulator))
+        name = leader.name if leader and turn == 0 else simulator.draw.choice(control_daemon_names(simulator))
         simulator.kill(name)
         simulator.wipe(name)
         simulator.run(simulator.draw.uniform(0.1, 3))
         simulator.start(name)
         if simulator.until(functools.partial(is_member, simulator.nodes[name]), JOINS_WITHIN) is None:
-            simulator.governor.faults.append(f"{name} came back empty and was not let in")
+            simulator.operator_stand_in.faults.append(f"{name} came back empty and was not let in")
         simulator.run(4)
 
 
@@ -133,7 +135,7 @@
     """All accords lose power at once, right after something was acknowledged; one stays away."""
     for _ in range(2):
         run_until_accepted(simulator)
-        names = accord_names(simulator)
+        names = control_daemon_names(simulator)
         for name in names:
             simulator.kill(name)
         simulator.run(simulator.draw.choice((0.1, 2.0, 6.0)))
@@ -150,7 +152,7 @@
 def disks_still(simulator):
     """The followers' disks stand still for a while, and are as they were before."""
     leader = simulator.leader()
-    followers = [one for one in accord_names(simulator) if leader is None or one != leader.name]
+    followers = [one for one in control_daemon_names(simulator) if leader is None or one != leader.name]
     for name in followers:
         simulator.nodes[name].disk.stalled = True
     simulator.run(simulator.draw.uniform(*STILL_FOR))
@@ -164,12 +166,15 @@
         run_until_accepted(simulator)
         if simulator.draw.random() < STILL_PART:
             disks_still(simulator)
-        accords = accord_names(simulator)
+        control_daemons = control_daemon_names(simulator)
         lost = tolerated(simulator.plan, simulator)
-        daemons = [*accords, *(name for name, node in simulator.nodes.items() if node.kind == "verge")]
+        daemons = [
+            *control_daemons,
+            *(name for name, node in simulator.nodes.items() if node.kind == "verge"),
+        ]
         for name in daemons:
             simulator.kill(name)
-        for name in accords:
+        for name in control_daemons:
             simulator.nodes[name].disk.stalled = False
         for name in lost:
             simulator.wipe(name)
@@ -180,16 +185,16 @@
         simulator.served("after all lost power, and some their disks")
         for name in lost:
             if simulator.until(functools.partial(is_member, simulator.nodes[name]), JOINS_WITHIN) is None:
-                simulator.governor.faults.append(f"{name} came back empty and was not let in")
+                simulator.operator_stand_in.faults.append(f"{name} came back empty and was not let in")
         simulator.run(4)
 
 
-def tenants_crash(simulator):
+def workers_crash(simulator):
     """Tenants crash and come back under new identities at their addresses; some while a frozen
     accord still holds beats of their former life."""
     for turn in range(12):
         names = simulator.draw.sample(tenant_names(simulator), 2)
-        frozen = simulator.draw.choice(accord_names(simulator)) if turn % 3 == 2 else None
+        frozen = simulator.draw.choice(control_daemon_names(simulator)) if turn % 3 == 2 else None
         if frozen is not None:
             simulator.freeze(frozen)
             simulator.run(simulator.draw.uniform(0.3, 1.5))
@@ -204,22 +209,22 @@
             simulator.run(1)
 
 
-def tenants_cut(simulator):
+def workers_partitioned(simulator):
     """Tenants are cut off from all, one way or both, and run on; some for longer than a hold."""
     for _ in range(4):
         names = simulator.draw.sample(tenant_names(simulator), simulator.draw.choice((1, 2, 4)))
         manner = simulator.draw.choice(("both", "both", "deaf", "dumb"))
         rest = [one for one in simulator.nodes if one not in names]
         if manner == "deaf":
-            simulator.cut(rest, names, both=False)
+            simulator.partition(rest, names, both=False)
         else:
-            simulator.cut(names, rest, both=manner == "both")
+            simulator.partition(names, rest, both=manner == "both")
         simulator.run(simulator.draw.choice((0.7, 2.0, 4.8, 5.6, 8.0)) * simulator.draw.uniform(0.9, 1.1))
         simulator.heal()
         simulator.run(simulator.draw.uniform(0.5, 2))
 
 
-def tenants_leave(simulator):
+def workers_leave(simulator):
     """Tenants drain and leave, zones are evacuated and taken back, and others come."""
     for turn in range(5):
         names = simulator.draw.sample(tenant_names(simulator), 2)
@@ -227,27 +232,27 @@
             simulator.nodes[name].core.drain(START + simulator.now)
         span = None
         if turn % 2:
-            span = simulator.governor.evacuate(simulator.draw.choice(("a", "b", "c")))
+            span = simulator.operator_stand_in.evacuate(simulator.draw.choice(("a", "b", "c")))
         simulator.run(simulator.draw.uniform(3, 5))
         for name, node in simulator.nodes.items():
             if node.kind == "minion" and node.down:
                 simulator.start(name)
         if span is not None:
-            simulator.governor.restore(span)
+            simulator.operator_stand_in.restore(span)
 
 
 def answers_late(simulator):
     """Beats and answers get lost or late, while tenants drain and zones are evacuated."""
     simulator.answer_loss, simulator.late_part, simulator.late_most = 0.1, 0.3, 3.0
     for _ in range(3):
-        span = simulator.governor.evacuate(simulator.draw.choice(("a", "b", "c")))
+        span = simulator.operator_stand_in.evacuate(simulator.draw.choice(("a", "b", "c")))
         simulator.nodes[simulator.draw.choice(tenant_names(simulator))].core.drain(START + simulator.now)
         simulator.run(simulator.draw.uniform(3, 5))
-        simulator.governor.restore(span)
+        simulator.operator_stand_in.restore(span)
         simulator.run(simulator.draw.uniform(1, 2))
 
 
-def beats_stale(simulator):
+def heartbeats_stale(simulator):
     """Beats come seconds late, some to a leader that has not yet heard of their tenant, while
     tenants are cut off and run on, zones are evacuated and the leader dies."""
     for _ in range(3):
@@ -255,21 +260,21 @@
         simulator.run(simulator.draw.uniform(1.5, 3))
         leader = simulator.leader()
         names = simulator.draw.sample(tenant_names(simulator), 4)
-        zone = simulator.nodes[names[0]].area
+        zone = simulator.nodes[names[0]].zone
         if leader is not None:
             simulator.kill(leader.name)
-        simulator.cut(names, [one for one in simulator.nodes if one not in names])
-        span = simulator.governor.evacuate(zone)
+        simulator.partition(names, [one for one in simulator.nodes if one not in names])
+        span = simulator.operator_stand_in.evacuate(zone)
         simulator.run(simulator.draw.uniform(3, 6))
         simulator.late_part = 0.0
         simulator.heal()
         if leader is not None:
             simulator.start(leader.name)
-        simulator.governor.restore(span)
+        simulator.operator_stand_in.restore(span)
         simulator.run(simulator.draw.uniform(2, 4))
 
 
-def lives_mixed(simulator):
+def incarnations_mixed(simulator):
     """Tenants crash and come back while beats of their former lives are still under way; these
     come when the new lives, that have work, are cut off and run on."""
     draw = simulator.draw
@@ -284,11 +289,13 @@
         for name in names:
             simulator.start(name)
         simulator.run(draw.uniform(1, 5))
-        simulator.cut(names, [one for one in simulator.nodes if one not in names])
+        simulator.partition(names, [one for one in simulator.nodes if one not in names])
         for name in names:
-            for place, beat in enumerate(late[name]):
+            for place, heartbeat in enumerate(late[name]):
                 simulator.at(
-                    0.2 + place * draw.uniform(0.9, 1.1), "later", functools.partial(simulator.arrive, *beat)
+                    0.2 + place * draw.uniform(0.9, 1.1),
+                    "later",
+                    functools.partial(simulator.arrive, *heartbeat),
                 )
         simulator.run(draw.uniform(2, 5))
         simulator.heal()
@@ -300,10 +307,10 @@
     simulator.loss, simulator.double = 0.01, 0.02
     simulator.answer_loss, simulator.late_part, simulator.late_most = 0.03, 0.1, 3.0
     for one in simulator.draw.sample(
-        (leader_frozen, leader_deaf, tenants_crash, tenants_cut, tenants_leave), 2
+        (leader_frozen, leader_deaf, workers_crash, workers_partitioned, workers_leave), 2
     ):
         one(simulator)
-    simulator.governor.race()
+    simulator.operator_stand_in.race()
     leader = simulator.leader()
     if leader is not None:
         simulator.kill(leader.name)
@@ -321,12 +328,12 @@
     "wiped": wiped,
     "all-killed": all_killed,
     "disks-lost-in-outage": disks_lost_in_outage,
-    "tenants-crash": tenants_crash,
-    "tenants-cut": tenants_cut,
-    "tenants-leave": tenants_leave,
+    "tenants-crash": workers_crash,
+    "tenants-cut": workers_partitioned,
+    "tenants-leave": workers_leave,
     "answers-late": answers_late,
-    "beats-stale": beats_stale,
-    "lives-mixed": lives_mixed,
+    "beats-stale": heartbeats_stale,
+    "lives-mixed": incarnations_mixed,
     "frames-replayed": frames_replayed,
     "storm": storm,
 }
--- a/src/pinepitch/simulation/jobs/stand_in_client.py
+++ b/src/pinepitch/simulation/jobs/stand_in_client.py
@@ -7,7 +7,7 @@
 from .limits import FINAL, HOST, READ_EVERY
 
 
-class Patron:
+class StandInClient:
     """A stand-in caller of jobs, a decider: it sends the same job again until it is clearly
     answered, reads the state of what was accepted until it is final and once more, and cancels
     some. Invariant: the history is only added to. Effects: ("call", draw, call, arguments, tag)."""
@@ -67,7 +67,7 @@
         steps = KINDS[kind][1]()
         queue = self.random.choice(("held", "bare"))
         spec = json.dumps({"steps": [what for _, what in steps], "job": identity[:4]})
-        document = {"spec": spec, "steps": [told for told, _ in steps]}
+        document = {"spec": spec, "steps": [described for described, _ in steps]}
         if kind == "timed":
             document.update(first_ms=(now + self.random.uniform(0.5, 3)) * 1000, every_ms=1200, times=3)
         cancels = kind == "lasting" or self.random.random() < 0.12
--- a/src/pinepitch/simulation/jobs/stand_in_operator.py
+++ b/src/pinepitch/simulation/jobs/stand_in_operator.py
@@ -12,7 +12,7 @@
 from ..simulator import START
 from .limits import ATTEMPTS, HOST
 
-UNDER_WAY = 8  # orders that may be under way at once
+IN_FLIGHT = 8  # orders that may be under way at once
 REFUSED = (400, 409, 412, 413, 422)  # answers that end a call
 ORDER_LASTS = 6.0  # seconds; the first order for a zone is sent this long
 LASTS = 20.0  # seconds; every other order is
@@ -47,7 +47,7 @@
         self.over = False
 
 
-class Governor:
+class StandInOperator:
     """Stand-in operators. Invariants: no two changes are equal; spans holds acknowledged
     evacuations as [zone, acknowledged, taken back or None]."""
 
@@ -99,13 +99,13 @@
         sent = self.now()
         change.under_way += 1
 
-        def decided(status, told):
+        def decided(status, on_answer):
             change.under_way -= 1
             change.answers.append((sent, self.now(), status))
-            if status == 200 and told["version"] != change.version:
-                self.faults.append(f"version {change.version} was acknowledged as {told['version']}")
+            if status == 200 and on_answer["version"] != change.version:
+                self.faults.append(f"version {change.version} was acknowledged as {on_answer['version']}")
             elif status not in (200, 412):
-                self.faults.append(f"version {change.version} was answered {status}: {told}")
+                self.faults.append(f"version {change.version} was answered {status}: {on_answer}")
 
         self.simulator.persist_call("accord", change.call, change.arguments, decided, LASTS)
 
@@ -152,7 +152,7 @@
         for change in given[:2]:
             self._send(change)
         older = [one for one in self.changes if one not in given and not one.under_way]
-        for change in self.random.sample(older, min(len(older), UNDER_WAY - len(given) - 2)):
+        for change in self.random.sample(older, min(len(older), IN_FLIGHT - len(given) - 2)):
             self._send(change)
 
     def send_all_again(self):
@@ -162,14 +162,14 @@
                 self._send(change)
 
     # --- reads ----------------------------------------------------------------------------
-    def _ask_read(self, told):
+    def _ask_read(self, on_answer):
         """Reads the configuration; told(document) once it is read."""
         sent = self.now()
 
         def answered(status, document):
             if status == 200:
                 self.reads.append((sent, self.now(), document))
-                told(document)
+                on_answer(document)
 
         self.simulator.persist_call("accord", "configuration", (), answered, LASTS)
 
@@ -200,7 +200,7 @@
                 self._attempt_zone(order.following)
             return
 
-        def told(status, document):
+        def on_answer(status, document):
             if self.random.random() < self.simulator.answer_loss:
                 status = 0
             if status == 200:
@@ -211,7 +211,7 @@
 
         target = self.random.choice([one for one in self.simulator.nodes.values() if one.kind == "accord"])
         arguments = (order.zone, order.begun)
-        self.simulator._sent("operator", 0, target, "evacuate", arguments, constants.CALL_PATIENCE, told)
+        self.simulator._sent("operator", 0, target, "evacuate", arguments, constants.CALL_PATIENCE, on_answer)
 
     def evacuate(self, zone):
         """Begins the evacuation of a zone; its span, listed once it is acknowledged."""
@@ -238,14 +238,14 @@
         """Faults in what was acknowledged, read back now, at the end of the day."""
         self.send_all_again()
         self.simulator.run(3)
-        held = self.read()
-        if held is None:
+        known = self.read()
+        if known is None:
             return [*self.faults, "the configuration was not read back"]
         return [
             *self.faults,
             *self._answer_faults(),
             *self._winner_faults(),
-            *self._held_faults(held),
+            *self._known_faults(known),
             *self._read_faults(),
             *self._zone_faults(),
         ]
@@ -271,14 +271,14 @@
                 )
         return faults
 
-    def _held_faults(self, held):
+    def _known_faults(self, known):
         """Faults in the configuration at the day's end."""
         faults = []
         acknowledged = [one for one in self.changes if one.acknowledged() is not None]
-        if held["version"] < max(one.version for one in acknowledged):
-            faults.append(f"version {held['version']} was read back, older than what was acknowledged")
-        if all(held != one.document for one in self.changes):
-            faults.append(f"version {held['version']} was read back other than it was sent")
+        if known["version"] < max(one.version for one in acknowledged):
+            faults.append(f"version {known['version']} was read back, older than what was acknowledged")
+        if all(known != one.document for one in self.changes):
+            faults.append(f"version {known['version']} was read back other than it was sent")
         return faults
 
     def _read_faults(self):
--- a/src/pinepitch/simulation/leased_job_trial.py
+++ b/src/pinepitch/simulation/leased_job_trial.py
@@ -9,7 +9,7 @@
 import traceback
 
 from .jobs import checks
-from .jobs.control_injected_faults import CONTROL_PLANTS
+from .jobs.control_injected_faults import CONTROL_INJECTED_FAULTS
 from .jobs.control_scenarios import CONTROL_SCENARIOS
 from .jobs.fleet import Tenancy
 from .jobs.injected_faults import planted
@@ -17,8 +17,8 @@
     CONTROL_RUSHES,
     ENDS_WITHIN,
     FAILED_ENDS_WITHIN,
-    HELD_ON,
     IN_FLIGHT,
+    LEASE_LONGEST,
     ORDERS_END_WITHIN,
     PROCESSES,
     RUSHES,
@@ -28,10 +28,12 @@
 from .stand_in_lease_worker import STOP_GRACE
 
 
-def trial(scenario, seed, plant=""):
+def trial(scenario, seed, injected_fault=""):
     """(faults, simulator) of one trial, with a planted fault if one is named."""
-    with planted(plant):
-        return _trial(scenario, seed, FAILED_ENDS_WITHIN if plant in CONTROL_PLANTS else ENDS_WITHIN)
+    with planted(injected_fault):
+        return _trial(
+            scenario, seed, FAILED_ENDS_WITHIN if injected_fault in CONTROL_INJECTED_FAULTS else ENDS_WITHIN
+        )
 
 
 def _fleet(scenario, seed):
@@ -42,7 +44,7 @@
 def _strike(scenario, simulator):
     """Plays a fault scenario; under one of the control daemons, orders come all the time."""
     for turn in range(RUSHES if scenario in SCENARIOS else CONTROL_RUSHES):
-        simulator.at(simulator.draw.uniform(0, 3) + 3 * turn, "later", simulator.governor.rush)
+        simulator.at(simulator.draw.uniform(0, 3) + 3 * turn, "later", simulator.operator_stand_in.rush)
     if scenario in SCENARIOS:
         SCENARIOS[scenario](simulator)
         return
@@ -57,34 +59,34 @@
     try:
         simulator.begin()
         simulator.run(2)
-        simulator.governor.race()
+        simulator.operator_stand_in.race()
         _strike(scenario, simulator)
-        simulator.governor.race()
-        if not simulator.finish(FAILED_ENDS_WITHIN if simulator.governor.faults else ends_within):
+        simulator.operator_stand_in.race()
+        if not simulator.finish(FAILED_ENDS_WITHIN if simulator.operator_stand_in.faults else ends_within):
             waiting = [
                 (one["identity"], one["kind"], one["accepted"] is not None)
-                for one in simulator.patron.jobs.values()
+                for one in simulator.client_stand_in.jobs.values()
                 if one["refused"] is None and (one["final"] is None or one["looks"] > 0)
             ]
             faults.append(f"jobs never ended: {waiting[:4]}")
         simulator.run(7)
-        faults.extend(simulator.governor.check())
+        faults.extend(simulator.operator_stand_in.check())
     except Exception as broken:  # a trial reports whatever ends it, to be replayed
         place = traceback.extract_tb(broken.__traceback__)[-1]
         faults.append(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
-    history, patron = simulator.minion_history, simulator.patron
-    zones = {name: node.area for name, node in simulator.nodes.items()}
-    running_most = STOP_GRACE + 1.5 if scenario == "calm" else IN_FLIGHT + HELD_ON + STOP_GRACE
+    history, patron = simulator.worker_history, simulator.client_stand_in
+    zones = {name: node.zone for name, node in simulator.nodes.items()}
+    running_most = STOP_GRACE + 1.5 if scenario == "calm" else IN_FLIGHT + LEASE_LONGEST + STOP_GRACE
     for found in (
         checks.never_twice(history),
         checks.steps_kept(history, patron.jobs),
         checks.attempts_kept(history, patron.jobs),
         checks.room_kept(history),
         checks.cancels_kept(history, patron.jobs, running_most),
-        checks.closed_kept(history, simulator.governor.spans, zones),
-        checks.told_truly(history, patron),
+        checks.closed_kept(history, simulator.operator_stand_in.spans, zones),
+        checks.outcomes_true(history, patron),
         checks.gangs_met(history, patron.jobs) if scenario == "calm" else [],
-        checks.refused_without_rival(simulator.governor.changes),
+        checks.refused_without_rival(simulator.operator_stand_in.changes),
         simulator.agreement(),
     ):
         faults.extend(found)
@@ -104,16 +106,18 @@
         yield from pool.imap_unordered(one, work)
 
 
-def replay(scenario, seed, plant=""):
+def replay(scenario, seed, injected_fault=""):
     """The command that runs one trial again."""
-    return f"python -m pinepitch.simulation.leased_job_trial {scenario} {seed} 1 {plant}".strip()
+    return f"python -m pinepitch.simulation.leased_job_trial {scenario} {seed} 1 {injected_fault}".strip()
 
 
-def main(scenario="all", first="0", seeds="5", plant=""):
+def main(scenario="all", first="0", seeds="5", injected_fault=""):
     """Runs trials over seeds and prints how to replay each that fails."""
     groups = {"all": (*SCENARIOS, *CONTROL_SCENARIOS), "control": tuple(CONTROL_SCENARIOS)}
     names = groups.get(scenario, scenario.split(","))
-    work = [(name, seed, plant) for seed in range(int(first), int(first) + int(seeds)) for name in names]
+    work = [
+        (name, seed, injected_fault) for seed in range(int(first), int(first) + int(seeds)) for name in names
+    ]
     begun, failed, virtual = clocks.monotonic(), 0, 0.0
     for arguments, faults, seconds in many(work):
         virtual += seconds
--- a/src/pinepitch/simulation/link_rates.py
+++ b/src/pinepitch/simulation/link_rates.py
@@ -5,7 +5,7 @@
 from ..common import constants
 
 
-class Ways:
+class LinkRates:
     """Invariants: free_at tells when all that was sent from one daemon to another by one of its
     two connections has left the sender; frames of one connection go one after the other, and an
     ordinary one waits beside that only for what the system holds of large ones (LINK_BUFFER);
@@ -20,18 +20,18 @@
 
     def broken(self, name):
         """The connections of a daemon end, and what waited in them is gone."""
-        for way in list(self.free_at):
-            if name in way:
-                del self.free_at[way]
+        for link in list(self.free_at):
+            if name in link:
+                del self.free_at[link]
 
     def delay(self, source, target, size, now):
         """Seconds until a frame handed over now has arrived, beside the latency."""
-        way, bulk = (source, target), size >= constants.LINK_BULK
-        self.sent[way] += size
+        link, bulk = (source, target), size >= constants.LINK_BULK
+        self.sent[link] += size
         self.largest = max(self.largest, size)
-        if self.slow is not None and self.slow not in way:
+        if self.slow is not None and self.slow not in link:
             return 0.0
-        lane, large = (*way, bulk), (*way, True)
+        lane, large = (*link, bulk), (*link, True)
         before = max(0.0, self.free_at[lane] - now) + size / self.rate
         self.free_at[lane] = now + before
         if bulk:
--- a/src/pinepitch/simulation/model_checker/explore.py
+++ b/src/pinepitch/simulation/model_checker/explore.py
@@ -31,18 +31,18 @@
     level, steps = [start], 0
     for reached in range(depth):
         following = []
-        for world in level:
-            for action in world.actions():
+        for model_state in level:
+            for action in model_state.actions():
                 steps += 1
-                after, why = _stepped(world, action)
+                after, why = _stepped(model_state, action)
                 if why is not None:
-                    path = (*_path(origins, world.key()), action)
+                    path = (*_path(origins, model_state.key()), action)
                     return Outcome(len(seen), steps, reached + 1, False, Found(why, path, len(seen)))
                 key = after.key()
                 if key in seen:
                     continue
                 seen.add(key)
-                origins[key] = (world.key(), action)
+                origins[key] = (model_state.key(), action)
                 following.append(after)
                 if len(seen) >= most_states:
                     return Outcome(len(seen), steps, reached, False, None)
@@ -52,11 +52,11 @@
     return Outcome(len(seen), steps, depth, True, None)
 
 
-def _stepped(world, action):
+def _stepped(model_state, action):
     """(the world after a step, why an invariant broke there or None)."""
     try:
-        after = world.step(action)
-        after.check(world)
+        after = model_state.step(action)
+        after.check(model_state)
     except AssertionError as broken:
         kind = "" if isinstance(broken, Violation) else "the decider stops: "
         return None, kind + str(broken)
@@ -79,20 +79,20 @@
     seen, steps, deepest = set(), 0, 0
     for number in range(walks):
         draw = random.Random(f"walk-{seed}-{number}")
-        world, path = start, []
+        model_state, path = start, []
         for place in range(length):
-            actions = world.actions()
+            actions = model_state.actions()
             if not actions:
                 break
             weights = None if weight is None else [weight(action) for action in actions]
             action = draw.choices(actions, weights)[0]
             steps += 1
             path.append(action)
-            after, why = _stepped(world, action)
+            after, why = _stepped(model_state, action)
             if why is not None:
                 found = Found(why, tuple(path), len(seen))
                 return Outcome(len(seen), steps, place + 1, False, found)
-            world = after
-            seen.add(world.key())
+            model_state = after
+            seen.add(model_state.key())
         deepest = max(deepest, len(path))
     return Outcome(len(seen), steps, deepest, False, None)
--- a/src/pinepitch/simulation/model_checker/faults.py
+++ b/src/pinepitch/simulation/model_checker/faults.py
@@ -6,19 +6,19 @@
 
 from ...common import constants
 from ...consensus import replica as consensus_module
-from ...consensus.quorum import Cohort, Quorum
+from ...consensus.quorum import Membership, Quorum
 from ...consensus.replica import Consensus
 from . import invariants
 from .replica import Replica, machine_of
-from .state import World
-from .timed import QUANTUM, TimedWorld
+from .state import ModelState
+from .timed import QUANTUM, TimedModelState
 
 original_advance = Consensus._advance
 original_appended = Consensus._on_appended
 original_change_members = Consensus.change_members
 original_leased = Consensus.leased
 original_vote = Consensus._on_vote
-original_wait = TimedWorld._wait
+original_wait = TimedModelState._wait
 
 
 def _commits_by_old_list(self, identities, leader):
@@ -38,7 +38,7 @@
     for index in sorted(set(matches.values()), reverse=True):
         if index <= self.commit or self.term_at(index) != self.term:
             break
-        if 2 * sum(match >= index for match in matches.values()) > len(self.cohort.now.members):
+        if 2 * sum(match >= index for match in matches.values()) > len(self.membership.now.members):
             self._commit_to(index, now)
             break
 
@@ -57,7 +57,7 @@
     for index in sorted(set(matches.values()), reverse=True):
         if index <= self.commit:
             break
-        if self.cohort.commits({one for one, match in matches.items() if match >= index}, self.identity):
+        if self.membership.commits({one for one, match in matches.items() if match >= index}, self.identity):
             self._commit_to(index, now)
             break
 
@@ -65,9 +65,9 @@
 def _vote_before_saved(self, sender, *rest):
     """Tells a vote before it is durable."""
     original_vote(self, sender, *rest)
-    told = [effect for _, effect in self.held if effect[2][0] == "voted"]
-    self.held = [(need, effect) for need, effect in self.held if effect[2][0] != "voted"]
-    self.effects.extend(told)
+    votes = [effect for _, effect in self.deferred if effect[2][0] == "voted"]
+    self.deferred = [(need, effect) for need, effect in self.deferred if effect[2][0] != "voted"]
+    self.effects.extend(votes)
 
 
 def _votes_again(self, sender, term, last_index, last_term, now):
@@ -78,9 +78,9 @@
 
 def _change_at_once(self, members, time, now):
     """Goes to a new list of members without a joint one."""
-    if self.role != "leader" or not self.serving() or self.cohort_index > self.commit:
+    if self.role != "leader" or not self.serving() or self.membership_index > self.commit:
         return None
-    coming = Cohort(Quorum(dict(members), self.cohort.now.mode))
+    coming = Membership(Quorum(dict(members), self.membership.now.mode))
     return self.propose([("members", coming.image())], time, now)
 
 
@@ -98,7 +98,7 @@
     self._spend("wipes")
     identity = action.subject
     former = self.replicas[identity]
-    self.replicas[identity] = Replica(identity, former.area, former.members, former.mode)
+    self.replicas[identity] = Replica(identity, former.zone, former.members, former.mode)
     self.logs = {**self.logs, identity: self.replicas[identity].stored()}
 
 
@@ -113,7 +113,7 @@
         self._reset_election(now)
 
 
-def _step_before_life(self, sender, message, now):
+def _step_before_incarnation(self, sender, message, now):
     """Takes messages before the wait of a new life has begun, as before this was mended."""
     kind, *rest = message
     handler = consensus_module.HANDLERS.get(kind)
@@ -123,20 +123,20 @@
     return self._done(now)
 
 
-def _lease_from_answer(self, sender, term, success, index, beat, now):
+def _lease_from_answer(self, sender, term, success, index, heartbeat, now):
     """Counts a lease from when an answer was heard, not from when its beat was sent."""
-    if self.role == "leader" and term == self.term and beat in self.beats:
-        self.beats[beat] = now
-    original_appended(self, sender, term, success, index, beat, now)
+    if self.role == "leader" and term == self.term and heartbeat in self.heartbeat_times:
+        self.heartbeat_times[heartbeat] = now
+    original_appended(self, sender, term, success, index, heartbeat, now)
 
 
 def _leased_by_new_list(self, now):
     """Takes a lease from the coming list alone."""
-    cohort, self.cohort = self.cohort, Cohort(self.cohort.quorums()[-1])
+    membership, self.membership = self.membership, Membership(self.membership.quorums()[-1])
     try:
         return original_leased(self, now)
     finally:
-        self.cohort = cohort
+        self.membership = membership
 
 
 def _hands_over_and_leads(self, now):
@@ -170,8 +170,8 @@
 
 # The registry of injected faults.
 FAULTS = {
-    "commit-by-old-list": Fault(((Cohort, "commits", _commits_by_old_list),), ("joint-change",)),
-    "elect-by-new-list": Fault(((Cohort, "elects", _elects_by_new_list),), ("joint-change",)),
+    "commit-by-old-list": Fault(((Membership, "commits", _commits_by_old_list),), ("joint-change",)),
+    "elect-by-new-list": Fault(((Membership, "elects", _elects_by_new_list),), ("joint-change",)),
     "learner-counts": Fault(((Consensus, "_advance", _advance_by_learners),), ("learner",)),
     "unsaved-counts": Fault(((Consensus, "_advance", _advance_unsaved),), ("slow-disks",)),
     "older-term-commits": Fault(((Consensus, "_advance", _advance_older_terms),), ("older-term",)),
@@ -185,13 +185,15 @@
         ((Consensus, "change_members", _change_keeps_learners),),
         (),  # breaks no promise, but stops a change for good
     ),
-    "wiped-keeps-identity": Fault(((World, "_wipe", _wipe_keeps_identity),), ("wiped",)),
+    "wiped-keeps-identity": Fault(((ModelState, "_wipe", _wipe_keeps_identity),), ("wiped",)),
     "snapshot-keeps-durable": Fault(((Consensus, "_drop_log", _drop_log_keeps_durable),), ("snapshot",)),
-    "no-wait-after-restart": Fault(((Consensus, "_begin_life", _no_wait_after_restart),), ("lease",)),
-    "vote-before-first-tick": Fault(((Consensus, "step", _step_before_life),), ("lease",)),
+    "no-wait-after-restart": Fault(((Consensus, "_begin_incarnation", _no_wait_after_restart),), ("lease",)),
+    "vote-before-first-tick": Fault(((Consensus, "step", _step_before_incarnation),), ("lease",)),
     "wait-without-drift": Fault(((constants, "LEASE_STRETCH", 1.0),), ("lease-restart",)),
     "vote-beside-leader": Fault(((Consensus, "leader_near", lambda self, now: False),), ("lease",)),
-    "clock-stops-in-suspend": Fault(((TimedWorld, "_wait", _wait_while_suspended),), ("lease-suspended",)),
+    "clock-stops-in-suspend": Fault(
+        ((TimedModelState, "_wait", _wait_while_suspended),), ("lease-suspended",)
+    ),
     "read-without-round": Fault(((Consensus, "_check_round", _check_round_at_once),), ("reads",)),
     "handover-keeps-lease": Fault(
         ((Consensus, "_try_handover", _hands_over_and_leads),), ("lease-handover",)
@@ -220,6 +222,6 @@
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         handlers = {"vote": Consensus._on_vote, "appended": Consensus._on_appended}
         stack.enter_context(mock.patch.dict(consensus_module.HANDLERS, handlers))
-        stack.enter_context(mock.patch.dict(World.kinds, {"wipe": World._wipe}))
-        stack.enter_context(mock.patch.dict(TimedWorld.kinds, {"wait": TimedWorld._wait}))
+        stack.enter_context(mock.patch.dict(ModelState.kinds, {"wipe": ModelState._wipe}))
+        stack.enter_context(mock.patch.dict(TimedModelState.kinds, {"wait": TimedModelState._wait}))
         yield
--- a/src/pinepitch/simulation/model_checker/fleets.py
+++ b/src/pinepitch/simulation/model_checker/fleets.py
@@ -4,8 +4,8 @@
 
 from ...common import constants
 from .script import act, deliver, drop, elect, keep_only, quiet_without, settle, wait_unheard, wait_without
-from .state import Budget, World
-from .timed import TimedBudget, TimedWorld
+from .state import Budget, ModelState
+from .timed import TimedBudget, TimedModelState
 
 PLENTY = 100  # steps of each kind; that a script may take
 SLOW, FAST = 1 - constants.CLOCK_DRIFT, 1 + constants.CLOCK_DRIFT
@@ -46,16 +46,16 @@
     kind = type(fleet.budget)
     plenty = kind(*([PLENTY] * len(kind._fields)))
     begun = fleet._replace(budget=plenty, slow_disks=False)
-    world = World(begun) if fleet.rates is None else TimedWorld(begun, fleet.rates)
+    state = ModelState(begun) if fleet.rates is None else TimedModelState(begun, fleet.rates)
     for line in fleet.script:
-        world = line(world)
-    world.budget, world.slow_disks = fleet.budget, fleet.slow_disks
-    return world
+        state = line(state)
+    state.budget, state.slow_disks = fleet.budget, fleet.slow_disks
+    return state
 
 
 def _replaced(members, leaver, newcomer):
     """The list of members, as a change names it, with one replaced in its area."""
-    rest = {one: area for one, area in members.items() if one != leaver}
+    rest = {one: zone for one, zone in members.items() if one != leaver}
     return tuple(sorted({**rest, newcomer: members[leaver]}.items()))
 
 
--- a/src/pinepitch/simulation/model_checker/invariants.py
+++ b/src/pinepitch/simulation/model_checker/invariants.py
@@ -3,7 +3,7 @@
 import functools
 import itertools
 
-from ...consensus.quorum import Cohort, Reply, cohort_from
+from ...consensus.quorum import Membership, Reply, membership_from_image
 from .replica import frozen
 
 
@@ -34,7 +34,7 @@
 @functools.lru_cache(maxsize=10_000)
 def cohort_of(image):
     """The Cohort of a frozen image."""
-    return cohort_from([(dict(members), mode) for members, mode in image])
+    return membership_from_image([(dict(members), mode) for members, mode in image])
 
 
 @functools.lru_cache(maxsize=10_000)
@@ -46,9 +46,11 @@
 @functools.lru_cache(maxsize=10_000)
 def commit_quorums(image):
     """Every set of members that commits under some leader in it."""
-    cohort = cohort_of(image)
+    membership = cohort_of(image)
     return [
-        one for one in subsets(cohort.members()) if any(cohort.commits(one, leader) for leader in sorted(one))
+        one
+        for one in subsets(membership.members())
+        if any(membership.commits(one, leader) for leader in sorted(one))
     ]
 
 
@@ -91,12 +93,12 @@
         return
     index, term = len(committed), committed[-1][0]
     for candidate in logs:
-        if candidate.identity not in candidate.cohort.members() or holds(candidate, index, term):
+        if candidate.identity not in candidate.membership.members() or holds(candidate, index, term):
             continue
         last = candidate.last_index()
         last_term = candidate.term_at(last)
         voters = frozenset(voter.identity for voter in logs if voter._fresh(last, last_term))
-        if wins(frozen(candidate.cohort.image()), voters):
+        if wins(frozen(candidate.membership.image()), voters):
             raise Violation(f"{candidate.identity} can be elected and lacks committed entry {index}")
 
 
@@ -108,7 +110,7 @@
     index, term = len(committed), committed[-1][0]
     holders = {log.identity for log in logs if holds(log, index, term)}
     present = {log.identity for log in logs}
-    members = Cohort(cohort_of(image).quorums()[-1])
+    members = Membership(cohort_of(image).quorums()[-1])
     for quorum in quorums_to_hold(frozen(members.image())):
         if quorum <= present and not quorum & holders:
             raise Violation(f"change committed at {index}, which no one of {sorted(quorum)} holds")
--- a/src/pinepitch/simulation/model_checker/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -7,7 +7,7 @@
 
 from ...common import constants
 from ...consensus.log import Log
-from ...consensus.replica import Consensus, Follower, Incoming
+from ...consensus.replica import Consensus, Follower, IncomingSnapshot
 
 LONG_AGO = -1e9
 SCALARS = (int, str, bool, float, bytes, type(None))
@@ -74,9 +74,9 @@
     twin = Consensus.__new__(Consensus)
     fields = twin.__dict__
     fields.update(consensus.__dict__)
-    for name in ("history", "learners", "replies", "beats", "heirs"):
+    for name in ("history", "learners", "replies", "heartbeat_times", "inherited_learners"):
         fields[name] = dict(fields[name])
-    for name in ("held", "effects", "reads_now", "reads_next"):
+    for name in ("deferred", "effects", "reads_now", "reads_next"):
         fields[name] = list(fields[name])
     twin.log = _copy_of_log(consensus.log)
     twin.saving = [list(one) for one in consensus.saving]
@@ -87,7 +87,7 @@
 
 
 def _copy_of_incoming(incoming):
-    twin = Incoming(incoming.index)
+    twin = IncomingSnapshot(incoming.index)
     twin.total, twin.data = incoming.total, bytearray(incoming.data)
     return twin
 
@@ -103,40 +103,40 @@
     twin = Follower.__new__(Follower)
     twin.__dict__.update(follower.__dict__)
     twin.flow = copy.copy(follower.flow)
-    twin.flow.under_way = collections.deque(follower.flow.under_way)
+    twin.flow.in_flight = collections.deque(follower.flow.in_flight)
     twin.transfer = copy.copy(follower.transfer)
     return twin
 
 
 def _forget_flow_times(flow):
     """Takes time, and what was learnt by time, out of what is under way to a follower."""
-    flow.under_way = collections.deque(sent._replace(at=0.0) for sent in flow.under_way)
+    flow.in_flight = collections.deque(sent._replace(at=0.0) for sent in flow.in_flight)
     flow.progress_at, flow.rate, flow.losses = 0.0, None, 0
     flow.budget = constants.APPEND_START
 
 
 def _flow_state(flow):
     """What is under way to a follower, without times."""
-    return tuple((sent.last, sent.size) for sent in flow.under_way)
+    return tuple((sent.last, sent.size) for sent in flow.in_flight)
 
 
 def _transfer_state(transfer):
     """A snapshot on its way to a follower, None where there is none."""
     if transfer is None:
         return None
-    progress = (transfer.offset, transfer.awaited, transfer.under_way)
-    return (frozen(transfer.snapshot), transfer.held, transfer.whole, *progress)
+    progress = (transfer.offset, transfer.awaited, transfer.in_flight)
+    return (frozen(transfer.snapshot), transfer.stored_segment, transfer.payload, *progress)
 
 
 class Replica:
     """A daemon of the model. Invariants: `disk` is the payload of a base file that holds all
     that is durable; `queue` are the writes under way; a wiped daemon has another identity."""
 
-    def __init__(self, identity, area, members, mode, draw=SHORTEST):
-        self.identity, self.area = identity, area
+    def __init__(self, identity, zone, members, mode, draw=SHORTEST):
+        self.identity, self.zone = identity, zone
         self.members, self.mode, self.draw = members, mode, draw
         self.consensus = fresh_consensus(identity, members, mode, draw)
-        self.disk = self.consensus.founding_base()
+        self.disk = self.consensus.bootstrap_base()
         self.queue = ()
         self._key = self._disk_key = None
 
@@ -172,11 +172,11 @@
     def forget_times(self, now):
         """Takes time out of the state: any time-out may have passed, any wait may be over."""
         consensus = self.consensus
-        consensus.heard_leader = consensus.beat_at = consensus.ask_at = LONG_AGO
+        consensus.heard_leader = consensus.heartbeat_at = consensus.ask_at = LONG_AGO
         consensus.election_at = 0.0
-        consensus.beat, consensus.beats = 0, {}
+        consensus.heartbeat, consensus.heartbeat_times = 0, {}
         for follower in consensus.followers.values():
-            follower.beat, follower.heard_at = 0, now
+            follower.heartbeat, follower.heard_at = 0, now
             _forget_flow_times(follower.flow)
         if consensus.handover is not None:
             consensus.handover = consensus.handover._replace(until=now)
@@ -212,18 +212,18 @@
             for identity, follower in sorted(one.followers.items())
         )
         return (
-            (one.term, one.role, one.following, one.leader, one.leader_term, one.commit, one.stranger),
-            (one.first, one.base_index, one.base_term, one.durable, one.cohort_index),
+            (one.term, one.role, one.following, one.leader, one.leader_term, one.commit, one.removed),
+            (one.first, one.base_index, one.base_term, one.durable, one.membership_index),
             frozen(one.history),
             frozen_entries(one.entries),
             frozen(one.learners),
-            (frozen(one.heirs), one.released, one.handover),
+            (frozen(one.inherited_learners), one.released, one.handover),
             frozen(one.replies),
             followers,
             one.sequence - sequence,
             max(0, one.hard_sequence - sequence),
             tuple((saving[0] - sequence, saving[1]) for saving in one.saving),
-            tuple((need - sequence, frozen(effect)) for need, effect in one.held),
+            tuple((need - sequence, frozen(effect)) for need, effect in one.deferred),
             None
             if one.incoming is None
             else (one.incoming.index, one.incoming.total, bytes(one.incoming.data)),
@@ -237,4 +237,4 @@
 
 def identity_in(consensus):
     """Whether a replica is a member by its own log."""
-    return consensus.identity in consensus.cohort.members()
+    return consensus.identity in consensus.membership.members()
--- a/src/pinepitch/simulation/model_checker/schedule.py
+++ b/src/pinepitch/simulation/model_checker/schedule.py
@@ -12,7 +12,7 @@
 from .fleets import FAST, FIVE, SLOW, THREE, Fleet
 from .replica import frozen, machine_of
 from .state import Action
-from .timed import TimedBudget, TimedWorld
+from .timed import TimedBudget, TimedModelState
 
 MESSAGES_MOST = 400  # messages; delivered between two waits, a storm beyond that is a fault itself
 RECOVERY = 80  # quanta; within which an election, a joint change and another election are over
@@ -36,7 +36,7 @@
     def __init__(self, members, spares, mode, rates, seed):
         draws = {one: random.Random(f"{one}-{seed}") for one in (*members, *spares)}
         fleet = Fleet(members, spares, mode, ENDLESS, draws=draws, rates=rates)
-        self.world = TimedWorld(fleet, rates)
+        self.world = TimedModelState(fleet, rates)
         self.cuts = set()  # (machine, machine) whose messages wait
         self.leased = 0  # states, one a wait, in which a leader had its lease
         self.wipes = 0
@@ -73,16 +73,16 @@
     def deliver(self):
         """All messages that no cut and no stopped daemon holds back."""
         for _ in range(MESSAGES_MOST):
-            number = next((one for one in sorted(self.world.letters) if self._passes(one)), None)
+            number = next((one for one in sorted(self.world.messages) if self._passes(one)), None)
             if number is None:
                 return
             self.step("deliver", number)
         raise AssertionError("messages never end")
 
     def _passes(self, number):
-        letter = self.world.post.letters[number]
-        ends = frozenset((machine_of(letter.sender), machine_of(letter.receiver)))
-        return ends not in self.cuts and letter.receiver not in self.world.frozen
+        message = self.world.post.messages[number]
+        ends = frozenset((machine_of(message.sender), machine_of(message.receiver)))
+        return ends not in self.cuts and message.receiver not in self.world.frozen
 
     def tend_members(self):
         """Lets newcomers in, in the place of a daemon that the same machine ran before."""
@@ -90,7 +90,7 @@
             if leader in self.world.frozen:
                 continue
             consensus = self.world.replicas[leader].consensus
-            members = consensus.cohort.members()
+            members = consensus.membership.members()
             for identity in sorted(self.world.replicas):
                 if identity not in members and identity not in consensus.followers:
                     self.step("learn", leader, identity)
@@ -101,9 +101,9 @@
 
     def change(self, leader, leaver, newcomer):
         """Replaces a member, if the leader may now."""
-        members = self.world.replicas[leader].consensus.cohort.now.members
-        area = self.world.replicas[newcomer].area
-        coming = {**{one: place for one, place in members.items() if one != leaver}, newcomer: area}
+        members = self.world.replicas[leader].consensus.membership.now.members
+        zone = self.world.replicas[newcomer].zone
+        coming = {**{one: place for one, place in members.items() if one != leaver}, newcomer: zone}
         self.step("change", leader, tuple(sorted(coming.items())))
 
     def serves_again(self, lost):
@@ -124,8 +124,8 @@
         """Whether those that have their disks, but for one, may elect a leader by their newest list."""
         logs = {one: log for one, log in self.world.logs.items() if one != away}
         newest = max(logs.values(), key=lambda log: (log.term_at(log.last_index()), log.last_index()))
-        image = frozen(newest.cohort.image())
-        return invariants.wins(image, frozenset(logs) & frozenset(newest.cohort.members()))
+        image = frozen(newest.membership.image())
+        return invariants.wins(image, frozenset(logs) & frozenset(newest.membership.members()))
 
     # --- events -----------------------------------------------------------------------
     def _nothing(self, event):
@@ -148,7 +148,7 @@
 
     def _heal_anew(self, event):
         """What waited is lost, links begin anew."""
-        for number in sorted(self.world.letters):
+        for number in sorted(self.world.messages):
             if not self._passes(number):
                 self.step("lose", number)
         self.cuts.clear()
@@ -189,7 +189,7 @@
         """A leader swaps a member for a spare that follows."""
         for leader in self.world.leaders_by_themselves():
             consensus = self.world.replicas[leader].consensus
-            members = sorted(consensus.cohort.members())
+            members = sorted(consensus.membership.members())
             ready = [one for one in sorted(consensus.learners) if consensus.caught_up(one)]
             ready = [one for one in ready if one in self.world.replicas]
             if ready and leader not in self.world.frozen:
--- a/src/pinepitch/simulation/model_checker/script.py
+++ b/src/pinepitch/simulation/model_checker/script.py
@@ -3,28 +3,28 @@
 from .invariants import Violation
 from .state import Action
 
-STEPS_MOST = 1_000  # steps; after which messages that breed messages count as a fault
+MAX_STEPS = 1_000  # steps; after which messages that breed messages count as a fault
 
 
-def quiet(world):
+def quiet(state):
     """Delivers and saves until nothing is under way."""
-    for _ in range(STEPS_MOST):
-        action = next((one for one in world.actions() if one.kind in ("save", "deliver")), None)
+    for _ in range(MAX_STEPS):
+        action = next((one for one in state.actions() if one.kind in ("save", "deliver")), None)
         if action is None:
-            return world
-        world = world.step(action)
+            return state
+        state = state.step(action)
     raise Violation("messages never end")
 
 
 def deliver(kind, receiver):
     """A line of a script: delivers the messages of one kind that are under way to one daemon."""
 
-    def line(world):
-        for number in sorted(world.letters):
-            letter = world.post.letters[number]
-            if letter.message[0] == kind and letter.receiver == receiver:
-                world = world.step(Action("deliver", number))
-        return world
+    def line(state):
+        for number in sorted(state.messages):
+            message = state.post.messages[number]
+            if message.message[0] == kind and message.receiver == receiver:
+                state = state.step(Action("deliver", number))
+        return state
 
     return line
 
@@ -33,49 +33,49 @@
     """A line of a script: delivers and saves until nothing is under way; what the lost ones send or
     would get is lost."""
 
-    def line(world):
-        for _ in range(STEPS_MOST):
-            for number in sorted(world.letters):
-                if set(lost) & set(world.post.letters[number][:2]):
-                    world = world.step(Action("lose", number))
-            if not world.letters:
-                return world
-            world = world.step(Action("deliver", min(world.letters)))
+    def line(state):
+        for _ in range(MAX_STEPS):
+            for number in sorted(state.messages):
+                if set(lost) & set(state.post.messages[number][:2]):
+                    state = state.step(Action("lose", number))
+            if not state.messages:
+                return state
+            state = state.step(Action("deliver", min(state.messages)))
         raise Violation("messages never end")
 
     return line
 
 
-def drop(world):
+def drop(state):
     """Loses all that is under way."""
-    for number in sorted(world.letters):
-        world = world.step(Action("lose", number))
-    return world
+    for number in sorted(state.messages):
+        state = state.step(Action("lose", number))
+    return state
 
 
 def elect(identity):
     """A line of a script: this member is elected and all hear of it."""
-    return lambda world: quiet(world.step(Action("stand", identity)))
+    return lambda state: quiet(state.step(Action("stand", identity)))
 
 
 def act(kind, subject, detail=None):
     """A line of a script: one step, nothing delivered."""
-    return lambda world: world.step(Action(kind, subject, detail))
+    return lambda state: state.step(Action(kind, subject, detail))
 
 
 def settle(kind, subject, detail=None):
     """A line of a script: one step, and all that follows from it."""
-    return lambda world: quiet(world.step(Action(kind, subject, detail)))
+    return lambda state: quiet(state.step(Action(kind, subject, detail)))
 
 
 def keep_only(kind):
     """A line of a script: loses all that is under way but messages of one kind."""
 
-    def line(world):
-        for number in sorted(world.letters):
-            if world.post.letters[number].message[0] != kind:
-                world = world.step(Action("lose", number))
-        return world
+    def line(state):
+        for number in sorted(state.messages):
+            if state.post.messages[number].message[0] != kind:
+                state = state.step(Action("lose", number))
+        return state
 
     return line
 
@@ -83,10 +83,10 @@
 def wait_without(times, *lost):
     """A line of a script: time passes and all messages arrive, but for those to and from the lost ones."""
 
-    def line(world):
+    def line(state):
         for _ in range(times):
-            world = quiet_without(*lost)(world.step(Action("wait", "")))
-        return world
+            state = quiet_without(*lost)(state.step(Action("wait", "")))
+        return state
 
     return line
 
@@ -94,9 +94,9 @@
 def wait_unheard(times):
     """A line of a script: time passes and nothing arrives."""
 
-    def line(world):
+    def line(state):
         for _ in range(times):
-            world = world.step(Action("wait", ""))
-        return world
+            state = state.step(Action("wait", ""))
+        return state
 
     return line
--- a/src/pinepitch/simulation/model_checker/search.py
+++ b/src/pinepitch/simulation/model_checker/search.py
@@ -90,6 +90,6 @@
         outcomes[{True: "serve again", False: "stand still", None: "lost too much"}[served]] += 1
         leased += run.leased
         terms += len(run.world.leaders)
-    told = ", ".join(f"{number} {what}" for what, number in sorted(outcomes.items()))
-    print(f"schedules: {count}, {told}; {terms} leaders, leases in {leased} quanta, ", end="")
+    summary = ", ".join(f"{number} {what}" for what, number in sorted(outcomes.items()))
+    print(f"schedules: {count}, {summary}; {terms} leaders, leases in {leased} quanta, ", end="")
     print(f"{time.monotonic() - begun:.0f} s")
