--- a/src/pinepitch/simulation/model_checker/state.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -16,7 +16,7 @@
 STALE_ANSWERS = ("voted", "appended", "pieced")  # answers that mean nothing in a later term
 
 
-class Letter(NamedTuple):
+class Message(NamedTuple):
     """A message under way."""
 
     sender: str
@@ -28,15 +28,15 @@
     """All messages of a search, by number. Invariant: equal letters have the same number."""
 
     def __init__(self):
-        self.letters, self.numbers = [], {}
+        self.messages, self.numbers = [], {}
 
     def number(self, sender, receiver, message):
         """The number of a message, new or seen before."""
         key = (sender, receiver, frozen(message))
         number = self.numbers.get(key)
         if number is None:
-            number = self.numbers[key] = len(self.letters)
-            self.letters.append(Letter(sender, receiver, message))
+            number = self.numbers[key] = len(self.messages)
+            self.messages.append(Message(sender, receiver, message))
         return number
 
 
@@ -62,7 +62,7 @@
     detail: object = None
 
 
-class World:
+class ModelState:
     """A state without time.
 
     Invariants: `leaders` names at most one leader a term; `committed[i]` is what every
@@ -73,13 +73,13 @@
     def __init__(self, fleet):
         self.post = Post()
         self.replicas = {}
-        for identity, area in fleet.members.items():
+        for identity, zone in fleet.members.items():
             draw = fleet.draws.get(identity, SHORTEST)
-            self.replicas[identity] = Replica(identity, area, dict(fleet.members), fleet.mode, draw)
-        for identity, area in fleet.spares.items():
+            self.replicas[identity] = Replica(identity, zone, dict(fleet.members), fleet.mode, draw)
+        for identity, zone in fleet.spares.items():
             draw = fleet.draws.get(identity, SHORTEST)
-            self.replicas[identity] = Replica(identity, area, {}, fleet.mode, draw)
-        self.letters = frozenset()
+            self.replicas[identity] = Replica(identity, zone, {}, fleet.mode, draw)
+        self.messages = frozenset()
         self.budget = fleet.budget
         self.slow_disks = fleet.slow_disks
         self.committed = ()
@@ -92,7 +92,7 @@
     def key(self):
         """A fingerprint: worlds with equal keys have the same future."""
         replicas = tuple(self.replicas[one].key() for one in sorted(self.replicas))
-        return hash((replicas, self.letters, self.budget, self.committed, self.leaders, self.wiped))
+        return hash((replicas, self.messages, self.budget, self.committed, self.leaders, self.wiped))
 
     def now(self, identity):
         """The steady clock of a daemon."""
@@ -105,9 +105,9 @@
     # --- steps ------------------------------------------------------------------------
     def actions(self):
         """Every step that may be taken here, in an order that is always the same."""
-        found = [Action("deliver", letter) for letter in sorted(self.letters)]
+        found = [Action("deliver", model_message) for model_message in sorted(self.messages)]
         if self.budget.repeats:
-            found += [Action("repeat", letter) for letter in sorted(self.letters)]
+            found += [Action("repeat", model_message) for model_message in sorted(self.messages)]
         for identity in sorted(self.replicas):
             replica = self.replicas[identity]
             if replica.queue:
@@ -126,7 +126,7 @@
 
     def _may_stand(self, replica):
         consensus = replica.consensus
-        return identity_in(consensus) and not consensus.stranger
+        return identity_in(consensus) and not consensus.removed
 
     def _leader_actions(self, identity, replica):
         consensus = replica.consensus
@@ -135,10 +135,10 @@
             found.append(Action("propose", identity))
         if self.budget.beats:
             found.append(Action("beat", identity))
-        if consensus.serving() and consensus.cohort.coming is None:
-            if consensus.cohort_index <= consensus.commit and self.budget.changes:
+        if consensus.serving() and consensus.membership.coming is None:
+            if consensus.membership_index <= consensus.commit and self.budget.changes:
                 found += [Action("change", identity, change) for change in self._changes(consensus)]
-        members = consensus.cohort.members()
+        members = consensus.membership.members()
         if self.budget.handovers and consensus.handover is None:
             found += [Action("hand over", identity, one) for one in sorted(members) if one != identity]
         for other in sorted(self.replicas):
@@ -148,16 +148,16 @@
 
     def _changes(self, consensus):
         """The lists of members that a leader may go on to: one replaced, one added, one removed."""
-        members = consensus.cohort.members()
+        members = consensus.membership.members()
         lists = []
         for newcomer in sorted(consensus.learners):
             if newcomer not in self.replicas or not consensus.caught_up(newcomer):
                 continue
-            area = consensus.learners[newcomer]
+            zone = consensus.learners[newcomer]
             for leaver in sorted(members):
                 rest = {one: place for one, place in members.items() if one != leaver}
-                lists.append({**rest, newcomer: area})
-            lists.append({**members, newcomer: area})
+                lists.append({**rest, newcomer: zone})
+            lists.append({**members, newcomer: zone})
         if len(members) > 3:
             for leaver in sorted(members):
                 lists.append({one: place for one, place in members.items() if one != leaver})
@@ -180,28 +180,30 @@
         return replica
 
     def _deliver(self, action):
-        self.letters -= {action.subject}
+        self.messages -= {action.subject}
         self._take(action.subject)
 
     def describe(self, action):
         """An action in words."""
         if action.kind in ("deliver", "repeat", "lose"):
-            letter = self.post.letters[action.subject]
-            return f"{action.kind} {letter.sender}->{letter.receiver} {letter.message}"
+            model_message = self.post.messages[action.subject]
+            return f"{action.kind} {model_message.sender}->{model_message.receiver} {model_message.message}"
         return f"{action.kind} {action.subject}" + ("" if action.detail is None else f" {action.detail}")
 
     def _lose(self, action):
-        self.letters -= {action.subject}
+        self.messages -= {action.subject}
 
     def _repeat(self, action):
         self._spend("repeats")
         self._take(action.subject)
 
     def _take(self, number):
-        letter = self.post.letters[number]
-        replica = self._touch(letter.receiver)
+        model_message = self.post.messages[number]
+        replica = self._touch(model_message.receiver)
         self._forget_times(replica)
-        effects = replica.consensus.step(letter.sender, letter.message, self.now(letter.receiver))
+        effects = replica.consensus.step(
+            model_message.sender, model_message.message, self.now(model_message.receiver)
+        )
         self._carry_out(replica, effects)
 
     def _save(self, action):
@@ -223,11 +225,13 @@
         identity = action.subject
         former = self.replicas.pop(identity)
         newcomer = identity + "'"
-        self.replicas[newcomer] = Replica(newcomer, former.area, {}, former.mode, former.draw)
+        self.replicas[newcomer] = Replica(newcomer, former.zone, {}, former.mode, former.draw)
         self.wiped |= {identity}
         self.logs = {one: log for one, log in self.logs.items() if one != identity}
         self.logs[newcomer] = self.replicas[newcomer].stored()
-        self.letters = frozenset(one for one in self.letters if self.post.letters[one].receiver != identity)
+        self.messages = frozenset(
+            one for one in self.messages if self.post.messages[one].receiver != identity
+        )
 
     def _stand(self, action):
         """Stands without a pre-vote, which only holds elections back."""
@@ -257,14 +261,14 @@
     def _hand_over(self, action):
         self._spend("handovers")
         replica = self._touch(action.subject)
-        effects = replica.consensus.hand_over({action.detail}, self.now(action.subject))
+        effects = replica.consensus.transfer_leadership({action.detail}, self.now(action.subject))
         self._carry_out(replica, effects)
 
     def _learn(self, action):
         replica = self._touch(action.subject)
         consensus, now = replica.consensus, self.now(action.subject)
-        consensus.learn(action.detail, self.replicas[action.detail].area, now)
-        consensus._replicate(action.detail, now, beat=True)
+        consensus.learn(action.detail, self.replicas[action.detail].zone, now)
+        consensus._replicate(action.detail, now, heartbeat=True)
         self._carry_out(replica, consensus._done(now))
 
     def _beat(self, action):
@@ -306,7 +310,7 @@
     def _post(self, sender, receiver, message):
         if message[0] in self.ignored or receiver not in self.replicas:
             return
-        self.letters |= {self.post.number(sender, receiver, self._posted(message))}
+        self.messages |= {self.post.number(sender, receiver, self._posted(message))}
 
     def _posted(self, message):
         """A message without the number of its beat, which only leases and reads need."""
@@ -316,13 +320,13 @@
 
     def _forget_stale(self):
         """Drops answers of terms that their receiver has, durably, left behind."""
-        kept = [number for number in self.letters if not self._stale(self.post.letters[number])]
-        if len(kept) < len(self.letters):
-            self.letters = frozenset(kept)
+        kept = [number for number in self.messages if not self._stale(self.post.messages[number])]
+        if len(kept) < len(self.messages):
+            self.messages = frozenset(kept)
 
-    def _stale(self, letter):
-        kind, term, *_ = letter.message
-        return kind in STALE_ANSWERS and term < self.logs[letter.receiver].term
+    def _stale(self, model_message):
+        kind, term, *_ = model_message.message
+        return kind in STALE_ANSWERS and term < self.logs[model_message.receiver].term
 
     # --- what was promised ------------------------------------------------------------
     def _commit(self, replica, first, entries):
@@ -363,12 +367,12 @@
             former = before.replicas.get(identity)
             if former is replica or former is None:
                 continue
-            self._check_cohorts(former.consensus, replica.consensus)
+            self._check_memberships(former.consensus, replica.consensus)
             self._check_durable(replica)
 
-    def _check_cohorts(self, former, latter):
-        if latter.role == "leader" and former.role == "leader" and former.cohort != latter.cohort:
-            invariants.check_change(frozen(former.cohort.image()), frozen(latter.cohort.image()))
+    def _check_memberships(self, former, latter):
+        if latter.role == "leader" and former.role == "leader" and former.membership != latter.membership:
+            invariants.check_change(frozen(former.membership.image()), frozen(latter.membership.image()))
 
     def _check_durable(self, replica):
         """What a replica counts as durable is on its disk."""
@@ -382,18 +386,18 @@
 
 
 # The registry of steps: kind of action -> what it does to a world.
-World.kinds = {
-    "deliver": World._deliver,
-    "lose": World._lose,
-    "repeat": World._repeat,
-    "save": World._save,
-    "restart": World._restart,
-    "wipe": World._wipe,
-    "stand": World._stand,
-    "propose": World._propose,
-    "change": World._change,
-    "hand over": World._hand_over,
-    "learn": World._learn,
-    "beat": World._beat,
-    "compact": World._compact,
+ModelState.kinds = {
+    "deliver": ModelState._deliver,
+    "lose": ModelState._lose,
+    "repeat": ModelState._repeat,
+    "save": ModelState._save,
+    "restart": ModelState._restart,
+    "wipe": ModelState._wipe,
+    "stand": ModelState._stand,
+    "propose": ModelState._propose,
+    "change": ModelState._change,
+    "hand over": ModelState._hand_over,
+    "learn": ModelState._learn,
+    "beat": ModelState._beat,
+    "compact": ModelState._compact,
 }
--- a/src/pinepitch/simulation/model_checker/timed.py
+++ b/src/pinepitch/simulation/model_checker/timed.py
@@ -9,7 +9,7 @@
 
 from .invariants import Violation
 from .replica import machine_of
-from .state import Action, World
+from .state import Action, ModelState
 
 QUANTUM = 0.1  # seconds; of real time, as long as a heartbeat
 BEGIN = 1000.0  # seconds; what every clock reads at first
@@ -17,7 +17,7 @@
 
 def _flow_times(flow):
     """The times of what is under way to a follower."""
-    return tuple(round(sent.at, 3) for sent in flow.under_way), round(max(flow.progress_at, 0.0), 3)
+    return tuple(round(sent.at, 3) for sent in flow.in_flight), round(max(flow.progress_at, 0.0), 3)
 
 
 class TimedBudget(NamedTuple):
@@ -39,10 +39,10 @@
 
 def _flow_times(flow):
     """The times of what is under way to a follower."""
-    return tuple(round(sent.at, 3) for sent in flow.under_way), round(max(flow.progress_at, 0.0), 3)
+    return tuple(round(sent.at, 3) for sent in flow.in_flight), round(max(flow.progress_at, 0.0), 3)
 
 
-class TimedWorld(World):
+class TimedModelState(ModelState):
     """A state with clocks. Invariant: while a leader's lease stands, no later term has a leader."""
 
     ignored = ()
@@ -69,17 +69,17 @@
     def _times(self, replica):
         consensus = replica.consensus
         followers = tuple(
-            (one, follower.beat, round(follower.heard_at, 3), _flow_times(follower.flow))
+            (one, follower.heartbeat, round(follower.heard_at, 3), _flow_times(follower.flow))
             for one, follower in sorted(consensus.followers.items())
         )
         return (
             round(max(consensus.heard_leader, 0.0), 3),
             None if consensus.election_at is None else round(consensus.election_at, 3),
-            round(max(consensus.beat_at, 0.0), 3),
-            round(max(consensus.penance_until, 0.0), 3),
-            (consensus.beat, consensus.handover, consensus.begun_at, max(consensus.ask_at, 0.0)),
+            round(max(consensus.heartbeat_at, 0.0), 3),
+            round(max(consensus.disk_cooldown_until, 0.0), 3),
+            (consensus.heartbeat, consensus.handover, consensus.begun_at, max(consensus.ask_at, 0.0)),
             followers,
-            tuple((number, round(sent, 3)) for number, sent in sorted(consensus.beats.items())),
+            tuple((number, round(sent, 3)) for number, sent in sorted(consensus.heartbeat_times.items())),
             (consensus.round, tuple(consensus.reads_now), tuple(consensus.reads_next)),
         )
 
@@ -109,7 +109,7 @@
 
     def _awake(self, action):
         if action.kind in ("deliver", "repeat"):
-            return self.post.letters[action.subject].receiver not in self.frozen
+            return self.post.messages[action.subject].receiver not in self.frozen
         return action.subject not in self.frozen
 
     def _wait(self, action):
@@ -174,13 +174,13 @@
                     )
 
 
-TimedWorld.kinds = {
-    **World.kinds,
-    "wait": TimedWorld._wait,
-    "tick": TimedWorld._tick,
-    "freeze": TimedWorld._freeze,
-    "thaw": TimedWorld._thaw,
-    "read": TimedWorld._read,
-    "restart": TimedWorld._restart,
-    "wipe": TimedWorld._wipe,
+TimedModelState.kinds = {
+    **ModelState.kinds,
+    "wait": TimedModelState._wait,
+    "tick": TimedModelState._tick,
+    "freeze": TimedModelState._freeze,
+    "thaw": TimedModelState._thaw,
+    "read": TimedModelState._read,
+    "restart": TimedModelState._restart,
+    "wipe": TimedModelState._wipe,
 }
--- a/src/pinepitch/simulation/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -12,7 +12,7 @@
 from .jobs.fleet import Tenancy
 from .simulator import START, Simulator
 
-SILENCE = 1.0  # seconds; without an answer the operator goes on to another daemon
+RESPONSE_TIMEOUT = 1.0  # seconds; without an answer the operator goes on to another daemon
 PAUSE = 0.1  # seconds; before it does
 REFUSALS = (400, 409, 412, 413, 422)  # answers that end a call
 
@@ -22,9 +22,9 @@
 
     _sent = Tenancy._sent
 
-    def __init__(self, seed, areas=("a", "b", "c")):
+    def __init__(self, seed, zones=("a", "b", "c")):
         self.answer_loss = 0.0  # part of the answers that get lost
-        super().__init__(seed, areas, verges=(), minions=(), founders=len(areas))
+        super().__init__(seed, zones, fronts=(), workers=(), founders=len(zones))
 
     def begin(self):
         """Runs until a leader serves under its epoch."""
@@ -53,7 +53,7 @@
                 once(status, document)
 
         self._sent("operator", 0, self.nodes[name], call, arguments, constants.CALL_PATIENCE, perhaps)
-        self.at(SILENCE, "later", lambda: once(0, None))
+        self.at(RESPONSE_TIMEOUT, "later", lambda: once(0, None))
 
     def under_way(self):
         """Whether something waits to be answered or to be sent again."""
@@ -118,9 +118,9 @@
         leader = self.fleet.leader()
         if self.standing is None or leader is None or not leader.core.consensus.leased(leader.core.step_at):
             return []
-        if leader.core.record.time < START or self.fleet.now - self.acknowledged < 0.01:
+        if leader.core.cluster_state.time < START or self.fleet.now - self.acknowledged < 0.01:
             return []
-        evacuated = self.zone in leader.core.record.board.evacuated
+        evacuated = self.zone in leader.core.cluster_state.leased_jobs.evacuated
         if evacuated == self.standing:
             return []
         done = "begun" if self.standing else "finished"
@@ -191,7 +191,7 @@
 
     def taken_in_record(self):
         """The changes that the leader's record holds for taken."""
-        taken = self.fleet.leader().core.record.board.configuration.taken
+        taken = self.fleet.leader().core.cluster_state.leased_jobs.configuration.taken
         return [one for one in self.changes if taken.get(one.version()) == one.digest()]
 
     def faults(self):
--- a/src/pinepitch/simulation/order_injected_faults.py
+++ b/src/pinepitch/simulation/order_injected_faults.py
@@ -4,13 +4,13 @@
 import json
 
 from ..common import constants
-from ..control.leader import Lead
+from ..control.leader import LeaderRole
 from ..scheduling import configuration
 from ..scheduling.configuration import Configuration
 from ..scheduling.evacuation import Evacuations
-from ..transport.indexed_forwarder import ConfirmedCalls
+from ..transport.indexed_forwarder import IndexedForwarder
 
-original_settled = Configuration._settled
+original_settled = Configuration._earlier_outcome
 original_image = Configuration.image
 
 
@@ -70,10 +70,10 @@
 
 
 LATE_ORDERS = ((Evacuations, "take", _late_orders_taken),)
-PLANTS = {
-    "base-unheeded": [(Configuration, "_settled", _base_unheeded)],
-    "number-is-enough": [(Configuration, "_settled", _number_is_enough)],
-    "taken-unheeded": [(Configuration, "_settled", _taken_unheeded)],
+INJECTED_FAULTS = {
+    "base-unheeded": [(Configuration, "_earlier_outcome", _base_unheeded)],
+    "number-is-enough": [(Configuration, "_earlier_outcome", _number_is_enough)],
+    "taken-unheeded": [(Configuration, "_earlier_outcome", _taken_unheeded)],
     "taken-not-in-snapshots": [(Configuration, "image", _forgets_at_restart)],
     "order-of-members-counts": [(configuration, "digest_of", _member_order_counts)],
     "old-changes-refused": [(Configuration, "_forgotten_below", _old_is_refused)],
@@ -81,9 +81,9 @@
     # A late order is stopped by the end that its carried copy bears, too: without both it is taken.
     "late-orders-taken": [
         *LATE_ORDERS,
-        (Lead, "_in_time", lambda self, end, now: True),
+        (LeaderRole, "_in_time", lambda self, end, now: True),
     ],
     "holding-orders-unnoted": [(Evacuations, "take", _holding_orders_unnoted)],
-    "pauses-unseen": [(ConfirmedCalls, "_unread", _pauses_unseen)],
+    "pauses-unseen": [(IndexedForwarder, "_unread", _pauses_unseen)],
     "orders-confirmed-late": [(constants, "CONFIRM_WITHIN", constants.CALL_PATIENCE)],
 }
--- a/src/pinepitch/simulation/outage.py
+++ b/src/pinepitch/simulation/outage.py
@@ -15,7 +15,7 @@
 LONG = 5.0  # seconds; the same after a loss of power
 STAGGER = 0.3  # seconds; the starts are spread over this
 WATCHED = 12.0  # seconds; from the last start, in which everything is expected to happen
-CANDIDATE, LEADER, DUTY = 121, 122, 150  # numbers of the events that are timed
+CANDIDATE, LEADER, SINGLETON_ROLE = 121, 122, 150  # numbers of the events that are timed
 JOB_RATE = 3.0  # times the usual traffic, so that the first answer is not waited for
 
 
@@ -39,20 +39,20 @@
     """One outage, with all that the seed draws: `down` seconds from the kill to the first start,
     watched for some seconds from the last one."""
     simulator = Tenancy(seed)
-    simulator.patron.rate = JOB_RATE
+    simulator.client_stand_in.rate = JOB_RATE
     simulator.begin()
     simulator.run(4 + simulator.draw.random())
     answers = _recorded_answers(simulator)
     known = _accepted(simulator)
     simulator.until(lambda: _accepted(simulator) > known, 10, 0.004)
     killed = simulator.now
-    accords = [name for name, node in simulator.nodes.items() if node.kind == "accord"]
-    for name in accords:
+    control_daemons = [name for name, node in simulator.nodes.items() if node.kind == "accord"]
+    for name in control_daemons:
         simulator.kill(name)
     simulator.run(down)
-    delays = sorted(simulator.draw.random() * STAGGER for _ in accords)
-    simulator.draw.shuffle(accords)
-    for name, delay, before in zip(accords, delays, [0.0, *delays], strict=False):
+    delays = sorted(simulator.draw.random() * STAGGER for _ in control_daemons)
+    simulator.draw.shuffle(control_daemons)
+    for name, delay, before in zip(control_daemons, delays, [0.0, *delays], strict=False):
         simulator.run(delay - before)
         simulator.start(name)
     last = simulator.now
@@ -61,18 +61,18 @@
 
 
 def _accepted(simulator):
-    return sum(job["accepted"] is not None for job in simulator.patron.jobs.values())
+    return sum(job["accepted"] is not None for job in simulator.client_stand_in.jobs.values())
 
 
 def _recorded_answers(simulator):
     """A list that fills with (sent, answered, status) of every try to hand in a job."""
-    answers, submitted = [], simulator.patron._submitted
+    answers, submitted = [], simulator.client_stand_in._submitted
 
     def record(job, sent, status, document, now):
         answers.append((sent - START, now - START, status))
         return submitted(job, sent, status, document, now)
 
-    simulator.patron._submitted = record
+    simulator.client_stand_in._submitted = record
     return answers
 
 
@@ -84,18 +84,20 @@
 
     leader = event(LEADER)
     until = simulator.now - last if leader is None else leader
-    jobs = [job for job in simulator.patron.jobs.values() if killed < job["sent"] - START < last + until]
+    jobs = [
+        job for job in simulator.client_stand_in.jobs.values() if killed < job["sent"] - START < last + until
+    ]
     accepted = [job["accepted"] - START - last for job in jobs if job["accepted"] is not None]
     early = [one for one in answers if killed < one[0] < last + until]
     held = [answered - sent for sent, answered, status in early if status not in (0, 200)]
     return Outage(
         event(CANDIDATE),
         leader,
-        event(DUTY),
+        event(SINGLETON_ROLE),
         _first(accepted),
         _first(
             one[1] - START - last
-            for one in simulator.minion_history
+            for one in simulator.worker_history
             if one[0] == "start" and one[1] - START > last
         ),
         max(accepted) if jobs and len(accepted) == len(jobs) else None,
--- a/src/pinepitch/simulation/pushed_job_trial.py
+++ b/src/pinepitch/simulation/pushed_job_trial.py
@@ -10,7 +10,7 @@
 import traceback
 
 from . import checks, injected_faults
-from .fault_scenarios import WEATHERS
+from .fault_scenarios import FAULT_SCENARIOS
 from .simulator import Simulator
 from .stand_in_operator import Operator
 
@@ -40,32 +40,32 @@
 )
 # The fleets a trial may run on: like each deployment of the brief, only smaller.
 FLEETS = {
-    "three": {"accords": ("a", "b", "c"), "minions": (("m", 6, 8, (), True),), "founders": 3},
+    "three": {"control_daemons": ("a", "b", "c"), "workers": (("m", 6, 8, (), True),), "founders": 3},
     "five": {
-        "accords": ("a", "a", "b", "c", "d"),
-        "verges": ("a", "b", "c", "d"),
-        "areas": ("a", "b", "c", "d"),
-        "minions": (("m", 8, 8, (), True),),
+        "control_daemons": ("a", "a", "b", "c", "d"),
+        "fronts": ("a", "b", "c", "d"),
+        "zones": ("a", "b", "c", "d"),
+        "workers": (("m", 8, 8, (), True),),
         "founders": 5,
     },
     "nine": {
-        "accords": ("a", "a", "a", "b", "b", "b", "c", "c", "c"),
-        "minions": (("m", 6, 8, (), True),),
+        "control_daemons": ("a", "a", "a", "b", "b", "b", "c", "c", "c"),
+        "workers": (("m", 6, 8, (), True),),
         "founders": 9,
     },
-    "bare": {"accords": ("a", "b", "c"), "minions": (("m", 6, 8, (), False),), "founders": 3},
+    "bare": {"control_daemons": ("a", "b", "c"), "workers": (("m", 6, 8, (), False),), "founders": 3},
 }
 
 IN_TURN = ("three", "five", "bare")  # "nine" is for dynamic mode, whose groups need three
 
 
-def trial(weather, seed, fleet="three", mode="static", plant=""):
+def trial(fault_scenario, seed, fleet="three", mode="static", injected_fault=""):
     """(faults, simulator) of one trial, with a planted fault if one is named."""
-    with injected_faults.planted(plant):
-        return _trial(weather, seed, fleet, mode)
+    with injected_faults.planted(injected_fault):
+        return _trial(fault_scenario, seed, fleet, mode)
 
 
-def _trial(weather, seed, fleet, mode):
+def _trial(fault_scenario, seed, fleet, mode):
     simulator = Simulator(seed, mode=mode, **FLEETS[fleet])
     operator = Operator(simulator)
     faults = []
@@ -77,7 +77,7 @@
         operator.race([{"queues": {"feeds": {"limit": 22 + one}}} for one in range(2)])
         if seed % 3 == 2:
             operator.close("minion", "m5")
-        WEATHERS[weather](simulator, operator)
+        FAULT_SCENARIOS[fault_scenario](simulator, operator)
         operator.race([{"queues": {"feeds": {"limit": 24 + one}}} for one in range(2)])
         if seed % 3 == 2:
             operator.open("minion", "m5")
@@ -92,21 +92,21 @@
         faults.append(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
     documents, history = {}, []
     for caller in simulator.callers.values():
-        documents.update({ticket: one[2] for ticket, one in caller.accepted.items()})
+        documents.update({pushed_job: one[2] for pushed_job, one in caller.accepted.items()})
         history.extend(caller.history)
     rows = simulator.setup["queues"]
     faults.extend(
         checks.all_checks(
             history,
-            simulator.minion_history,
+            simulator.worker_history,
             documents,
             rows,
-            simulator.rooms,
-            simulator.away,
+            simulator.capacities,
+            simulator.absences,
             operator.withdrawn,
         )
     )
-    faults.extend(checks.limits_kept(simulator.minion_history, documents, operator.limits()))
+    faults.extend(checks.limits_kept(simulator.worker_history, documents, operator.limits()))
     faults.extend(simulator.agreement())
     if not documents:
         faults.append("no ticket was accepted")
@@ -118,12 +118,14 @@
     faults = []
     for caller in simulator.callers.values():
         final = {event[2]: event[3] for event in caller.history if event[0] == "final"}
-        for place, ticket in enumerate(sorted(caller.accepted)[:: max(1, len(caller.accepted) // most)]):
-            status, document = simulator.ask("GET", f"/v1/tickets/{ticket}", verge=place)
-            if status == 200 and document["state"] != final.get(ticket):
-                faults.append(f"{ticket} was {final.get(ticket)}, read {document['state']} at day's end")
+        for place, pushed_job in enumerate(sorted(caller.accepted)[:: max(1, len(caller.accepted) // most)]):
+            status, document = simulator.ask("GET", f"/v1/tickets/{pushed_job}", front=place)
+            if status == 200 and document["state"] != final.get(pushed_job):
+                faults.append(
+                    f"{pushed_job} was {final.get(pushed_job)}, read {document['state']} at day's end"
+                )
             elif status not in (200, 0, 503):
-                faults.append(f"{ticket} is forgotten at day's end: {status}")
+                faults.append(f"{pushed_job} is forgotten at day's end: {status}")
     return faults
 
 
@@ -138,15 +140,16 @@
         yield from pool.imap_unordered(_one, work)
 
 
-def replay(weather, seed, fleet, mode, plant):
+def replay(fault_scenario, seed, fleet, mode, injected_fault):
     """The command that runs one trial again."""
-    more = f" --plant={plant}" if plant else ""
+    more = f" --plant={injected_fault}" if injected_fault else ""
     return (
-        f"pinepitch trials --weather={weather} --first={seed} --seeds=1 --fleet={fleet} --mode={mode}{more}"
+        f"pinepitch trials --weather={fault_scenario} --first={seed} --seeds=1 "
+        f"--fleet={fleet} --mode={mode}{more}"
     )
 
 
-def trials(weather="all", seeds=20, first=0, fleet="all", mode="static", plant=""):
+def trials(fault_scenario="all", seeds=20, first=0, fleet="all", mode="static", injected_fault=""):
     """Runs trials over many seeds and prints how to replay each that fails.
 
     Args:
@@ -158,14 +161,14 @@
         plant: a planted fault, to see the checks find it.
     """
     names = (
-        list(WEATHERS)
-        if weather == "all"
-        else weather.split(",")
-        if isinstance(weather, str)
-        else list(weather)
+        list(FAULT_SCENARIOS)
+        if fault_scenario == "all"
+        else fault_scenario.split(",")
+        if isinstance(fault_scenario, str)
+        else list(fault_scenario)
     )
     work = [
-        (name, seed, IN_TURN[seed % len(IN_TURN)] if fleet == "all" else fleet, mode, plant)
+        (name, seed, IN_TURN[seed % len(IN_TURN)] if fleet == "all" else fleet, mode, injected_fault)
         for name in names
         for seed in range(first, first + seeds)
     ]
@@ -174,7 +177,7 @@
         virtual += seconds
         if faults:
             failed += 1
-            print(replay(name, seed, on, mode, plant))
+            print(replay(name, seed, on, mode, injected_fault))
             print("   " + "\n   ".join(faults[:4]), flush=True)
     print(
         json.dumps(
--- a/src/pinepitch/simulation/rates.py
+++ b/src/pinepitch/simulation/rates.py
@@ -11,7 +11,7 @@
 from ..control import rehearsal
 from ..model import queue_settings as rows
 
-ROOMS = [(f"m{one}", "a", 8, []) for one in range(6)]
+CAPACITIES = [(f"m{one}", "a", 8, []) for one in range(6)]
 TABLE = {
     "steady": {"share": 16, "limit": 32, "retries": 2, "urgency": 5},
     "narrow": {"share": 6, "limit": 6, "retries": 2, "urgency": 5, "lends": False},
@@ -102,7 +102,7 @@
     kind, besides, patch, right, seed = work
     table = rows.checked(rows.merged({"queues": TABLE}, besides))[0]
     draft = rows.checked(rows.merged(table, {"queues": patch}))[0]
-    found = rehearsal.measure(blocks(seed, kind == "urgency"), table, draft, ROOMS)
+    found = rehearsal.measure(blocks(seed, kind == "urgency"), table, draft, CAPACITIES)
     return kind, right, found["verdict"]
 
 
--- a/src/pinepitch/simulation/scale/costs.py
+++ b/src/pinepitch/simulation/scale/costs.py
@@ -12,9 +12,9 @@
 
 from ...common import constants
 from ...consensus.leader_clock import Reading
-from ...control.daemon import Accord
+from ...control.daemon import ControlDaemon
 from ...scheduling.leased_job import checked
-from ...scheduling.leased_job_state import Board
+from ...scheduling.leased_job_state import LeasedJobState
 from ...transport import framing
 from ..jobs import kinds, limits
 from .load import RACK
@@ -25,7 +25,7 @@
     saves is durable at the end of the step that asked for it."""
 
     def __init__(self):
-        self.core = Accord("alone", "127.0.0.1:1", "a", (), founders=1, seed=0)
+        self.core = ControlDaemon("alone", "127.0.0.1:1", "a", (), bootstrap_members=1, seed=0)
         self.now, self.sent, self.count = 100.0, [], 0
         self.snapshots = 0
 
@@ -72,16 +72,16 @@
             for place, name in enumerate(("held", "more"))
         ]
         self.ask("configure", 0, {"version": 1, "routes": routes, "services": [{"name": "held"}]})
-        assert self.core.epoch > 0 and self.core.record.board.configuration.version == 1
+        assert self.core.epoch > 0 and self.core.cluster_state.leased_jobs.configuration.version == 1
         return self
 
     def hand_in(self, count, cpu=100, queue="held", **more):
-        told, what = kinds.step_of(count, 10.0, cpu, **more)
+        results, what = kinds.step_of(count, 10.0, cpu, **more)
         self.ask(
             "job",
             limits.HOST,
             f"/{queue}/{self.count:016x}",
-            {"spec": json.dumps({"steps": [what]}), "steps": [told]},
+            {"spec": json.dumps({"steps": [what]}), "steps": [results]},
         )
 
 
@@ -143,8 +143,8 @@
         herd.round()
     for _ in range(5):
         herd.round(0.4)
-    assert sum(map(len, alone.core.record.board.placements.values())) == alike
-    return _best(lambda: alone.core.keeper._look_at_progress(alone.now))
+    assert sum(map(len, alone.core.cluster_state.leased_jobs.placements.values())) == alike
+    return _best(lambda: alone.core.assignments._look_at_progress(alone.now))
 
 
 def _best(act, times=3):
@@ -175,38 +175,52 @@
 
 def costs(sizes=(50, 200, 770), profiled=True):
     """Seconds of single acts of a leader, in this process: beats, rounds, jobs, ends, images."""
-    told = {"beat": {}, "round": {}, "watch": {}, "gang": {}, "job": {}, "image": {}, "door": door_costs()}
+    results = {
+        "beat": {},
+        "round": {},
+        "watch": {},
+        "gang": {},
+        "job": {},
+        "image": {},
+        "door": adapter_costs(),
+    }
     for workers in sizes:
         for running in sorted({0, int(workers * 4.4)}):
             alone, herd = herd_of(workers, running)
-            keeper, board = alone.core.keeper, alone.core.record.board
-            told["beat"][f"{workers} workers, {running} running"] = (
+            assignments, leased_jobs = alone.core.assignments, alone.core.cluster_state.leased_jobs
+            results["beat"][f"{workers} workers, {running} running"] = (
                 min(herd.round() for _ in range(3)) / workers
             )
-            told["watch"][f"{workers} workers, {running} running"] = _best(
-                lambda alone=alone, keeper=keeper: keeper._watch(alone.now)
+            results["watch"][f"{workers} workers, {running} running"] = _best(
+                lambda alone=alone, assignments=assignments: assignments._watch(alone.now)
             )
             for waves in (0, 1, 10, 100):
-                for _ in range(waves - len(board.ready)):
+                for _ in range(waves - len(leased_jobs.ready)):
                     alone.hand_in(5, cpu=9000, queue="more")  # more than any worker has: they wait for ever
-                told["round"][f"{workers} workers, {running} running, {waves} waves wait"] = _best(
-                    lambda alone=alone, board=board, keeper=keeper: keeper.assigner.round(
-                        board, keeper.workers, keeper, alone.now, alone.core._now(alone.now)
+                results["round"][f"{workers} workers, {running} running, {waves} waves wait"] = _best(
+                    lambda alone=alone, leased_jobs=leased_jobs, assignments=assignments: (
+                        assignments.assigner.round(
+                            leased_jobs,
+                            assignments.workers,
+                            assignments,
+                            alone.now,
+                            alone.core._now(alone.now),
+                        )
                     )
                 )
         alone, herd = herd_of(workers)
-        keeper, board = alone.core.keeper, alone.core.record.board
-        told["gang"][f"{workers} workers"] = _gang_cost(alone, keeper, board)
-    told["progress"] = {f"{alike} runs of one step": progress_cost(alike) for alike in sizes}
-    told["job"] = job_costs()
-    told["image"] = image_costs()
+        assignments, leased_jobs = alone.core.assignments, alone.core.cluster_state.leased_jobs
+        results["gang"][f"{workers} workers"] = _gang_cost(alone, assignments, leased_jobs)
+    results["progress"] = {f"{alike} runs of one step": progress_cost(alike) for alike in sizes}
+    results["job"] = job_costs()
+    results["image"] = image_costs()
     if profiled:
-        told["top"] = top_costs()
-    print(json.dumps(told, indent=1), flush=True)
-    return told
+        results["top"] = top_costs()
+    print(json.dumps(results, indent=1), flush=True)
+    return results
 
 
-def _gang_cost(alone, keeper, board):
+def _gang_cost(alone, assignments, leased_jobs):
     """A round that seats a gang of 64, one that seats 64 single tasks, and one at which some
     gangs wait that are one seat short."""
     found = {}
@@ -215,9 +229,9 @@
         ("64 single tasks", 1, False, False),
         ("5 gangs of 64, each one seat short", 5, True, True),
     ):
-        scratch = Board.from_image(board.image())
+        scratch = LeasedJobState.from_image(leased_jobs.image())
         if short:  # one accelerator a worker, and all but 63 of them in use
-            taken = list(keeper.workers)[min(63, len(keeper.workers) - 1) :]
+            taken = list(assignments.workers)[min(63, len(assignments.workers) - 1) :]
             scratch.accept(
                 alone.now, "f" * 16, "held", checked({"steps": [{"count": len(taken), "gpu": 1}]})[0]
             )
@@ -227,8 +241,8 @@
         for place in range(waits):
             scratch.accept(alone.now, f"{place:016x}", "held", plain)
         found[name] = _best(
-            lambda scratch=scratch: keeper.assigner.round(
-                scratch, keeper.workers, keeper, alone.now, alone.core._now(alone.now)
+            lambda scratch=scratch: assignments.assigner.round(
+                scratch, assignments.workers, assignments, alone.now, alone.core._now(alone.now)
             )
         )
     return found
@@ -244,21 +258,21 @@
     entry = alone.core.consensus.entries[-1]
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    board = Board()
-    board.configuration = alone.core.record.board.configuration
+    leased_jobs = LeasedJobState()
+    leased_jobs.configuration = alone.core.cluster_state.leased_jobs.configuration
     plain = entry[2][3]
     for place in range(count):
-        board.accept(0.0, f"{place:016x}", "held", plain)
-    held = tracemalloc.get_traced_memory()[0]
+        leased_jobs.accept(0.0, f"{place:016x}", "held", plain)
+    allocated = tracemalloc.get_traced_memory()[0]
     for place in range(count):
-        board.cancel(0.0, f"{place:016x}")
+        leased_jobs.cancel(0.0, f"{place:016x}")
     gc.collect()
     over = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {
         "accept": accept,
         "entry_bytes": len(framing.encode("", entry)),
-        "open_bytes": (held - before) / count,
+        "open_bytes": (allocated - before) / count,
         "over_bytes": (over - before) / count,
     }
 
@@ -268,17 +282,17 @@
     found = {}
     for jobs, placed, over in ((0, 0, 0), (100, 500, 0), (700, 3500, 0), (700, 0, 0), (0, 0, 4000)):
         alone = Alone().begin()
-        board = alone.core.record.board
+        leased_jobs = alone.core.cluster_state.leased_jobs
         plain, _ = checked({"spec": "x" * 120, "steps": [{"count": 5, "cpu": 400}]})
         for place in range(jobs + over):
-            board.accept(1.0, f"{place:016x}", "held", plain)
+            leased_jobs.accept(1.0, f"{place:016x}", "held", plain)
         for place in range(over):
-            board.cancel(1.0, f"{place:016x}")
+            leased_jobs.cancel(1.0, f"{place:016x}")
         for place in range(placed // 5):
-            board.assign(
+            leased_jobs.assign(
                 2.0, 1, [(f"{place:016x}", 0, 0, tuple((index, f"i-w{place}") for index in range(5)))]
             )
-        record = alone.core.record
+        record = alone.core.cluster_state
         image = record.image()
         data = type(record).encode(image)
         found[f"{jobs} open jobs, {placed} placed, {over} over"] = {
@@ -290,7 +304,7 @@
     return found
 
 
-def door_costs(count=500):
+def adapter_costs(count=500):
     """Seconds that HTTP takes for one beat at a port, beside what the beat itself takes."""
     body = json.dumps(
         {"running": [[f"{place:016x}.0.0.1", 1, "", 50] for place in range(4)], "room": [4000, 8192, 1]}
@@ -332,8 +346,8 @@
     stats = pstats.Stats(profile)
     own = sorted(
         (
-            (took, f"{os.path.basename(place[0])}:{place[2]}", calls, whole)
-            for place, (_, calls, took, whole, _) in stats.stats.items()
+            (took, f"{os.path.basename(place[0])}:{place[2]}", calls, cumulative)
+            for place, (_, calls, took, cumulative, _) in stats.stats.items()
         ),
         reverse=True,
     )
@@ -341,8 +355,8 @@
         {
             "function": name,
             "own": round(took / stats.total_tt, 3),
-            "with_callees": round(whole / stats.total_tt, 3),
+            "with_callees": round(cumulative / stats.total_tt, 3),
             "calls_a_beat": round(calls / (rounds * workers), 2),
         }
-        for took, name, calls, whole in own[:14]
+        for took, name, calls, cumulative in own[:14]
     ]
--- a/src/pinepitch/simulation/scale/counted_fleet.py
+++ b/src/pinepitch/simulation/scale/counted_fleet.py
@@ -74,14 +74,14 @@
 
     def given_up(self):
         """{why: how often} leadership was given up so far."""
-        told = {}
-        for place in range(len(self.accords)):
+        counts = {}
+        for place in range(len(self.control_daemons)):
             with open(os.path.join(self.folder, f"accord{place}.log")) as file:
                 for line in file:
                     event = json.loads(line) if line.startswith("{") else {}
                     if event.get("number") == 123:
-                        told[event["why"]] = told.get(event["why"], 0) + 1
-        return told
+                        counts[event["why"]] = counts.get(event["why"], 0) + 1
+        return counts
 
     async def metrics(self, place):
         """An accord's own counters and gauges by name."""
--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -12,7 +12,7 @@
 from ...transport import framing
 from ..fleet import free_ports
 from ..jobs import checks, kinds, limits
-from ..stand_in_lease_worker import StandInTenant
+from ..stand_in_lease_worker import StandInLeaseWorker
 from .load import JOB_TASKS, RACK
 
 PASS = 0.01  # seconds; between two looks at which hollow worker is due
@@ -23,7 +23,7 @@
 TEAMS = 39  # teams; a route for each stands in the configuration
 
 
-class HollowWorker(StandInTenant):
+class HollowWorker(StandInLeaseWorker):
     """A stand-in tenant that tells progress in fractions, so that a long task never stands still."""
 
     def _percent(self, one):
@@ -34,15 +34,15 @@
     """One process's hollow workers and callers, with one address. Invariants: calls holds every
     call not yet answered, by its token; jobs every job handed in, as the checks read them."""
 
-    def __init__(self, accords, load, seed):
-        self.load, self.accords, self.random = load, accords, random.Random(f"scale-{seed}")
+    def __init__(self, control_daemons, load, seed):
+        self.load, self.accords, self.random = load, control_daemons, random.Random(f"scale-{seed}")
         self.address = f"127.0.0.1:{free_ports(1)[0]}"
         self.leader, self.turn = None, 0
         self.leader_clock = LeaderClock()
         self.history, self.gangs, self.jobs, self.links, self.calls = [], {}, {}, {}, {}
         self.count = self.version = 0
         self.bytes_in = self.bytes_out = 0
-        self.answers, self.refused, self.beat_waits, self.change_waits, self.lags = {}, {}, [], [], []
+        self.answers, self.refused, self.heartbeat_waits, self.change_waits, self.lags = {}, {}, [], [], []
         self.workers = [self._worker(place, seed) for place in range(load.workers)]
         self.tasks = curio.TaskGroup(wait=None)
 
@@ -66,24 +66,24 @@
     # --- frames -----------------------------------------------------------------------
     async def serve(self, socket, address):
         """Frames that daemons send here."""
-        held = bytearray()
+        buffered = bytearray()
         while True:
             data = await socket.recv(262_144)
             if not data:
                 return
             self.bytes_in += len(data)
-            held += data
+            buffered += data
             place = 0
-            while len(held) - place >= framing.LENGTH.size:
-                (length,) = framing.LENGTH.unpack_from(held, place)
-                if len(held) - place - framing.LENGTH.size < length:
+            while len(buffered) - place >= framing.LENGTH.size:
+                (length,) = framing.LENGTH.unpack_from(buffered, place)
+                if len(buffered) - place - framing.LENGTH.size < length:
                     break
                 place += framing.LENGTH.size
-                frame = framing.decode(bytes(held[place : place + length]))
+                frame = framing.decode(bytes(buffered[place : place + length]))
                 place += length
                 if not isinstance(frame, framing.Refused):
                     await self._heard(*frame[1])
-            del held[:place]
+            del buffered[:place]
 
     async def _send(self, address, message):
         link = self.links.get(address)
@@ -98,17 +98,17 @@
         """Calls that reached nobody are asked of another daemon when they are sent again."""
         self.leader = None
 
-    async def ask(self, call, arguments, told, address=None):
+    async def ask(self, call, arguments, answered, address=None):
         """Carries one call; told(status, document) is called with its answer."""
         self.count += 1
         token = f"hollow~{self.count}"
         if address is None:
             self.turn += 1
             address = self.leader or self.accords[self.turn % len(self.accords)]
-        self.calls[token] = [call, arguments, told, time.monotonic()]
-        await self._carry(address, token, 1)
+        self.calls[token] = [call, arguments, answered, time.monotonic()]
+        await self._forward(address, token, 1)
 
-    async def _carry(self, address, token, sending):
+    async def _forward(self, address, token, sending):
         """Sends one copy of a call, to be taken only while its caller waits."""
         call, arguments, _, begun = self.calls[token]
         end = self.leader_clock.end(begun + constants.CALL_PATIENCE, time.monotonic())
@@ -122,7 +122,7 @@
         if kind == "elsewhere" and rest[1]:
             self.leader = rest[1]
             self.leader_clock.hear(rest[3], time.monotonic())
-            await self._carry(self.leader, token, 2)
+            await self._forward(self.leader, token, 2)
             return
         del self.calls[token]
         status, document = rest[1][:2] if kind == "answer" else (503, {})
@@ -167,12 +167,12 @@
     async def _beat(self, worker, address, number, identity, document):
         sent = time.monotonic()
 
-        def told(status, answer):
+        def answered(status, answer):
             now = time.monotonic()
-            self.beat_waits.append(now - sent)
+            self.heartbeat_waits.append(now - sent)
             worker.step(("told", number, status, answer), now)
 
-        await self.ask("beat", (identity, document), told, address)
+        await self.ask("beat", (identity, document), answered, address)
 
     # --- callers ----------------------------------------------------------------------
     async def configure(self):
@@ -213,9 +213,9 @@
 
     async def submit(self, queue, count, seconds, cpu):
         """Hands a job in; its name."""
-        told, what = kinds.step_of(count, seconds, cpu)
+        answered, what = kinds.step_of(count, seconds, cpu)
         identity = f"{self.random.randrange(16**16):016x}"
-        document = {"spec": json.dumps({"steps": [what]}), "steps": [told]}
+        document = {"spec": json.dumps({"steps": [what]}), "steps": [answered]}
         job = self.jobs[identity] = {
             "document": document,
             "queue": queue,
--- a/src/pinepitch/simulation/scale/measuring.py
+++ b/src/pinepitch/simulation/scale/measuring.py
@@ -20,13 +20,13 @@
 
 async def _measure(load, seconds, seed, folder, data):
     plan = PLANS["small"]._replace(
-        accords=tuple("abc"[place % 3] for place in range(load.accords)),
-        minions=(),
-        verges=("a",) * load.verges,
+        control_daemons=tuple("abc"[place % 3] for place in range(load.accords)),
+        workers=(),
+        fronts=("a",) * load.verges,
         founders=load.accords,
     )
     fleet = CountedFleet(plan, folder, data=data)
-    hollow = Hollow([address for _, address in fleet.accords], load, seed)
+    hollow = Hollow([address for _, address in fleet.control_daemons], load, seed)
     names = [
         *(f"accord{place}" for place in range(load.accords)),
         *(f"verge{place}" for place in range(load.verges)),
@@ -51,7 +51,7 @@
             before = await _look(fleet, hollow, names)
             await curio.sleep(seconds)
             after = await _look(fleet, hollow, names)
-            found = _told(load, hollow, names, before, after)
+            found = _results(load, hollow, names, before, after)
             found["given_up"] = fleet.given_up()
             await hollow.tasks.cancel_remaining()
     finally:
@@ -82,7 +82,7 @@
         "at": time.monotonic(),
         "own": time.process_time(),
         "answers": dict(hollow.answers),
-        "marks": (len(hollow.beat_waits), len(hollow.change_waits), len(hollow.lags)),
+        "marks": (len(hollow.heartbeat_waits), len(hollow.change_waits), len(hollow.lags)),
     }
     for place, name in enumerate(names):
         taken[name] = (
@@ -93,10 +93,10 @@
     return taken
 
 
-def _told(load, hollow, names, before, after):
+def _results(load, hollow, names, before, after):
     """What a window saw, by role."""
     lasted = after["at"] - before["at"]
-    beats, changes, lags = before["marks"]
+    heartbeats, changes, lags = before["marks"]
     waits = hollow.start_waits(before["at"])
     found = {
         "load": load._asdict(),
@@ -105,8 +105,8 @@
         "lag_99": part(hollow.lags[lags:], 0.99),
         "running": sum(len(one.running) for one in hollow.workers),
         "beats": round((after["answers"].get("beat", 0) - before["answers"].get("beat", 0)) / lasted, 1),
-        "beat_median": part(hollow.beat_waits[beats:], 0.5),
-        "beat_99": part(hollow.beat_waits[beats:], 0.99),
+        "beat_median": part(hollow.heartbeat_waits[heartbeats:], 0.5),
+        "beat_99": part(hollow.heartbeat_waits[heartbeats:], 0.99),
         "starts": round(len(waits) / lasted, 1),
         "start_median": part(waits, 0.5),
         "start_99": part(waits, 0.99),
@@ -139,15 +139,18 @@
             "disk": round((written_after - written) / lasted),
             "kinds": {},
         }
-        for way in ("in", "out"):
-            told = {}
-            for kind, (count, size) in frames_after[way].items():
-                count_before, size_before = frames[way].get(kind, (0, 0))
-                told[kind] = [round((count - count_before) / lasted, 1), round((size - size_before) / lasted)]
-            one[f"messages_{way}"] = round(sum(count for count, _ in told.values()), 1)
-            one[f"bytes_{way}"] = sum(size for _, size in told.values())
-            one["kinds"][way] = {
-                kind: rate for kind, rate in sorted(told.items(), key=lambda one: -one[1][1])[:6]
+        for direction in ("in", "out"):
+            by_kind = {}
+            for kind, (count, size) in frames_after[direction].items():
+                count_before, size_before = frames[direction].get(kind, (0, 0))
+                by_kind[kind] = [
+                    round((count - count_before) / lasted, 1),
+                    round((size - size_before) / lasted),
+                ]
+            one[f"messages_{direction}"] = round(sum(count for count, _ in by_kind.values()), 1)
+            one[f"bytes_{direction}"] = sum(size for _, size in by_kind.values())
+            one["kinds"][direction] = {
+                kind: rate for kind, rate in sorted(by_kind.items(), key=lambda one: -one[1][1])[:6]
             }
         for figure, counter in (
             ("syncs", "pinepitch_syncs_total"),
--- a/src/pinepitch/simulation/scale/sweep.py
+++ b/src/pinepitch/simulation/scale/sweep.py
@@ -27,7 +27,7 @@
     """{role: {figure: (slope, intercept, worst residual, points used)}} over a sweep, by a field of
     the load or a figure of the point. A point at
     which some daemon, or the hollow process, spent all it can is no point of a line."""
-    told = {}
+    fits = {}
     usable = [
         one
         for one in points
@@ -41,8 +41,8 @@
                 if figure in one["roles"].get(role, {})
             ]
             if len(line) > 1:
-                told.setdefault(role, {})[figure] = (*(float(f"{one:.4g}") for one in fit(line)), len(line))
-    return told
+                fits.setdefault(role, {})[figure] = (*(float(f"{one:.4g}") for one in fit(line)), len(line))
+    return fits
 
 
 def scale(sweep="workers", seconds=8.0, seed=0, most=None, out=None):
--- a/src/pinepitch/simulation/second_loss.py
+++ b/src/pinepitch/simulation/second_loss.py
@@ -11,35 +11,35 @@
 
 from ..common import constants
 from ..consensus import replica
-from ..consensus.quorum import Cohort
+from ..consensus.quorum import Membership
 from ..consensus.replica import Consensus
 from ..control import membership
-from ..control.bootstrap import Founding, cohort_identity
-from ..control.daemon import Accord
+from ..control.bootstrap import Bootstrap, cluster_identity
+from ..control.daemon import ControlDaemon
 from . import injected_faults, simulator
-from .second_loss_trial import SETTLED, LossTrial
+from .second_loss_trial import RECOVERS_WITHIN, LossTrial
 from .simulator import GRACE
 
 HANDED_WITHIN = 0.1  # seconds; without a leader while one hands over, on the slowest disk
 STOPPED_WITHIN = 0.5  # seconds; until a process without an heir for its seat has ended
 WHILE = 1.5  # seconds; that a second loss lasts where it is one too many
 SERVED_ON = 2.5  # seconds; in which a change is taken while no more is lost than may be
-ELSEWHERE = (  # areas and mode of fleets that have no voter left in the area of a lost one, or one
+OTHER_ZONES = (  # areas and mode of fleets that have no voter left in the area of a lost one, or one
     (("a", "b", "c"), "static"),
     (("a", "a", "b", "c", "c"), "static"),
     (("a", "b", "c"), "single"),
 )
 JOINT, COMMITTED, DONE = 130, 131, 132  # events of a change of members
 CONSENT, LEADER, INSTALLED = 111, 122, 127
-SNAPSHOTS_SOON = {"SNAPSHOT_ENTRIES": 20, "SNAPSHOT_TAIL": 5, "SNAPSHOT_PIECE": 300}
+SNAPSHOTS_SOON = {"SNAPSHOT_ENTRIES": 20, "SNAPSHOT_TAIL": 5, "SNAPSHOT_CHUNK": 300}
 CHANGES = 20  # changes before a replacement, so that a newcomer is sent a snapshot by then
 STRUCK = ("leader", "newcomer", "other")
 SNAPSHOT_STEPS = (("piece", 1), ("piece", 2), ("piece", 4), (INSTALLED, 1))  # what comes, how often
 
 
-def begun(seed, accords=("a", "b", "c"), slow=True, mode="static"):
+def begun(seed, control_daemons=("a", "b", "c"), slow=True, mode="static"):
     """A fleet that serves and has taken some changes."""
-    trial = LossTrial(seed, accords, slow, mode=mode)
+    trial = LossTrial(seed, control_daemons, slow, mode=mode)
     trial.begin()
     trial.run(2 + 0.013 * seed)
     for _ in range(3):
@@ -47,16 +47,16 @@
     return trial
 
 
-def with_spare(seed, area, accords=("a", "b", "c"), mode="static"):
+def with_spare(seed, zone, control_daemons=("a", "b", "c"), mode="static"):
     """(fleet, spare): such a fleet with a machine that follows the log in an area that has its voter."""
-    trial = begun(seed, accords, mode=mode)
-    spare = trial.fresh("spare", area)
+    trial = begun(seed, control_daemons, mode=mode)
+    spare = trial.fresh("spare", zone)
 
     def follows():
         leader = trial.leader()
         return leader is not None and leader.core.consensus.caught_up(spare.core.identity)
 
-    if trial.until(follows, SETTLED) is None:
+    if trial.until(follows, RECOVERS_WITHIN) is None:
         trial.fault("the spare never followed the log")
     return trial, spare
 
@@ -68,7 +68,7 @@
 
 
 def _followers(trial):
-    return [node for node in trial.accords() if node is not trial.leader() and node.core is not None]
+    return [node for node in trial.control_nodes() if node is not trial.leader() and node.core is not None]
 
 
 # --- planned ends ------------------------------------------------------------------------
@@ -77,40 +77,40 @@
     trial = begun(seed)
     leader = trial.leader()
     trial.stop(leader.name)
-    took = trial.served(SETTLED, but=leader.name)
+    took = trial.served(RECOVERS_WITHIN, but=leader.name)
     if took is None or took > HANDED_WITHIN:
         trial.fault(f"without a leader for {took} s")
     trial.change(SERVED_ON)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
-def leader_stops_cut_off(seed):
+def leader_stops_partitioned(seed):
     """A leader stops and is cut off just as it hands over: it must not go on beside its successor."""
     trial = begun(seed)
     leader = trial.leader()
     rest = [one for one in trial.nodes if one != leader.name]
-    trial.on(121, lambda node: trial.cut([leader.name], rest))
+    trial.on(121, lambda node: trial.partition([leader.name], rest))
     trial.stop(leader.name)
     trial.run(2)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
 def seat_handed_on(seed):
     """A voter stops beside a spare of its area: the spare votes before the process ends, and the loss of
     another voter right then stops nothing."""
-    area = "abc"[seed % 3]
-    trial, spare = with_spare(seed, area)
-    node = next(one for one in trial.accords() if one.area == area and one is not spare)
+    zone = "abc"[seed % 3]
+    trial, spare = with_spare(seed, zone)
+    node = next(one for one in trial.control_nodes() if one.zone == zone and one is not spare)
     trial.stop(node.name)
     took = trial.until(lambda: node.core is None, GRACE, 0.005)
     if took is None or not trial.votes(spare) or len(trial.voters()) != 3:
         trial.fault(f"the process ended after {took} s and the voters are {trial.voters()}")
-    other = next(one for one in trial.accords() if one not in (node, spare) and one.core is not None)
+    other = next(one for one in trial.control_nodes() if one not in (node, spare) and one.core is not None)
     trial.kill(other.name)
     trial.change(SERVED_ON)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
@@ -118,8 +118,8 @@
     """Each machine in turn stops and comes back with its disk; without a spare that may have it, be it in
     another area, no seat changes hands."""
     trial = begun(seed) if seed % 2 == 0 else with_spare(seed, "b", mode="single")[0]
-    before, changes = trial.voters(), trial.told(JOINT)
-    for node in [one for one in trial.accords() if one.area in "ac"]:
+    before, changes = trial.voters(), trial.event_count(JOINT)
+    for node in [one for one in trial.control_nodes() if one.zone in "ac"]:
         trial.stop(node.name)
         took = trial.until(lambda node=node: node.core is None, GRACE, 0.005)
         if took is None or took > STOPPED_WITHIN:
@@ -127,18 +127,18 @@
         trial.run(0.3)
         trial.start(node.name)
         trial.run(2)
-    if trial.voters() != before or trial.told(JOINT) != changes:
+    if trial.voters() != before or trial.event_count(JOINT) != changes:
         trial.fault(f"the voters were {before} and are {trial.voters()}")
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
 # --- replacements ------------------------------------------------------------------------
 def _replace(trial, name, fresh):
     """A machine is gone for good just when its successor starts."""
-    area = trial.nodes[name].area
+    zone = trial.nodes[name].zone
     trial.retire(name)
-    return trial.fresh(fresh, area)
+    return trial.fresh(fresh, zone)
 
 
 def replaced_in_time(seed):
@@ -150,30 +150,30 @@
     trial.run(constants.CATCH_UP)
     if not trial.votes(fresh):
         trial.fault(f"the successor does not vote {constants.CATCH_UP} s after its start")
-    trial.kill(next(one for one in trial.accords() if one is not fresh and one.core is not None).name)
+    trial.kill(next(one for one in trial.control_nodes() if one is not fresh and one.core is not None).name)
     trial.change(SERVED_ON)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
-def replaced_elsewhere(seed):
+def replaced_in_other_zone(seed):
     """A machine is gone for good and its successor starts in another area, which has its voter: once it
     has had its time, another loss stops nothing; a machine of the lost area then votes again."""
-    fleet, mode = ELSEWHERE[seed % len(ELSEWHERE)]
+    fleet, mode = OTHER_ZONES[seed % len(OTHER_ZONES)]
     trial = begun(seed, fleet, mode=mode)
-    node = next(one for one in trial.accords() if one.area == "a")
+    node = next(one for one in trial.control_nodes() if one.zone == "a")
     trial.retire(node.name)
     fresh = trial.fresh("fresh", "b")
     trial.run(constants.CATCH_UP)
     _votes_within(trial, fresh, 0.0)
-    other = next(one for one in trial.accords() if one.area in "bc"[seed // 3 % 2] and one is not fresh)
+    other = next(one for one in trial.control_nodes() if one.zone in "bc"[seed // 3 % 2] and one is not fresh)
     trial.kill(other.name)
     trial.change(SERVED_ON)
     trial.start(other.name)
     if len(fleet) == 3:
         back = trial.fresh("back", "a")
         _votes_within(trial, back, constants.CATCH_UP)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
@@ -186,23 +186,23 @@
         fresh = _replace(trial, fresh.name, f"fresh{turn}")
         trial.change(SERVED_ON)
     trial.run(constants.CATCH_UP)
-    trial.settle()
+    trial.check_recovery()
     if len(trial.voters()) != 3 or not trial.votes(fresh):
         trial.fault(f"the voters are {trial.voters()}")
     return trial
 
 
-def newcomer_cut_off(seed):
+def newcomer_partitioned(seed):
     """A newcomer is cut off as soon as it votes: the others serve on."""
     trial = begun(seed)
     rest = list(trial.nodes)
     fresh = _replace(trial, _followers(trial)[0].name, "fresh")
-    trial.on((COMMITTED, DONE)[seed % 2], lambda node: trial.cut([fresh.name], rest))
-    trial.until(lambda: trial.cuts, SETTLED)
+    trial.on((COMMITTED, DONE)[seed % 2], lambda node: trial.partition([fresh.name], rest))
+    trial.until(lambda: trial.partitions, RECOVERS_WITHIN)
     trial.change(SERVED_ON)
     trial.run(3)
     trial.change(SERVED_ON)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
@@ -210,28 +210,28 @@
     """A voter and the spare that was to replace it are lost at once; the others serve on, and one that
     comes back empty votes again."""
     trial, spare = with_spare(seed, "b")
-    node = next(one for one in trial.accords() if one.area == "b" and one is not spare)
+    node = next(one for one in trial.control_nodes() if one.zone == "b" and one is not spare)
     trial.kill(node.name)
     trial.kill(spare.name)
     trial.change(SERVED_ON)
     trial.wipe(node.name)
     trial.start(node.name)
     _votes_within(trial, node, constants.CATCH_UP)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
-def area_lost_beside(seed):
+def zone_lost_beside(seed):
     """An area is lost in the middle of a planned replacement in another: the others serve on."""
     trial, _ = with_spare(seed, "a", ("a", "b", "c", "d"))
-    node = next(one for one in trial.accords() if one.area == "a")
-    lost = [one for one in trial.accords() if one.area == "b" and one is not trial.leader()] or [
-        one for one in trial.accords() if one.area == "c"
+    node = next(one for one in trial.control_nodes() if one.zone == "a")
+    lost = [one for one in trial.control_nodes() if one.zone == "b" and one is not trial.leader()] or [
+        one for one in trial.control_nodes() if one.zone == "c"
     ]
     trial.on((JOINT, COMMITTED, DONE)[seed % 3], lambda _: [trial.kill(one.name) for one in lost])
     trial.stop(node.name)
     trial.change(SERVED_ON)
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
@@ -248,11 +248,11 @@
     wipe()
     for step in (JOINT, COMMITTED, DONE):
         trial.on(step, wipe)
-        trial.until(lambda: not trial.hooks, SETTLED, 0.005)
+        trial.until(lambda: not trial.hooks, RECOVERS_WITHIN, 0.005)
         trial.change()
-    if trial.until(lambda: trial.votes(node), SETTLED) is None or len(trial.voters()) != 3:
+    if trial.until(lambda: trial.votes(node), RECOVERS_WITHIN) is None or len(trial.voters()) != 3:
         trial.fault(f"the voters are {trial.voters()}")
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
@@ -263,7 +263,9 @@
         return leader
     if kind == "newcomer":
         return newcomer
-    return next(one for one in trial.accords() if one not in (leader, newcomer) and one.core is not None)
+    return next(
+        one for one in trial.control_nodes() if one not in (leader, newcomer) and one.core is not None
+    )
 
 
 def _lost_for_a_while(trial, node):
@@ -285,8 +287,8 @@
     trial.on(step, _striker(trial, kind, fresh), count)
     for _ in range(3):
         trial.change()
-    _votes_within(trial, fresh, SETTLED)
-    trial.settle()
+    _votes_within(trial, fresh, RECOVERS_WITHIN)
+    trial.check_recovery()
     if not trial.votes(fresh) or len(trial.voters()) != 3:
         trial.fault(f"the voters are {trial.voters()}")
     if trial.hooks:
@@ -326,10 +328,10 @@
         trial.on(step, lambda node, trial=trial: _lost_for_a_while(trial, node), count)
         trial.begin()
         trial.run(WHILE)
-        cohorts = {node.core.cohort for node in trial.accords() if node.core is not None}
-        if len(cohorts) != 1 or len(trial.voters()) < 3:
-            trial.fault(f"cohorts {cohorts}, voters {trial.voters()}")
-        trial.settle()
+        clusters = {node.core.cluster for node in trial.control_nodes() if node.core is not None}
+        if len(clusters) != 1 or len(trial.voters()) < 3:
+            trial.fault(f"cohorts {clusters}, voters {trial.voters()}")
+        trial.check_recovery()
         if trial.faults:
             trial.faults.insert(0, f"struck at {step}, {count}")
             return trial
@@ -340,7 +342,7 @@
     """A leader that alone holds what it was told last stops beside a spare of its area: others are slow
     or stalled, and no list counts as agreed on before all earlier entries lie on quorums of both."""
     trial, spare = with_spare(seed, "a")
-    for node in trial.accords():
+    for node in trial.control_nodes():
         if node is not trial.leader():
             node.disk.slow = trial.draw.choice((20.0, 60.0, 120.0))
     stalled = trial.draw.choice(_followers(trial))
@@ -356,30 +358,30 @@
     trial.stop(leader.name)
     trial.run(GRACE)
     stalled.disk.stalled = False
-    for node in trial.accords():
+    for node in trial.control_nodes():
         node.disk.slow = trial.slow
     trial.wipe(leader.name)
     for _, status, answer in got:
         if status == 200:
-            limit = trial.persist("GET", f"/v1/setup/versions/{answer['version']}", seconds=SETTLED)
+            limit = trial.persist("GET", f"/v1/setup/versions/{answer['version']}", seconds=RECOVERS_WITHIN)
             if limit[0] != 200:
                 trial.fault(f"version {answer['version']} was acknowledged and is gone")
-    trial.settle()
+    trial.check_recovery()
     return trial
 
 
 # The registry of trials.
 TRIALS = {
     "leader-stops": leader_stops,
-    "leader-stops-cut-off": leader_stops_cut_off,
+    "leader-stops-cut-off": leader_stops_partitioned,
     "seat-handed-on": seat_handed_on,
     "rolling-restart": rolling_restart,
     "replaced-in-time": replaced_in_time,
-    "replaced-elsewhere": replaced_elsewhere,
+    "replaced-elsewhere": replaced_in_other_zone,
     "replacement-replaced": replacement_replaced,
-    "newcomer-cut-off": newcomer_cut_off,
+    "newcomer-cut-off": newcomer_partitioned,
     "spare-lost-too": spare_lost_too,
-    "area-lost-beside": area_lost_beside,
+    "area-lost-beside": zone_lost_beside,
     "wiped-twice": wiped_twice,
     "change-struck": change_struck,
     "snapshot-struck": snapshot_struck,
@@ -388,9 +390,9 @@
 }
 
 
-def run(name, seed, plant=""):
+def run(name, seed, injected_fault=""):
     """The faults of one trial, with a planted fault if one is named."""
-    with planted(plant):
+    with planted(injected_fault):
         try:
             return TRIALS[name](seed).faults
         except AssertionError as broken:
@@ -422,7 +424,7 @@
     """Takes a stopping voter off the list, spare or no spare."""
     for leaver in self.leaving:
         if leaver in members:
-            return {one: area for one, area in members.items() if one != leaver}
+            return {one: zone for one, zone in members.items() if one != leaver}
     return original_wanted(self, members, live, now)
 
 
@@ -445,36 +447,36 @@
 def _founds_at_sight(self, now):
     """Consents to whatever list it sees first, whatever the others see."""
     view = self.view(now)
-    if len(view) < self.founders or self.veto(now):
+    if len(view) < self.bootstrap_size or self.veto(now):
         return None
-    members = {one: self.empties[one][0] for one in view}
-    return cohort_identity(members), members
+    members = {one: self.empty_daemons[one][0] for one in view}
+    return cluster_identity(members), members
 
 
 def _early_base(self, node, sequence, payload):
     """Tells a snapshot that came durable before it is."""
     original_base(self, node, sequence, payload)
     if sequence is not None:
-        self.at(0.0, "give", node.name, node.life, ("saved", sequence))
+        self.at(0.0, "give", node.name, node.incarnation, ("saved", sequence))
 
 
 original_base = simulator.Simulator._base
-original_wanted = Accord._wanted_members
+original_wanted = ControlDaemon._wanted_members
 original_appended = Consensus._on_appended
-PLANTS = {
+INJECTED_FAULTS = {
     "serves-on": [(Consensus, "_try_handover", _serves_on)],
-    "no-successor": [(Consensus, "hand_over", _stands_down)],
-    "old-list-alone": [(Cohort, "commits", _old_list_alone)],
-    "no-heir": [(membership, "heir", _no_heir)],
-    "seat-dropped": [(Accord, "_wanted_members", _shrinks)],
-    "any-heir": [(membership, "heir", _any_heir)],
-    "never-spread": [(Accord, "_spread", lambda *_: None)],
+    "no-successor": [(Consensus, "transfer_leadership", _stands_down)],
+    "old-list-alone": [(Membership, "commits", _old_list_alone)],
+    "no-heir": [(membership, "successor", _no_heir)],
+    "seat-dropped": [(ControlDaemon, "_wanted_members", _shrinks)],
+    "any-heir": [(membership, "successor", _any_heir)],
+    "never-spread": [(ControlDaemon, "_spread_zones", lambda *_: None)],
     "area-alone": [(membership, "gains", lambda *_: False)],
     "slow-replacement": [(membership.Budget, "replace_after", lambda self: 4.5)],
     "snapshot-too-soon": [(simulator.Simulator, "_base", _early_base)],
     "held-too-soon": [(simulator.Simulator, "_save", injected_faults._early_saved)],
     "counted-too-soon": [(Consensus, "_on_appended", _counts_at_once)],
-    "founds-at-sight": [(Founding, "ready", _founds_at_sight)],
+    "founds-at-sight": [(Bootstrap, "ready", _founds_at_sight)],
 }
 
 
@@ -482,7 +484,7 @@
 def planted(name):
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
-        for owner, attribute, replacement in PLANTS[name] if name else ():
+        for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         stack.enter_context(mock.patch.dict(replica.HANDLERS, {"appended": Consensus._on_appended}))
         effects = {"save": simulator.Simulator._save, "base": simulator.Simulator._base}
@@ -490,16 +492,17 @@
         yield
 
 
-def main(names="all", first="0", seeds="5", plant=""):
+def main(names="all", first="0", seeds="5", injected_fault=""):
     """Runs trials over seeds; prints the faults of each that fails."""
     failed = 0
     for name in TRIALS if names == "all" else names.split(","):
         for seed in range(int(first), int(first) + int(seeds)):
-            faults = run(name, seed, plant)
+            faults = run(name, seed, injected_fault)
             failed += bool(faults)
             for fault in faults[:3]:
                 print(
-                    f"python -m pinepitch.simulation.second_loss {name} {seed} 1 {plant}: {fault}", flush=True
+                    f"python -m pinepitch.simulation.second_loss {name} {seed} 1 {injected_fault}: {fault}",
+                    flush=True,
                 )
     print(f"{failed} trials failed")
     return 1 if failed else 0
--- a/src/pinepitch/simulation/second_loss_trial.py
+++ b/src/pinepitch/simulation/second_loss_trial.py
@@ -11,38 +11,40 @@
 
 SLOW_SYNC = 0.017  # seconds; a sync of 12 ms on a disk with 5 ms of latency
 MEAN_SYNC = 0.003  # seconds; what the simulator's disks take on average
-SETTLED = 8.0  # seconds; in which service must be back once what was lost is back
+RECOVERS_WITHIN = 8.0  # seconds; in which service must be back once what was lost is back
 
 
 class LossTrial(Simulator):
     """A fleet without minions. Invariants: faults is only added to; acknowledged holds every change of
     the setup that was; a hook runs once, right after the step in which its event was told."""
 
-    def __init__(self, seed, accords=("a", "b", "c"), slow=False, **more):
+    def __init__(self, seed, control_daemons=("a", "b", "c"), slow=False, **more):
         self.faults, self.acknowledged, self.hooks = [], [], []
         self.slow = 1.0
         self.changes = 0
-        super().__init__(seed, accords, minions=(), **more)
+        super().__init__(seed, control_daemons, workers=(), **more)
         self.loss = 0.0
         if slow:
             self.slow = SLOW_SYNC / MEAN_SYNC
-            for node in self.accords():
+            for node in self.control_nodes():
                 node.disk.slow = self.slow
 
-    def accords(self):
+    def control_nodes(self):
         """The accords' machines that are not gone for good, up or down."""
         return [node for node in self.nodes.values() if node.kind == "accord"]
 
     def machine(self, identity):
         """The machine on which the accord of that identity runs now, or None."""
-        found = [node for node in self.accords() if node.core is not None and node.core.identity == identity]
+        found = [
+            node for node in self.control_nodes() if node.core is not None and node.core.identity == identity
+        ]
         return found[0] if found else None
 
     # --- ends and starts of machines ---------------------------------------------------
     def lose_power(self, name):
         """A machine loses power, and with it all that was not synced: the worst that may be left of it."""
         disk = self.nodes[name].disk
-        disk.beside = disk.under_way = None
+        disk.beside = disk.in_progress = None
         self.kill(name)
 
     def retire(self, name):
@@ -51,11 +53,11 @@
             self.kill(name)
         self.nodes[name].kind = "retired"
 
-    def fresh(self, name, area):
+    def fresh(self, name, zone):
         """Starts a new machine with an empty disk at a new address."""
-        node = self.add(name, "accord", area)
+        node = self.add(name, "accord", zone)
         node.disk.slow = self.slow
-        live = [one.address for one in self.accords() if one.core is not None]
+        live = [one.address for one in self.control_nodes() if one.core is not None]
         self.seeds = [*live[:2], node.address]
         self.start(name)
         return node
@@ -103,7 +105,7 @@
         """While an accord may rely on its lease no other serves in a newer term."""
         leading = [
             node.core.consensus
-            for node in self.accords()
+            for node in self.control_nodes()
             if node.core is not None
             and node.core.consensus is not None
             and node.core.consensus.role == "leader"
@@ -118,7 +120,7 @@
     def _on_disks(self, index, term):
         """The identities whose disks hold the entry of that index and term, and so all before it."""
         holding = set()
-        for node in self.accords():
+        for node in self.control_nodes():
             base, steps, _ = node.disk.load()
             changes = [one for step in steps for kind, one in step if kind == "raft"]
             notes = [one for step in steps for kind, one in step if kind == "note" and one[0] == "identity"]
@@ -142,7 +144,7 @@
                 found = f"without a quorum of {sorted(members)} on disk: {sorted(holding)}"
                 self.fault(f"list {index} is committed at {node.name} {found}")
 
-    def change(self, within=SETTLED):
+    def change(self, within=RECOVERS_WITHIN):
         """One change of the setup, tried until it is acknowledged."""
         self.changes += 1
         limit = 50 + self.changes
@@ -153,18 +155,18 @@
         else:
             self.fault(f"change {self.changes} was not taken within {within:.1f} s: {status}")
 
-    def settle(self):
+    def check_recovery(self):
         """Heals all; then all acknowledged is kept, changes are taken, and the accords agree."""
         self.heal()
-        for node in self.accords():
+        for node in self.control_nodes():
             if node.core is None:
                 self.start(node.name)
-        if self.served(SETTLED) is None:
-            self.fault(f"nobody served within {SETTLED:.0f} s after all was back")
+        if self.served(RECOVERS_WITHIN) is None:
+            self.fault(f"nobody served within {RECOVERS_WITHIN:.0f} s after all was back")
             return
         self.change()
         for version, limit in self.acknowledged[-20:]:
-            status, answer = self.persist("GET", f"/v1/setup/versions/{version}", seconds=SETTLED)
+            status, answer = self.persist("GET", f"/v1/setup/versions/{version}", seconds=RECOVERS_WITHIN)
             found = answer["setup"]["queues"]["default"]["limit"] if status == 200 else None
             if found != limit:
                 self.fault(f"version {version}, acknowledged with {limit}, reads {status} {found}")
@@ -185,13 +187,13 @@
         leader = self.leader()
         if leader is None or leader.core.consensus.changing():
             return set()
-        return set(leader.core.consensus.cohort.members())
+        return set(leader.core.consensus.membership.members())
 
     def votes(self, *nodes):
         """Whether all these machines' accords vote, by a list that is settled."""
         return all(node.core is not None and node.core.identity in self.voters() for node in nodes)
 
-    def told(self, number):
+    def event_count(self, number):
         """How often an event was told."""
         return sum(event[2] == number for event in self.trace)
 
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -12,14 +12,14 @@
 import cbor2
 
 from ..common import constants, packed_operations
-from ..control.daemon import Accord
-from ..front.daemon import Verge
+from ..control.daemon import ControlDaemon
+from ..front.daemon import FrontDaemon
 from ..model import contract
 from ..runtime import stall_detector
-from ..runtime.host import call_sending
+from ..runtime.host import call_attempt
 from ..transport import framing
 from . import stand_in_client as callers
-from .stand_in_worker import StandInMinion
+from .stand_in_worker import StandInWorker
 
 OF_THE_MACHINE = ("encoded", "rehearsed")  # what a daemon is given by its own machine, by no connection
 LAGGED = ("give", "tick", "synced", "based")  # events of one machine, which a slow one handles late
@@ -45,7 +45,7 @@
     def __init__(self):
         self.base, self.steps, self.segments = None, [], {}
         self.jobs = collections.deque()
-        self.under_way = self.beside = None
+        self.in_progress = self.beside = None
         self.covers = 0
         self.slow = 1.0
         self.stalled = self.full = self.failed = False
@@ -74,13 +74,13 @@
     an earlier life is dropped; unwritten keeps what a step decided when the process was stopped
     before it carried that out."""
 
-    def __init__(self, name, kind, area, address):
-        self.name, self.kind, self.area, self.address = name, kind, area, address
+    def __init__(self, name, kind, zone, address):
+        self.name, self.kind, self.zone, self.address = name, kind, zone, address
         self.core = None
         self.make = None  # the kind of daemon, where it is not the fleet's
-        self.life = 0
+        self.incarnation = 0
         self.frozen = self.down = False
-        self.held, self.unwritten = [], []
+        self.deferred_messages, self.unwritten = [], []
         self.stops_at = None  # says of each effect whether the process is stopped just before it
         self.stall_guard = stall_detector.StallGuard()
         self.skew = 0.0
@@ -94,10 +94,10 @@
     def __init__(
         self,
         seed,
-        accords=("a", "b", "c"),
-        verges=("a", "b", "c"),
-        minions=(("m", 6, 8, (), True),),
-        areas=("a", "b", "c"),
+        control_daemons=("a", "b", "c"),
+        fronts=("a", "b", "c"),
+        workers=(("m", 6, 8, (), True),),
+        zones=("a", "b", "c"),
         setup=None,
         founders=3,
         mode="static",
@@ -108,14 +108,17 @@
         self.now = 0.0
         self.events, self.number = [], 0
         self.nodes, self.by_address = {}, {}
-        self.cuts = set()  # (source, target) names
-        self.away, self.gone = [], {}  # (name, from, to) of being cut off, frozen or down; name -> since
+        self.partitions = set()  # (source, target) names
+        self.absences, self.absent_since = (
+            [],
+            {},
+        )  # (name, from, to) of being cut off, frozen or down; name -> since
         self.loss, self.delay, self.double = LOSS, 0.002, 0.0
         self.lag = {}  # name -> seconds that a slow machine takes longer for whatever it does
-        self.ways = None  # a Ways where the bytes that a link carries are bounded
+        self.link_rates = None  # a Ways where the bytes that a link carries are bounded
         self.founders, self.mode = founders, mode
-        self.kinds = {"accord": Accord, "verge": Verge, "minion": StandInMinion, **(kinds or {})}
-        self.minion_history, self.operator_history, self.trace = [], [], []
+        self.kinds = {"accord": ControlDaemon, "verge": FrontDaemon, "minion": StandInWorker, **(kinds or {})}
+        self.worker_history, self.operator_history, self.trace = [], [], []
         self.requests, self.request_count = {}, 0
         self.callers = {}
         self.counts = collections.Counter()
@@ -135,27 +138,27 @@
                 "feeds": {"share": 12, "limit": 24, "retries": 3, "urgency": 6, "yields": False},
             }
         }
-        for place, area in enumerate(accords):
-            self.add(f"accord{place}", "accord", area)
-        for place, area in enumerate(verges):
-            self.add(f"verge{place}", "verge", area)
+        for place, zone in enumerate(control_daemons):
+            self.add(f"accord{place}", "accord", zone)
+        for place, zone in enumerate(fronts):
+            self.add(f"verge{place}", "verge", zone)
         self.seeds = [one.address for one in list(self.nodes.values())[: constants.SEEDS]]
-        for prefix, count, room, labels, guards in minions:
+        for prefix, count, room, labels, guards in workers:
             for place in range(count):
-                node = self.add(f"{prefix}{place}", "minion", areas[place % len(areas)])
+                node = self.add(f"{prefix}{place}", "minion", zones[place % len(zones)])
                 node.core = self.kinds["minion"](
-                    node.name, node.area, node.address, room, labels, guards, seed, self.minion_history
+                    node.name, node.zone, node.address, room, labels, guards, seed, self.worker_history
                 )
-                self.at(self.draw.random() * 0.1, "tick", node.name, node.life)
-        self.rooms = {name: node.core.room for name, node in self.nodes.items() if node.kind == "minion"}
+                self.at(self.draw.random() * 0.1, "tick", node.name, node.incarnation)
+        self.capacities = {name: node.core.room for name, node in self.nodes.items() if node.kind == "minion"}
         for node in list(self.nodes.values()):
             if node.kind != "minion":
                 self.start(node.name)
 
     # --- the world --------------------------------------------------------------------
-    def add(self, name, kind, area):
+    def add(self, name, kind, zone):
         address = f"10.0.0.{len(self.nodes) + 1}:7000"
-        node = self.nodes[name] = Node(name, kind, area, address)
+        node = self.nodes[name] = Node(name, kind, zone, address)
         self.by_address[address] = node
         return node
 
@@ -175,8 +178,8 @@
     def start(self, name):
         """Starts a daemon with what its disk kept."""
         node = self.nodes[name]
-        node.life += 1
-        node.frozen, node.down, node.held, node.unwritten = False, False, [], []
+        node.incarnation += 1
+        node.frozen, node.down, node.deferred_messages, node.unwritten = False, False, [], []
         node.stall_guard = stall_detector.StallGuard()
         if node.kind == "accord":
             base, steps, segments = node.disk.load()
@@ -199,100 +202,102 @@
             node.core = (node.make or self.kinds["accord"])(
                 identity,
                 node.address,
-                node.area,
+                node.zone,
                 self.seeds,
                 self.founders,
                 self.mode,
-                f"{self.seed}-{node.life}",
+                f"{self.seed}-{node.incarnation}",
             )
             node.core.restore(base, steps, segments)
             node.disk.jobs.clear()
-            node.disk.under_way = node.disk.beside = None
+            node.disk.in_progress = node.disk.beside = None
             node.disk.failed = False
         elif node.kind == "verge":
             node.core = self.kinds["verge"](
-                f"v{self.draw.randrange(16**6):06x}.{name}", node.address, node.area, self.seeds
+                f"v{self.draw.randrange(16**6):06x}.{name}", node.address, node.zone, self.seeds
             )
         else:
             node.core.begin()
-            self._comes(name)
-        self.at(self.draw.random() * constants.TICK, "tick", name, node.life)
+            self._mark_present(name)
+        self.at(self.draw.random() * constants.TICK, "tick", name, node.incarnation)
 
     def kill(self, name):
         """A hard kill or a power loss: what was not synced may or may not be there."""
         node = self.nodes[name]
         if node.kind == "minion":
             node.core.crash(START + self.now)
-            node.life += 1
+            node.incarnation += 1
             node.down = True
-            self._goes(name)
+            self._mark_absent(name)
             return
         node.core = None
-        node.life += 1
+        node.incarnation += 1
         if node.disk is not None:
-            beside, under_way = node.disk.beside, node.disk.under_way
-            for job in (beside, under_way if under_way is not beside else None):
+            beside, in_progress = node.disk.beside, node.disk.in_progress
+            for job in (beside, in_progress if in_progress is not beside else None):
                 if job is not None and self.draw.random() < 0.5:
                     node.disk.keep(job[0])
             node.disk.jobs.clear()
-            node.disk.under_way = node.disk.beside = None
+            node.disk.in_progress = node.disk.beside = None
 
     def stop(self, name, grace=GRACE):
         """SIGTERM to an accord: it ends once it says that it may, and is killed after the grace."""
         node = self.nodes[name]
         node.core.leave_within = grace * constants.LEAVE_PART
         self.give(node, ("stop",))
-        self.at(constants.TICK * 4, "stopping", name, node.life, self.now + grace)
+        self.at(constants.TICK * 4, "stopping", name, node.incarnation, self.now + grace)
 
-    def _stopping(self, name, life, until):
+    def _stopping(self, name, incarnation, until):
         node = self.nodes[name]
-        if node.life != life or node.core is None:
+        if node.incarnation != incarnation or node.core is None:
             return
-        written = not (node.disk.jobs or node.disk.under_way)
+        written = not (node.disk.jobs or node.disk.in_progress)
         if self.now < until and not (written and node.core.may_end(self.now + OFFSET)):
-            self.at(constants.TICK, "stopping", name, life, until)
+            self.at(constants.TICK, "stopping", name, incarnation, until)
             return
         self.kill(name)
 
     def wipe(self, name):
         self.nodes[name].disk = Disk()
 
-    def _goes(self, name):
-        self.gone.setdefault(name, START + self.now)
+    def _mark_absent(self, name):
+        self.absent_since.setdefault(name, START + self.now)
 
-    def _comes(self, name):
-        if name in self.gone:
-            self.away.append((name, self.gone.pop(name), START + self.now))
+    def _mark_present(self, name):
+        if name in self.absent_since:
+            self.absences.append((name, self.absent_since.pop(name), START + self.now))
 
     def freeze(self, name):
         self.nodes[name].frozen = True
-        self._goes(name)
+        self._mark_absent(name)
 
     def thaw(self, name):
         node = self.nodes[name]
         node.frozen = False
-        self._comes(name)
+        self._mark_present(name)
         unwritten, node.unwritten = node.unwritten, []
         for effect in unwritten:
             self.carry_out(node, effect)
-        held, node.held = node.held, []
-        for message in held:
-            self.at(0.0, "give", name, node.life, message)
+        deferred, node.deferred_messages = node.deferred_messages, []
+        for message in deferred:
+            self.at(0.0, "give", name, node.incarnation, message)
 
-    def cut(self, sources, targets, both=True):
+    def partition(self, sources, targets, both=True):
         for one in sources:
             for other in targets:
                 if one != other:
-                    self._goes(one)
-                    self._goes(other)
-                    self.cuts.add((one, other))
+                    self._mark_absent(one)
+                    self._mark_absent(other)
+                    self.partitions.add((one, other))
                     if both:
-                        self.cuts.add((other, one))
+                        self.partitions.add((other, one))
 
     def heal(self):
-        self.cuts.clear()
-        for name in [one for one in self.gone if not self.nodes[one].frozen and not self.nodes[one].down]:
-            self._comes(name)
+        self.partitions.clear()
+        for name in [
+            one for one in self.absent_since if not self.nodes[one].frozen and not self.nodes[one].down
+        ]:
+            self._mark_present(name)
 
     def reset_connections(self, name, share):
         """A share of a daemon's connections is reset: what is on its way to it is lost, and whoever
@@ -327,27 +332,27 @@
             self.run(step)
         return None
 
-    def _tick(self, name, life):
+    def _tick(self, name, incarnation):
         node = self.nodes[name]
-        if node.life != life:
+        if node.incarnation != incarnation:
             return
         if node.core is not None and not node.frozen and not node.down:
             self.give(node, ("tick",))
-        self.at(constants.TICK * (2 if node.kind == "minion" else 1), "tick", name, life)
+        self.at(constants.TICK * (2 if node.kind == "minion" else 1), "tick", name, incarnation)
 
-    def _give(self, name, life, message):
+    def _give(self, name, incarnation, message):
         node = self.nodes[name]
-        if node.life == life and node.core is not None:
+        if node.incarnation == incarnation and node.core is not None:
             self.give(node, message)
 
     def give(self, node, message):
         if node.down:
             return
         if node.frozen:
-            node.held.append(message)
+            node.deferred_messages.append(message)
             return
         if node.kind == "minion":
-            self._minion_effects(node, node.core.step(message, START + self.now), message)
+            self._worker_effects(node, node.core.step(message, START + self.now), message)
             return
         now = self.steady()
         node.stall_guard.turn(now)
@@ -368,7 +373,7 @@
         EFFECTS[effect[0]](self, node, *effect[1:])
 
     def lost(self, source, target):
-        return (source, target) in self.cuts or self.draw.random() < self.loss
+        return (source, target) in self.partitions or self.draw.random() < self.loss
 
     def latency(self):
         return 0.0003 + self.draw.random() * self.delay
@@ -379,20 +384,20 @@
         target = self.by_address.get(address)
         if target is None or self.lost(node.name, target.name):
             return
-        sending = call_sending(message)
+        sending = call_attempt(message)
         if target.core is None and sending is not None:
-            self.at(REFUSED_AFTER, "give", node.name, node.life, ("undelivered", *sending))
+            self.at(REFUSED_AFTER, "give", node.name, node.incarnation, ("undelivered", *sending))
             return
         frame = framing.encode(node.address, message)
         delay = self.latency()
-        if self.ways is not None and target.core is not None:
-            delay += self.ways.delay(node.name, target.name, len(frame), self.now)
+        if self.link_rates is not None and target.core is not None:
+            delay += self.link_rates.delay(node.name, target.name, len(frame), self.now)
         source, plain = framing.decode(frame[4:])
-        if not contract.kept(plain):
+        if not contract.keeps_contract(plain):
             raise AssertionError(f"{node.name} breaks a contract: {message!r}")
-        self.at(delay, "give", target.name, target.life, tuple(plain))
+        self.at(delay, "give", target.name, target.incarnation, tuple(plain))
         if self.double and self.draw.random() < self.double:
-            self.at(self.latency() * 5, "give", target.name, target.life, tuple(plain))
+            self.at(self.latency() * 5, "give", target.name, target.incarnation, tuple(plain))
 
     def _save(self, node, sequence, change):
         node.disk.jobs.append(("save", sequence, ["raft", change]))
@@ -409,12 +414,22 @@
             raise AssertionError(f"{node.name} seals segment {number} anew, with other content")
 
     def _snapshot(self, node, index, image):
-        self.at(0.01, "give", node.name, node.life, ("encoded", index, node.core.record.encode(image)))
+        self.at(
+            0.01,
+            "give",
+            node.name,
+            node.incarnation,
+            ("encoded", index, node.core.cluster_state.encode(image)),
+        )
 
     def _rehearse(self, node, work):
         epoch, draft, asked, *rest = work
         self.at(
-            0.5, "give", node.name, node.life, ("rehearsed", epoch, draft, asked, node.core.measure(*rest))
+            0.5,
+            "give",
+            node.name,
+            node.incarnation,
+            ("rehearsed", epoch, draft, asked, node.core.measure(*rest)),
         )
 
     def _note(self, node, payload):
@@ -422,7 +437,7 @@
 
     def _disk_next(self, node):
         disk = node.disk
-        if disk.under_way is not None or not disk.jobs:
+        if disk.in_progress is not None or not disk.jobs:
             return
         kind, tag, payload = disk.jobs[0]
         if kind == "base":
@@ -431,28 +446,28 @@
             disk.jobs.popleft()
             disk.beside, disk.covers = (("base", packed_operations.dumps(payload)), tag), len(disk.steps)
             if tag is not None:
-                disk.under_way = disk.beside  # nothing may follow before it is durable
-            self.at((0.005 + self.draw.random() * 0.3) * disk.slow, "based", node.name, node.life)
+                disk.in_progress = disk.beside  # nothing may follow before it is durable
+            self.at((0.005 + self.draw.random() * 0.3) * disk.slow, "based", node.name, node.incarnation)
             self._disk_next(node)
             return
         batch = []
         while disk.jobs and disk.jobs[0][0] == "save":
             _, tag, payload = disk.jobs.popleft()
             batch.append(payload)
-        disk.under_way = (("step", packed_operations.dumps(batch)), tag)
-        self.at((0.001 + self.draw.random() * 0.004) * disk.slow, "synced", node.name, node.life)
+        disk.in_progress = (("step", packed_operations.dumps(batch)), tag)
+        self.at((0.001 + self.draw.random() * 0.004) * disk.slow, "synced", node.name, node.incarnation)
 
-    def _durable(self, node, what, job, life):
+    def _durable(self, node, what, job, incarnation):
         """Whether a job became durable; else it is tried again, as the daemons do."""
         disk = node.disk
         if disk.stalled or node.frozen:
-            self.at(0.05, what, node.name, life)
+            self.at(0.05, what, node.name, incarnation)
             return False
         if disk.full:
             if not disk.failed:
                 disk.failed = True
                 self.give(node, ("disk", "no space"))
-            self.at(constants.DISK_AGAIN, what, node.name, life)
+            self.at(constants.DISK_AGAIN, what, node.name, incarnation)
             return False
         disk.keep(job)
         if disk.failed:
@@ -460,25 +475,25 @@
             self.give(node, ("disk", None))
         return True
 
-    def _synced(self, name, life):
+    def _synced(self, name, incarnation):
         node = self.nodes[name]
-        if node.life != life or node.disk.under_way is None:
+        if node.incarnation != incarnation or node.disk.in_progress is None:
             return
-        job, tag = node.disk.under_way
-        if self._durable(node, "synced", job, life):
-            node.disk.under_way = None
+        job, tag = node.disk.in_progress
+        if self._durable(node, "synced", job, incarnation):
+            node.disk.in_progress = None
             self.give(node, ("saved", tag))
             self._disk_next(node)
 
-    def _based(self, name, life):
+    def _based(self, name, incarnation):
         node = self.nodes[name]
-        if node.life != life or node.disk.beside is None:
+        if node.incarnation != incarnation or node.disk.beside is None:
             return
         job, tag = node.disk.beside
-        if self._durable(node, "based", job, life):
+        if self._durable(node, "based", job, incarnation):
             node.disk.beside, node.disk.covers = None, 0
             if tag is not None:
-                node.disk.under_way = None
+                node.disk.in_progress = None
                 self.give(node, ("saved", tag))
             self._disk_next(node)
 
@@ -498,18 +513,18 @@
         target = self.by_address.get(address)
         if target is None or self.lost(node.name, target.name) or target.core is None or target.down:
             if key is not None:
-                self.at(0.05, "give", node.name, node.life, ("posted", key, "unsent"))
+                self.at(0.05, "give", node.name, node.incarnation, ("posted", key, "unsent"))
             return
         plain = json.loads(json.dumps(document))
         kind = "order" if path == "/v1/orders" else "kill"
         self.request_count += 1
         number = self.request_count
-        self.requests[number] = ("post", node.name, node.life, key, target.name)
-        self.at(self.latency(), "give", target.name, target.life, (kind, number, plain))
+        self.requests[number] = ("post", node.name, node.incarnation, key, target.name)
+        self.at(self.latency(), "give", target.name, target.incarnation, (kind, number, plain))
         self.at(constants.ORDER_TIMEOUT, "expire", number)
 
     # --- minions and callers ----------------------------------------------------------
-    def _minion_effects(self, node, effects, message):
+    def _worker_effects(self, node, effects, message):
         for effect in effects:
             if effect[0] == "answer":
                 _, request, status, _ = effect
@@ -519,28 +534,30 @@
             else:
                 self.call(
                     node.name,
-                    node.life,
+                    node.incarnation,
                     self.draw.randrange(100),
                     "POST",
                     "/v1/reports",
                     effect[1],
                     ("report", node.name),
-                    constants.CARRY_TIMEOUT + 0.5,
+                    constants.FORWARD_TIMEOUT + 0.5,
                 )
 
     def _posted(self, request, outcome):
         waiting = self.requests.pop(request, None)
         if waiting and waiting[3] is not None:
-            _, verge, life, key, _ = waiting
-            self._give(verge, life, ("posted", key, outcome))
+            _, front, incarnation, key, _ = waiting
+            self._give(front, incarnation, ("posted", key, outcome))
 
-    def call(self, source, life, draw, method, target, document, tag, timeout=ANSWER_TIMEOUT, headers=None):
+    def call(
+        self, source, incarnation, draw, method, target, document, tag, timeout=ANSWER_TIMEOUT, headers=None
+    ):
         """An HTTP call at some verge; its answer goes back by tag."""
-        verges = [node for node in self.nodes.values() if node.kind == "verge"]
-        node = verges[draw % len(verges)]
+        fronts = [node for node in self.nodes.values() if node.kind == "verge"]
+        node = fronts[draw % len(fronts)]
         self.request_count += 1
         number = self.request_count
-        self.requests[number] = ("call", source, life, tag, node.name)
+        self.requests[number] = ("call", source, incarnation, tag, node.name)
         if node.core is None or self.lost(source, node.name):
             self.at(0.05, "answer", number, 0, "null")
             return
@@ -549,7 +566,7 @@
             self.latency(),
             "give",
             node.name,
-            node.life,
+            node.incarnation,
             ("http", number, method, target, headers or {}, body),
         )
         self.at(timeout, "answer", number, 0, "null")
@@ -558,18 +575,18 @@
         waiting = self.requests.pop(request, None)
         if waiting is None:
             return
-        _, source, life, tag, verge = waiting
-        if status and (verge, source) in self.cuts:
+        _, source, incarnation, tag, front = waiting
+        if status and (front, source) in self.partitions:
             status, text = 0, "null"
         document = json.loads(text)
         kind = tag[0]
         if kind == "report":
             node = self.nodes[source]
-            if node.life == life:
+            if node.incarnation == incarnation:
                 self.give(node, ("reported", status, document))
         elif kind == "caller":
             _, name, call = tag
-            self._caller_calls(
+            self._send_client_calls(
                 name, self.callers[name].step(("answered", call, status, document), START + self.now)
             )
         elif kind == "told":
@@ -583,33 +600,33 @@
 
     def caller(self, name, traffic, rate=1.0, fail=0.03, cancels=0.0):
         """Adds a stand-in caller that begins now."""
-        self.callers[name] = callers.StandInCaller(name, traffic, self.seed, rate, fail, cancels=cancels)
+        self.callers[name] = callers.StandInClient(name, traffic, self.seed, rate, fail, cancels=cancels)
         self.at(0.0, "caller", name)
 
     def _caller(self, name):
         one = self.callers[name]
-        self._caller_calls(name, one.step(("tick",), START + self.now))
+        self._send_client_calls(name, one.step(("tick",), START + self.now))
         self.at(0.05, "caller", name)
 
-    def _caller_calls(self, name, effects):
+    def _send_client_calls(self, name, effects):
         for _, call, draw, method, target, document in effects:
             self.call(name, 0, draw, method, target, document, ("caller", name, call))
 
-    def ask(self, method, target, document=None, headers=None, verge=0, seconds=8.0):
+    def ask(self, method, target, document=None, headers=None, front=0, seconds=8.0):
         """An operator's call, run to its answer: (status, document)."""
         got = []
-        self.call("operator", 0, verge, method, target, document, ("plain", got), headers=headers)
+        self.call("operator", 0, front, method, target, document, ("plain", got), headers=headers)
         self.until(lambda: got, seconds, 0.02)
         return got[0][1:] if got else (0, None)
 
     def persist(self, method, target, document=None, headers=None, seconds=30.0):
         """An operator who tries again, at other verges, until answered other than 0 or 503."""
-        begun, verge = self.now, 0
+        begun, front = self.now, 0
         while self.now - begun < seconds:
-            status, answer = self.ask(method, target, document, headers, verge)
+            status, answer = self.ask(method, target, document, headers, front)
             if status not in (0, 429, 503):
                 return status, answer
-            verge += 1
+            front += 1
             self.run(0.2)
         return 0, None
 
@@ -640,7 +657,9 @@
     def quiet(self):
         """Whether every caller has seen the end of every ticket."""
         return all(
-            not one.open and not one.retry and not any(call[0] == "submit" for call in one.under_way.values())
+            not one.open
+            and not one.retry
+            and not any(call[0] == "submit" for call in one.pending_calls.values())
             for one in self.callers.values()
         )
 
@@ -678,15 +697,15 @@
                 if entries.setdefault(index, text) != text:
                     faults.append(f"entry {index} differs at {node.name}")
             try:
-                node.core.record.audit()
+                node.core.cluster_state.audit()
             except AssertionError as broken:
                 faults.append(f"{node.name}: {broken}")
-            record = node.core.record
+            record = node.core.cluster_state
             plain = plain_image(record)
-            decoded = type(record).decode(record.encode(record.image()), record.archive.held)
+            decoded = type(record).decode(record.encode(record.image()), record.archive.segments)
             if plain_image(decoded) != plain:
                 faults.append(f"{node.name} would restart with another record than it holds")
-            image = (plain, record.archive.held)
+            image = (plain, record.archive.segments)
             other = records.setdefault(record.index, (node.name, image))
             if other[1] != image:
                 faults.append(f"{node.name} and {other[0]} differ at {record.index}")
--- a/src/pinepitch/simulation/stand_in_client.py
+++ b/src/pinepitch/simulation/stand_in_client.py
@@ -92,7 +92,7 @@
     }
 
 
-class StandInCaller:
+class StandInClient:
     """Invariants: a key is used for one body; accepted maps a ticket to (key, when,
     document); history is only added to."""
 
@@ -102,7 +102,7 @@
         self.random = random.Random(f"{name}-{seed}")
         self.history = []
         self.count = 0
-        self.under_way = {}  # call -> (kind, key or ticket, document, begun)
+        self.pending_calls = {}  # call -> (kind, key or ticket, document, begun)
         self.retry = []  # (when, key, document)
         self.accepted = {}
         self.regrets = {}  # ticket -> when it is to be cancelled
@@ -116,7 +116,7 @@
 
     def _call(self, kind, subject, document, method, target, now):
         self.count += 1
-        self.under_way[self.count] = (kind, subject, document, now)
+        self.pending_calls[self.count] = (kind, subject, document, now)
         return ("call", self.count, self.random.randrange(1_000_000), method, target, document)
 
     def _on_tick(self, now):
@@ -133,35 +133,35 @@
         for when, key, document in [one for one in self.retry if one[0] <= now]:
             self.retry.remove((when, key, document))
             calls.append(self._call("submit", key, document, "POST", "/v1/tickets", now))
-        for ticket, when in list(self.regrets.items()):
+        for pushed_job, when in list(self.regrets.items()):
             if when <= now:
-                del self.regrets[ticket]
-                calls.extend(self.cancel(ticket, now))
-        for ticket, when in list(self.open.items()):
+                del self.regrets[pushed_job]
+                calls.extend(self.cancel(pushed_job, now))
+        for pushed_job, when in list(self.open.items()):
             if when <= now:
-                self.open[ticket] = now + 1e9
-                calls.append(self._call("read", ticket, None, "GET", f"/v1/tickets/{ticket}", now))
+                self.open[pushed_job] = now + 1e9
+                calls.append(self._call("read", pushed_job, None, "GET", f"/v1/tickets/{pushed_job}", now))
         return calls
 
-    def cancel(self, ticket, now):
-        return [self._call("cancel", ticket, None, "POST", f"/v1/tickets/{ticket}/cancel", now)]
+    def cancel(self, pushed_job, now):
+        return [self._call("cancel", pushed_job, None, "POST", f"/v1/tickets/{pushed_job}/cancel", now)]
 
     def _on_answered(self, call, status, document, now):
         """Status 0 means that no answer came."""
-        kind, subject, sent, begun = self.under_way.pop(call)
+        kind, subject, sent, begun = self.pending_calls.pop(call)
         if kind == "submit":
             if status in (200, 201):
-                ticket = document["ticket"]
-                self.accepted[ticket] = (subject, now, sent)
-                self.open[ticket] = now + SOON
+                pushed_job = document["ticket"]
+                self.accepted[pushed_job] = (subject, now, sent)
+                self.open[pushed_job] = now + SOON
                 if self.cancels and self.random.random() < self.cancels:
-                    self.regrets[ticket] = now + self.random.uniform(0.0, 1.0)
-                self.history.append(("accepted", now, subject, ticket, now - begun))
+                    self.regrets[pushed_job] = now + self.random.uniform(0.0, 1.0)
+                self.history.append(("accepted", now, subject, pushed_job, now - begun))
             elif status in (0, 429, 503):
                 self.history.append(("shed" if status == 429 else "unanswered", now, subject, now - begun))
                 self.tries[subject] = self.tries.get(subject, 0) + (status == 429)
                 if self.tries[subject] < TRIES:
-                    self.retry.append((now + constants.COME_BACK, subject, sent))
+                    self.retry.append((now + constants.RETRY_AFTER, subject, sent))
                 else:
                     self.history.append(("given-up", now, subject))
             else:
--- a/src/pinepitch/simulation/stand_in_lease_worker.py
+++ b/src/pinepitch/simulation/stand_in_lease_worker.py
@@ -8,10 +8,10 @@
 import json
 import random
 
-ANSWER_MOST = 1.0  # own seconds; an answer later than this is dropped, and silence this long moves it on
-HOLD_MOST = 5.0  # own seconds; a longer hold is cut back to this
-BEAT_PERIOD = 1.0  # seconds; between beats where no answer says otherwise
-BEAT_SOON = 0.05  # seconds; a beat follows an end, or a failed beat, this soon
+MAX_ANSWER_BYTES = 1.0  # own seconds; an answer later than this is dropped, and silence this long moves it on
+LEASE_MOST = 5.0  # own seconds; a longer hold is cut back to this
+HEARTBEAT_PERIOD = 1.0  # seconds; between beats where no answer says otherwise
+HEARTBEAT_SOON = 0.05  # seconds; a beat follows an end, or a failed beat, this soon
 GANG_WAIT = 3.0  # seconds; a gang's member waits for the others this long
 STOP_GRACE = 0.6  # seconds; a stop takes at most this
 SAVE_EVERY = 0.5  # seconds of work; between two checkpoints
@@ -23,17 +23,19 @@
 SLOWEST = 0.02  # part; by which its own steady clock may run slow
 
 
-class StandInTenant:
+class StandInLeaseWorker:
     """Invariants: running holds what it runs now, what is being stopped included; ended holds,
     by number, every end that no answer has reached; at most one beat is out; the history is only
     added to; nothing runs past hold_until on its own clock; fence never falls in one life.
 
     `gangs` is shared by all: (job, time, step, run) -> the gang's standing."""
 
-    def __init__(self, name, zone, address, room, labels, guards, seed, history, service, accords, gangs):
+    def __init__(
+        self, name, zone, address, room, labels, guards, seed, history, service, control_daemons, gangs
+    ):
         self.name, self.zone, self.address, self.room = name, zone, address, tuple(room)
         self.labels, self.guards, self.service = list(labels), guards, service
-        self.accords, self.gangs, self.history, self.seed = accords, gangs, history, seed
+        self.control_daemons, self.gangs, self.history, self.seed = control_daemons, gangs, history, seed
         self.random = random.Random(f"tenant-{name}-{seed}")
         self.rate = 1.0 - self.random.choice((0.0, SLOWEST / 2, SLOWEST))
         self.clock_ahead = self.random.uniform(0, 1e5)
@@ -52,11 +54,11 @@
         self.ended = {}  # number -> (reference, run, how, saved)
         self.end_count = self.sequence = self.fence = 0
         self.home = None
-        self.turn = self.random.randrange(len(self.accords))
+        self.turn = self.random.randrange(len(self.control_daemons))
         self.out = None  # (number, address, own clock when sent, state told) of the beat that is out
         self.next_at = -1e9
         self.urgent = False
-        self.hold_until = None
+        self.lease_until = None
         self.state, self.leaves_at, self.drained_at, self.over = "ready", None, None, False
         self.ticked = None
 
@@ -85,8 +87,8 @@
         if self.over:
             return []
         own = self.own(now)
-        if self.hold_until is not None and own >= self.hold_until:
-            self.hold_until = None
+        if self.lease_until is not None and own >= self.lease_until:
+            self.lease_until = None
             self.history.append(("lapse", now, self.name, self.identity))
             for key in list(self.running):
                 self._end(key, "lapsed", now)
@@ -99,10 +101,10 @@
             self.over = True
             self.crash(now)
             return [("leave", self._target(), self.identity)]
-        if self.out is not None and own - self.out[2] > ANSWER_MOST:
+        if self.out is not None and own - self.out[2] > MAX_ANSWER_BYTES:
             self._move_on(now)
         if self.out is None and now >= self.next_at:
-            return [self._beat(now)]
+            return [self._heartbeat(now)]
         return []
 
     def _advance(self, key, passed, now):
@@ -151,7 +153,7 @@
         self.history.append(("end", now, self.name, self.identity, *key, how, self.end_count, saved))
         self.urgent = True
         if self.out is None:
-            self.next_at = min(self.next_at, now + BEAT_SOON)
+            self.next_at = min(self.next_at, now + HEARTBEAT_SOON)
 
     def _leave_gang(self, key, how):
         gang = self.running[key]["gang"]
@@ -160,15 +162,19 @@
 
     # --- beats ------------------------------------------------------------------------
     def _target(self):
-        return self.home if self.home is not None else self.accords[self.turn % len(self.accords)]
+        return (
+            self.home
+            if self.home is not None
+            else self.control_daemons[self.turn % len(self.control_daemons)]
+        )
 
     def _move_on(self, now):
         """The beat that was out failed: the next goes elsewhere."""
         self.out, self.home = None, None
         self.turn += 1
-        self.next_at = now + BEAT_SOON
+        self.next_at = now + HEARTBEAT_SOON
 
-    def _beat(self, now):
+    def _heartbeat(self, now):
         self.sequence += 1
         self.urgent = False
         self.out = (self.sequence, self._target(), self.own(now), self.state)
@@ -201,20 +207,20 @@
         if self.out is None or self.out[0] != number:
             return []
         _, _, sent, state = self.out
-        if status // 100 != 2 or self.own(now) - sent > ANSWER_MOST:
+        if status // 100 != 2 or self.own(now) - sent > MAX_ANSWER_BYTES:
             self._move_on(now)
             return []
         self.out = None
         if state == "draining" and self.drained_at is None:
             self.drained_at, self.leaves_at = now, now + DRAIN + DRAIN_BEYOND
             self.history.append(("drained", now, self.name, self.identity))
-        self.next_at = now + document.get("again_ms", BEAT_PERIOD * 1000) / 1000
+        self.next_at = now + document.get("again_ms", HEARTBEAT_PERIOD * 1000) / 1000
         fence = document.get("fence", 0)
         if fence >= self.fence:
             self.fence = fence
             self._obey(document, sent, now)
         if self.urgent:
-            self.next_at = min(self.next_at, now + BEAT_SOON)
+            self.next_at = min(self.next_at, now + HEARTBEAT_SOON)
         return []
 
     def _obey(self, document, sent, now):
@@ -225,8 +231,8 @@
             reference, run, how, _ = self.ended.pop(number)
             self.history.append(("noted", now, self.name, self.identity, reference, run, how))
         if "hold_ms" in document:
-            until = sent + min(document["hold_ms"] / 1000, HOLD_MOST)
-            self.hold_until = until if self.hold_until is None else max(self.hold_until, until)
+            until = sent + min(document["hold_ms"] / 1000, LEASE_MOST)
+            self.lease_until = until if self.lease_until is None else max(self.lease_until, until)
         for reference, run in document.get("stop", ()):
             self._stop((reference, run), now)
         if "hold_ms" in document:
--- a/src/pinepitch/simulation/stand_in_operator.py
+++ b/src/pinepitch/simulation/stand_in_operator.py
@@ -38,12 +38,12 @@
                 if span[0] == kind and span[1] == subject and span[3] is None:
                     span[3] = begun
 
-    def withdraw(self, minion, due):
-        if self.act(f"/v1/minions/{minion}/withdraw", {"due": due}):
-            self.spans.append(["minion", minion, self.now(), None])
-            self.withdrawn.add(minion)
+    def withdraw(self, worker, due):
+        if self.act(f"/v1/minions/{worker}/withdraw", {"due": due}):
+            self.spans.append(["minion", worker, self.now(), None])
+            self.withdrawn.add(worker)
 
-    def read_setup(self):
+    def read_queue_configuration(self):
         status, document = self.simulator.persist("GET", "/v1/setup")
         if status == 200:
             newest = max([one[2] for one in self.changes], default=0)
@@ -71,7 +71,7 @@
         )
         return (self.now(), manner, document, base, reason, got)
 
-    def _settle(self, asked, manner, document, base, reason, got):
+    def _record_outcome(self, asked, manner, document, base, reason, got):
         """Keeps what came of a change; the answer's status."""
         status, answer = got[0][1:] if got else (0, None)
         if status == 200:
@@ -84,12 +84,12 @@
 
     def change(self, patch, manner="merge"):
         """One change on the version in force; kept if acknowledged."""
-        status, before = self.read_setup()
+        status, before = self.read_queue_configuration()
         if status != 200:
             return
         sent = self._begin(0, manner, patch, before["version"])
         self.simulator.until(lambda: sent[5], 10, 0.05)
-        if self._settle(*sent) == 200:
+        if self._record_outcome(*sent) == 200:
             self.in_force(self.changes[-1][2])
 
     def storm(self, changes, rate):
@@ -99,18 +99,18 @@
             sent.append(self._begin(place, manner, document))
             self.simulator.run(1.0 / rate)
         self.simulator.until(lambda: all(one[5] for one in sent), 10)
-        return [self._settle(*one) for one in sent]
+        return [self._record_outcome(*one) for one in sent]
 
     def in_force(self, version, within=2.0):
         """Whether every connected verge learns of an acknowledged change in time."""
-        verges = [node for node in self.simulator.nodes.values() if node.kind == "verge"]
-        if self.simulator.cuts or any(node.core is None or node.frozen for node in verges):
+        fronts = [node for node in self.simulator.nodes.values() if node.kind == "verge"]
+        if self.simulator.partitions or any(node.core is None or node.frozen for node in fronts):
             return
         if (
             self.simulator.until(
                 lambda: all(
                     (node.core.body or {}).get("setup_version", 0) >= version
-                    for node in verges
+                    for node in fronts
                     if node.core is not None
                 ),
                 within,
@@ -122,12 +122,12 @@
 
     def race(self, patches):
         """Several changes on one version at once, at different verges."""
-        status, before = self.read_setup()
+        status, before = self.read_queue_configuration()
         if status != 200:
             return
         sent = [self._begin(place, "merge", patch, before["version"]) for place, patch in enumerate(patches)]
         self.simulator.until(lambda: all(one[5] for one in sent), 10)
-        won = [self._settle(*one) for one in sent].count(200)
+        won = [self._record_outcome(*one) for one in sent].count(200)
         if won > 1:
             self.faults.append(f"{won} changes built on version {before['version']} were accepted")
 
@@ -135,42 +135,42 @@
         """Cancels a ticket that some caller has open."""
         for name, caller in self.simulator.callers.items():
             if caller.open:
-                ticket = self.simulator.draw.choice(sorted(caller.open))
-                self.simulator._caller_calls(name, caller.cancel(ticket, self.now()))
+                pushed_job = self.simulator.draw.choice(sorted(caller.open))
+                self.simulator._send_client_calls(name, caller.cancel(pushed_job, self.now()))
 
     def check(self):
         """Faults in what was acknowledged: closed minions and areas, and setups."""
-        areas = {name: node.area for name, node in self.simulator.nodes.items()}
+        zones = {name: node.zone for name, node in self.simulator.nodes.items()}
         return [
             *self.faults,
-            *checks.closed_kept(self.simulator.minion_history, self.spans, areas),
-            *self.check_setups(),
+            *checks.closed_kept(self.simulator.worker_history, self.spans, zones),
+            *self.check_queue_configurations(),
         ]
 
     def limits(self):
         """The changes as the check of limits takes them."""
-        told = [
+        set_limits = [
             (asked, acknowledged, version, document)
             for asked, acknowledged, version, _, document, _, _ in self.changes
         ]
-        told.sort(key=lambda one: one[2])
-        told = [(0.0, 0.0, 0, self.simulator.setup), *told]
-        told += [(asked, None, 0, document) for asked, document in self.maybe]
+        set_limits.sort(key=lambda one: one[2])
+        set_limits = [(0.0, 0.0, 0, self.simulator.setup), *set_limits]
+        set_limits += [(asked, None, 0, document) for asked, document in self.maybe]
         return [
             (
                 asked,
                 acknowledged,
                 {queue: row["limit"] for queue, row in document["queues"].items() if row and "limit" in row},
             )
-            for asked, acknowledged, _, document in told
+            for asked, acknowledged, _, document in set_limits
         ]
 
-    def check_setups(self):
+    def check_queue_configurations(self):
         """Faults in what is read at day's end: every acknowledged change, its content, and
         nothing of a refused one, the same at every verge."""
         histories = []
         for place in range(sum(node.kind == "verge" for node in self.simulator.nodes.values())):
-            status, history = self.simulator.ask("GET", "/v1/setup/versions", verge=place)
+            status, history = self.simulator.ask("GET", "/v1/setup/versions", front=place)
             if status != 200:
                 status, history = self.simulator.persist("GET", "/v1/setup/versions")
             if status != 200:
@@ -181,4 +181,4 @@
             status, document = self.simulator.persist("GET", f"/v1/setup/versions/{version}")
             if status == 200:
                 documents[version] = document["setup"]
-        return checks.setups_kept(histories, documents, self.changes, self.refused)
+        return checks.queue_configurations_kept(histories, documents, self.changes, self.refused)
--- a/src/pinepitch/simulation/stand_in_worker.py
+++ b/src/pinepitch/simulation/stand_in_worker.py
@@ -9,12 +9,12 @@
 from ..common import constants
 
 
-class StandInMinion:
+class StandInWorker:
     """Invariants: running holds what it runs now; ended holds what no one acknowledged;
     the history is only added to. An unguarded one starts whatever it is told."""
 
-    def __init__(self, name, area, address, room, labels=(), guards=True, seed=0, history=None):
-        self.name, self.area, self.address, self.room = name, area, address, room
+    def __init__(self, name, zone, address, room, labels=(), guards=True, seed=0, history=None):
+        self.name, self.zone, self.address, self.room = name, zone, address, room
         self.labels, self.guards = list(labels), guards
         self.random = random.Random(f"{name}-{seed}")
         self.history = [] if history is None else history
@@ -86,14 +86,14 @@
             self.report_at, self.urgent, self.reporting = now, False, True
             self.counter += 1
             return [("report", self.report())]
-        if self.reporting and now - self.report_at > constants.CARRY_TIMEOUT + 0.5:
+        if self.reporting and now - self.report_at > constants.FORWARD_TIMEOUT + 0.5:
             self.reporting = False
         return []
 
     def report(self):
         return {
             "minion": self.name,
-            "area": self.area,
+            "area": self.zone,
             "address": self.address,
             "room": self.room,
             "labels": self.labels,
--- a/src/pinepitch/simulation/steady.py
+++ b/src/pinepitch/simulation/steady.py
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 from ..common.limits import Limits
-from .changes import BODY, Cohort
-from .link_rates import Ways
+from .changes import BODY, ControlCluster
+from .link_rates import LinkRates
 
 EVERY = 0.33  # seconds between two changes
 LINK = 50e6 / 8  # bytes a second
@@ -27,13 +27,13 @@
     began: float | None
 
 
-class Day(Cohort):
+class Day(ControlCluster):
     """Invariants: one member at most is lost at a time; back holds (whether wiped, seconds until
     it lacked two entries at most and was a member) of each that came back."""
 
     def __init__(self, seed, size=BODY // 2):
         super().__init__(seed, limits=Limits(296_000_000, 128_000_000), size=size)
-        self.ways = Ways(LINK)
+        self.link_rates = LinkRates(LINK)
         self.losses = random.Random(f"losses-{seed}")
         self.loss_now, self.next_at = None, 5.0
         self.back, self.never_back = [], []
@@ -43,15 +43,15 @@
         """Changes for so long, then a while for the last to be answered."""
         self.begin()
         end = self.now + seconds
-        told, told_at = 0, self.now
+        acknowledged_count, acknowledged_at = 0, self.now
         while self.now < end and not self.never_back:
             self.change()
             self.run(EVERY)
-            self.held.look(self)
+            self.maxima.look(self)
             self._lose()
-            if len(self.acknowledged) > told:
-                self.waited = max(self.waited, self.now - told_at)
-                told, told_at = len(self.acknowledged), self.now
+            if len(self.acknowledged) > acknowledged_count:
+                self.waited = max(self.waited, self.now - acknowledged_at)
+                acknowledged_count, acknowledged_at = len(self.acknowledged), self.now
         self.run(5.0)
         return self
 
@@ -80,7 +80,7 @@
         lacks, leader, core = self.lacks(name), self.leader(), self.nodes[name].core
         if lacks is None or lacks > 2:
             return False
-        return core.identity in leader.core.consensus.cohort.members()
+        return core.identity in leader.core.consensus.membership.members()
 
     def faults(self):
         return [*super().faults(), *(f"{loss.name} never came back" for loss in self.never_back)]
@@ -95,7 +95,7 @@
             f"seed {seed}: {len(day.acknowledged)} of {day.version} changes acknowledged, "
             f"{len(day.back)} losses; back after s: killed {' '.join(times[False])}, "
             f"wiped {' '.join(times[True])}; longest wait for an acknowledgement {day.waited:.1f} s; "
-            f"log at most {day.held.log} bytes, folder {day.held.disk}; faults {day.faults()}",
+            f"log at most {day.maxima.log} bytes, folder {day.maxima.disk}; faults {day.faults()}",
             flush=True,
         )
 
--- a/src/pinepitch/simulation/worker_program.py
+++ b/src/pinepitch/simulation/worker_program.py
@@ -9,21 +9,21 @@
 from ..common import constants
 from ..common.daemon_settings import split
 from ..transport import http
-from .stand_in_worker import StandInMinion
+from .stand_in_worker import StandInWorker
 
 
-class MinionHost:
+class WorkerHost:
     """Runs stand-in minions. Invariant: only its own tasks touch a minion, each to the end
     of a step before another may."""
 
     def __init__(self, minions, verges, history_path):
-        self.minions, self.verges = minions, verges
+        self.workers, self.fronts = minions, verges
         self.file = open(history_path, "a", buffering=1) if history_path else None
         self.turn = 0
 
     async def run(self):
         async with curio.TaskGroup() as group:
-            for minion in self.minions:
+            for minion in self.workers:
                 host, port = split(minion.address)
                 await group.spawn(self._server, host, port, minion)
                 await group.spawn(self._life, minion)
@@ -61,9 +61,9 @@
             for _, document in effects:
                 if client is None:
                     self.turn += 1
-                    client = http.Client(*split(self.verges[self.turn % len(self.verges)]))
+                    client = http.Client(*split(self.fronts[self.turn % len(self.fronts)]))
                 answer = await curio.ignore_after(
-                    constants.CARRY_TIMEOUT + 0.5, client.call("POST", "/v1/reports", document)
+                    constants.FORWARD_TIMEOUT + 0.5, client.call("POST", "/v1/reports", document)
                 )
                 if isinstance(answer, http.Response):
                     minion.step(("reported", answer.status, answer.document), time.time())
@@ -80,12 +80,12 @@
     with open(minions) as file:
         minions = json.load(file)
     made = [
-        StandInMinion(name, area, address, room, labels, guards, seed=time.time_ns())
+        StandInWorker(name, area, address, room, labels, guards, seed=time.time_ns())
         for name, area, address, room, labels, guards in minions
     ]
     if isinstance(verges, str):
         verges = verges.split(",")
-    curio.run(MinionHost(made, list(verges), history).run)
+    curio.run(WorkerHost(made, list(verges), history).run)
 
 
 def main():
--- a/src/pinepitch/state/archive.py
+++ b/src/pinepitch/state/archive.py
@@ -28,7 +28,7 @@
 
     def __init__(self, lines=(), segments=None):
         self.lines = collections.deque()
-        self.held, self.retired = {}, {}
+        self.segments, self.retired = {}, {}
         self.place, self.place_from = array.array("L"), 1
         self.keys = {}
         self.count = 0
@@ -47,30 +47,30 @@
             return (1, 0)
         return (self.lines[0][0], self.lines[-1][0])
 
-    def seal(self, tickets, time):
+    def seal(self, jobs, time):
         """Takes finished tickets into the next segment; (number, bytes)."""
         number = self.sealed + 1
         plain = [
-            ticket._replace(tasks={name: task._replace(work=None) for name, task in ticket.tasks.items()})
-            for ticket in tickets
+            job._replace(tasks={name: task._replace(work=None) for name, task in job.tasks.items()})
+            for job in jobs
         ]
         chunks = [
             zlib.compress(
-                cbor2.dumps([_flat(ticket) for ticket in plain[place : place + constants.SEGMENT_CHUNK]]),
+                cbor2.dumps([_flat(job) for job in plain[place : place + constants.SEGMENT_CHUNK]]),
                 constants.SEGMENT_PRESS,
             )
             for place in range(0, len(plain), constants.SEGMENT_CHUNK)
         ]
         data = cbor2.dumps(
             [
-                [int(one.identity[1:]) for one in tickets],
-                b"".join(hash_of(one.key).to_bytes(8, "big") for one in tickets),
+                [int(one.identity[1:]) for one in jobs],
+                b"".join(hash_of(one.key).to_bytes(8, "big") for one in jobs),
                 constants.SEGMENT_CHUNK,
                 chunks,
             ]
         )
-        states = collections.Counter(one.state for one in tickets)
-        self._index((number, len(tickets), time, dict(states)), data)
+        states = collections.Counter(one.state for one in jobs)
+        self._index((number, len(jobs), time, dict(states)), data)
         return number, data
 
     @property
@@ -83,7 +83,7 @@
     def _index(self, line, data):
         number, count, _, states = line
         self.lines.append(line)
-        self.held[number] = data
+        self.segments[number] = data
         self.count += count
         self.states.update(states)
         numbers, hashes, _, _ = cbor2.loads(data)
@@ -113,7 +113,7 @@
         ):
             number, count, _, states = self.lines.popleft()
             self._last = max(self._last, number)
-            data = self.retired[number] = self.held.pop(number)
+            data = self.retired[number] = self.segments.pop(number)
             self.count -= count
             self.states.subtract(states)
             numbers, hashes, _, _ = cbor2.loads(data)
@@ -129,7 +129,7 @@
 
     def segment(self, number):
         """The bytes of a segment held or retired, or None."""
-        return self.held.get(number) or self.retired.get(number)
+        return self.segments.get(number) or self.retired.get(number)
 
     def _open(self, number, at):
         """The images of the chunk of a segment that holds its ticket at place `at`."""
@@ -137,7 +137,7 @@
         if key in self._opened:
             self._opened.move_to_end(key)
         else:
-            _, _, size, chunks = cbor2.loads(self.held[number])
+            _, _, size, chunks = cbor2.loads(self.segments[number])
             key = (number, at // size)
             self._opened[key] = cbor2.loads(zlib.decompress(chunks[at // size]))
             if len(self._opened) > constants.CHUNKS_OPEN:
@@ -152,7 +152,7 @@
         number = self.place[place] if 0 <= place < len(self.place) else 0
         if not number:
             return None
-        at = cbor2.loads(self.held[number])[0].index(int(identity[1:]))
+        at = cbor2.loads(self.segments[number])[0].index(int(identity[1:]))
         return next(image for image in self._open(number, at) if image[0] == identity)
 
     def known(self, key):
@@ -161,13 +161,13 @@
         number = self.keys.get(wanted)
         if number is None:
             return None
-        hashes = cbor2.loads(self.held[number])[1]
+        hashes = cbor2.loads(self.segments[number])[1]
         for at in range(len(hashes) // 8):
             if int.from_bytes(hashes[8 * at : 8 * at + 8], "big") == wanted:
                 return next((image for image in self._open(number, at) if image[1] == key), None)
         return None
 
 
-def _flat(ticket):
+def _flat(job):
     """A ticket as plain values."""
-    return [dict(value) if isinstance(value, immutables.Map) else value for value in ticket]
+    return [dict(value) if isinstance(value, immutables.Map) else value for value in job]
--- a/src/pinepitch/state/change_watermarks.py
+++ b/src/pinepitch/state/change_watermarks.py
@@ -15,11 +15,11 @@
 
 def _parts(mark):
     """(who carries it, number) of a mark."""
-    carrier, number = _PARTS.fullmatch(mark).groups()
-    return carrier, int(number or 0)
+    forwarder, number = _PARTS.fullmatch(mark).groups()
+    return forwarder, int(number or 0)
 
 
-class Marks:
+class ChangeWatermarks:
     """Invariants: outcomes holds the newest MARKS_KEPT marks, oldest first; forgotten holds, for the
     MARKS_KEPT carriers of which a mark was dropped last, the highest number dropped."""
 
@@ -37,21 +37,21 @@
             return self.outcomes[mark]
         if not self.forgotten:
             return None
-        carrier, number = _parts(mark)
-        return FORGOTTEN if number <= self.forgotten.get(carrier, -1) else None
+        forwarder, number = _parts(mark)
+        return FORGOTTEN if number <= self.forgotten.get(forwarder, -1) else None
 
-    def keep(self, mark, outcome, note_forgotten):
+    def keep(self, mark, outcome, track_forgotten):
         """Remembers an outcome and drops the oldest; members below level 3 note nothing of those."""
         self.outcomes[mark] = outcome
         while len(self.outcomes) > constants.MARKS_KEPT:
             oldest = next(iter(self.outcomes))
             del self.outcomes[oldest]
-            if note_forgotten:
+            if track_forgotten:
                 self._forget(oldest)
 
     def _forget(self, mark):
-        carrier, number = _parts(mark)
-        highest = max(number, self.forgotten.pop(carrier, -1))
-        self.forgotten[carrier] = highest
+        forwarder, number = _parts(mark)
+        highest = max(number, self.forgotten.pop(forwarder, -1))
+        self.forgotten[forwarder] = highest
         while len(self.forgotten) > constants.MARKS_KEPT:
             del self.forgotten[next(iter(self.forgotten))]
--- a/src/pinepitch/state/cluster_state.py
+++ b/src/pinepitch/state/cluster_state.py
@@ -11,18 +11,18 @@
 import immutables
 
 from ..common import constants
-from ..model import queue_settings as rows
-from ..model.pushed_job import Ticket, tasks_from
+from ..model import queue_settings as queue_documents
+from ..model.pushed_job import PushedJob, tasks_from
 from ..model.task import FINAL, Standing, Task, reference, unit_of
-from ..scheduling.leased_job_state import Board
+from ..scheduling.leased_job_state import LeasedJobState
 from .archive import Archive
-from .change_watermarks import Marks
-from .configuration_history import History
-from .queue_table import OK, Table
+from .change_watermarks import ChangeWatermarks
+from .configuration_history import ConfigurationHistory
+from .queue_table import OK, QueueTable
 from .traffic_sample import Sample
 
 
-class Record(Table):
+class ClusterState(QueueTable):
     """Invariants, checked by audit(): a task's reservation on a minion stands exactly
     while it is placed; outstanding[q] is the sum of credits lent by q to placed tasks;
     used[q] is the sum of units of q's placed tasks; waiting[q] counts its waiting tasks
@@ -39,28 +39,30 @@
     def __init__(self):
         self.time = 0.0
         self.index = 0
-        self.tickets = immutables.Map()
+        self.pushed_jobs = immutables.Map()
         self.keys = immutables.Map()
         self.count = 0
         self.finished = ()  # pairs (identity, ended_at) are kept in order of their end
         self.version = 1
-        self.setup = rows.checked(rows.FIRST)[0]
-        self.setups = History()
-        self.setups.add(1, self.setup, "founding", "the setup every cohort begins with", 0.0, 0)
+        self.queue_configuration = queue_documents.checked(queue_documents.FIRST)[0]
+        self.queue_configurations = ConfigurationHistory()
+        self.queue_configurations.add(
+            1, self.queue_configuration, "founding", "the setup every cohort begins with", 0.0, 0
+        )
         self.epochs = {}
         self.drained = {}
         self.emptied = {}
         self.withdrawn = {}  # minion -> (due, gone)
-        self.holds = {}  # alert -> (since, why), while it holds approvals back
+        self.approval_pauses = {}  # alert -> (since, why), while it holds approvals back
         self.drafts = immutables.Map()
         self.draft_count = 0
         self.archive = Archive()
-        self.board = Board()
+        self.leased_jobs = LeasedJobState()
         self.level = 1  # of operations; agreed once all members knew it, never falls
         self.sealed = []  # (number, bytes) of segments sealed since the decider took them
         self.sample = Sample()
-        self.marks = Marks()
-        self.ripe_at = 0.0  # not part of the image: it moves with who asks
+        self.marks = ChangeWatermarks()
+        self.promoted_until = 0.0  # not part of the image: it moves with who asks
         self._derive()
 
     # --- image ------------------------------------------------------------------------
@@ -69,13 +71,13 @@
         return (
             self.time,
             self.index,
-            self.tickets,
+            self.pushed_jobs,
             self.keys,
             self.count,
             tuple(self.finished),
             self.version,
-            self.setup,
-            self.setups.image(),
+            self.queue_configuration,
+            self.queue_configurations.image(),
             dict(self.epochs),
             dict(self.drained),
             dict(self.emptied),
@@ -85,8 +87,8 @@
             self.marks.image(),
             self.sample.image(),
             self.archive.image(),
-            dict(self.holds),
-            self.board.image(),
+            dict(self.approval_pauses),
+            self.leased_jobs.image(),
             self.level,
         )
 
@@ -97,194 +99,200 @@
     @classmethod
     def decode(cls, data, segments=None):
         """The record of an image and the segments that it stands on."""
-        record = cls()
+        cluster_state = cls()
         (
-            record.time,
-            record.index,
-            tickets,
+            cluster_state.time,
+            cluster_state.index,
+            jobs,
             keys,
-            record.count,
+            cluster_state.count,
             finished,
-            record.version,
-            record.setup,
-            setups,
+            cluster_state.version,
+            cluster_state.queue_configuration,
+            queue_configurations,
             epochs,
-            record.drained,
-            record.emptied,
+            cluster_state.drained,
+            cluster_state.emptied,
             withdrawn,
             drafts,
-            record.draft_count,
+            cluster_state.draft_count,
             marks,
             sample,
             lines,
-            holds,
-            board,
-            record.level,
+            approval_pauses,
+            leased_jobs,
+            cluster_state.level,
         ) = cbor2.loads(data)
-        record.board = Board.from_image(board)
-        record.holds = {alert: tuple(one) for alert, one in holds.items()}
-        record.archive = Archive(lines, segments)
-        record.sample = Sample(sample)
-        record.marks = Marks(*marks)
-        record.tickets = immutables.Map({one: _ticket(image) for one, image in tickets.items()})
-        record.keys = immutables.Map(keys)
-        record.finished = [tuple(one) for one in finished]
-        record.setups = History(setups)
-        record.epochs = {duty: tuple(one) for duty, one in epochs.items()}
-        record.withdrawn = {minion: tuple(one) for minion, one in withdrawn.items()}
-        record.drafts = immutables.Map(drafts)
-        record._derive()
-        return record
+        cluster_state.leased_jobs = LeasedJobState.from_image(leased_jobs)
+        cluster_state.approval_pauses = {alert: tuple(one) for alert, one in approval_pauses.items()}
+        cluster_state.archive = Archive(lines, segments)
+        cluster_state.sample = Sample(sample)
+        cluster_state.marks = ChangeWatermarks(*marks)
+        cluster_state.pushed_jobs = immutables.Map({one: _job_of_image(image) for one, image in jobs.items()})
+        cluster_state.keys = immutables.Map(keys)
+        cluster_state.finished = [tuple(one) for one in finished]
+        cluster_state.queue_configurations = ConfigurationHistory(queue_configurations)
+        cluster_state.epochs = {role: tuple(one) for role, one in epochs.items()}
+        cluster_state.withdrawn = {worker: tuple(one) for worker, one in withdrawn.items()}
+        cluster_state.drafts = immutables.Map(drafts)
+        cluster_state._derive()
+        return cluster_state
 
     def _derive(self):
         """Builds what follows from the rest."""
         self.finished = list(self.finished)
-        self.rows = {queue: rows.row_of(row) for queue, row in self.setup["queues"].items()}
+        self.queue_settings = {
+            queue: queue_documents.queue_settings_of(queue_settings)
+            for queue, queue_settings in self.queue_configuration["queues"].items()
+        }
         self.reserved = {}  # minion -> {reference: units}
-        self.used, self.outstanding, self.waiting, self.parked = {}, {}, {}, {}
-        self.ready, self.early, self.spots = {}, [], {}
-        self.live = {}  # queue -> live tickets
-        self.fronts = {}  # ticket -> {task: forerunners not done}
-        self.behind = {}  # ticket -> {task: tasks that wait for it}
-        self.left = {}  # ticket -> tasks not final
+        self.used_units, self.outstanding_credits, self.waiting_counts, self.unplaceable = {}, {}, {}, {}
+        self.ready_units, self.future_units, self.slots = {}, [], {}
+        self.live_counts = {}  # queue -> live tickets
+        self.unfinished_predecessors = {}  # ticket -> {task: forerunners not done}
+        self.successors = {}  # ticket -> {task: tasks that wait for it}
+        self.unfinished_counts = {}  # ticket -> tasks not final
         self.yielding = {}  # reference -> attempt
-        for identity in sorted(self.tickets, key=lambda one: int(one[1:])):
-            ticket = self.tickets[identity]
-            if ticket.state in ("pending", "cancelling", "failing"):
-                self._index(ticket)
-
-    def _index(self, ticket):
-        self.live[ticket.queue] = self.live.get(ticket.queue, 0) + 1
-        behind, fronts, left, units = {}, {}, 0, {}
-        self.behind[ticket.identity], self.fronts[ticket.identity] = behind, fronts
-        for name, task in ticket.tasks.items():
-            standing = ticket.standings[name]
-            fronts[name] = sum(ticket.standings[one].state != "done" for one in task.after)
+        for identity in sorted(self.pushed_jobs, key=lambda one: int(one[1:])):
+            job = self.pushed_jobs[identity]
+            if job.state in ("pending", "cancelling", "failing"):
+                self._index(job)
+
+    def _index(self, job):
+        self.live_counts[job.queue] = self.live_counts.get(job.queue, 0) + 1
+        successors, unfinished_predecessors, unfinished, units = {}, {}, 0, {}
+        self.successors[job.identity], self.unfinished_predecessors[job.identity] = (
+            successors,
+            unfinished_predecessors,
+        )
+        for name, task in job.tasks.items():
+            standing = job.standings[name]
+            unfinished_predecessors[name] = sum(job.standings[one].state != "done" for one in task.after)
             for one in task.after:
-                behind.setdefault(one, []).append(name)
-            left += standing.state not in FINAL
+                successors.setdefault(one, []).append(name)
+            unfinished += standing.state not in FINAL
             if standing.state == "waiting":
-                self._count(ticket, 1)
+                self._count(job, 1)
                 units[unit_of(task)] = name
             elif standing.state == "placed":
-                self._hold(ticket, task, standing)
+                self._reserve(job, task, standing)
                 if standing.yields_to:
-                    self.yielding[reference(ticket.identity, name)] = standing.attempt
-        self.left[ticket.identity] = left
+                    self.yielding[reference(job.identity, name)] = standing.attempt
+        self.unfinished_counts[job.identity] = unfinished
         for name in units.values():
-            self._ready_in(ticket, name)
+            self._put_in_slot(job, name)
 
-    def _count(self, ticket, step):
+    def _count(self, job, step):
         """Counts a waiting task of a ticket in or out."""
-        counted = self.parked if ticket.parked else self.waiting
-        counted[ticket.queue] = counted.get(ticket.queue, 0) + step
+        counted = self.unplaceable if job.unplaceable else self.waiting_counts
+        counted[job.queue] = counted.get(job.queue, 0) + step
 
-    def members(self, ticket, unit):
+    def members(self, job, unit):
         """The waiting tasks of a unit, in the ticket's order."""
         if unit[0] != "/":
-            return (unit,) if ticket.standings[unit].state == "waiting" else ()
+            return (unit,) if job.standings[unit].state == "waiting" else ()
         return tuple(
             name
-            for name, task in ticket.tasks.items()
-            if task.gang == unit[1:] and ticket.standings[name].state == "waiting"
+            for name, task in job.tasks.items()
+            if task.gang == unit[1:] and job.standings[name].state == "waiting"
         )
 
-    def _ready_in(self, ticket, name):
+    def _put_in_slot(self, job, name):
         """Puts the unit of a task where it belongs now: ready, early, or nowhere."""
-        unit = unit_of(ticket.tasks[name])
-        self._ready_out(ticket, unit)
-        members, fronts = self.members(ticket, unit), self.fronts[ticket.identity]
-        if not members or any(fronts[one] for one in members):
+        unit = unit_of(job.tasks[name])
+        self._remove_from_slot(job, unit)
+        members, unfinished_predecessors = self.members(job, unit), self.unfinished_predecessors[job.identity]
+        if not members or any(unfinished_predecessors[one] for one in members):
             return
-        begins = max(max(ticket.tasks[one].not_before, ticket.standings[one].earliest) for one in members)
-        shape = (ticket.kind, *sorted((ticket.tasks[one].units, ticket.tasks[one].labels) for one in members))
-        number = int(ticket.identity[1:])
-        patience = ticket.accepted + constants.DUE_UNNAMED
-        entry = (min(ticket.due or patience, patience), number, unit)
-        self.spots[(ticket.identity, unit)] = (begins, ticket.queue, ticket.urgency, shape, entry)
-        if begins <= self.ripe_at:
-            self._ripe(ticket.queue, ticket.urgency, shape, entry)
+        begins = max(max(job.tasks[one].not_before, job.standings[one].earliest) for one in members)
+        shape = (job.kind, *sorted((job.tasks[one].units, job.tasks[one].labels) for one in members))
+        number = int(job.identity[1:])
+        patience = job.accepted + constants.DEFAULT_DUE
+        entry = (min(job.due or patience, patience), number, unit)
+        self.slots[(job.identity, unit)] = (begins, job.queue, job.urgency, shape, entry)
+        if begins <= self.promoted_until:
+            self._add_ready(job.queue, job.urgency, shape, entry)
         else:
-            heapq.heappush(self.early, (begins, number, unit))
+            heapq.heappush(self.future_units, (begins, number, unit))
 
-    def _ripe(self, queue, urgency, shape, entry):
-        shapes = self.ready.setdefault(queue, {}).setdefault(urgency, {})
+    def _add_ready(self, queue, urgency, shape, entry):
+        shapes = self.ready_units.setdefault(queue, {}).setdefault(urgency, {})
         bisect.insort(shapes.setdefault(shape, []), entry)
 
-    def _ready_out(self, ticket, unit):
-        spot = self.spots.pop((ticket.identity, unit), None)
-        if spot is None or spot[0] > self.ripe_at:
+    def _remove_from_slot(self, job, unit):
+        slot = self.slots.pop((job.identity, unit), None)
+        if slot is None or slot[0] > self.promoted_until:
             return
-        _, queue, urgency, shape, entry = spot
-        shapes = self.ready[queue][urgency]
+        _, queue, urgency, shape, entry = slot
+        shapes = self.ready_units[queue][urgency]
         del shapes[shape][bisect.bisect_left(shapes[shape], entry)]
         if not shapes[shape]:
             del shapes[shape]
             if not shapes:
-                del self.ready[queue][urgency]
-                if not self.ready[queue]:
-                    del self.ready[queue]
+                del self.ready_units[queue][urgency]
+                if not self.ready_units[queue]:
+                    del self.ready_units[queue]
 
-    def ripen(self, time):
+    def promote_due_units(self, time):
         """Moves the units whose time has come by `time` from the early to the ready; when
         the next one's comes, or None."""
-        self.ripe_at = max(self.ripe_at, time)
+        self.promoted_until = max(self.promoted_until, time)
         last = None
-        while self.early:
-            begins, number, unit = self.early[0]
-            spot = self.spots.get((f"t{number}", unit))
-            if spot is not None and spot[0] == begins and self.early[0] != last:
-                if begins > self.ripe_at:
+        while self.future_units:
+            begins, number, unit = self.future_units[0]
+            slot = self.slots.get((f"t{number}", unit))
+            if slot is not None and slot[0] == begins and self.future_units[0] != last:
+                if begins > self.promoted_until:
                     return begins
-                self._ripe(*spot[1:])
-            last = heapq.heappop(self.early)
+                self._add_ready(*slot[1:])
+            last = heapq.heappop(self.future_units)
         return None
 
-    def _hold(self, ticket, task, standing):
-        self.reserved.setdefault(standing.minion, {})[reference(ticket.identity, task.name)] = task.units
-        self.used[ticket.queue] = self.used.get(ticket.queue, 0) + task.units
+    def _reserve(self, job, task, standing):
+        self.reserved.setdefault(standing.worker, {})[reference(job.identity, task.name)] = task.units
+        self.used_units[job.queue] = self.used_units.get(job.queue, 0) + task.units
         for queue, credits in standing.charges:
-            self.outstanding[queue] = self.outstanding.get(queue, 0) + credits
-
-    def _release(self, ticket, task, standing):
-        held = self.reserved[standing.minion]
-        del held[reference(ticket.identity, task.name)]
-        if not held:
-            del self.reserved[standing.minion]
-        self.used[ticket.queue] -= task.units
+            self.outstanding_credits[queue] = self.outstanding_credits.get(queue, 0) + credits
+
+    def _release(self, job, task, standing):
+        reserved = self.reserved[standing.worker]
+        del reserved[reference(job.identity, task.name)]
+        if not reserved:
+            del self.reserved[standing.worker]
+        self.used_units[job.queue] -= task.units
         for queue, credits in standing.charges:
-            self.outstanding[queue] -= credits
-        self.yielding.pop(reference(ticket.identity, task.name), None)
+            self.outstanding_credits[queue] -= credits
+        self.yielding.pop(reference(job.identity, task.name), None)
 
     # --- reading ----------------------------------------------------------------------
     def balance(self, queue):
         """Credits a queue holds now: its share less what is out, lent or used itself."""
-        row = self.rows.get(queue)
-        return (row.share if row else 0) - self.outstanding.get(queue, 0)
+        queue_settings = self.queue_settings.get(queue)
+        return (queue_settings.share if queue_settings else 0) - self.outstanding_credits.get(queue, 0)
 
     def find(self, ref):
         """(ticket, task, standing) of a reference to a ticket not yet archived, or None."""
         identity, _, name = ref.partition("/")
-        ticket = self.tickets.get(identity)
-        if ticket is None or name not in ticket.tasks:
+        job = self.pushed_jobs.get(identity)
+        if job is None or name not in job.tasks:
             return None
-        return ticket, ticket.tasks[name], ticket.standings[name]
+        return job, job.tasks[name], job.standings[name]
 
-    def ticket(self, identity):
+    def pushed_job(self, identity):
         """A ticket, live, finished or archived, or None."""
-        found = self.tickets.get(identity)
+        found = self.pushed_jobs.get(identity)
         if found is None:
             image = self.archive.read(identity)
-            found = _ticket(image) if image is not None else None
+            found = _job_of_image(image) if image is not None else None
         return found
 
-    def closed(self, minion, area):
+    def closed(self, worker, zone):
         """Why a minion may get no new work, or ''."""
-        if minion in self.withdrawn:
+        if worker in self.withdrawn:
             return "withdrawn"
-        if minion in self.drained:
+        if worker in self.drained:
             return "draining"
-        return "area emptied" if area in self.emptied else ""
+        return "area emptied" if zone in self.emptied else ""
 
     # --- applying ---------------------------------------------------------------------
     def apply(self, index, time, operation):
@@ -299,44 +307,47 @@
             )
         return action(self, *operation[1:])
 
-    def _put(self, ticket, name, standing):
-        self.tickets = self.tickets.set(
-            ticket.identity, ticket._replace(standings=ticket.standings.set(name, standing))
+    def _put(self, job, name, standing):
+        self.pushed_jobs = self.pushed_jobs.set(
+            job.identity, job._replace(standings=job.standings.set(name, standing))
         )
-        return self.tickets[ticket.identity]
+        return self.pushed_jobs[job.identity]
 
-    def ticket_refusal(self, plain, parked=""):
+    def job_refusal(self, plain, unplaceable=""):
         """Why a checked document can't be taken now, or None; the leader asks it first.
         `parked` says why no minion known to the leader could take it, or nothing."""
-        row = self.rows.get(plain["queue"])
-        if row is None:
+        queue_settings = self.queue_settings.get(plain["queue"])
+        if queue_settings is None:
             return ("invalid", (("queue", f"no queue {plain['queue']!r}"),))
         over = tuple(
-            (f"tasks.{place}.units", f"{task['units']} units, over the queue's limit of {row.limit}")
+            (
+                f"tasks.{place}.units",
+                f"{task['units']} units, over the queue's limit of {queue_settings.limit}",
+            )
             for place, task in enumerate(plain["tasks"])
-            if task["units"] > row.limit
+            if task["units"] > queue_settings.limit
         )
         gangs = {}
         for task in plain["tasks"]:
             if task["gang"]:
                 gangs[task["gang"]] = gangs.get(task["gang"], 0) + task["units"]
         over += tuple(
-            (f"gang {gang}", f"{units} units together, over the queue's limit of {row.limit}")
+            (f"gang {gang}", f"{units} units together, over the queue's limit of {queue_settings.limit}")
             for gang, units in gangs.items()
-            if units > row.limit
+            if units > queue_settings.limit
         )
         if over:
             return ("invalid", over)
-        if parked:
-            most = row.pending // constants.PARKED_PART
-            if self.parked.get(plain["queue"], 0) + len(plain["tasks"]) > most:
+        if unplaceable:
+            most = queue_settings.pending // constants.UNPLACEABLE_PART
+            if self.unplaceable.get(plain["queue"], 0) + len(plain["tasks"]) > most:
                 return (
                     "shed",
-                    f"{parked}; the {most} waiting tasks that a queue keeps for such tickets are taken",
+                    f"{unplaceable}; the {most} waiting tasks that a queue keeps for such tickets are taken",
                 )
-        elif self.waiting.get(plain["queue"], 0) + len(plain["tasks"]) > row.pending:
+        elif self.waiting_counts.get(plain["queue"], 0) + len(plain["tasks"]) > queue_settings.pending:
             return ("shed", "queue full")
-        if len(self.tickets) - len(self.finished) >= constants.TICKETS_MOST:
+        if len(self.pushed_jobs) - len(self.finished) >= constants.MAX_PUSHED_JOBS:
             return ("shed", "record full")
         return None
 
@@ -344,27 +355,27 @@
         """The outcome for a key seen before, or None."""
         identity = self.keys.get(key)
         if identity is not None:
-            held = self.tickets[identity].digest
+            reserved = self.pushed_jobs[identity].digest
         else:
             image = self.archive.known(key)
             if image is None:
                 return None
-            identity, held = image[0], image[2]
-        return ("known", identity) if held == digest else ("mismatch", identity)
+            identity, reserved = image[0], image[2]
+        return ("known", identity) if reserved == digest else ("mismatch", identity)
 
-    def _ticket(self, key, digest, plain, parked=""):
+    def _accept_job(self, key, digest, plain, unplaceable=""):
         before = self.known(key, digest)
         if before is not None:
             return before
-        refusal = self.ticket_refusal(plain, parked)
+        refusal = self.job_refusal(plain, unplaceable)
         if refusal is not None:
             return refusal
         self.count += 1
         identity = f"t{self.count}"
-        row = self.rows[plain["queue"]]
-        tasks = tasks_from(plain, row.retries, plain["kind"] == "feed")
-        urgency = row.urgency if plain["urgency"] < 0 else plain["urgency"]
-        ticket = Ticket(
+        queue_settings = self.queue_settings[plain["queue"]]
+        tasks = tasks_from(plain, queue_settings.retries, plain["kind"] == "feed")
+        urgency = queue_settings.urgency if plain["urgency"] < 0 else plain["urgency"]
+        job = PushedJob(
             identity,
             key,
             digest,
@@ -375,97 +386,95 @@
             self.time,
             tasks,
             immutables.Map({name: Standing(since=self.time) for name in tasks}),
-            named=plain["urgency"] >= 0,
-            parked=parked,
+            urgency_given=plain["urgency"] >= 0,
+            unplaceable=unplaceable,
         )
-        self.tickets = self.tickets.set(identity, ticket)
+        self.pushed_jobs = self.pushed_jobs.set(identity, job)
         self.keys = self.keys.set(key, identity)
-        self._index(ticket)
-        self.sample.accepted(ticket, self._running)
+        self._index(job)
+        self.sample.accepted(job, self._running)
         return ("accepted", identity)
 
     def _running(self):
         """What runs now, counted by (queue, kind, units, labels)."""
         counts = {}
-        for held in self.reserved.values():
-            for ref in held:
-                ticket, task, _ = self.find(ref)
-                kind = (ticket.queue, ticket.kind, task.units, task.labels)
+        for reserved in self.reserved.values():
+            for ref in reserved:
+                job, task, _ = self.find(ref)
+                kind = (job.queue, job.kind, task.units, task.labels)
                 counts[kind] = counts.get(kind, 0) + 1
         return tuple((*kind, count) for kind, count in sorted(counts.items()))
 
     def _cancel(self, identity):
-        ticket = self.ticket(identity)
-        if ticket is None:
+        job = self.pushed_job(identity)
+        if job is None:
             return ("missing",)
-        if ticket.state in ("cancelling", "cancelled"):
+        if job.state in ("cancelling", "cancelled"):
             return OK  # asked again, or by two
-        if ticket.state != "pending":
-            return ("ended", ticket.state)
-        ticket = ticket._replace(state="cancelling", cancelled_at=self.time)
-        self.tickets = self.tickets.set(identity, ticket)
-        self._stop(ticket, "cancel")
+        if job.state != "pending":
+            return ("ended", job.state)
+        job = job._replace(state="cancelling", cancelled_at=self.time)
+        self.pushed_jobs = self.pushed_jobs.set(identity, job)
+        self._stop(job, "cancel")
         return OK
 
-    def _stop(self, ticket, why):
+    def _stop(self, job, why):
         """Nothing more of a ticket starts; what runs is to be killed."""
-        for name in ticket.tasks:  # in the document's order: a Map's differs from process to process
-            standing = ticket.standings[name]
+        for name in job.tasks:  # in the document's order: a Map's differs from process to process
+            standing = job.standings[name]
             if standing.state == "waiting":
-                ticket = self._finish(ticket, name, standing, "cancelled")
+                job = self._finish(job, name, standing, "cancelled")
             elif standing.state == "placed" and standing.yields_to != why:
-                ticket = self._put(ticket, name, standing._replace(yields_to=why))
-                self.yielding[reference(ticket.identity, name)] = standing.attempt
-        self._settle(ticket.identity)
+                job = self._put(job, name, standing._replace(yields_to=why))
+                self.yielding[reference(job.identity, name)] = standing.attempt
+        self._close_job(job.identity)
 
-    def _finish(self, ticket, name, standing, state):
+    def _finish(self, job, name, standing, state):
         """A task becomes final."""
         if standing.state == "waiting":
-            self._count(ticket, -1)
-            self._ready_out(ticket, unit_of(ticket.tasks[name]))
-        ticket = self._put(
-            ticket, name, standing._replace(state=state, yields_to="", charges=(), since=self.time)
-        )
-        self.left[ticket.identity] -= 1
+            self._count(job, -1)
+            self._remove_from_slot(job, unit_of(job.tasks[name]))
+        job = self._put(job, name, standing._replace(state=state, yields_to="", charges=(), since=self.time))
+        self.unfinished_counts[job.identity] -= 1
         if state == "done":
-            fronts = self.fronts[ticket.identity]
-            for other in self.behind[ticket.identity].get(name, ()):
-                fronts[other] -= 1
-                if not fronts[other] and ticket.standings[other].state == "waiting":
-                    self._ready_in(ticket, other)
-        return ticket
-
-    def _settle(self, identity):
+            unfinished_predecessors = self.unfinished_predecessors[job.identity]
+            for other in self.successors[job.identity].get(name, ()):
+                unfinished_predecessors[other] -= 1
+                if not unfinished_predecessors[other] and job.standings[other].state == "waiting":
+                    self._put_in_slot(job, other)
+        return job
+
+    def _close_job(self, identity):
         """A ticket none of whose tasks is left becomes final."""
-        ticket = self.tickets[identity]
-        if self.left.get(identity, 1):
+        job = self.pushed_jobs[identity]
+        if self.unfinished_counts.get(identity, 1):
             return
-        state = {"cancelling": "cancelled", "failing": "failed", "pending": "finished"}[ticket.state]
-        if state == "finished" and any(one.state != "done" for one in ticket.standings.values()):
+        state = {"cancelling": "cancelled", "failing": "failed", "pending": "finished"}[job.state]
+        if state == "finished" and any(one.state != "done" for one in job.standings.values()):
             raise AssertionError(f"{identity} would finish with a task that has not ended well")
-        self.tickets = self.tickets.set(identity, ticket._replace(state=state, ended_at=self.time))
-        self.live[ticket.queue] -= 1
-        for derived in (self.left, self.fronts, self.behind):
+        self.pushed_jobs = self.pushed_jobs.set(identity, job._replace(state=state, ended_at=self.time))
+        self.live_counts[job.queue] -= 1
+        for derived in (self.unfinished_counts, self.unfinished_predecessors, self.successors):
             del derived[identity]
-        self.sample.final(self.tickets[identity])
+        self.sample.final(self.pushed_jobs[identity])
         self.finished.append((identity, self.time))
-        if len(self.finished) >= constants.FINISHED_LIVE + constants.SEGMENT_TICKETS:
+        if len(self.finished) >= constants.FINISHED_LIVE + constants.SEGMENT_JOBS:
             self._seal()
 
     def _seal(self):
         """Moves the oldest finished tickets into a segment of the archive."""
-        old = [self.tickets[identity] for identity, _ in self.finished[: constants.SEGMENT_TICKETS]]
-        ended = self.finished[constants.SEGMENT_TICKETS - 1][1]
-        del self.finished[: constants.SEGMENT_TICKETS]
+        old = [self.pushed_jobs[identity] for identity, _ in self.finished[: constants.SEGMENT_JOBS]]
+        ended = self.finished[constants.SEGMENT_JOBS - 1][1]
+        del self.finished[: constants.SEGMENT_JOBS]
         self.sealed.append(self.archive.seal(old, ended))
-        for ticket in old:
-            self.tickets = self.tickets.delete(ticket.identity)
-            self.keys = self.keys.delete(ticket.key)
+        for job in old:
+            self.pushed_jobs = self.pushed_jobs.delete(job.identity)
+            self.keys = self.keys.delete(job.key)
         self.archive.prune(self.time - constants.KEYS_KEPT)
 
-    def _duty(self, duty, holder):
-        epoch = self.epochs.get(duty, (0, ""))[0] + 1
-        self.epochs[duty] = (epoch, holder)
+    def _take_role(self, role, role_holder):
+        epoch = self.epochs.get(role, (0, ""))[0] + 1
+        self.epochs[role] = (epoch, role_holder)
         return ("epoch", epoch)
 
     def _place(self, epoch, version, items):
@@ -495,63 +504,64 @@
 
     def _place_group(self, group):
         """One task, or a whole gang; all of it or nothing. '' when placed."""
-        room, charged, used, queue = {}, {}, 0, None
-        for ref, minion, area, size, _incarnation, _verge, charges, _address in group:
+        needed, charged, used, queue = {}, {}, 0, None
+        for ref, worker, zone, capacity, _incarnation, _front_daemon, charges, _address in group:
             found = self.find(ref)
             if found is None:
                 return "unknown"
-            ticket, task, standing = found
-            queue = ticket.queue
-            row = self.rows.get(queue)
-            if ticket.state != "pending" or standing.state != "waiting":
+            job, task, standing = found
+            queue = job.queue
+            queue_settings = self.queue_settings.get(queue)
+            if job.state != "pending" or standing.state != "waiting":
                 return "not waiting"
-            if self.fronts[ticket.identity][task.name]:
+            if self.unfinished_predecessors[job.identity][task.name]:
                 return "forerunners"
-            if ticket.kind != "feed" and standing.failures >= task.attempts:
+            if job.kind != "feed" and standing.failures >= task.attempts:
                 return "attempts"
             if self.time < max(task.not_before, standing.earliest):
                 return "too early"
-            if self.closed(minion, area):
-                return self.closed(minion, area)
+            if self.closed(worker, zone):
+                return self.closed(worker, zone)
             if task.gang:
-                waiting = {reference(ticket.identity, one) for one in self.members(ticket, unit_of(task))}
+                waiting = {reference(job.identity, one) for one in self.members(job, unit_of(task))}
                 if waiting != {one[0] for one in group}:
                     return "gang not whole"
-            room[minion] = room.get(minion, sum(self.reserved.get(minion, {}).values())) + task.units
-            if room[minion] > size:
+            needed[worker] = needed.get(worker, sum(self.reserved.get(worker, {}).values())) + task.units
+            if needed[worker] > capacity:
                 return "room"
             used += task.units
-            if self.used.get(queue, 0) + used > row.limit:
+            if self.used_units.get(queue, 0) + used > queue_settings.limit:
                 return "limit"
             if sum(credits for _, credits in charges) != task.units:
                 return "charges"
             for lender, credits in charges:
                 charged[lender] = charged.get(lender, 0) + credits
                 if lender != queue and (
-                    ticket.kind == "feed" or not (lender in self.rows and self.rows[lender].lends)
+                    job.kind == "feed"
+                    or not (lender in self.queue_settings and self.queue_settings[lender].lends)
                 ):
                     return "lender"  # a feed has no end that would bring the credits back
                 if credits <= 0 or charged[lender] > self.balance(lender):
                     return "credits"
-        for ref, minion, _area, _size, incarnation, verge, charges, address in group:
-            ticket, task, standing = self.find(ref)
+        for ref, worker, _zone, _capacity, incarnation, front_daemon, charges, address in group:
+            job, task, standing = self.find(ref)
             standing = standing._replace(
                 state="placed",
                 attempt=standing.attempt + 1,
-                minion=minion,
+                worker=worker,
                 incarnation=incarnation,
                 address=address,
-                ground=(self.epochs["placing"][0], self.version),
-                verge=verge,
+                placed_under=(self.epochs["placing"][0], self.version),
+                front_daemon=front_daemon,
                 send_by=self.time + constants.SEND_WITHIN,
                 yields_to="",
                 charges=tuple(tuple(one) for one in charges),
                 since=self.time,
             )
-            self._count(ticket, -1)
-            self._ready_out(ticket, unit_of(task))
-            ticket = self._put(ticket, task.name, standing)
-            self._hold(ticket, task, standing)
+            self._count(job, -1)
+            self._remove_from_slot(job, unit_of(task))
+            job = self._put(job, task.name, standing)
+            self._reserve(job, task, standing)
         return ""
 
     def _ended(self, items):
@@ -562,46 +572,46 @@
             if found is None or found[2].state != "placed" or found[2].attempt != attempt:
                 outcomes.append("stale")
                 continue
-            ticket, task, standing = found
-            self._release(ticket, task, standing)
+            job, task, standing = found
+            self._release(job, task, standing)
             run = (
                 attempt,
-                standing.minion,
-                standing.verge,
+                standing.worker,
+                standing.front_daemon,
                 how,
                 standing.since,
                 self.time,
-                standing.ground,
+                standing.placed_under,
                 standing.charges,
             )
             standing = standing._replace(
-                took=self.time - standing.since, past=(*standing.past, run)[-constants.ATTEMPTS_TOLD :]
+                took=self.time - standing.since, past=(*standing.past, run)[-constants.ATTEMPTS_EXPLAINED :]
             )
-            outcomes.append(self._end(ticket, task, standing, how))
-            self._settle(ticket.identity)
+            outcomes.append(self._end(job, task, standing, how))
+            self._close_job(job.identity)
         return ("ended", tuple(outcomes))
 
-    def _end(self, ticket, task, standing, how):
+    def _end(self, job, task, standing, how):
         if how == "done":
-            self._finish(ticket, task.name, standing, "done")
+            self._finish(job, task.name, standing, "done")
             return "done"
         cost = how in ("failed", "lost") or (how == "killed" and standing.yields_to in ("", "limit"))
         failures = standing.failures + cost
         standing = standing._replace(lost=standing.lost + cost * standing.took)
-        if how == "lost" and ticket.kind != "feed" and not self.rows[ticket.queue].repeats:
+        if how == "lost" and job.kind != "feed" and not self.queue_settings[job.queue].repeats:
             failures = max(failures, task.attempts)  # it may have finished: no second time
-        if ticket.state != "pending":
-            self._finish(ticket, task.name, standing._replace(failures=failures), "cancelled")
+        if job.state != "pending":
+            self._finish(job, task.name, standing._replace(failures=failures), "cancelled")
             return "cancelled"
-        if cost and ticket.kind != "feed" and failures >= task.attempts:
-            ticket = self._finish(ticket, task.name, standing._replace(failures=failures), "failed")
-            ticket = ticket._replace(state="failing")
-            self.tickets = self.tickets.set(ticket.identity, ticket)
-            self._stop(ticket, "failing")
+        if cost and job.kind != "feed" and failures >= task.attempts:
+            job = self._finish(job, task.name, standing._replace(failures=failures), "failed")
+            job = job._replace(state="failing")
+            self.pushed_jobs = self.pushed_jobs.set(job.identity, job)
+            self._stop(job, "failing")
             return "failed"
         wait = 0.0
         if cost:
-            wait = min(constants.RETRY_WAIT * 2 ** min(failures - 1, 10), constants.RETRY_WAIT_MOST)
+            wait = min(constants.RETRY_WAIT * 2 ** min(failures - 1, 10), constants.MAX_RETRY_WAIT)
         elif how == "refused":
             wait = constants.RETRY_WAIT
         standing = standing._replace(
@@ -612,20 +622,20 @@
             charges=(),
             since=self.time,
         )
-        ticket = self._put(ticket, task.name, standing)
-        self._count(ticket, 1)
+        job = self._put(job, task.name, standing)
+        self._count(job, 1)
         if task.gang and how in ("never", "refused"):
-            self._regather(ticket, task)
-        self._ready_in(ticket, task.name)
+            self._regather(job, task)
+        self._put_in_slot(job, task.name)
         return "again"
 
-    def _regather(self, ticket, task):
+    def _regather(self, job, task):
         """A member of a gang did not start: the others stop, so that all start together."""
-        for name, other in ticket.tasks.items():
-            standing = ticket.standings[name]
+        for name, other in job.tasks.items():
+            standing = job.standings[name]
             if other.gang == task.gang and standing.state == "placed" and not standing.yields_to:
-                ticket = self._put(ticket, name, standing._replace(yields_to="gang"))
-                self.yielding[reference(ticket.identity, name)] = standing.attempt
+                job = self._put(job, name, standing._replace(yields_to="gang"))
+                self.yielding[reference(job.identity, name)] = standing.attempt
 
     def _yield(self, epoch, items):
         """Items: (reference, attempt, for whom). Who yields to whom is decided here."""
@@ -642,52 +652,52 @@
             ):
                 outcomes.append("stale")
                 continue
-            ticket, task, standing = found
+            job, task, standing = found
             if whom not in ("move", "limit"):
                 other = self.find(whom)
                 if other is None or other[2].state != "waiting":
                     outcomes.append("nobody waits")
                     continue
                 if not (
-                    self.rows[other[0].queue].preempts
-                    and self.rows[ticket.queue].yields
-                    and other[0].urgency > ticket.urgency
+                    self.queue_settings[other[0].queue].preempts
+                    and self.queue_settings[job.queue].yields
+                    and other[0].urgency > job.urgency
                 ):
                     outcomes.append("not allowed")
                     continue
-            self._put(ticket, task.name, standing._replace(yields_to=whom))
+            self._put(job, task.name, standing._replace(yields_to=whom))
             self.yielding[ref] = attempt
             outcomes.append("")
         return ("yields", tuple(outcomes))
 
-    def _drain(self, minion, closed):
+    def _drain(self, worker, closed):
         if closed:
-            self.drained[minion] = self.time
+            self.drained[worker] = self.time
         else:
-            self.drained.pop(minion, None)
-            self.withdrawn.pop(minion, None)
+            self.drained.pop(worker, None)
+            self.withdrawn.pop(worker, None)
         return OK
 
-    def _area(self, area, emptied):
+    def _empty_zone(self, zone, emptied):
         if emptied:
-            self.emptied[area] = self.time
+            self.emptied[zone] = self.time
         else:
-            self.emptied.pop(area, None)
+            self.emptied.pop(zone, None)
         return OK
 
-    def _withdraw(self, minion, due):
-        if minion not in self.withdrawn or not self.withdrawn[minion][1]:
-            self.withdrawn[minion] = (due, False)
+    def _withdraw(self, worker, due):
+        if worker not in self.withdrawn or not self.withdrawn[worker][1]:
+            self.withdrawn[worker] = (due, False)
         return OK
 
-    def _gone(self, minion):
+    def _withdrawal_due(self, worker):
         """The operator's word that a machine is withdrawn has come due."""
-        due, gone = self.withdrawn.get(minion, (0.0, True))
+        due, gone = self.withdrawn.get(worker, (0.0, True))
         if gone or self.time < due:
             return ("refused", "not due")
-        self.withdrawn[minion] = (due, True)
+        self.withdrawn[worker] = (due, True)
         items = []
-        for ref in sorted(self.reserved.get(minion, {})):
+        for ref in sorted(self.reserved.get(worker, {})):
             items.append((ref, self.find(ref)[2].attempt, "never"))
         return self._ended(items)
 
@@ -696,15 +706,15 @@
         """Raises unless what is derived step by step equals what follows from the rest."""
         names = (
             "reserved",
-            "used",
-            "outstanding",
-            "waiting",
-            "parked",
-            "ready",
-            "spots",
-            "live",
-            "fronts",
-            "left",
+            "used_units",
+            "outstanding_credits",
+            "waiting_counts",
+            "unplaceable",
+            "ready_units",
+            "slots",
+            "live_counts",
+            "unfinished_predecessors",
+            "unfinished_counts",
             "yielding",
         )
         kept = [getattr(self, name) for name in names]
@@ -736,95 +746,95 @@
     return tuple(tuple(one) for one in lists)
 
 
-def _ticket(image):
-    ticket = Ticket(*image)
+def _job_of_image(image):
+    job = PushedJob(*image)
     tasks = {}
-    for name, one in ticket.tasks.items():
+    for name, one in job.tasks.items():
         task = Task(*one)
         tasks[name] = task._replace(labels=tuple(task.labels), after=tuple(task.after))
     standings = {}
-    for name, one in ticket.standings.items():
+    for name, one in job.standings.items():
         standing = Standing(*one)
         standings[name] = standing._replace(
             charges=_pairs(standing.charges),
-            ground=tuple(standing.ground),
+            placed_under=tuple(standing.placed_under),
             past=tuple((*run[:6], tuple(run[6]), _pairs(run[7])) for run in standing.past),
         )
-    return ticket._replace(tasks=tasks, standings=immutables.Map(standings))
+    return job._replace(tasks=tasks, standings=immutables.Map(standings))
 
 
-def _nothing(record, *rest):
+def _nothing(cluster_state, *rest):
     """An entry that is of consensus alone."""
     return OK
 
 
-def _level(record, level):
+def _level(cluster_state, level):
     """All members know the operations up to `level`."""
-    record.level = max(record.level, level)
+    cluster_state.level = max(cluster_state.level, level)
     return OK
 
 
-def _on_board(name):
+def _on_leased_jobs(name):
     """An operation of the board, told the agreed time."""
 
-    def act(record, *arguments):
-        return getattr(record.board, name)(record.time, *arguments)
+    def act(cluster_state, *arguments):
+        return getattr(cluster_state.leased_jobs, name)(cluster_state.time, *arguments)
 
     return act
 
 
-def _assign(record, epoch, items):
+def _assign(cluster_state, epoch, items):
     """Placements of the board, under the placing epoch."""
-    if epoch != record.epochs.get("placing", (0, ""))[0]:
+    if epoch != cluster_state.epochs.get("placing", (0, ""))[0]:
         return ("refused", "epoch")
-    return ("assigned", record.board.assign(record.time, epoch, items))
+    return ("assigned", cluster_state.leased_jobs.assign(cluster_state.time, epoch, items))
 
 
-def _evacuate(record, zone, begun, confirmed=None):
+def _evacuate(cluster_state, zone, begun, confirmed=None):
     """An order for a zone, with a confirmed index of the log since level 3."""
-    return record.board.evacuate(record.time, zone, begun, record.index, confirmed)
+    return cluster_state.leased_jobs.evacuate(cluster_state.time, zone, begun, cluster_state.index, confirmed)
 
 
-def _stop_runs(record, epoch, items):
-    if epoch != record.epochs.get("placing", (0, ""))[0]:
+def _stop_runs(cluster_state, epoch, items):
+    if epoch != cluster_state.epochs.get("placing", (0, ""))[0]:
         return ("refused", "epoch")
-    return record.board.stop(record.time, items)
+    return cluster_state.leased_jobs.stop(cluster_state.time, items)
 
 
 # The registry of operations: a new one is an entry here.
 ACTIONS = {
     "noop": _nothing,
     "members": _nothing,
-    "ticket": Record._ticket,
-    "cancel": Record._cancel,
-    "duty": Record._duty,
-    "place": Record._place,
-    "ended": Record._ended,
-    "yield": Record._yield,
-    "drain": Record._drain,
-    "area": Record._area,
-    "withdraw": Record._withdraw,
-    "gone": Record._gone,
-    "setup": Record._setup,
-    "draft": Record._draft,
-    "rehearse": Record._rehearse,
-    "measure": Record._measure,
-    "approve": Record._approve,
-    "drop": Record._drop,
-    "hold": Record._hold_approvals,
+    "ticket": ClusterState._accept_job,
+    "cancel": ClusterState._cancel,
+    "duty": ClusterState._take_role,
+    "place": ClusterState._place,
+    "ended": ClusterState._ended,
+    "yield": ClusterState._yield,
+    "drain": ClusterState._drain,
+    "area": ClusterState._empty_zone,
+    "withdraw": ClusterState._withdraw,
+    "gone": ClusterState._withdrawal_due,
+    "setup": ClusterState._change_queue_configuration,
+    "draft": ClusterState._draft,
+    "rehearse": ClusterState._rehearse,
+    "measure": ClusterState._measure,
+    "approve": ClusterState._approve,
+    "drop": ClusterState._drop,
+    "hold": ClusterState._pause_approvals,
     "level": _level,
-    "job": _on_board("accept"),
-    "job-cancel": _on_board("cancel"),
+    "job": _on_leased_jobs("accept"),
+    "job-cancel": _on_leased_jobs("cancel"),
     "job-assign": _assign,
     "job-stop": _stop_runs,
-    "job-ended": _on_board("end"),
-    "configure": _on_board("configure"),
-    "amend": _on_board("amend"),
+    "job-ended": _on_leased_jobs("end"),
+    "configure": _on_leased_jobs("configure"),
+    "amend": _on_leased_jobs("amend"),
     "evacuate": _evacuate,
     "evacuation": _evacuate,
 }
-Record.actions = ACTIONS
-Record.levels = {
+ClusterState.actions = ACTIONS
+ClusterState.levels = {
     name: 2
     for name in (
         "level",
@@ -838,4 +848,4 @@
         "evacuate",
     )
 }
-Record.levels["evacuation"] = 3
+ClusterState.levels["evacuation"] = 3
--- a/src/pinepitch/state/configuration_history.py
+++ b/src/pinepitch/state/configuration_history.py
@@ -21,23 +21,24 @@
             if inner:
                 patch[member] = inner
         elif member not in before or type(old) is not type(value) or old != value:
-            if not _sayable(value):
+            if not _expressible(value):
                 return None
             patch[member] = value
     return patch
 
 
-def _sayable(value):
+def _expressible(value):
     if isinstance(value, dict):
-        return all(map(_sayable, value.values()))
+        return all(map(_expressible, value.values()))
     return value is not None
 
 
-class History:
+class ConfigurationHistory:
     """Invariants: lines has one line a version, from 1 on without a gap, each (version, who,
     why, time, base, kind, content); a "whole" one holds the checked setup, a "patch" what
     it changed in the version before; since the last whole one there are fewer than
-    SETUPS_WHOLE patches, and they hold fewer bytes than a whole one. Lines are only added."""
+    QUEUE_CONFIGURATION_FULL_EVERY patches, and they hold fewer bytes than a whole one. Lines are only
+    added."""
 
     def __init__(self, lines=()):
         self.lines = [tuple(one) for one in lines]
@@ -58,22 +59,27 @@
         else:
             self.patched += size
 
-    def add(self, version, setup, who, why, time, base):
+    def add(self, version, configuration, who, why, time, base):
         """The next version is in force."""
-        line = (version, who, why, time, base, "whole", setup)
+        line = (version, who, why, time, base, "whole", configuration)
         if self.lines:
             before = self._newest[1] if self._newest else self.read(version - 1)
-            patch = difference(before, setup)
-            near = any(one[5] == "whole" for one in self.lines[-constants.SETUPS_WHOLE :])
+            patch = difference(before, configuration)
+            has_recent_whole = any(
+                one[5] == "whole" for one in self.lines[-constants.QUEUE_CONFIGURATION_FULL_EVERY :]
+            )
             if (
                 patch is not None
-                and near
-                and (len(cbor2.dumps(patch)) + self.patched < max(self.size, constants.SETUP_SMALL))
+                and has_recent_whole
+                and (
+                    len(cbor2.dumps(patch)) + self.patched
+                    < max(self.size, constants.QUEUE_CONFIGURATION_SMALL)
+                )
             ):
                 line = (version, who, why, time, base, "patch", patch)
         self.lines.append(line)
         self._measure(line)
-        self._newest = (version, setup)
+        self._newest = (version, configuration)
 
     def line(self, version):
         """(version, who, why, time, base, ...) of a version, or None."""
@@ -83,11 +89,15 @@
         """The whole setup of a version, or None."""
         if self.line(version) is None:
             return None
-        place = version
-        while self.lines[place - 1][5] != "whole" and not (self._read and self._read[0] == place):
-            place -= 1
-        setup = self._read[1] if self._read and self._read[0] == place else self.lines[place - 1][6]
-        for one in range(place + 1, version + 1):
-            setup = merged(setup, self.lines[one - 1][6])
-        self._read = (version, setup)
-        return setup
+        base_version = version
+        while self.lines[base_version - 1][5] != "whole" and not (
+            self._read and self._read[0] == base_version
+        ):
+            base_version -= 1
+        configuration = (
+            self._read[1] if self._read and self._read[0] == base_version else self.lines[base_version - 1][6]
+        )
+        for one in range(base_version + 1, version + 1):
+            configuration = merged(configuration, self.lines[one - 1][6])
+        self._read = (version, configuration)
+        return configuration
