--- a/src/pinepitch/state/queue_table.py
+++ b/src/pinepitch/state/queue_table.py
@@ -1,17 +1,17 @@
 """The record's part for setups: changes, their history, drafts, approvals and holds."""
 
 from ..common import constants
-from ..model import queue_settings as rows
+from ..model import queue_settings as queue_documents
 
 OK = ("ok",)
 MARKS_LEVEL = 3  # of operations; from it on all members know which marks they have forgotten
 
 
-class Table:
+class QueueTable:
     """What Record does with setups and drafts. Invariants: as of Record; a draft builds on one
     version, is measured under the epoch it was asked in, and is approved at most once."""
 
-    def _setup(self, mark, base, manner, document, who, why):
+    def _change_queue_configuration(self, mark, base, manner, document, who, why):
         """A change of the setup: `manner` is whole or merge; base None takes any."""
         return self._once(mark, lambda: self._change(base, manner, document, who, why))
 
@@ -28,31 +28,33 @@
         if base is not None and base != self.version:
             return ("conflict", self.version)
         if manner == "merge":
-            document = rows.merged(self.setup, document)
-        return self._take_setup(document, who, why, self.version)
+            document = queue_documents.merged(self.queue_configuration, document)
+        return self._apply_queue_configuration(document, who, why, self.version)
 
-    def setup_faults(self, document):
+    def queue_configuration_faults(self, document):
         """(checked, ()) or (None, faults) of a whole setup against the live tickets."""
-        checked, faults = rows.checked(document, self.setup)
+        checked, faults = queue_documents.checked(document, self.queue_configuration)
         if checked is not None:
             faults = tuple(
                 (f"queues.{queue}", f"{count} live tickets, so it can't go")
-                for queue, count in sorted(self.live.items())
+                for queue, count in sorted(self.live_counts.items())
                 if count and queue not in checked["queues"]
             )
         return (None, faults) if faults else (checked, ())
 
-    def _take_setup(self, document, who, why, base):
-        checked, faults = self.setup_faults(document)
+    def _apply_queue_configuration(self, document, who, why, base):
+        checked, faults = self.queue_configuration_faults(document)
         if faults:
             return ("invalid", faults)
         self.version += 1
-        before, self.setup = self.setup, checked
-        self.setups.add(self.version, checked, who, why, self.time, base)
-        kept = self.rows
-        self.rows = {
-            queue: kept[queue] if queue in kept and before["queues"].get(queue) is row else rows.row_of(row)
-            for queue, row in checked["queues"].items()
+        before, self.queue_configuration = self.queue_configuration, checked
+        self.queue_configurations.add(self.version, checked, who, why, self.time, base)
+        kept = self.queue_settings
+        self.queue_settings = {
+            queue: kept[queue]
+            if queue in kept and before["queues"].get(queue) is queue_settings
+            else queue_documents.queue_settings_of(queue_settings)
+            for queue, queue_settings in checked["queues"].items()
         }
         return ("setup", self.version)
 
@@ -64,12 +66,14 @@
     def _new_draft(self, base, patch, who, why):
         if base != self.version:
             return ("conflict", self.version)
-        checked, faults = self.setup_faults(rows.merged(self.setup, patch))
+        checked, faults = self.queue_configuration_faults(
+            queue_documents.merged(self.queue_configuration, patch)
+        )
         if faults:
             return ("invalid", faults)
         self.draft_count += 1
         identity = f"d{self.draft_count}"
-        while len(self.drafts) >= constants.DRAFTS_MOST:
+        while len(self.drafts) >= constants.MAX_DRAFTS:
             self.drafts = self.drafts.delete(min(self.drafts, key=lambda one: int(one[1:])))
         self.drafts = self.drafts.set(
             identity,
@@ -101,13 +105,15 @@
             return ("ended", "approved")
         return ("conflict", self.version) if draft["base"] != self.version else None
 
-    def _rehearse(self, identity, rooms):
+    def _rehearse(self, identity, worker_capacities):
         """Asks the holder of the rehearsal duty to measure a draft on these rooms."""
         refusal = self._draft_refusal(identity)
         if refusal is not None:
             return refusal
         draft = self.drafts[identity]
-        self._change_draft(identity, state="rehearsing", measure=None, rooms=rooms, asked=draft["asked"] + 1)
+        self._change_draft(
+            identity, state="rehearsing", measure=None, rooms=worker_capacities, asked=draft["asked"] + 1
+        )
         return ("draft", identity)
 
     def _measure(self, epoch, identity, asked, measure):
@@ -133,23 +139,23 @@
             return ("unmeasured",)
         if draft["measure"]["verdict"] != "better":
             return ("worse", draft["measure"]["verdict"])
-        if self.holds:
-            return ("held", tuple((alert, why) for alert, (_, why) in sorted(self.holds.items())))
-        outcome = self._take_setup(
+        if self.approval_pauses:
+            return ("held", tuple((alert, why) for alert, (_, why) in sorted(self.approval_pauses.items())))
+        outcome = self._apply_queue_configuration(
             draft["setup"], who, why or f"draft {identity}: {draft['why']}", self.version
         )
         if outcome[0] == "setup":
             self._change_draft(identity, state="approved")
         return outcome
 
-    def _hold_approvals(self, epoch, alert, why):
+    def _pause_approvals(self, epoch, alert, why):
         """An alert begins to hold approvals back, or (why is None) no longer does."""
         if epoch != self.epochs.get("placing", (0, ""))[0]:
             return ("refused", "epoch")
         if why is None:
-            self.holds.pop(alert, None)
+            self.approval_pauses.pop(alert, None)
         else:
-            self.holds[alert] = (self.time, why)
+            self.approval_pauses[alert] = (self.time, why)
         return OK
 
     def _drop(self, identity):
--- a/src/pinepitch/state/traffic_sample.py
+++ b/src/pinepitch/state/traffic_sample.py
@@ -36,33 +36,33 @@
     def image(self):
         return tuple(sorted(self.blocks.items()))
 
-    def accepted(self, ticket, running):
+    def accepted(self, job, running):
         """A ticket came; `running` tells what runs now, asked when a block begins."""
-        number = int(ticket.accepted // constants.SAMPLE_BLOCK)
+        number = int(job.accepted // constants.SAMPLE_BLOCK)
         block = self.blocks.get(number)
         if block is None:
             start = number * constants.SAMPLE_BLOCK
             block = Block(start, start + constants.SAMPLE_BLOCK, running(), immutables.Map())
             self._prune(number)
-        if ticket.accepted >= block.end:
+        if job.accepted >= block.end:
             return
-        if len(block.arrivals) >= constants.SAMPLE_TICKETS:
-            block = block._replace(end=ticket.accepted)
+        if len(block.arrivals) >= constants.SAMPLE_JOBS:
+            block = block._replace(end=job.accepted)
         else:
-            block = block._replace(arrivals=block.arrivals.set(int(ticket.identity[1:]), None))
+            block = block._replace(arrivals=block.arrivals.set(int(job.identity[1:]), None))
         self.blocks = self.blocks.set(number, block)
 
-    def final(self, ticket):
+    def final(self, job):
         """A ticket became final: what a replay needs of it stays."""
-        number, block = self._block(ticket)
+        number, block = self._block(job)
         if block is not None:
-            block = block._replace(arrivals=block.arrivals.set(int(ticket.identity[1:]), arrival(ticket)))
+            block = block._replace(arrivals=block.arrivals.set(int(job.identity[1:]), arrival(job)))
             self.blocks = self.blocks.set(number, block)
 
-    def _block(self, ticket):
-        number = int(ticket.accepted // constants.SAMPLE_BLOCK)
+    def _block(self, job):
+        number = int(job.accepted // constants.SAMPLE_BLOCK)
         block = self.blocks.get(number)
-        return number, block if block is not None and int(ticket.identity[1:]) in block.arrivals else None
+        return number, block if block is not None and int(job.identity[1:]) in block.arrivals else None
 
     def _prune(self, newest):
         """Drops what the bound leaves no place for."""
@@ -77,39 +77,39 @@
             for number in numbers if stratum < oldest else numbers[constants.SAMPLE_EACH :]:
                 self.blocks = self.blocks.delete(number)
 
-    def traffic(self, tickets):
+    def traffic(self, jobs):
         """The blocks as a rehearsal takes them: (length, running, arrivals), oldest first."""
-        told = []
+        traffic_blocks = []
         for _, block in sorted(self.blocks.items()):
             arrivals = []
             for number, one in sorted(block.arrivals.items()):
-                ticket = tickets.get(f"t{number}")
-                if one is None and ticket is not None:
-                    one = arrival(ticket)
+                job = jobs.get(f"t{number}")
+                if one is None and job is not None:
+                    one = arrival(job)
                 if one is not None:
                     arrivals.append((max(0.0, one[0] - block.start), *one[1:]))
-            told.append((block.end - block.start, block.running, tuple(arrivals)))
-        return tuple(told)
+            traffic_blocks.append((block.end - block.start, block.running, tuple(arrivals)))
+        return tuple(traffic_blocks)
 
 
 def _rank(number):
     return hashlib.sha256(str(number).encode()).digest()
 
 
-def arrival(ticket):
+def arrival(job):
     """(accepted, queue, kind, urgency or -1, seconds to due or 0, tasks) of a ticket; a task
     is (name, units, labels, after, seconds to its time, gang, attempts asked, limit,
     seconds it took or None, failures, seconds lost by them)."""
     tasks = []
-    for name, task in ticket.tasks.items():
-        standing = ticket.standings[name]
+    for name, task in job.tasks.items():
+        standing = job.standings[name]
         tasks.append(
             (
                 name,
                 task.units,
                 task.labels,
                 task.after,
-                max(0.0, task.not_before - ticket.accepted),
+                max(0.0, task.not_before - job.accepted),
                 task.gang,
                 task.asked,
                 task.limit,
@@ -119,10 +119,10 @@
             )
         )
     return (
-        ticket.accepted,
-        ticket.queue,
-        ticket.kind,
-        ticket.urgency if ticket.named else -1,
-        max(0.0, ticket.due - ticket.accepted) if ticket.due else 0.0,
+        job.accepted,
+        job.queue,
+        job.kind,
+        job.urgency if job.urgency_given else -1,
+        max(0.0, job.due - job.accepted) if job.due else 0.0,
         tuple(tasks),
     )
--- a/src/pinepitch/storage/store.py
+++ b/src/pinepitch/storage/store.py
@@ -128,8 +128,8 @@
 
     def _read(self, name):
         with open(os.path.join(self.folder, name), "rb") as file:
-            whole = file.read()
-        digest, body = whole[:32], memoryview(whole)[32:]  # no second copy of a large body
+            content = file.read()
+        digest, body = content[:32], memoryview(content)[32:]  # no second copy of a large body
         if len(digest) < 32 or hashlib.sha256(body).digest() != digest:
             return Damaged((f"{name} is not what was written",))
         version, payload = cbor2.loads(body)
--- a/src/pinepitch/transport/forwarder.py
+++ b/src/pinepitch/transport/forwarder.py
@@ -3,7 +3,9 @@
 from ..common import constants
 from .request_key import key_of
 
-INDEX_CALL = "log-index"  # asks how far the log is; it changes nothing, so that given up it was not taken
+LOG_INDEX_REQUEST = (
+    "log-index"  # asks how far the log is; it changes nothing, so that given up it was not taken
+)
 
 
 class Call:
@@ -17,9 +19,9 @@
         "key",
         "begun",
         "until",
-        "again",
+        "retry_at",
         "to",
-        "sendings",
+        "attempts",
         "open",
         "doubtful",
         "term",
@@ -29,19 +31,19 @@
         self.request, self.call, self.arguments = request, call, arguments
         self.begun, self.until = begun, until
         self.key = key_of(call, arguments)
-        self.again = self.to = None
-        self.sendings = 0
+        self.retry_at = self.to = None
+        self.attempts = 0
         self.open = set()
         self.doubtful = False
         self.term = None  # of the leader whose clock the newest copy's end is on
 
 
-class Carrier:
+class Forwarder:
     """Invariants: a call leaves `calls` with its one reply; `life` names one life of one daemon, so
     that no token is ever used for two calls; an answer is given to none but the call it is about."""
 
-    def __init__(self, life, address, event):
-        self.life, self.address = life, address
+    def __init__(self, incarnation, address, event):
+        self.incarnation, self.address = incarnation, address
         self._event = event  # tells a numbered event
         self.calls = {}
         self.count = 0
@@ -49,7 +51,7 @@
     def begin(self, request, call, arguments, now, patience):
         """Takes a call; its token."""
         self.count += 1
-        token = f"{self.life}~{self.count}"
+        token = f"{self.incarnation}~{self.count}"
         until = now + min(patience, constants.CALL_PATIENCE)
         self.calls[token] = Call(request, call, arguments, now, until)
         return token
@@ -60,21 +62,21 @@
         call = self.calls[token]
         call.to, call.term = address, end.term if end else None
         if address is None:
-            call.again = now + constants.CARRY_SEEK
+            call.retry_at = now + constants.FORWARD_RETRY_UNTAKEN
             return 0
-        call.again = now + constants.CARRY_AGAIN
-        call.sendings += 1
-        call.open.add(call.sendings)
-        return call.sendings
+        call.retry_at = now + constants.FORWARD_RETRY
+        call.attempts += 1
+        call.open.add(call.attempts)
+        return call.attempts
 
-    def due(self, now, unled_for=0.0):
+    def due(self, now, leaderless_for=0.0):
         """(tokens to be sent again, effects that reply to those given up). Once no leader has been
         heard for `unled_for` seconds, calls are given up sooner, so that their callers may come back."""
         due, effects = [], []
         for token, call in list(self.calls.items()):
-            if now >= self._end(call, unled_for):
+            if now >= self._end(call, leaderless_for):
                 effects.extend(self.give_up(token))
-            elif call.again is not None and now >= call.again:
+            elif call.retry_at is not None and now >= call.retry_at:
                 due.append(token)
         return due, effects
 
@@ -83,20 +85,20 @@
         call = self.calls.pop(token)
         return (("reply", call.request, *self._given_up(call)),)
 
-    def _end(self, call, unled_for):
+    def _end(self, call, leaderless_for):
         """When a call is given up. In an outage that a restart may end it waits all its time, as nothing
         serves its caller sooner. In a long one it ends soon if nobody can have taken it, so that its caller
         can be told when to come back; else later, as callers send again at once what may have been taken."""
-        if unled_for < constants.OUTAGE_SHORT:
+        if leaderless_for < constants.OUTAGE_SHORT:
             return call.until
         if self._may_be_taken(call):
-            return call.begun + constants.UNLED_SHARE * (call.until - call.begun)
-        return min(call.until, call.begun + constants.UNLED_SEEK)
+            return call.begun + constants.LEADERLESS_SHARE * (call.until - call.begun)
+        return min(call.until, call.begun + constants.LEADERLESS_SEEK)
 
     @staticmethod
     def _may_be_taken(call):
         """Whether somebody may have taken a call, so that it may have its effect."""
-        return bool(call.open or call.doubtful) and call.call != INDEX_CALL
+        return bool(call.open or call.doubtful) and call.call != LOG_INDEX_REQUEST
 
     def _given_up(self, call):
         if self._may_be_taken(call):
@@ -108,7 +110,7 @@
         return (
             503,
             {"error": {"code": "no_leader", "message": "no leader is known; the call was not taken"}},
-            (("Retry-After", str(constants.COME_BACK)),),
+            (("Retry-After", str(constants.RETRY_AFTER)),),
         )
 
     def waiting(self, token, key):
@@ -136,16 +138,18 @@
         until = call.until if until is None else min(until, call.until)
         return (("reply", call.request, status, document, headers, until),)
 
-    def refused(self, token, sending):
+    def not_taken(self, token, attempt):
         """Whom it was sent to did not take that sending of it, and never will."""
         call = self.calls.get(token)
-        if call is not None and sending in call.open:
-            call.open.remove(sending)
-            call.again = min(call.again, call.again - constants.CARRY_AGAIN + constants.CARRY_SEEK)
+        if call is not None and attempt in call.open:
+            call.open.remove(attempt)
+            call.retry_at = min(
+                call.retry_at, call.retry_at - constants.FORWARD_RETRY + constants.FORWARD_RETRY_UNTAKEN
+            )
 
-    def unsure(self, token):
+    def in_doubt(self, token):
         """Whom it was sent to may have taken it, and can't say."""
         call = self.calls.get(token)
         if call is not None:
             call.doubtful = True
-            call.again -= constants.CARRY_AGAIN
+            call.retry_at -= constants.FORWARD_RETRY
--- a/src/pinepitch/transport/framing.py
+++ b/src/pinepitch/transport/framing.py
@@ -39,6 +39,6 @@
     """The body of the next frame, None at the end of the stream, Refused when oversized."""
     head = await stream.read_exactly(LENGTH.size)
     (length,) = LENGTH.unpack(head)
-    if length > constants.FRAME_MOST:
+    if length > constants.MAX_FRAME_BYTES:
         return Refused((f"frame of {length} bytes",))
     return await stream.read_exactly(length)
--- a/src/pinepitch/transport/http.py
+++ b/src/pinepitch/transport/http.py
@@ -14,7 +14,7 @@
 
 
 class Request(NamedTuple):
-    """Invariant: body holds at most BODY_MOST bytes; headers have lower-case names."""
+    """Invariant: body holds at most MAX_BODY_BYTES bytes; headers have lower-case names."""
 
     method: str
     target: str
@@ -48,13 +48,13 @@
 
     def __init__(self, socket):
         self.socket = socket
-        self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=constants.HEAD_MOST)
+        self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=constants.MAX_HEAD_BYTES)
 
     async def receive(self):
         """The next Request, or a Fault."""
         head, body, size, begun = None, [], 0, None
         while True:
-            if begun is not None and time.monotonic() - begun > constants.REQUEST_MOST:
+            if begun is not None and time.monotonic() - begun > constants.MAX_REQUEST_SECONDS:
                 return Fault(408, "slow")
             try:
                 event = self.connection.next_event()
@@ -64,9 +64,9 @@
                             self.connection.send(h11.InformationalResponse(status_code=100, headers=[]))
                         )
                     patience = (
-                        constants.IDLE_MOST
+                        constants.MAX_CONNECTION_IDLE
                         if begun is None
-                        else (begun + constants.REQUEST_MOST - time.monotonic())
+                        else (begun + constants.MAX_REQUEST_SECONDS - time.monotonic())
                     )
                     data = await curio.ignore_after(max(0.0, patience), self.socket.recv(65536))
                     if data is None and begun is None:
@@ -84,7 +84,7 @@
                 head = event
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > constants.BODY_MOST:
+                if size > constants.MAX_BODY_BYTES:
                     return Fault(413, "too_large")
                 body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -197,7 +197,7 @@
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 size += len(event.data)
-                if size > constants.ANSWER_MOST:
+                if size > constants.MAX_ANSWER_BYTES:
                     await self.abort()
                     return Fault(0, "too_large")
             elif isinstance(event, h11.EndOfMessage):
--- a/src/pinepitch/transport/link.py
+++ b/src/pinepitch/transport/link.py
@@ -21,24 +21,24 @@
         self.address, self.most, self.buffer = address, most, buffer
         self.undelivered = undelivered  # told the sendings of calls when no connection could be made
         self.frames = collections.deque()
-        self.sendings = collections.deque()  # of each frame that waits: of the call in it, or None
+        self.attempts = collections.deque()  # of each frame that waits: of the call in it, or None
         self.size = 0
         self.down = False  # whether the last attempt to connect failed, and none was made since
         self.filled = curio.Event()
 
-    async def put(self, frame, sending=None):
+    async def put(self, frame, attempt=None):
         """Adds a frame; `sending` names the call in it, if it carries one. A call does not wait for a
         peer that could not be reached last: it only makes the connection be tried again."""
-        if sending is not None and self.down:
+        if attempt is not None and self.down:
             await self.filled.set()
-            await self.undelivered([sending])
+            await self.undelivered([attempt])
             return
         self.frames.append(frame)
-        self.sendings.append(sending)
+        self.attempts.append(attempt)
         self.size += len(frame)
         while len(self.frames) > constants.LINK_QUEUE or self.size > self.most and len(self.frames) > 1:
             self.size -= len(self.frames.popleft())
-            self.sendings.popleft()
+            self.attempts.popleft()
         await self.filled.set()
 
     def _batch(self):
@@ -48,7 +48,7 @@
         while self.frames and size < constants.LINK_SLICE:
             size += len(self.frames[0])
             batch.append(self.frames.popleft())
-            self.sendings.popleft()
+            self.attempts.popleft()
         self.size -= size
         if not self.frames:
             self.filled.clear()
@@ -74,12 +74,12 @@
 
     async def _give_up(self):
         """Lets go of all that waits and tells which calls reached nobody."""
-        unsent = [sending for sending in self.sendings if sending is not None]
+        undelivered_attempts = [attempt for attempt in self.attempts if attempt is not None]
         self.frames.clear()
-        self.sendings.clear()
+        self.attempts.clear()
         self.size = 0
         self.filled.clear()
-        await self.undelivered(unsent)
+        await self.undelivered(undelivered_attempts)
 
     async def _connect(self):
         """A connected socket, or None."""
@@ -89,7 +89,7 @@
         except (OSError, curio.TaskTimeout):
             return None
         socket.setsockopt(curio.socket.IPPROTO_TCP, curio.socket.TCP_NODELAY, 1)
-        socket.setsockopt(curio.socket.IPPROTO_TCP, curio.socket.TCP_USER_TIMEOUT, constants.PROBE_AFTER)
+        socket.setsockopt(curio.socket.IPPROTO_TCP, curio.socket.TCP_USER_TIMEOUT, constants.PEER_TIMEOUT_MS)
         if self.buffer is not None:
             socket.setsockopt(curio.socket.SOL_SOCKET, curio.socket.SO_SNDBUF, self.buffer)
         return socket
@@ -115,10 +115,10 @@
         self.ordinary = Lane(address, undelivered, limits.link)
         self.bulk = Lane(address, undelivered, limits.link, constants.LINK_BUFFER)
 
-    async def put(self, frame, sending=None):
+    async def put(self, frame, attempt=None):
         """Adds a frame, and the sending of the call in it, to the connection for its size."""
         lane = self.bulk if len(frame) >= constants.LINK_BULK else self.ordinary
-        await lane.put(frame, sending)
+        await lane.put(frame, attempt)
 
     async def run(self):
         """Serves both connections; the one for large frames is opened by the first of them."""
--- a/src/pinepitch/transport/request_key.py
+++ b/src/pinepitch/transport/request_key.py
@@ -16,7 +16,7 @@
     return " ".join([str(one) for one in arguments if not isinstance(one, (dict, list, tuple))])
 
 
-def _minion_subject(arguments):
+def _worker_subject(arguments):
     """The identity of the minion that speaks: by far the most calls, so nothing else is looked at."""
     return arguments[0]
 
@@ -28,7 +28,7 @@
 
 
 # call -> how its subject is read, where it is not all texts and numbers among its arguments
-SUBJECTS = {"beat": _minion_subject, "configure": _configured_subject}
+SUBJECTS = {"beat": _worker_subject, "configure": _configured_subject}
 
 
 def subject_of(call, arguments):
