--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -76,7 +76,7 @@
     return held if len(cbor2.dumps(held)) == len(data) else None
 
 
-class ConfigurationHistory:
+class RecordedHistory:
     """What was recorded of one history. Invariants: each part's digest is of all values that were
     noted; `fleets` holds the simulators in the order in which they began."""
 
@@ -161,31 +161,31 @@
 
 def note_model(history, world):
     """Notes all messages that a model's fleet ever sent, as frames, and what its disks hold."""
-    for letter in world.post.messages:
-        frame = framing.encode(letter.sender, letter.message)
-        history.note("frames", letter.receiver, plain(frame[framing.LENGTH.size :]))
+    for sent in world.post.messages:
+        frame = framing.encode(sent.sender, sent.message)
+        history.note("frames", sent.receiver, plain(frame[framing.LENGTH.size :]))
     for identity, replica in sorted(world.replicas.items()):
         history.note("disks", identity, plain(packed_operations.dumps(replica.disk)))
 
 
 # --- the histories ------------------------------------------------------------------------
-def _fleet_history(weather, seed):
-    """A fleet of the product under a weather; snapshots are frequent for odd seeds."""
+def _fleet_history(fault_scenario, seed):
+    """A fleet of the product under a fault scenario; snapshots are frequent for odd seeds."""
     nine = seed % 10 == 9
-    history = ConfigurationHistory(NINE_SECONDS if nine else FLEET_SECONDS)
+    history = RecordedHistory(NINE_SECONDS if nine else FLEET_SECONDS)
     fleet, mode = (
         ("nine", "dynamic")
         if nine
         else (pushed_job_trial.IN_TURN[seed % len(pushed_job_trial.IN_TURN)], "static")
     )
     with _frequent_snapshots(seed % 2 == 1), fleet_taps(history):
-        pushed_job_trial.trial(weather, seed, fleet, mode)
+        pushed_job_trial.trial(fault_scenario, seed, fleet, mode)
     return history
 
 
 def _job_history(scenario, seed):
     """A fleet that runs jobs under leases in a scenario; snapshots are frequent for odd seeds."""
-    history = ConfigurationHistory(JOB_SECONDS)
+    history = RecordedHistory(JOB_SECONDS)
     with _frequent_snapshots(seed % 2 == 1), fleet_taps(history):
         leased_job_trial.trial(scenario, seed)
     return history
@@ -199,7 +199,7 @@
 
 def _loss_history(name, seed):
     """A trial of second losses, to its end."""
-    history = ConfigurationHistory()
+    history = RecordedHistory()
     with fleet_taps(history):
         second_loss.TRIALS[name](seed)
     return history
@@ -207,7 +207,7 @@
 
 def _schedule_history(_name, seed):
     """A schedule of the consensus model with clocks, and whether its fleet serves again in the end."""
-    history = ConfigurationHistory()
+    history = RecordedHistory()
     run = schedule.drawn_run(seed)
     served = run.serves_again(seed)
     history.note("times", run.leased, run.world.time, {None: 2, False: 0, True: 1}[served])
@@ -220,7 +220,7 @@
 
 def _search_history(name, seed):
     """A search of a model of the registry: how much it saw and all messages of all its states."""
-    history = ConfigurationHistory()
+    history = RecordedHistory()
     start, every, walks = search.search(name, SEARCH_BOUNDS, SEARCH_WALKS)
     for outcome in (every, walks):
         history.note("events", outcome.states, outcome.steps, outcome.depth, int(outcome.whole))
