--- a/src/pinepitch/common/__init__.py
+++ b/src/pinepitch/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every part stands on: constants, numbered events, limits, metrics, checked settings."""
+"""What every package may import: constants, numbered events, limits, metrics, checked settings."""
--- a/src/pinepitch/common/daemon_settings.py
+++ b/src/pinepitch/common/daemon_settings.py
@@ -1,8 +1,9 @@
-"""Env: what one daemon is told about its place, from a TOML file and flags (flags win)."""
+"""The settings of one daemon, from a TOML file and flags (flags win)."""
 
 import functools
 import ipaddress
 import tomllib
+from collections.abc import Mapping
 from typing import NamedTuple
 
 import voluptuous
@@ -11,11 +12,12 @@
 
 
 class Settings(NamedTuple):
-    """Invariant: built by read() only, so every field has passed its check."""
+    """Invariant: every field has passed its check. `mode` is the quorum mode; a front daemon uses
+    neither `data`, `bootstrap_members`, `mode`, `rules`, `memory` nor `disk`."""
 
     address: str
     zone: str
-    seeds: tuple
+    seeds: tuple[str, ...]
     data: str | None
     level: str
     bootstrap_members: int
@@ -26,8 +28,9 @@
     disk: int = constants.DISK  # bytes
 
 
-def address(text):
-    """An ip:port by number; names are refused since nothing here resolves them."""
+def address(text: object) -> str:
+    """A text that is a numeric IP:PORT; host names are refused since nothing here resolves them.
+    voluptuous.Invalid says what is wrong."""
     if not isinstance(text, str) or ":" not in text:
         raise voluptuous.Invalid("expected IP:PORT")
     host, _, port = text.rpartition(":")
@@ -41,7 +44,7 @@
 
 
 @functools.lru_cache(maxsize=1024)
-def is_address(text):
+def is_address(text: str) -> bool:
     """Whether a text is an address that can be connected to."""
     try:
         address(text)
@@ -50,13 +53,13 @@
     return True
 
 
-def split(text):
+def split(text: str) -> tuple[str, int]:
     """(host, port) of a checked address."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
-def _seeds(value):
+def _seeds(value: object) -> tuple[str, ...]:
     if isinstance(value, str):
         value = [part.strip() for part in value.split(",") if part.strip()]
     if not isinstance(value, (list, tuple)):
@@ -66,13 +69,13 @@
     return tuple(address(one) for one in value)
 
 
-def _text(value):
+def _text(value: object) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= constants.MAX_NAME_LENGTH:
         raise voluptuous.Invalid(f"expected a text of 1 to {constants.MAX_NAME_LENGTH} characters")
     return value
 
 
-def _bootstrap_members(value):
+def _bootstrap_members(value: object) -> int:
     if (
         isinstance(value, bool)
         or not isinstance(value, int)
@@ -82,7 +85,7 @@
     return value
 
 
-def _megabytes(value):
+def _megabytes(value: object) -> int:
     """Bytes of a whole number of megabytes."""
     if isinstance(value, bool) or not isinstance(value, int) or value < constants.MIN_MEGABYTES:
         raise voluptuous.Invalid(f"expected a whole number of at least {constants.MIN_MEGABYTES}")
@@ -113,9 +116,11 @@
 }
 
 
-def read(program, path, flags):
-    """(Env, ()) or (None, faults): one line per fault, all of them at once."""
-    values = {}
+def read(
+    program: str, path: str | None, flags: Mapping[str, object]
+) -> tuple[Settings, tuple[()]] | tuple[None, tuple[str, ...]]:
+    """(Settings, ()) or (None, faults): one line per fault, all of them at once."""
+    values: dict[str, object] = {}
     if path:
         try:
             with open(path, "rb") as file:
--- a/src/pinepitch/common/document.py
+++ b/src/pinepitch/common/document.py
@@ -1,7 +1,9 @@
-"""JSON from outside, read so that it can be carried and handed on as it came."""
+"""JSON from outside, read so that it can be forwarded and handed on as it came."""
 
 import json
 import math
+from collections.abc import Iterable
+from typing import Any
 
 from . import constants
 
@@ -10,19 +12,19 @@
     """JSON that says two things at once."""
 
 
-def _no_member_twice(pairs):
+def _no_member_twice(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     members = dict(pairs)
     if len(members) < len(pairs):
         raise Unsound("a member is named twice")
     return members
 
 
-def _no_constant(text):
+def _no_constant(text: str) -> Any:
     raise ValueError(text)
 
 
-def _unsound_scalar(value):
-    """Why a value that holds no others can't be carried, or None. Types as json makes them: told by
+def _unsound_scalar(value: Any) -> str | None:
+    """Why a value that contains no others can't be forwarded, or None. Types as json makes them: told by
     type(), as this is asked for every value of every heartbeat."""
     kind = type(value)
     if kind is str:
@@ -37,10 +39,12 @@
     return None
 
 
-def unsound(value):
-    """Why a document can't be carried and handed on as it is, or None: numbers JSON or our
+def unsound(value: Any) -> str | None:
+    """Why a document can't be forwarded and handed on as it is, or None: numbers JSON or our
     frames can't say, text that is no text, deeper nesting than MAX_DEPTH."""
-    todo = [((value,), 1)]  # values beside each other, and how deep they stand
+    todo: list[tuple[Iterable[Any], int]] = [
+        ((value,), 1)
+    ]  # values beside each other, and how deep they stand
     while todo:
         values, depth = todo.pop()
         for one in values:
@@ -56,7 +60,7 @@
     return None
 
 
-def read(body):
+def read(body: bytes) -> tuple[Any, str | None]:
     """(document, None), or (None, why it can't be taken)."""
     try:
         document = json.loads(body, parse_constant=_no_constant, object_pairs_hook=_no_member_twice)
@@ -66,8 +70,8 @@
     return (None, why) if why else (document, None)
 
 
-def whole_number(text, most=constants.MAX_NUMBER):
-    """The whole number that a text says in plain digits, or None."""
+def whole_number(text: str, most: int = constants.MAX_NUMBER) -> int | None:
+    """The whole number from 0 to `most` that a text states in plain ASCII digits, or None."""
     if not text.isascii() or not text.isdigit() or len(text) > len(str(most)):
         return None
     number = int(text)
--- a/src/pinepitch/common/events.py
+++ b/src/pinepitch/common/events.py
@@ -2,13 +2,15 @@
 
 import logging
 import sys
+from typing import Any
 
 import structlog
 
 PLACING_VIOLATED = 184
 
-# Invariant: a number is never used again for another meaning (102 was one); docs/events.md
-# lists the same.
+# number -> (text, level). Invariant: a number is never used again for another meaning (102 was one);
+# docs/events.md lists the same. The texts are values of a label in the answers to /v1/metrics, by which
+# operators' alerts may look for them: they keep the words of the users' pages.
 CATALOGUE = {
     100: ("daemon started", "info"),
     101: ("daemon stopping", "info"),
@@ -74,8 +76,8 @@
 }
 
 
-def logger(program, identity, level="info"):
-    """A logger that writes one JSON line an event to standard error."""
+def logger(program: str, identity: str, level: str = "info") -> Any:
+    """A structlog logger that writes one JSON line an event to standard error."""
     structlog.configure(
         processors=[structlog.processors.TimeStamper(fmt="iso"), structlog.processors.JSONRenderer()],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
@@ -84,7 +86,7 @@
     return structlog.get_logger().bind(program=program, identity=identity)
 
 
-def emit(log, number, **fields):
+def emit(log: Any, number: int, **fields: Any) -> None:
     """Writes event `number` at the level its catalogue entry gives it."""
     text, level = CATALOGUE[number]
     try:
--- a/src/pinepitch/common/limits.py
+++ b/src/pinepitch/common/limits.py
@@ -6,37 +6,37 @@
 
 
 class Limits(NamedTuple):
-    """Bytes of memory and of disk. Invariants: log + every base's tail fit many times into
-    either; tail <= laggard <= since_base <= log."""
+    """Bytes of memory and of disk. Invariants: the log and the tail behind every snapshot base fit
+    many times into either; tail <= laggard <= since_base <= log."""
 
     memory: int = constants.MEMORY
     disk: int = constants.DISK
 
     @property
-    def log(self):
-        """Bytes of entries held, committed or not; above it callers' operations are held back."""
+    def log(self) -> int:
+        """Bytes of entries held, committed or not; above it callers' operations are deferred."""
         return max(
             constants.MIN_LOG_BYTES,
             min(self.memory // constants.LOG_PART_OF_MEMORY, self.disk // constants.LOG_PART_OF_DISK),
         )
 
     @property
-    def since_base(self):
-        """Bytes of entries applied since the last base that make a new one due."""
+    def since_base(self) -> int:
+        """Bytes of entries applied since the last snapshot base that make a new one due."""
         return self.log // 4
 
     @property
-    def laggard(self):
-        """Bytes of entries kept behind a base for a follower that still needs them."""
+    def laggard(self) -> int:
+        """Bytes of entries kept behind a snapshot base for a follower that still needs them."""
         return self.log // 4
 
     @property
-    def tail(self):
-        """Bytes of entries kept behind a base in any case."""
+    def tail(self) -> int:
+        """Bytes of entries kept behind a snapshot base in any case."""
         return self.log // 8
 
     @property
-    def link(self):
+    def link(self) -> int:
         """Bytes of frames that wait for one destination on one connection."""
         return max(constants.MIN_LINK_BYTES, self.memory // constants.LINK_PART)
 
--- a/src/pinepitch/common/metrics.py
+++ b/src/pinepitch/common/metrics.py
@@ -1,41 +1,50 @@
-"""Metrics: plain figures as text in the Prometheus manner, by the library."""
+"""Metrics as text in Prometheus' exposition format, written by its client library."""
+
+from collections.abc import Iterable, Mapping
+from typing import Any
 
 from . import constants, events
 
 
 class Histogram:
-    """How a figure is spread. Invariants: counts has one more element than the bounds;
-    total is the sum of what was added."""
+    """The distribution of a measured value over BUCKETS (seconds). Invariants: counts has one more
+    element than the bounds; total is the sum of what was added."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.counts = [0] * (len(constants.BUCKETS) + 1)
         self.total = 0.0
 
-    def add(self, value):
+    def add(self, value: float) -> None:
+        """Counts one measured value, in seconds."""
         place = next((one for one, bound in enumerate(constants.BUCKETS) if value <= bound), -1)
         self.counts[place] += 1
         self.total += value
 
-    def buckets(self):
-        help_text, count = [], 0
+    def buckets(self) -> list[tuple[str, int]]:
+        """(upper bound, how many values are at most that), cumulative as the library takes them."""
+        cumulative, count = [], 0
         for bound, one in zip((*constants.BUCKETS, "+Inf"), self.counts, strict=False):
             count += one
-            help_text.append((str(bound), count))
-        return help_text
+            cumulative.append((str(bound), count))
+        return cumulative
 
 
 class _FamilyCollector:
-    """What the library asks for families."""
+    """What the library's registry collects the families from."""
 
-    def __init__(self, families):
+    def __init__(self, families: list[Any]) -> None:
         self.families = families
 
-    def collect(self):
+    def collect(self) -> list[Any]:
         return self.families
 
 
-def text(figures):
-    """The text of figures (kind, name, help, label names, [(label values, value)])."""
+# A metric: (kind, name without prefix, help, label names, [(label values, value)]).
+Metric = tuple[str, str, str, tuple[str, ...], list[tuple[Any, Any]]]
+
+
+def text(figures: Iterable[Metric]) -> str:
+    """Metrics as text, in the order given."""
     # loaded by its first use, as it takes longer than a third of all else that a daemon needs to start
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily
@@ -56,8 +65,8 @@
     return generate_latest(registry).decode()
 
 
-def event_figures(counts):
-    """How often each numbered event was told, for every daemon alike."""
+def event_metric(counts: Mapping[int, int]) -> Metric:
+    """The metric of how often each numbered event was emitted, the same for every kind of daemon."""
     return (
         "counter",
         "events",
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -345,6 +345,6 @@
             [((queue,), histogram) for queue, histogram in sorted(core.wait_histograms.items())],
         ),
         *_leased_job_metrics(core, now),
-        metrics.event_figures(core.event_counts),
+        metrics.event_metric(core.event_counts),
     ]
     return metrics.text(metric_families)
--- a/src/pinepitch/front/filters.py
+++ b/src/pinepitch/front/filters.py
@@ -276,7 +276,7 @@
                     (),
                     [((), len(front.waiting_orders))],
                 ),
-                metrics.event_figures(front.event_counts),
+                metrics.event_metric(front.event_counts),
             ]
         ),
         None,
