--- a/src/pinepitch/control/startup.py
+++ b/src/pinepitch/control/startup.py
@@ -13,11 +13,11 @@
     loaded = store.load(packed_step)
     if isinstance(loaded, Foreign):
         raise OSError(
-            f"{loaded[0]}; run the version that wrote it, or give an empty folder to start as a newcomer"
+            f"{loaded.why}; run the version that wrote it, or give an empty folder to start as a newcomer"
         )
     if isinstance(loaded, Damaged):
         store.wipe()
-        return store, None, [], {}, loaded[0]
+        return store, None, [], {}, loaded.why
     return store, *loaded, None
 
 
--- a/src/pinepitch/runtime/host.py
+++ b/src/pinepitch/runtime/host.py
@@ -291,9 +291,9 @@
                 body = await framing.read_frame(stream)
                 frame = body if isinstance(body, framing.Refused) else framing.decode(body)
                 if not isinstance(frame, framing.Refused) and not contract.keeps_contract(frame[1]):
-                    frame = framing.Refused((f"a message that keeps no contract: {str(frame[1][0])[:40]}",))
+                    frame = framing.Refused(f"a message that keeps no contract: {str(frame[1][0])[:40]}")
                 if isinstance(frame, framing.Refused):
-                    events.emit(self.log, 105, why=frame[0], peer=str(address))
+                    events.emit(self.log, 105, why=frame.why, peer=str(address))
                     return
                 await self.inbox.put(tuple(frame[1]))
         except (OSError, EOFError, curio.CurioError):
--- a/src/pinepitch/storage/folder_lock.py
+++ b/src/pinepitch/storage/folder_lock.py
@@ -1,7 +1,7 @@
 """The lock on a data folder: one process at a time owns it, until it ends.
 
 It is taken before the rest of a program is loaded, so it imports next to nothing: a voter that
-was started anew waits for the leases that its earlier life carried, counted from here.
+was started anew waits for the leases that its earlier incarnation may have given, counted from here.
 """
 
 import fcntl
@@ -13,7 +13,7 @@
     """Invariant: from `since` (seconds on the steady clock) until this process ends no other process
     owns the folder, and one that owned it before had ended by then."""
 
-    def __init__(self, folder):
+    def __init__(self, folder: str) -> None:
         """Takes the lock of a folder, which is made if there is none; BlockingIOError if another
         process owns it."""
         os.makedirs(folder, exist_ok=True)
--- a/src/pinepitch/transport/http.py
+++ b/src/pinepitch/transport/http.py
@@ -1,33 +1,38 @@
-"""HTTP/1.1 with JSON by h11, on both sides, over curio sockets."""
+"""HTTP/1.1 (RFC 9112) with JSON bodies by h11, on both sides, over curio sockets."""
 
 import json
 import select
 import socket
 import struct
 import time
-from typing import NamedTuple
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 import curio
 import h11
 
 from ..common import constants
 
+RECEIVE_BYTES = 65_536  # bytes; most taken from a socket at once
+
 
 class Request(NamedTuple):
-    """Invariant: body holds at most MAX_BODY_BYTES bytes; headers have lower-case names."""
+    """A request as it came. Invariant: body holds at most MAX_BODY_BYTES bytes; headers have names in
+    lower case."""
 
     method: str
     target: str
-    headers: dict
+    headers: dict[str, str]
     body: bytes
 
 
 class Response(NamedTuple):
-    """Invariant: document is what json can write; headers are plain text pairs."""
+    """An answer. Invariant: document is what json can write, or a plain text; headers are pairs of plain
+    texts."""
 
     status: int
     document: object
-    headers: tuple = ()
+    headers: tuple[tuple[str, str], ...] = ()
 
 
 class Fault(NamedTuple):
@@ -37,42 +42,52 @@
     code: str
 
 
-def refusal(status, code, message, retry=None, **more):
-    """An error as callers see it: a stable code, a sentence, and when to come back."""
+def refusal(status: int, code: str, message: str, retry: float | None = None, **more: object) -> Response:
+    """An error as callers see it: a stable code, a sentence, and when to come back (seconds)."""
     headers = () if retry is None else (("Retry-After", str(retry)),)
     return Response(status, {"error": {"code": code, "message": message, **more}}, headers)
 
 
+class _Body:
+    """The body of a message as it comes. Invariant: size is the sum of the parts' sizes."""
+
+    def __init__(self, most: int) -> None:
+        self.parts: list[bytes] = []
+        self.size = 0
+        self.most = most  # bytes
+
+    def add(self, event: h11.Data) -> bool:
+        """Takes a part; whether the body is still no larger than it may be."""
+        self.parts.append(bytes(event.data))
+        self.size += len(event.data)
+        return self.size <= self.most
+
+    def whole(self) -> bytes:
+        """All of it."""
+        return b"".join(self.parts)
+
+
 class Server:
     """One accepted connection. Invariant: one request is under way at a time."""
 
-    def __init__(self, socket):
+    def __init__(self, socket: Any) -> None:
         self.socket = socket
         self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=constants.MAX_HEAD_BYTES)
 
-    async def receive(self):
+    async def receive(self) -> Request | Fault:
         """The next Request, or a Fault."""
-        head, body, size, begun = None, [], 0, None
+        head: h11.Request | None = None
+        body = _Body(constants.MAX_BODY_BYTES)
+        begun: float | None = None  # when the first bytes were read, by the monotonic clock
         while True:
             if begun is not None and time.monotonic() - begun > constants.MAX_REQUEST_SECONDS:
                 return Fault(408, "slow")
             try:
                 event = self.connection.next_event()
                 if event is h11.NEED_DATA:
-                    if self.connection.they_are_waiting_for_100_continue:
-                        await self.socket.sendall(
-                            self.connection.send(h11.InformationalResponse(status_code=100, headers=[]))
-                        )
-                    patience = (
-                        constants.MAX_CONNECTION_IDLE
-                        if begun is None
-                        else (begun + constants.MAX_REQUEST_SECONDS - time.monotonic())
-                    )
-                    data = await curio.ignore_after(max(0.0, patience), self.socket.recv(65536))
-                    if data is None and begun is None:
-                        return Fault(0, "idle")
+                    data = await self._read(begun)
                     if data is None:
-                        return Fault(408, "slow")
+                        return Fault(0, "idle") if begun is None else Fault(408, "slow")
                     begun = begun or time.monotonic()
                     self.connection.receive_data(data)
                     continue
@@ -83,17 +98,27 @@
             if isinstance(event, h11.Request):
                 head = event
             elif isinstance(event, h11.Data):
-                size += len(event.data)
-                if size > constants.MAX_BODY_BYTES:
+                if not body.add(event):
                     return Fault(413, "too_large")
-                body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
-                return Request(head.method.decode(), head.target.decode("latin-1"), headers, b"".join(body))
+                return _request_of(head, body)
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
                 return Fault(0, "closed")
 
-    async def answer(self, response):
+    async def _read(self, begun: float | None) -> bytes | None:
+        """The next bytes, or None if none came in time: within MAX_CONNECTION_IDLE before a request has
+        begun, within what is left of MAX_REQUEST_SECONDS afterwards."""
+        if self.connection.they_are_waiting_for_100_continue:
+            go_on = h11.InformationalResponse(status_code=100, headers=[])
+            await self.socket.sendall(self.connection.send(go_on))
+        if begun is None:
+            patience = constants.MAX_CONNECTION_IDLE
+        else:
+            patience = begun + constants.MAX_REQUEST_SECONDS - time.monotonic()
+        data: bytes | None = await curio.ignore_after(max(0.0, patience), self.socket.recv(RECEIVE_BYTES))
+        return data
+
+    async def answer(self, response: Response) -> bool:
         """Sends one Response, its keys in order; True if another request may follow."""
         if isinstance(response.document, str):
             body, kind = response.document.encode(), "text/plain; charset=utf-8"
@@ -102,7 +127,7 @@
             kind = "application/json"
         headers = [("Content-Type", kind), ("Content-Length", str(len(body))), *response.headers]
         try:
-            data = self.connection.send(h11.Response(status_code=response.status, headers=headers))
+            data = self.connection.send(h11.Response(status_code=response.status, headers=headers)) or b""
             data += self.connection.send(h11.Data(data=body)) or b""
             data += self.connection.send(h11.EndOfMessage()) or b""
             await self.socket.sendall(data)
@@ -113,7 +138,7 @@
         except (OSError, h11.LocalProtocolError):
             return False
 
-    async def refuse(self, fault):
+    async def refuse(self, fault: Fault) -> None:
         """Tells a caller whose request can't be read so, and lets it read that: a connection that is
         closed with bytes unread is reset, which may take the answer away with it."""
         if not fault.status:
@@ -122,22 +147,29 @@
         try:
             await self.socket.shutdown(socket.SHUT_WR)
             async with curio.ignore_after(constants.LINGER):
-                while await self.socket.recv(65536):
+                while await self.socket.recv(RECEIVE_BYTES):
                     pass
         except OSError:
             pass  # the caller is gone
 
 
+def _request_of(head: h11.Request | None, body: _Body) -> Request:
+    """The Request of a message that is complete."""
+    assert head is not None, "h11 ended a message that had no head"
+    headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
+    return Request(head.method.decode(), head.target.decode("latin-1"), headers, body.whole())
+
+
 class Client:
     """Calls to one host. Invariant: the socket is either ready for a call or None."""
 
-    def __init__(self, host, port):
+    def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
-        self.socket = None
-        self.connection = None
+        self.socket: Any = None
+        self.connection: Any = None  # the h11.Connection over the socket
         self.reached = False  # whether a byte of the last call may have left
 
-    async def connect(self):
+    async def connect(self) -> None:
         """Opens the socket if there is none; OSError says that nothing was sent."""
         if self.socket is not None and self._spoiled():
             await self.abort()
@@ -145,14 +177,16 @@
             self.socket = await curio.open_connection(self.host, self.port)
             self.connection = h11.Connection(h11.CLIENT)
 
-    def _spoiled(self):
+    def _spoiled(self) -> bool:
         """Whether the open connection holds what no call asked for, or has ended: what came
         beside one call's answer would be taken for the next one's."""
         unread = select.poll()
         unread.register(self.socket.fileno(), select.POLLIN)
         return bool(self.connection.trailing_data[0]) or bool(unread.poll(0))
 
-    async def call(self, method, target, document=None, headers=()):
+    async def call(
+        self, method: str, target: str, document: object = None, headers: Iterable[tuple[str, str]] = ()
+    ) -> Response | Fault:
         """A Response, or a Fault; self.reached then tells if the call may have arrived."""
         self.reached = False
         try:
@@ -162,22 +196,7 @@
         body = b"" if document is None else json.dumps(document).encode()
         self.reached = True
         try:
-            data = self.connection.send(
-                h11.Request(
-                    method=method,
-                    target=target,
-                    headers=[
-                        ("Host", f"{self.host}:{self.port}"),
-                        ("Content-Type", "application/json"),
-                        ("Content-Length", str(len(body))),
-                        *headers,
-                    ],
-                )
-            )
-            if body:
-                data += self.connection.send(h11.Data(data=body))
-            data += self.connection.send(h11.EndOfMessage()) or b""
-            await self.socket.sendall(data)
+            await self.socket.sendall(self._message(method, target, body, headers))
             return await self._response()
         except (OSError, h11.ProtocolError):
             await self.close()
@@ -186,18 +205,32 @@
             await self.abort()
             raise
 
-    async def _response(self):
-        head, parts, size = None, [], 0
+    def _message(self, method: str, target: str, body: bytes, headers: Iterable[tuple[str, str]]) -> bytes:
+        """The bytes of a request."""
+        all_headers = [
+            ("Host", f"{self.host}:{self.port}"),
+            ("Content-Type", "application/json"),
+            ("Content-Length", str(len(body))),
+            *headers,
+        ]
+        data: bytes = self.connection.send(h11.Request(method=method, target=target, headers=all_headers))
+        if body:
+            data += self.connection.send(h11.Data(data=body))
+        data += self.connection.send(h11.EndOfMessage()) or b""
+        return data
+
+    async def _response(self) -> Response | Fault:
+        """Reads the answer to the request that was sent; the socket is ready again, or dropped."""
+        head: h11.Response | None = None
+        body = _Body(constants.MAX_ANSWER_BYTES)
         while True:
             event = self.connection.next_event()
             if event is h11.NEED_DATA:
-                self.connection.receive_data(await self.socket.recv(65536))
+                self.connection.receive_data(await self.socket.recv(RECEIVE_BYTES))
             elif isinstance(event, h11.Response):
                 head = event
             elif isinstance(event, h11.Data):
-                parts.append(bytes(event.data))
-                size += len(event.data)
-                if size > constants.MAX_ANSWER_BYTES:
+                if not body.add(event):
                     await self.abort()
                     return Fault(0, "too_large")
             elif isinstance(event, h11.EndOfMessage):
@@ -205,27 +238,33 @@
             elif isinstance(event, h11.ConnectionClosed):
                 await self.close()
                 return Fault(0, "closed")
-        if self.connection.our_state is h11.MUST_CLOSE or self.connection.their_state is h11.MUST_CLOSE:
+        if h11.MUST_CLOSE in (self.connection.our_state, self.connection.their_state):
             await self.close()
         else:
             self.connection.start_next_cycle()
-        headers = tuple((name.decode(), value.decode()) for name, value in head.headers)
-        text = b"".join(parts).decode("utf-8", "replace")
-        if dict(headers).get("content-type", "").startswith("application/json"):
-            try:
-                return Response(head.status_code, json.loads(text or "null"), headers)
-            except ValueError:
-                return Fault(0, "malformed")
-        return Response(head.status_code, text, headers)
+        return _response_of(head, body)
 
-    async def abort(self):
+    async def abort(self) -> None:
         """Drops the socket and what it has not yet delivered."""
         if self.socket is not None:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await self.close()
 
-    async def close(self):
+    async def close(self) -> None:
         """Drops the socket, if there is one."""
         if self.socket is not None:
             opened, self.socket = self.socket, None
             await opened.close()
+
+
+def _response_of(head: h11.Response | None, body: _Body) -> Response | Fault:
+    """The Response of a message that is complete, or a Fault if its JSON can't be read."""
+    assert head is not None, "h11 ended a message that had no head"
+    headers = tuple((name.decode(), value.decode()) for name, value in head.headers)
+    text = body.whole().decode("utf-8", "replace")
+    if not dict(headers).get("content-type", "").startswith("application/json"):
+        return Response(head.status_code, text, headers)
+    try:
+        return Response(head.status_code, json.loads(text or "null"), headers)
+    except ValueError:
+        return Fault(0, "malformed")
--- a/src/pinepitch/transport/indexed_forwarder.py
+++ b/src/pinepitch/transport/indexed_forwarder.py
@@ -1,49 +1,50 @@
-"""Calls that are carried with an index of the log, confirmed by the leader as they came.
+"""Requests that are forwarded with an index of the log, which the leader confirms when they come.
 
-First the index is asked for, then the call is carried with it as its last argument. The index is
-asked for only while the caller surely still waits, and never anew for the same call: what the
-caller does after it gave up has a higher one. A call may have lain unread for as long as its daemon
-was stopped just before; that is taken off.
+First the index is asked for, then the request is forwarded with it as its last argument. The index is
+asked for only while the caller surely still waits, and never anew for the same request: what the
+caller does after it gave up has a higher one. A request may have lain unread for as long as its daemon
+was stopped just before; that time is subtracted.
 """
 
-from typing import NamedTuple
+from collections.abc import Sequence
+from typing import Any, NamedTuple
 
 from ..common import constants
-from .forwarder import LOG_INDEX_REQUEST
+from .forwarder import LOG_INDEX_REQUEST, Effect, Forwarder
 
-CALLS = frozenset(("evacuate",))  # that are carried so: they bear no version of their own
+CALLS = frozenset(("evacuate",))  # that are forwarded so: they bear no version of their own
 
 
 class Waiting(NamedTuple):
-    """A call whose index is being asked for, and until when the whole may take."""
+    """A request whose index is being asked for, and until when the whole may take."""
 
     call: str
-    arguments: tuple
+    arguments: tuple[Any, ...]
     until: float
 
 
 class IndexedForwarder:
-    """Invariants: a call in `waiting` has been sent to nobody; `pause` is how long the daemon was
-    stopped last, if that was longer than CONFIRM_PAUSE, and `paused` when it went on."""
+    """Invariants: a request in `waiting` has been sent to nobody; `pause` is how long (seconds) the
+    daemon was stopped last, if that was longer than CONFIRM_PAUSE, and `paused` when it went on."""
 
-    def __init__(self, forwarder):
+    def __init__(self, forwarder: Forwarder) -> None:
         self.forwarder = forwarder
-        self.waiting = {}  # token of the question for the index -> Waiting
-        self.last_turn = None
+        self.waiting: dict[str, Waiting] = {}  # by the token of the request for the index
+        self.last_turn: float | None = None
         self.pause, self.paused = 0.0, -1e9
 
-    def turn(self, now):
+    def turn(self, now: float) -> None:
         """Notes one turn of the daemon, which has a tick at the least."""
         if self.last_turn is not None and now - self.last_turn > constants.CONFIRM_PAUSE:
             self.pause, self.paused = now - self.last_turn, now
         self.last_turn = now
 
-    def _unread(self, now):
-        """How long a call that is read now may have waited in its socket."""
+    def _unread(self, now: float) -> float:
+        """How long a request that is read now may have waited in its socket."""
         return self.pause if now < self.paused + constants.STALL_AFTERMATH else 0.0
 
-    def begin(self, request, call, arguments, now, patience):
-        """Takes any call; the token of what is to be carried first."""
+    def begin(self, request: int, call: str, arguments: Sequence[Any], now: float, patience: float) -> str:
+        """Takes any request; the token of what is to be forwarded first."""
         if call not in CALLS:
             return self.forwarder.begin(request, call, arguments, now, patience)
         for token in [one for one in self.waiting if one not in self.forwarder.calls]:
@@ -54,9 +55,11 @@
         self.waiting[token] = Waiting(call, tuple(arguments), until)
         return token
 
-    def answered(self, token, answer, key, now, until=None):
-        """Effects of an answer to any carried call, as Carrier.answered() has them. With its index,
-        a call is due to be carried."""
+    def answered(
+        self, token: str, answer: Sequence[Any], key: Sequence[str], now: float, until: float | None = None
+    ) -> tuple[Effect, ...]:
+        """Effects of an answer to any forwarded request, as Forwarder.answered() has them. Once its index
+        is known, a request is due to be forwarded."""
         question = self.forwarder.calls.get(token)
         if token not in self.waiting or question is None or question.key != tuple(key) or answer[0] != 200:
             return self.forwarder.answered(token, answer, key, now, until)
--- a/src/pinepitch/transport/request_key.py
+++ b/src/pinepitch/transport/request_key.py
@@ -1,41 +1,46 @@
-"""What a carried call is about: its kind and its subject, told along with every answer to it."""
+"""What a forwarded request is about: its call and its subject, sent along with every answer to it."""
 
-from typing import NamedTuple
+from collections.abc import Callable, Sequence
+from typing import Any, NamedTuple
 
 
 class CallKey(NamedTuple):
-    """Invariant: calls that differ in what they ask of whom have different keys; a call sent
+    """Invariant: requests that differ in what they ask of whom have different keys; a request sent
     again has the same one."""
 
     call: str
     subject: str
 
 
-def _plain_subject(arguments):
+def _plain_subject(arguments: Sequence[Any]) -> str:
     """The texts and numbers among the arguments: a name, a path, a version."""
     return " ".join([str(one) for one in arguments if not isinstance(one, (dict, list, tuple))])
 
 
-def _worker_subject(arguments):
-    """The identity of the minion that speaks: by far the most calls, so nothing else is looked at."""
-    return arguments[0]
+def _worker_subject(arguments: Sequence[Any]) -> str:
+    """The identity of the worker that speaks: by far the most requests, so nothing else is looked at."""
+    subject: str = arguments[0]
+    return subject
 
 
-def _configured_subject(arguments):
+def _configured_subject(arguments: Sequence[Any]) -> str:
     """A configuration is named by the version it builds on and its own."""
     base, document = arguments
     return f"{base} {document.get('version') if isinstance(document, dict) else None}"
 
 
 # call -> how its subject is read, where it is not all texts and numbers among its arguments
-SUBJECTS = {"beat": _worker_subject, "configure": _configured_subject}
+SUBJECTS: dict[str, Callable[[Sequence[Any]], str]] = {
+    "beat": _worker_subject,
+    "configure": _configured_subject,
+}
 
 
-def subject_of(call, arguments):
-    """The subject of a call."""
+def subject_of(call: str, arguments: Sequence[Any]) -> str:
+    """The subject of a request."""
     return SUBJECTS.get(call, _plain_subject)(arguments)
 
 
-def key_of(call, arguments):
-    """The key of a call."""
+def key_of(call: str, arguments: Sequence[Any]) -> CallKey:
+    """The key of a request."""
     return CallKey(call, subject_of(call, arguments))
