--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -13,6 +13,7 @@
 import cbor2
 
 from pinepitch.common import constants, packed_operations
+from pinepitch.common.effects import PostOrder, Rehearse, Reply
 from pinepitch.consensus import replica
 from pinepitch.consensus.log import measured
 from pinepitch.control import requests
@@ -80,7 +81,7 @@
 def tapped(recorder):
     """While it lasts, the recorder is told every frame, operation, file, answer and order."""
     encode, apply, keep = framing.encode, ClusterState.apply, simulators.Disk.keep
-    reply, post, rehearse = (simulators.EFFECTS[kind] for kind in ("reply", "post", "rehearse"))
+    reply, post, rehearse = (simulators.EFFECTS[kind] for kind in (Reply, PostOrder, Rehearse))
 
     def tapped_encode(source, message):
         frame = encode(source, message)
@@ -105,11 +106,11 @@
         recorder.order(path, document)
         post(simulator, node, key, address, path, document)
 
-    def tapped_rehearse(simulator, node, work):
+    def tapped_rehearse(simulator, node, *work):
         with recorder.paused():  # a rehearsal applies operations to a record of its own
-            rehearse(simulator, node, work)
+            rehearse(simulator, node, *work)
 
-    effects = {"reply": tapped_reply, "post": tapped_post, "rehearse": tapped_rehearse}
+    effects = {Reply: tapped_reply, PostOrder: tapped_post, Rehearse: tapped_rehearse}
     with (
         mock.patch.object(framing, "encode", tapped_encode),
         mock.patch.object(ClusterState, "apply", tapped_apply),
--- a/features/steps/api.py
+++ b/features/steps/api.py
@@ -79,7 +79,7 @@
             effects = node.core.step(
                 ("http", 10**9, method, target, {}, body[0].encode()), context.simulator.now + 1000.0, 0.0
             )
-            got.append((0, *effects[0][2:4]))
+            got.append((0, *effects[0][1:3]))
         else:
             got.append(
                 (
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -7,6 +7,7 @@
 
 from behave import given, then, when
 
+from pinepitch.common.effects import Send
 from pinepitch.consensus.leader_clock import Reading
 from pinepitch.control.requests import CALLS
 from pinepitch.model import pushed_job as tickets
@@ -77,7 +78,7 @@
         """The answers to a call asked so many times in one moment."""
         self.answers.pop(token, None)
         arguments = json.loads(json.dumps(arguments))
-        with mock.patch.dict(simulators.EFFECTS, {"send": self._kept_send}):
+        with mock.patch.dict(simulators.EFFECTS, {Send: self._kept_send}):
             for sending in range(1, times + 1):
                 self.simulator.give(
                     self.simulator.leader(), ("ask", ADAPTER, token, call, arguments, sending, self.end())
--- a/features/steps/carrier.py
+++ b/features/steps/carrier.py
@@ -3,6 +3,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.common.effects import Reply, Send
 from pinepitch.front.daemon import FrontDaemon
 from pinepitch.transport.forwarder import Forwarder
 
@@ -73,8 +74,8 @@
 @then("it is replied with {status:d}, {again}")
 def step_replied(context, status, again):
     assert len(context.replies) == 1, context.replies
-    kind, request, answer_status, document, headers, *_ = context.replies[0]
-    assert (kind, request, answer_status) == ("reply", 17, status), context.replies
+    request, answer_status, document, headers, _ = context.replies[0]
+    assert (type(context.replies[0]), request, answer_status) == (Reply, 17, status), context.replies
     expected = (("Retry-After", str(constants.RETRY_AFTER)),) if again == "saying when to come back" else ()
     assert tuple(headers) == expected, headers
     assert status < 500 or "message" in document["error"], document
@@ -125,7 +126,7 @@
 
 @then("each has its own reply")
 def step_own(context):
-    assert [one[1:3] for one in context.replies] == [(2, 200), (1, 504)], context.replies
+    assert [one[:2] for one in context.replies] == [(2, 200), (1, 504)], context.replies
 
 
 # --- in a verge ----------------------------------------------------------------------
@@ -165,9 +166,9 @@
     """Steps the verge; tells what it asks about the call."""
     asks = []
     for effect in context.front.step(message, context.now, 1.7e9 + context.now):
-        if effect[0] == "send" and effect[2][0] == "ask" and effect[2][3] == CALL[0]:
-            asks.append((effect[1], effect[2][2], effect[2][5]))  # (address, token, sending)
-        elif effect[0] == "reply":
+        if isinstance(effect, Send) and effect.message[0] == "ask" and effect.message[3] == CALL[0]:
+            asks.append((effect.address, effect.message[2], effect.message[5]))  # (address, token, sending)
+        elif isinstance(effect, Reply):
             context.replies.append(effect)
     context.asks.extend(asks)
     return asks
@@ -232,10 +233,10 @@
 
 @then("the client is told {status:d} once")
 def step_notified(context, status):
-    assert [one[1:3] for one in context.replies] == [(17, status)], context.replies
+    assert [one[:2] for one in context.replies] == [(17, status)], context.replies
 
 
 @then("the client is told {status:d} once, and when to come back")
 def step_notified_again(context, status):
     step_notified(context, status)
-    assert ("Retry-After", str(constants.RETRY_AFTER)) in tuple(context.replies[0][4]), context.replies
+    assert ("Retry-After", str(constants.RETRY_AFTER)) in tuple(context.replies[0].headers), context.replies
--- a/features/steps/connections.py
+++ b/features/steps/connections.py
@@ -8,6 +8,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.common.effects import Reply
 from pinepitch.runtime.host import Host
 from pinepitch.transport import http
 
@@ -141,9 +142,7 @@
 
     async def reply(self, *numbers):
         """The decider replies to requests, each with its own number."""
-        await self.host.inbox.put(
-            ("replies", [("reply", number, 200, {"number": number}) for number in numbers])
-        )
+        await self.host.inbox.put(("replies", [Reply(number, 200, {"number": number}) for number in numbers]))
 
     async def connect(self):
         return await curio.open_connection(*self.address)
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -8,6 +8,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants, events
+from pinepitch.common.effects import Reply, Send
 from pinepitch.consensus.leader_clock import LeaderClock, Reading
 from pinepitch.runtime import host, stall_detector
 from pinepitch.simulation import leased_job_trial
@@ -182,7 +183,9 @@
     arguments = (core.cluster_state.version - 1, "merge", {"queues": {}}, "someone", "")
     end = Reading(core.consensus.term, now + 1.0)
     effects = core.step(("ask", CALLER, "token", "change", arguments, 1, end), now, now)
-    context.answered_kinds = [one[2][0] for one in effects if one[0] == "send" and one[1] == CALLER]
+    context.answered_kinds = [
+        one.message[0] for one in effects if isinstance(one, Send) and one.address == CALLER
+    ]
 
 
 @then("the caller is sent elsewhere, and not refused")
@@ -248,7 +251,7 @@
 
     def step(self, message, now, clock):
         self.messages.append(message)
-        return [("reply", message[1], 200, {}, ())] if message[0] != "tick" else []
+        return [Reply(message[1], 200, {})] if message[0] != "tick" else []
 
 
 @given("a host that ticks")
--- a/features/steps/door_fuzz.py
+++ b/features/steps/door_fuzz.py
@@ -10,6 +10,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.common.effects import Reply
 from pinepitch.simulation import simulator as simulators
 from pinepitch.transport.http import Request, Response
 
@@ -186,7 +187,7 @@
         self.count += 1
         number = self.count
         node = node or self.simulator.leader()
-        with mock.patch.dict(simulators.EFFECTS, {"reply": self._reply}):
+        with mock.patch.dict(simulators.EFFECTS, {Reply: self._reply}):
             self.simulator.give(node, ("call", number, *made))
             self.simulator.until(lambda: number in self.replies, constants.CALL_PATIENCE + 1, 0.005)
         (reply,) = self.replies.pop(number)
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -15,6 +15,7 @@
 
 from pinepitch.common import constants
 from pinepitch.common.daemon_settings import split
+from pinepitch.common.effects import Reply, Send
 from pinepitch.front.daemon import FrontDaemon
 from pinepitch.model import contract, push_worker, pushed_job, queue_settings
 from pinepitch.runtime.host import Host
@@ -341,8 +342,8 @@
 
 @then("it is answered with 400 at once and carries nothing")
 def step_refused_call(context):
-    assert [effect[:3] for effect in context.effects] == [("reply", 1, 400)], context.effects
-    assert not any(effect[0] == "send" for effect in context.effects)
+    assert [(type(one), *one[:2]) for one in context.effects] == [(Reply, 1, 400)], context.effects
+    assert not any(isinstance(effect, Send) for effect in context.effects)
 
 
 @given("a simulated fleet with work on a minion")
--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -11,6 +11,7 @@
 
 from pinepitch.cli import commands, explain, front_commands
 from pinepitch.common import constants
+from pinepitch.common.effects import Reply
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.transport.http import Response
 
@@ -391,7 +392,7 @@
     effects = node.core.step(
         ("http", 1, "GET", "/v1/metrics", {}, b""), simulator.now + 1000.0, simulator.clock(node)
     )
-    text = next(effect[3] for effect in effects if effect[0] == "reply")
+    text = next(effect.document for effect in effects if isinstance(effect, Reply))
     found = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
--- a/features/steps/keeper.py
+++ b/features/steps/keeper.py
@@ -5,6 +5,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.common.effects import SaveChange, Send, WriteNote
 from pinepitch.control.daemon import ControlDaemon
 
 ADDRESS, ADAPTER = "10.0.0.1:7000", "10.0.0.9:7000"
@@ -80,15 +81,15 @@
 
     def step(self, *message):
         for effect in self.accord.step(message, self.now, 1.7e9 + self.now):
-            if effect[0] == "save":
-                self.unsaved.append((effect[1], [["raft", effect[2]]]))
-            elif effect[0] == "note":
-                self.disk.append([["note", effect[1]]])
-            elif effect[0] == "send" and effect[1] == ADAPTER:
-                kind, token, *rest = effect[2]
+            if isinstance(effect, SaveChange):
+                self.unsaved.append((effect.sequence, [["raft", effect.change]]))
+            elif isinstance(effect, WriteNote):
+                self.disk.append([["note", effect.payload]])
+            elif isinstance(effect, Send) and effect.address == ADAPTER:
+                kind, token, *rest = effect.message
                 assert token not in self.answers, "a call was answered twice"
                 self.answers[token] = (kind, *rest)
-            elif effect[0] == "send":
+            elif isinstance(effect, Send):
                 self.sent.append(effect)
         while self.saving and self.unsaved:
             sequence, step = self.unsaved.pop(0)
@@ -512,7 +513,7 @@
 @then("nothing was sent to any minion meanwhile")
 def step_nothing_sent(context):
     addresses = {worker.address for worker in context.simulated_workers.values()}
-    assert not [one for one in context.cluster.sent if one[1] in addresses], context.cluster.sent
+    assert not [one for one in context.cluster.sent if one.address in addresses], context.cluster.sent
 
 
 @then("the beat was not taken")
--- a/features/steps/lives.py
+++ b/features/steps/lives.py
@@ -4,6 +4,7 @@
 
 from behave import given, then, when
 
+from pinepitch.common.effects import Event, Reply, Send
 from pinepitch.consensus.leader_clock import Reading
 from pinepitch.simulation import simulator as simulators
 from pinepitch.transport.forwarder import Forwarder
@@ -64,7 +65,7 @@
         """What the follower asks the leader about a call that comes to it."""
         message = ("call", request, call, arguments, PATIENCE)
         effects = self.follower.core.step(message, self.simulator.now + 1000.0, 0.0)
-        (ask,) = [effect[2] for effect in effects if effect[0] == "send" and effect[2][0] == "ask"]
+        (ask,) = [one.message for one in effects if isinstance(one, Send) and one.message[0] == "ask"]
         return ask
 
     def end(self):
@@ -74,7 +75,7 @@
     def ask_leader(self, *asks):
         """Gives the leader calls at one moment, and time to answer; the answers."""
         before = len(self.answers)
-        with mock.patch.dict(simulators.EFFECTS, {"send": self._kept_send}):
+        with mock.patch.dict(simulators.EFFECTS, {Send: self._kept_send}):
             for *ask, _ in asks:  # how long a call may be under way is tried elsewhere
                 self.simulator.give(self.leader, (*ask, self.end()))
             self.simulator.run(0.5)
@@ -92,11 +93,11 @@
 
 
 def replies(effects):
-    return [effect for effect in effects if effect[0] == "reply"]
+    return [effect for effect in effects if isinstance(effect, Reply)]
 
 
 def events(effects):
-    return [effect[1] for effect in effects if effect[0] == "event"]
+    return [effect.number for effect in effects if isinstance(effect, Event)]
 
 
 @given("a follower that was started again while the leader had a beat of one minion from it")
@@ -131,7 +132,7 @@
 
 @then("the other minion is told it once")
 def step_notified_once(context):
-    assert [one[1:3] for one in replies(context.effects)] == [(WORKER_TWO, 200)], context.effects
+    assert [one[:2] for one in replies(context.effects)] == [(WORKER_TWO, 200)], context.effects
 
 
 @then("the leader answers both beats, each once")
@@ -202,7 +203,7 @@
 
 @then("the minion is told it once")
 def step_worker_notified(context):
-    assert [one[1:3] for one in replies(context.effects)] == [(WORKER_ONE, 200)], context.effects
+    assert [one[:2] for one in replies(context.effects)] == [(WORKER_ONE, 200)], context.effects
 
 
 # --- an index that is used again -------------------------------------------------------
@@ -224,7 +225,7 @@
         simulators.Simulator._send(simulator, node, address, message)
 
     def until(self, happened, seconds=20):
-        with mock.patch.dict(simulators.EFFECTS, {"send": self._kept_send}):
+        with mock.patch.dict(simulators.EFFECTS, {Send: self._kept_send}):
             assert self.simulator.until(happened, seconds, 0.02) is not None, "it did not happen in time"
 
     def other_leads(self, former):
@@ -336,5 +337,5 @@
 
 @then("it tells of a message that is not for it, and does nothing else")
 def step_not_for_it(context):
-    assert [effect[:2] for effect in context.effects] == [("event", NOT_FOR_IT)], context.effects
+    assert [(type(one), one[0]) for one in context.effects] == [(Event, NOT_FOR_IT)], context.effects
     assert context.cluster.follower.core.consensus.term == context.term
--- a/features/steps/metrics.py
+++ b/features/steps/metrics.py
@@ -3,6 +3,7 @@
 from behave import given, then, when
 from prometheus_client.parser import text_string_to_metric_families
 
+from pinepitch.common.effects import Reply
 from pinepitch.simulation import pushed_job_trial
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.state.cluster_state import ClusterState
@@ -12,7 +13,7 @@
     effects = node.core.step(
         ("http", 1, method, target, {}, b""), simulator.now + 1000.0, simulator.clock(node)
     )
-    return next(effect[2:4] for effect in effects if effect[0] == "reply")
+    return next(effect[1:3] for effect in effects if isinstance(effect, Reply))
 
 
 def figures(simulator, node):
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -14,6 +14,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.common.effects import Reply, Send
 from pinepitch.consensus.replica import Consensus
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.front.daemon import FrontDaemon
@@ -233,20 +234,20 @@
     effects = context.front.step(("call", 1, "job", (), patience), context.now, 0.0)
     while not context.replies and context.now < begun + patience + 1:
         for effect in effects:
-            if effect[0] == "send" and effect[2][0] == "ask":
-                answered = {"nobody takes": ("elsewhere", effect[2][2], None, effect[2][5], None)}
-                answered["reaches nobody"] = ("undelivered", effect[2][2], effect[2][5])
+            if isinstance(effect, Send) and effect.message[0] == "ask":
+                answered = {"nobody takes": ("elsewhere", effect.message[2], None, effect.message[5], None)}
+                answered["reaches nobody"] = ("undelivered", effect.message[2], effect.message[5])
                 if outcome in answered:
                     context.front.step(answered[outcome], context.now, 0.0)
         context.now += constants.TICK
         effects = context.front.step(("tick",), context.now, 0.0)
-        context.replies = [effect for effect in effects if effect[0] == "reply"]
+        context.replies = [effect for effect in effects if isinstance(effect, Reply)]
     context.waited = context.now - begun
 
 
 @then("it is answered {status:d} after {waited:g} s")
 def step_answered(context, status, waited):
-    ((_, _, answered, _, headers),) = context.replies
+    ((_, answered, _, headers, _),) = context.replies
     assert answered == status, context.replies
     assert (("Retry-After", str(constants.RETRY_AFTER)) in headers) == (status == 503), headers
     assert waited <= context.waited + 0.001 and context.waited <= waited + 2 * constants.TICK, context.waited
--- a/features/steps/same_histories.py
+++ b/features/steps/same_histories.py
@@ -11,6 +11,7 @@
 from behave import then, when
 
 from pinepitch.common import constants
+from pinepitch.common.effects import Reply
 from pinepitch.simulation import simulator as simulators
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
@@ -90,7 +91,7 @@
 
 def _one_more_status():
     """The first answer has another status code of the same kind."""
-    reply, done = simulators.EFFECTS["reply"], []
+    reply, done = simulators.EFFECTS[Reply], []
 
     def changed(simulator, node, request, status, *rest):
         if status == 200 and not done:
@@ -98,7 +99,7 @@
             status = 201
         reply(simulator, node, request, status, *rest)
 
-    return mock.patch.dict(simulators.EFFECTS, {"reply": changed})
+    return mock.patch.dict(simulators.EFFECTS, {Reply: changed})
 
 
 def _one_more_blank():
--- a/features/steps/stored_folders.py
+++ b/features/steps/stored_folders.py
@@ -24,6 +24,7 @@
 import cbor2
 
 from pinepitch.common import packed_operations
+from pinepitch.common.effects import EncodeSnapshot, SaveChange, Send, WriteBase, WriteNote, WriteSegment
 from pinepitch.consensus.leader_clock import Reading
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.control.startup import identity_of, open_store
@@ -95,21 +96,22 @@
         waiting = collections.deque([message])
         while waiting:
             saved = None
-            for kind, *rest in self.core.step(waiting.popleft(), now, now):
-                if kind == "send":
-                    self.sent.append((rest[0], framing.encode(self.address, rest[1])))
-                elif kind == "save":
-                    self.store.write_step([["raft", rest[1]]])
-                    saved = rest[0]
-                elif kind == "note":
-                    self.store.write_step([["note", rest[0]]])
-                elif kind == "segment":
-                    self.store.write_segment(*rest)
-                elif kind == "snapshot":
-                    waiting.append(("encoded", rest[0], type(self.core.cluster_state).encode(rest[1])))
-                elif kind == "base":
-                    self.store.write_base(rest[1], self.store.version)
-                    saved = rest[0] if rest[0] is not None else saved
+            for effect in self.core.step(waiting.popleft(), now, now):
+                if isinstance(effect, Send):
+                    self.sent.append((effect.address, framing.encode(self.address, effect.message)))
+                elif isinstance(effect, SaveChange):
+                    self.store.write_step([["raft", effect.change]])
+                    saved = effect.sequence
+                elif isinstance(effect, WriteNote):
+                    self.store.write_step([["note", effect.payload]])
+                elif isinstance(effect, WriteSegment):
+                    self.store.write_segment(effect.number, effect.data)
+                elif isinstance(effect, EncodeSnapshot):
+                    encoded = type(self.core.cluster_state).encode(effect.image)
+                    waiting.append(("encoded", effect.index, encoded))
+                elif isinstance(effect, WriteBase):
+                    self.store.write_base(effect.payload, self.store.version)
+                    saved = effect.sequence if effect.sequence is not None else saved
             if saved is not None:
                 waiting.append(("saved", saved))
 
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -1,12 +1,20 @@
 """The accord as a decider: sessions, founding, consensus, the record and the leader's work.
 
-Inputs go through step(message, now, clock); effects come back:
-("send", address, message), ("save", sequence, change), ("base", sequence, payload),
-("segment", number, bytes), ("note", payload), ("snapshot", index, image), ("rehearse", work),
-("event", number, fields).
+Inputs go through step(message, now, clock); effects of `common.effects` come back.
 """
 
 from ..common import constants, limits, metrics
+from ..common.effects import (
+    EncodeSnapshot,
+    Event,
+    Rehearse,
+    Reply,
+    SaveChange,
+    Send,
+    WriteBase,
+    WriteNote,
+    WriteSegment,
+)
 from ..common.packed_operations import unpacked
 from ..consensus.cluster_clock import ClusterClock
 from ..consensus.leader_clock import LeaderClock, Reading
@@ -182,7 +190,7 @@
     def _send(self, address, message):
         if address is not None and address != self.address:
             self.counts["sent"] += 1
-            self.effects.append(("send", address, message))
+            self.effects.append(Send(address, message))
 
     def trace(self, number, **fields):
         """An event for a timeline of jobs: there are many, so only where the log keeps them."""
@@ -191,7 +199,7 @@
 
     def _event(self, number, **fields):
         self.event_counts[number] = self.event_counts.get(number, 0) + 1
-        self.effects.append(("event", number, fields))
+        self.effects.append(Event(number, fields))
 
     def _tick(self, now):
         self._forward_again(now)
@@ -246,17 +254,14 @@
         draft = min(asked, key=lambda one: one["time"])
         self.rehearsing = (draft["draft"], draft["asked"])
         self.effects.append(
-            (
-                "rehearse",
-                (
-                    epoch,
-                    draft["draft"],
-                    draft["asked"],
-                    self.cluster_state.sample.traffic(self.cluster_state.pushed_jobs),
-                    self.cluster_state.queue_configuration,
-                    draft["setup"],
-                    draft["rooms"],
-                ),
+            Rehearse(
+                epoch,
+                draft["draft"],
+                draft["asked"],
+                self.cluster_state.sample.traffic(self.cluster_state.pushed_jobs),
+                self.cluster_state.queue_configuration,
+                draft["setup"],
+                draft["rooms"],
             )
         )
 
@@ -416,7 +421,7 @@
         self.cluster = cluster
         self.bootstrap_members = tuple(sorted(members))
         self._begin_consensus(members)
-        self.effects.append(("note", ["consent", cluster, dict(members), self.mode]))
+        self.effects.append(WriteNote(["consent", cluster, dict(members), self.mode]))
         self._event(111, cohort=cluster, members=sorted(members))
 
     def _zone_of(self, identity):
@@ -458,7 +463,7 @@
         if self.cluster is None:
             self.cluster, self.mode = cluster, mode
             self._begin_consensus({})
-            self.effects.append(("note", ["joined", cluster, mode]))
+            self.effects.append(WriteNote(["joined", cluster, mode]))
             self._event(113, cohort=cluster)
 
     def _maintain_members(self, now):
@@ -592,7 +597,7 @@
         if index > self.consensus.base_index and self.consensus.term_at(index) is not None:
             payload = self.consensus.compact(index, data, self.snapshot_segments)
             self.cluster_state.archive.retired.clear()
-            self.effects.append(("base", None, self.base(payload)))
+            self.effects.append(WriteBase(None, self.base(payload)))
             self._event(126, index=index, bytes=len(data))
 
     def _run(self, effects, now):
@@ -605,11 +610,11 @@
                     ("raft", self.cluster, self.identity, effect[1], effect[2]),
                 )
             elif kind == "save":
-                self.effects.append(effect)
+                self.effects.append(SaveChange(effect[1], effect[2]))
             elif kind == "event":
                 self._event(effect[1], **effect[2])
             elif kind == "base":
-                self.effects.append(("base", effect[1], self.base(effect[2])))
+                self.effects.append(WriteBase(effect[1], self.base(effect[2])))
             elif kind == "commit":
                 self._apply(effect[1], effect[2], now)
             elif kind == "install":
@@ -617,7 +622,7 @@
                 archive = self.cluster_state.archive
                 self._take_cluster_state(effect[2], {**archive.retired, **archive.segments, **effect[3]})
                 for number, data in sorted(effect[3].items()):
-                    self.effects.append(("segment", number, data))
+                    self.effects.append(WriteSegment(number, data))
             elif kind == "lead":
                 self._clear_leadership(now)
                 self.leader_since = now
@@ -650,7 +655,7 @@
                 for address, token, shape, extra in self.awaiting.pop(index, ()):
                     self._tell(address, token, shape, extra, outcome, now)
         for number, data in self.cluster_state.sealed:
-            self.effects.append(("segment", number, data))
+            self.effects.append(WriteSegment(number, data))
         self.cluster_state.sealed.clear()
         if entries:
             self.since_base += consensus.log.bytes_between(start, start + len(entries) - 1)
@@ -658,7 +663,7 @@
             self.snapshotting = True
             self.since_base = 0
             self.snapshot_segments = self.cluster_state.archive.range()
-            self.effects.append(("snapshot", self.cluster_state.index, self.cluster_state.image()))
+            self.effects.append(EncodeSnapshot(self.cluster_state.index, self.cluster_state.image()))
 
     def _snapshot_due(self):
         """Whether so many entries, or so many bytes of them, were applied since the last base. A
@@ -678,7 +683,7 @@
     def _on_call(self, request, call, arguments, patience, now):
         """A call at this accord's own ports: decided here, or carried to the leader."""
         if call == "ready":
-            self.effects.append(("reply", request, 200 if self.consensus is not None else 503, {}, ()))
+            self.effects.append(Reply(request, 200 if self.consensus is not None else 503, {}))
             return
         token = self.indexed_forwarder.begin(request, call, arguments, now, patience)
         self._forward(token, now)
--- a/src/pinepitch/control/leader.py
+++ b/src/pinepitch/control/leader.py
@@ -3,6 +3,7 @@
 from typing import NamedTuple
 
 from ..common import constants, metrics
+from ..common.effects import Reply
 from ..model.push_worker import PushWorker
 from ..scheduling import requests as job_calls
 from ..transport.request_key import subject_of
@@ -530,9 +531,9 @@
                     "message": "an accord answers GET /v1/health and /v1/metrics",
                 }
             }
-            self.effects.append(("reply", request, 404, told))
+            self.effects.append(Reply(request, 404, told))
         else:
-            self.effects.append(("reply", request, 200, answer(self, now)))
+            self.effects.append(Reply(request, 200, answer(self, now)))
 
     def _order(self, ref, now):
         """Puts a committed placement into the outbox of the verge that is to send it."""
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -1,13 +1,13 @@
 """The verge as a decider: takes calls over HTTP, carries them to the leader, follows
 news, and says which orders go to which minion.
 
-Effects: ("reply", request, status, document, headers), ("send", address, message),
-("post", key, address, path, document), ("event", number, fields).
+Inputs go through step(message, now, clock); effects of `common.effects` come back.
 """
 
 from typing import NamedTuple
 
 from ..common import constants
+from ..common.effects import Event, PostOrder, Reply, Send
 from ..consensus.leader_clock import LeaderClock
 from ..transport.forwarder import Forwarder
 from ..transport.indexed_forwarder import IndexedForwarder
@@ -80,11 +80,11 @@
 
     def _send(self, address, message):
         if address is not None:
-            self.effects.append(("send", address, message))
+            self.effects.append(Send(address, message))
 
     def _event(self, number, **fields):
         self.event_counts[number] = self.event_counts.get(number, 0) + 1
-        self.effects.append(("event", number, fields))
+        self.effects.append(Event(number, fields))
 
     def earliest(self, now):
         """The least that cohort time can be now: what may start only later is held."""
@@ -239,7 +239,7 @@
         self.counts["calls"] += 1
         if call == "ready":
             ready = self.configured and not self.stopping
-            self.effects.append(("reply", request, 200 if ready else 503, {}, ()))
+            self.effects.append(Reply(request, 200 if ready else 503, {}))
             return
         token = self.indexed_forwarder.begin(request, call, arguments, now, patience)
         self._forward_call(token, now)
@@ -325,7 +325,7 @@
     def _reply(self, request, status, document, retry=None, headers=()):
         if retry is not None:
             headers = (*headers, ("Retry-After", str(retry)))
-        self.effects.append(("reply", request, status, document, headers))
+        self.effects.append(Reply(request, status, document, headers))
 
     # --- HTTP -------------------------------------------------------------------------
     def _on_http(self, request, method, target, headers, body, now):
@@ -416,7 +416,7 @@
             if (ref, attempt) in self.waiting_orders:
                 del self.waiting_orders[(ref, attempt)]
                 self.outcomes.append((ref, attempt, "withheld"))
-            self.effects.append(("post", None, address, "/v1/kills", {"task": ref, "attempt": attempt}))
+            self.effects.append(PostOrder(None, address, "/v1/kills", {"task": ref, "attempt": attempt}))
         for order in orders:
             key = (order["task"], order["attempt"])
             if key not in self.taken:
@@ -443,7 +443,7 @@
                 del self.waiting_orders[key]
                 self.counts["orders"] += 1
                 self._event(152, task=key[0], attempt=key[1], minion=order["minion"])
-                self.effects.append(("post", key, order["address"], "/v1/orders", order))
+                self.effects.append(PostOrder(key, order["address"], "/v1/orders", order))
                 continue
             del self.waiting_orders[key]
             self.outcomes.append((*key, outcome))
--- a/src/pinepitch/runtime/host.py
+++ b/src/pinepitch/runtime/host.py
@@ -13,6 +13,18 @@
 
 from ..common import constants, events
 from ..common.daemon_settings import split
+from ..common.effects import (
+    EncodeSnapshot,
+    Event,
+    PostOrder,
+    Rehearse,
+    Reply,
+    SaveChange,
+    Send,
+    WriteBase,
+    WriteNote,
+    WriteSegment,
+)
 from ..common.limits import USUAL
 from ..model import contract
 from ..transport import framing, http
@@ -113,7 +125,7 @@
             await self._reply(message[1], *stall_detector.PAUSED)
             return
         for effect in self.core.step(message, now, time.time()):
-            await EFFECTS[effect[0]](self, *effect[1:])
+            await EFFECTS[type(effect)](self, *effect)
 
     # --- effects ----------------------------------------------------------------------
     async def _send(self, address, message):
@@ -149,12 +161,11 @@
     async def _snapshot(self, index, image):
         await self._job("snapshot", index, image)
 
-    async def _rehearse(self, work):
-        await curio.spawn(self._rehearse_apart, work, daemon=True)
+    async def _rehearse(self, *work):
+        await curio.spawn(self._rehearse_apart, *work, daemon=True)
 
-    async def _rehearse_apart(self, work):
+    async def _rehearse_apart(self, epoch, draft, asked, *rest):
         """Measures in a thread of its own, so that nothing here waits for it."""
-        epoch, draft, asked, *rest = work
         measure = await curio.run_in_thread(self.core.measure, *rest, Pauser())
         await self.inbox.put(("rehearsed", epoch, draft, asked, measure))
 
@@ -368,16 +379,16 @@
             host.connections -= 1
 
 
-# The registry of effects: kind -> who carries it out.
+# The registry of effects: type -> who carries it out.
 EFFECTS = {
-    "send": Host._send,
-    "event": Host._event,
-    "save": Host._save,
-    "base": Host._base,
-    "segment": Host._segment,
-    "note": Host._write_note,
-    "snapshot": Host._snapshot,
-    "rehearse": Host._rehearse,
-    "reply": Host._reply,
-    "post": Host._post,
+    Send: Host._send,
+    Event: Host._event,
+    SaveChange: Host._save,
+    WriteBase: Host._base,
+    WriteSegment: Host._segment,
+    WriteNote: Host._write_note,
+    EncodeSnapshot: Host._snapshot,
+    Rehearse: Host._rehearse,
+    Reply: Host._reply,
+    PostOrder: Host._post,
 }
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -7,6 +7,7 @@
 import cbor2
 
 from ..common import constants
+from ..common.effects import SaveChange
 from ..consensus import cluster_clock, replica
 from ..consensus.replica import Consensus
 from ..control import daemon, requests
@@ -245,7 +246,7 @@
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         if name:
             registries = [
-                (simulator.EFFECTS, "save", simulator.Simulator._save),
+                (simulator.EFFECTS, SaveChange, simulator.Simulator._save),
                 (cluster_state.ACTIONS, "cancel", ClusterState._cancel),
             ]
             registries += [
--- a/src/pinepitch/simulation/isolation/fleet.py
+++ b/src/pinepitch/simulation/isolation/fleet.py
@@ -3,6 +3,7 @@
 import json
 
 from ...common import constants
+from ...common.effects import Send
 from ...transport import framing
 from ..jobs.fleet import Tenancy
 from .orders import Operators
@@ -35,9 +36,9 @@
 
     def carry_out(self, node, effect):
         """As ever, but for a frame into a cut while links hold back what they carry."""
-        target = self.by_address.get(effect[1]) if effect[0] == "send" else None
+        target = self.by_address.get(effect.address) if isinstance(effect, Send) else None
         if self.holding and target is not None and (node.name, target.name) in self.partitions:
-            _, plain = framing.decode(framing.encode(node.address, effect[2])[framing.LENGTH.size :])
+            _, plain = framing.decode(framing.encode(node.address, effect.message)[framing.LENGTH.size :])
             self.kept.append((target.name, target.incarnation, tuple(plain)))
             return
         super().carry_out(node, effect)
--- a/src/pinepitch/simulation/isolation/scenarios.py
+++ b/src/pinepitch/simulation/isolation/scenarios.py
@@ -1,5 +1,7 @@
 """What brings a control machine, an accord and the verge beside it, out of contact."""
 
+from ...common.effects import Reply, Send
+
 ISOLATED = 20.0  # seconds; a machine is cut off or stopped this long
 
 
@@ -85,7 +87,7 @@
     """An accord has decided on an answer to a read and is stopped before it writes it."""
 
     def wanted(effect):
-        return effect[0] == "reply" and effect[2] == 200 and "routes" in effect[3]
+        return isinstance(effect, Reply) and effect.status == 200 and "routes" in effect.document
 
     _stopped_before(simulator, wanted, simulator.draw.choice((1.2, 2.0, ISOLATED)))
 
@@ -94,7 +96,7 @@
     """An accord has taken a call to carry and is stopped before it sends it to the leader."""
 
     def wanted(effect):
-        return effect[0] == "send" and effect[2][0] == "ask" and effect[2][3] == "evacuate"
+        return isinstance(effect, Send) and effect.message[0] == "ask" and effect.message[3] == "evacuate"
 
     _stopped_before(simulator, wanted, simulator.draw.choice((3.0, 5.0, ISOLATED)))
 
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -5,6 +5,7 @@
 from unittest import mock
 
 from ...common import constants
+from ...common.effects import SaveChange
 from ...consensus.replica import Consensus
 from ...control.leader import LeaderRole
 from ...scheduling import assigner
@@ -143,5 +144,5 @@
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
-        stack.enter_context(mock.patch.dict(EFFECTS, save=Simulator._save))
+        stack.enter_context(mock.patch.dict(EFFECTS, {SaveChange: Simulator._save}))
         yield
--- a/src/pinepitch/simulation/jobs/replays.py
+++ b/src/pinepitch/simulation/jobs/replays.py
@@ -8,6 +8,7 @@
 import functools
 from unittest import mock
 
+from ...common.effects import Send
 from ...model import contract
 from ...transport import framing
 from .. import simulator as simulators
@@ -80,7 +81,7 @@
 @contextlib.contextmanager
 def frames_again(simulator):
     """While it lasts, a part of all frames comes again, to whatever life its receiver is in then."""
-    original, draw = simulators.EFFECTS["send"], simulator.draw
+    original, draw = simulators.EFFECTS[Send], simulator.draw
 
     def send(simulator, node, address, message):
         original(simulator, node, address, message)
@@ -91,7 +92,7 @@
         again = functools.partial(_arrive_again, simulator, target.name, distorted(draw, tuple(plain)))
         simulator.at(draw.uniform(0.0, draw.choice((AT_ONCE, LATEST))), "later", again)
 
-    with mock.patch.dict(simulators.EFFECTS, {"send": send}):
+    with mock.patch.dict(simulators.EFFECTS, {Send: send}):
         yield
 
 
--- a/src/pinepitch/simulation/scale/costs.py
+++ b/src/pinepitch/simulation/scale/costs.py
@@ -11,6 +11,7 @@
 import h11
 
 from ...common import constants
+from ...common.effects import EncodeSnapshot, SaveChange, Send
 from ...consensus.leader_clock import Reading
 from ...control.daemon import ControlDaemon
 from ...scheduling.leased_job import checked
@@ -35,11 +36,11 @@
         while waiting:
             saved = None
             for effect in self.core.step(waiting.pop(), self.now, self.now):
-                if effect[0] == "save":
-                    saved = effect[1]
-                elif effect[0] == "send":
-                    self.sent.append(effect[2])
-                elif effect[0] == "snapshot":
+                if isinstance(effect, SaveChange):
+                    saved = effect.sequence
+                elif isinstance(effect, Send):
+                    self.sent.append(effect.message)
+                elif isinstance(effect, EncodeSnapshot):
                     self.snapshots += 1
             if saved is not None:
                 waiting.append(("saved", saved))
--- a/src/pinepitch/simulation/second_loss.py
+++ b/src/pinepitch/simulation/second_loss.py
@@ -10,6 +10,7 @@
 from unittest import mock
 
 from ..common import constants
+from ..common.effects import SaveChange, WriteBase
 from ..consensus import replica
 from ..consensus.quorum import Membership
 from ..consensus.replica import Consensus
@@ -487,7 +488,7 @@
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         stack.enter_context(mock.patch.dict(replica.HANDLERS, {"appended": Consensus._on_appended}))
-        effects = {"save": simulator.Simulator._save, "base": simulator.Simulator._base}
+        effects = {SaveChange: simulator.Simulator._save, WriteBase: simulator.Simulator._base}
         stack.enter_context(mock.patch.dict(simulator.EFFECTS, effects))
         yield
 
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -12,6 +12,18 @@
 import cbor2
 
 from ..common import constants, packed_operations
+from ..common.effects import (
+    EncodeSnapshot,
+    Event,
+    PostOrder,
+    Rehearse,
+    Reply,
+    SaveChange,
+    Send,
+    WriteBase,
+    WriteNote,
+    WriteSegment,
+)
 from ..control.daemon import ControlDaemon
 from ..front.daemon import FrontDaemon
 from ..model import contract
@@ -370,7 +382,7 @@
 
     def carry_out(self, node, effect):
         """Does what a daemon decided."""
-        EFFECTS[effect[0]](self, node, *effect[1:])
+        EFFECTS[type(effect)](self, node, *effect)
 
     def lost(self, source, target):
         return (source, target) in self.partitions or self.draw.random() < self.loss
@@ -422,8 +434,7 @@
             ("encoded", index, node.core.cluster_state.encode(image)),
         )
 
-    def _rehearse(self, node, work):
-        epoch, draft, asked, *rest = work
+    def _rehearse(self, node, epoch, draft, asked, *rest):
         self.at(
             0.5,
             "give",
@@ -724,14 +735,14 @@
     "stopping": Simulator._stopping,
 }
 EFFECTS = {
-    "send": Simulator._send,
-    "save": Simulator._save,
-    "base": Simulator._base,
-    "segment": Simulator._segment,
-    "note": Simulator._note,
-    "snapshot": Simulator._snapshot,
-    "rehearse": Simulator._rehearse,
-    "event": lambda simulator, *rest: simulator._event(*rest),  # kinds of simulators add to it
-    "reply": Simulator._reply,
-    "post": Simulator._post,
+    Send: Simulator._send,
+    SaveChange: Simulator._save,
+    WriteBase: Simulator._base,
+    WriteSegment: Simulator._segment,
+    WriteNote: Simulator._note,
+    EncodeSnapshot: Simulator._snapshot,
+    Rehearse: Simulator._rehearse,
+    Event: lambda simulator, *rest: simulator._event(*rest),  # kinds of simulators add to it
+    Reply: Simulator._reply,
+    PostOrder: Simulator._post,
 }
--- a/src/pinepitch/transport/forwarder.py
+++ b/src/pinepitch/transport/forwarder.py
@@ -1,6 +1,7 @@
 """Calls on their way to the leader, until one answers or nothing more is to be hoped for."""
 
 from ..common import constants
+from ..common.effects import Reply
 from .request_key import key_of
 
 LOG_INDEX_REQUEST = (
@@ -83,7 +84,7 @@
     def give_up(self, token):
         """Effects of giving a call up."""
         call = self.calls.pop(token)
-        return (("reply", call.request, *self._given_up(call)),)
+        return (Reply(call.request, *self._given_up(call)),)
 
     def _end(self, call, leaderless_for):
         """When a call is given up. In an outage that a restart may end it waits all its time, as nothing
@@ -132,11 +133,11 @@
             return ()
         del self.calls[token]
         if now >= call.until:  # read after a stall: nobody waits for it, nor knows how old it is
-            return (("reply", call.request, *self._given_up(call)),)
+            return (Reply(call.request, *self._given_up(call)),)
         status, document, retry = answer
         headers = () if retry is None else (("Retry-After", str(retry)),)
         until = call.until if until is None else min(until, call.until)
-        return (("reply", call.request, status, document, headers, until),)
+        return (Reply(call.request, status, document, headers, until),)
 
     def not_taken(self, token, attempt):
         """Whom it was sent to did not take that sending of it, and never will."""
