--- a/src/pinepitch/transport/forwarder.py
+++ b/src/pinepitch/transport/forwarder.py
@@ -5,6 +5,7 @@
 from typing import Any, Protocol
 
 from ..common import constants
+from ..common.effects import Reply
 from .request_key import key_of
 
 # Asks how far the log is. It changes nothing, so that once given up it counts as not taken.
@@ -100,7 +101,7 @@
     def give_up(self, token: str) -> tuple[Effect, ...]:
         """Effects of giving a request up."""
         call = self.calls.pop(token)
-        return (("reply", call.request, *self._given_up(call)),)
+        return (Reply(call.request, *self._given_up(call)),)
 
     def _end(self, call: Call, leaderless_for: float) -> float:
         """When a request is given up. In an outage that a restart may end it waits all its time, as nothing
@@ -153,11 +154,11 @@
             return ()
         del self.calls[token]
         if now >= call.until:  # read after a stall: nobody waits for it, nor knows how old it is
-            return (("reply", call.request, *self._given_up(call)),)
+            return (Reply(call.request, *self._given_up(call)),)
         status, document, retry = answer
         headers = () if retry is None else (("Retry-After", str(retry)),)
         until = call.until if until is None else min(until, call.until)
-        return (("reply", call.request, status, document, headers, until),)
+        return (Reply(call.request, status, document, headers, until),)
 
     def not_taken(self, token: str, attempt: int) -> None:
         """The daemon that this attempt went to did not take it, and never will."""
