--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -34,7 +34,8 @@
         self.why = {}  # key of a wave -> why the newest round left some of it
 
     def round(self, leased_jobs, workers, assignments, now, time):
-        """(assign items, stop items)."""
+        """Places what is due. Returns (assign items, stop items): those of the operations "job-assign" and
+        "job-stop". `now` is the daemon's clock, `time` that of the cluster state, both in seconds."""
         self.budgets.learn(leased_jobs, now)
         self._forget_hot(now)
         self.near, self.why, self.exhausted = {}, {}, set()
@@ -42,16 +43,24 @@
         if not waves:
             self.kept_since.clear()
             self.violations = ()
-            self.short = {key: since for key, since in self.short.items() if key in leased_jobs.ready}
+            self._forget_short(leased_jobs)
             return (), ()
         candidates = candidate_workers(leased_jobs, workers, now)
-        items, count = [], 0
         self.budgets.open(leased_jobs, candidates, waves, time)
         waves.sort(key=self._rank)
         reservations = Reservations(
             leased_jobs, assignments, self.budgets, candidates, self.kept_since, time, self.policy
         )
         stops = reservations.keep(waves, self.short, now) if self.policy.keep_seats else ()
+        items, complete = self._place_waves(waves, candidates, reservations, now, time)
+        self._forget_short(leased_jobs)
+        if complete:
+            self._check(leased_jobs, candidates, reservations, items, now)
+        return tuple(items), tuple(stops)
+
+    def _place_waves(self, waves, candidates, reservations, now, time):
+        """(assign items, whether every wave was looked at): a round places about MAX_ASSIGNED_TASKS."""
+        items, count = [], 0
         for wave in waves:
             if count >= constants.MAX_ASSIGNED_TASKS:
                 break
@@ -59,23 +68,31 @@
             if not mine:
                 self.why.setdefault(wave.key(), REASON_NO_WORKER)
                 continue
-            if wave.step.gang:
-                group = self._gang(wave, mine, wave.key() in reservations.kept, time)
-            else:
-                group = self._single(wave, mine, reservations.kept.get(wave.key(), ()), time)
+            group = self._group_for(wave, mine, reservations, time)
             if group:
                 count += len(group)
                 items.append((wave.job.identity, wave.time, wave.number, tuple(group)))
-            if len(group) < len(wave.waiting):
-                self.short.setdefault(wave.key(), now)
-                self.why.setdefault(wave.key(), self._why_left(wave, reservations))
-            else:
-                self.short.pop(wave.key(), None)
+            self._note_short(wave, len(group), reservations, now)
+        return items, count < constants.MAX_ASSIGNED_TASKS
+
+    def _group_for(self, wave, candidates, reservations, time):
+        """[(index, worker)] for the tasks of a wave that find a worker."""
+        if wave.step.gang:
+            return self._gang(wave, candidates, wave.key() in reservations.kept, time)
+        return self._single(wave, candidates, reservations.kept.get(wave.key(), ()), time)
+
+    def _note_short(self, wave, placed, reservations, now):
+        """Remembers since when, and why, a wave of which so many tasks were placed is short of capacity."""
+        if placed < len(wave.waiting):
+            self.short.setdefault(wave.key(), now)
+            self.why.setdefault(wave.key(), self._why_left(wave, reservations))
+        else:
+            self.short.pop(wave.key(), None)
+
+    def _forget_short(self, leased_jobs):
+        """Drops the waves of which nothing is ready any more."""
         for key in [key for key in self.short if key not in leased_jobs.ready]:
             del self.short[key]
-        if count < constants.MAX_ASSIGNED_TASKS:
-            self._check(leased_jobs, candidates, reservations, items, now)
-        return tuple(items), tuple(stops)
 
     def _check(self, leased_jobs, candidates, reservations, items, now):
         """Looks whether a whole round left work beside idle room."""
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -133,53 +133,60 @@
         )
 
     def _orders(self, worker, taken, now):
-        """What a worker is told in answer to its newest beat, taken at `taken`."""
-        start, stop = (
-            [],
-            [
-                key
-                for key in worker.running
-                if key not in self.leased_jobs.placements.get(worker.identity, {})
-            ],
-        )
-        strays = len(stop)
+        """What a worker is told in answer to its newest heartbeat, taken at `taken`; the keys are those of
+        the users' page on workers."""
         placements = self.leased_jobs.placements.get(worker.identity, {})
-        for (reference, run), placement in placements.items():
-            wanted = self.leased_jobs.wanted(placement)
-            if (reference, run) in worker.running:
-                if not wanted:
-                    stop.append((reference, run))
-            elif (
-                not strays
-                and (reference, run) not in worker.listed
-                and wanted
-                and self._open_for(worker)
-                and not worker.stale
-                and (worker.identity, reference, run) not in self.ends.proposed
-            ):
-                wave, task = self.leased_jobs.task(placement)
-                start.append((reference, run, wave.job.spec, task.saved))
-                self.core.trace(189, task=reference, run=run, minion=worker.identity)
-                self.pace.start(worker.identity, reference, run, self.pace.is_far(wave, worker), now)
-        for reference, run in stop[:strays]:
+        strays = [key for key in worker.running if key not in placements]
+        start, unwanted = self._starts_and_stops(worker, placements, not strays, now)
+        for reference, run in strays:
             self.core._event(156, minion=worker.identity, task=reference, run=run)
+        stop = (*strays, *unwanted)
         worker.leased_from = taken
         self.counts["starts"] += len(start)
         self.counts["stops"] += len(stop)
-        taken_up = sum(one.resources[0] for one in placements.values())
-        has_capacity = worker.state == "ready" and taken_up < worker.capacity[0]
         return {
             "hold_ms": int(self.core.lease_duration * 1000),
             "seen": worker.acknowledged(),
             "fence": self.core.epoch,
             "start": tuple(start),
-            "stop": tuple(stop),
+            "stop": stop,
             "home": self.core.address,
-            "again_ms": int(
-                1000 * (self._pace() if has_capacity or start else constants.HEARTBEAT_INTERVAL_FULL)
-            ),
+            "again_ms": int(1000 * self._next_heartbeat(worker, placements, start)),
         }
 
+    def _starts_and_stops(self, worker, placements, may_start, now):
+        """What of its placements a worker is to start, and which (reference, run) it is to stop."""
+        start, stop = [], []
+        for key, placement in placements.items():
+            wanted = self.leased_jobs.wanted(placement)
+            if key in worker.running:
+                if not wanted:
+                    stop.append(key)
+            elif (
+                may_start
+                and key not in worker.listed
+                and wanted
+                and self._open_for(worker)
+                and not worker.stale
+                and (worker.identity, *key) not in self.ends.proposed
+            ):
+                start.append(self._start(worker, key, placement, now))
+        return start, stop
+
+    def _start(self, worker, key, placement, now):
+        """Notes that a placed run's start is answered; (reference, run, spec, saved) as the answer has it."""
+        reference, run = key
+        wave, task = self.leased_jobs.task(placement)
+        self.core.trace(189, task=reference, run=run, minion=worker.identity)
+        self.pace.start(worker.identity, reference, run, self.pace.is_far(wave, worker), now)
+        return (reference, run, wave.job.spec, task.saved)
+
+    def _next_heartbeat(self, worker, placements, start):
+        """Seconds until a worker's next heartbeat: one that can take no more work is asked less often."""
+        taken_up = sum(one.resources[0] for one in placements.values())
+        has_capacity = worker.state == "ready" and taken_up < worker.capacity[0]
+        return self._pace() if has_capacity or start else constants.HEARTBEAT_INTERVAL_FULL
+
     def _pace(self):
         """Seconds until a worker with room beats again: more of them beat less often."""
         return min(
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -2,6 +2,7 @@
 operators, answered from the record and from what the leader has gathered."""
 
 from ..common import constants
+from .resources import less
 
 RESOURCE_NAMES = ("cpu", "mem_mb", "gpu")
 
@@ -21,49 +22,58 @@
     )
 
 
+def _free(leased_jobs, worker):
+    """What is left of a worker's capacity beside its placements; below 0 where they take more."""
+    return less(worker.capacity, _taken(leased_jobs.placements.get(worker.identity, {})))
+
+
 # --- jobs ----------------------------------------------------------------------------
 def job(core, token, arguments, now):
     """A job's waves and placements, and why what waits does."""
     identity, leased_jobs = arguments[0], core.cluster_state.leased_jobs
     found = leased_jobs.jobs.get(identity)
-    if found is None:
-        final = leased_jobs.final.get(identity)
-        if final is None:
-            return (
-                "answer",
-                (404, {"error": {"code": "unknown_job", "message": f"no job {identity!r}"}}, None),
-            )
-        state, ended, queue = final[:3]
-        return _answer(
-            {
-                "job": identity,
-                "state": state,
-                "queue": queue,
-                "ended": ended,
-                "waves": [],
-                "more_waves": 0,
-                "placements": _placements(core, identity),
-            }
-        )
+    if found is not None:
+        return _answer(_open_job(core, found, now))
+    final = leased_jobs.final.get(identity)
+    if final is not None:
+        return _answer(_final_job(core, identity, final))
+    error = {"code": "unknown_job", "message": f"no job {identity!r}"}
+    return ("answer", (404, {"error": error}, None))
+
+
+def _final_job(core, identity, final):
+    """A job that is over: runs of it may still stand whose ends are not proven."""
+    state, ended, queue = final[:3]
+    return {
+        "job": identity,
+        "state": state,
+        "queue": queue,
+        "ended": ended,
+        "waves": [],
+        "more_waves": 0,
+        "placements": _placements(core, identity),
+    }
+
+
+def _open_job(core, found, now):
+    """A job that is not over."""
     time = core._now(now)
     # what is not done comes first, so that a page's bound leaves out what is of least interest
     waves = sorted(found.waves.values(), key=lambda wave: (not wave.left, wave.time, wave.number))
     listed_waves = [_wave(core, wave, time, now) for wave in waves[: constants.MAX_PAGE_ROWS]]
-    return _answer(
-        {
-            "job": identity,
-            "state": leased_jobs.state(identity),
-            "queue": found.queue,
-            "service": found.service,
-            "priority": found.priority,
-            "attempts": found.attempts,
-            "accepted": found.accepted,
-            "ended": None,
-            "waves": listed_waves,
-            "more_waves": len(waves) - len(listed_waves),
-            "placements": _placements(core, identity),
-        }
-    )
+    return {
+        "job": found.identity,
+        "state": core.cluster_state.leased_jobs.state(found.identity),
+        "queue": found.queue,
+        "service": found.service,
+        "priority": found.priority,
+        "attempts": found.attempts,
+        "accepted": found.accepted,
+        "ended": None,
+        "waves": listed_waves,
+        "more_waves": len(waves) - len(listed_waves),
+        "placements": _placements(core, found.identity),
+    }
 
 
 def _wave(core, wave, time, now):
@@ -116,7 +126,7 @@
     leased_jobs, step = core.cluster_state.leased_jobs, wave.step
     placements = leased_jobs.placements.get(worker.identity, {})
     lacking = sorted(set(step.needs) - worker.labels)
-    free = [all_of - taken for all_of, taken in zip(worker.capacity, _taken(placements), strict=False)]
+    free = _free(leased_jobs, worker)
     of_step = sum((one.job, one.number) == (wave.job.identity, wave.number) for one in placements.values())
     closed = _closed(leased_jobs, worker, now)
     if closed:
@@ -173,49 +183,56 @@
 # --- workers, evacuations ------------------------------------------------------------
 def workers(core, token, arguments, now):
     """Each worker this leader knows, and those that only placements name."""
-    leased_jobs, listed = core.cluster_state.leased_jobs, []
-    for identity in sorted(set(core.assignments.workers) | set(leased_jobs.placements)):
-        worker, placements = core.assignments.workers.get(identity), leased_jobs.placements.get(identity, {})
-        line = {
-            "minion": identity,
-            "service": None,
-            "zone": None,
-            "rack": None,
-            "state": "unheard",
-            "closed": "silent",
-            "room": None,
-            "free": None,
-            "placed": len(placements),
-            "running": 0,
-            "silent": True,
-            "wary": False,
-            "failing": 0.0,
-            "speed": 1.0,
-            "heard": None,
-        }
-        if worker is not None:
-            free = [
-                all_of - taken for all_of, taken in zip(worker.capacity, _taken(placements), strict=False)
-            ]
-            line.update(
-                service=worker.service,
-                zone=worker.zone,
-                rack=worker.rack,
-                state=worker.state,
-                closed=_closed(leased_jobs, worker, now),
-                room=_resources_of(worker.capacity),
-                free=_resources_of(free),
-                running=len(worker.running),
-                silent=worker.unresponsive(now),
-                wary=now < worker.avoided_until,
-                failing=round(worker.failing, 3),
-                speed=round(worker.speed, 3),
-                heard=round(now - worker.heard_at, 3),
-            )
+    known, leased_jobs = core.assignments.workers, core.cluster_state.leased_jobs
+    listed = []
+    for identity in sorted(set(known) | set(leased_jobs.placements)):
+        line = _unheard(identity, len(leased_jobs.placements.get(identity, {})))
+        if identity in known:
+            line.update(_heard(leased_jobs, known[identity], now))
         listed.append(line)
     return _answer({"workers": listed})
 
 
+def _unheard(identity, placed):
+    """A worker that only placements name."""
+    return {
+        "minion": identity,
+        "service": None,
+        "zone": None,
+        "rack": None,
+        "state": "unheard",
+        "closed": "silent",
+        "room": None,
+        "free": None,
+        "placed": placed,
+        "running": 0,
+        "silent": True,
+        "wary": False,
+        "failing": 0.0,
+        "speed": 1.0,
+        "heard": None,
+    }
+
+
+def _heard(leased_jobs, worker, now):
+    """What a worker's heartbeats tell of it, in the fields that _unheard lists."""
+    return {
+        "service": worker.service,
+        "zone": worker.zone,
+        "rack": worker.rack,
+        "state": worker.state,
+        "closed": _closed(leased_jobs, worker, now),
+        "room": _resources_of(worker.capacity),
+        "free": _resources_of(_free(leased_jobs, worker)),
+        "running": len(worker.running),
+        "silent": worker.unresponsive(now),
+        "wary": now < worker.avoided_until,
+        "failing": round(worker.failing, 3),
+        "speed": round(worker.speed, 3),
+        "heard": round(now - worker.heard_at, 3),
+    }
+
+
 def evacuations(core, token, arguments, now):
     """The zones that get no new work, and since when."""
     return _answer(
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -11,6 +11,15 @@
 from .leased_job import LeasedJob
 from .placement import Placement
 
+# What followed from a run's end, as the operation "job-ended" tells it, item by item, and event 155 logs it.
+END_DONE = "done"  # the task, or its whole gang, is done
+END_COMPLETED = "completed"  # and with it the job
+END_FAILED = "failed"  # it was the last attempt: the job has failed
+END_AGAIN = "again"  # the task waits for another run
+END_STALE = "stale"  # it was known already, or says nothing any more
+END_LATE = "late"  # the job is over or was never known
+END_UNKNOWN = "unknown"  # the job has no such task
+
 
 class LeasedJobState:
     """Invariants: jobs holds those not final, final the state of those that are, oldest end
@@ -179,43 +188,50 @@
     def assign(self, now, epoch, items):
         """Places runs. Items: (job, time, number, ((index, minion), ...)); of a gang all or none."""
         placed = []
-        for identity, time, number, group in items:
+        for identity, time, number, pairs in items:
             job = self.jobs.get(identity)
             wave = job.waves.get((time, number)) if job else None
             if wave is None or wave.blocked or wave.breaking() or now < wave.due:
                 continue
-            group = [(index, worker_id) for index, worker_id in dict(group).items() if index in wave.waiting]
+            group = [(index, worker_id) for index, worker_id in dict(pairs).items() if index in wave.waiting]
             if wave.step.gang and len(group) != wave.left:
                 continue
-            gang_run = max(task.run for task in wave.tasks) + 1
-            for index, worker_id in group:
-                task = wave.tasks[index]
-                if not wave.step.lasts and not wave.step.gang and task.failures >= job.attempts:
-                    continue
-                task.run = gang_run if wave.step.gang else task.run + 1
-                task.state, task.worker_id = "placed", worker_id
-                wave.waiting.discard(index)
-                placement = Placement(
-                    identity,
-                    time,
-                    number,
-                    index,
-                    task.run,
-                    worker_id,
-                    wave.step.resources,
-                    job.service,
-                    job.priority,
-                    now,
-                    epoch,
-                )
-                self._add_placement(placement)
-                placed.append(placement)
+            placed.extend(self._place(now, epoch, wave, group))
             if not job.begun and group:
                 job.begun = True
                 self.counts[job.queue] -= 1
             self._index(wave)
         return tuple(placed)
 
+    def _place(self, now, epoch, wave, group):
+        """Places some of a wave's waiting tasks, each on its worker; the placements. The members of a gang
+        get one run number, that of the gang."""
+        job, step, placed = wave.job, wave.step, []
+        gang_run = max(task.run for task in wave.tasks) + 1
+        for index, worker_id in group:
+            task = wave.tasks[index]
+            if not step.lasts and not step.gang and task.failures >= job.attempts:
+                continue
+            task.run = gang_run if step.gang else task.run + 1
+            task.state, task.worker_id = "placed", worker_id
+            wave.waiting.discard(index)
+            placement = Placement(
+                job.identity,
+                wave.time,
+                wave.number,
+                index,
+                task.run,
+                worker_id,
+                step.resources,
+                job.service,
+                job.priority,
+                now,
+                epoch,
+            )
+            self._add_placement(placement)
+            placed.append(placement)
+        return placed
+
     def stop(self, now, items):
         """Runs that are to end. Items: (minion, reference, run, why)."""
         for worker_id, reference, run, why in items:
@@ -234,46 +250,62 @@
         return ("ended", tuple(outcomes))
 
     def _ended(self, now, placement, reference, run, how, saved, heard):
+        """What follows from the end of one run, whose placement is gone by now: an END_... word."""
         identity, *rest = reference.split(".")
         job = self.jobs.get(identity)
         if job is None:
-            return "late"
+            return END_LATE
         time, number, index = map(int, rest)
         wave = job.waves.get((time, number))
         if wave is None or index >= len(wave.tasks):
-            return "unknown"
+            return END_UNKNOWN
         task = wave.tasks[index]
         current = placement is not None and task.state == "placed" and task.run == run
         if not current:
             if run not in task.open_runs or not heard:
-                return "stale"
+                return END_STALE
             task.open_runs.discard(run)
         elif not heard and how != "unsent":
             task.open_runs.add(run)
-        newer_run_placed = wave.step.gang and any(
-            one.state == "placed" and one.run > run for one in wave.tasks
-        )
-        if saved and task.state != "done" and run + 1 >= task.run and not newer_run_placed:
-            for one in wave.tasks if wave.step.gang else (task,):
-                one.saved = saved
+        self._keep_saved(wave, task, run, saved)
         if task.state == "done":
-            return "stale"
+            return END_STALE
         if how == "done" and not wave.step.lasts:
             return self._done(now, job, wave, index)
-        if how == "failed" and not wave.step.lasts:
-            if not wave.step.gang:
-                task.failures += 1
-            elif run not in wave.failed_runs:
-                wave.failed_runs.add(run)
-            if (wave.failures if wave.step.gang else task.failures) >= job.attempts:
-                self._finish(now, job, "failed")
-                return "failed"
+        if how == "failed" and not wave.step.lasts and self._out_of_attempts(wave, task, run):
+            self._finish(now, job, "failed")
+            return END_FAILED
         if current:
-            task.state, task.worker_id = "waiting", ""
-            wave.waiting.add(index)
-            wave.since = now
-            self._index(wave)
-        return "again"
+            self._wait_again(now, wave, index)
+        return END_AGAIN
+
+    def _keep_saved(self, wave, task, run, saved):
+        """Keeps the progress that a run saved, for the whole gang where there is one, unless a newer run
+        may have saved more."""
+        if not saved or task.state == "done" or run + 1 < task.run:
+            return
+        gang = wave.step.gang
+        if gang and any(one.state == "placed" and one.run > run for one in wave.tasks):
+            return
+        for one in wave.tasks if gang else (task,):
+            one.saved = saved
+
+    def _out_of_attempts(self, wave, task, run):
+        """Counts a failed run, a gang's once however many of its members tell it; whether it was the last
+        that the job's attempts allow."""
+        if not wave.step.gang:
+            task.failures += 1
+            return task.failures >= wave.job.attempts
+        wave.failed_runs.add(run)
+        return wave.failures >= wave.job.attempts
+
+    def _wait_again(self, now, wave, index):
+        """A task whose newest run has ended waits for another."""
+        task = wave.tasks[index]
+        task.state, task.worker_id = "waiting", ""
+        wave.waiting.add(index)
+        wave.since = now
+        self._index(wave)
 
     def _done(self, now, job, wave, index):
         """A task, or with one member the whole gang, has ended well."""
@@ -292,8 +324,8 @@
                     self._index(other)
             if not job.left:
                 self._finish(now, job, "completed")
-                return "completed"
-        return "done"
+                return END_COMPLETED
+        return END_DONE
 
     def configure(self, now, base, document, digest):
         return self.configuration.take(base, document, digest)
--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -79,13 +79,17 @@
             self.capacity,
             frozenset(self.running),
         )
+        self._note_progress(now)
+        return True
+
+    def _note_progress(self, now):
+        """Learns when each run was first listed, and when its progress last changed."""
         for key, (_, percent) in self.running.items():
             known = self.progress.get(key)
             if known is None or percent != known.percent:
                 self.progress[key] = Progress(percent, now, known.first_at if known else now)
         for key in [key for key in self.progress if key not in self.running]:
             del self.progress[key]
-        return True
 
     def acknowledged(self):
         """The number up to which all its ends are agreed on."""
