--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -24,11 +24,12 @@
 import cbor2
 
 from pinepitch.common import constants, packed_operations
-from pinepitch.simulation import leased_job_trial, pushed_job_trial, second_loss
+from pinepitch.simulation import leased_job_trial, pushed_job_trial
 from pinepitch.simulation import simulator as simulators
 from pinepitch.simulation.jobs import fleet as job_fleets
 from pinepitch.simulation.model_checker import fleets as model_fleets
 from pinepitch.simulation.model_checker import schedule, search
+from pinepitch.simulation.second_loss import registry as second_loss
 from pinepitch.transport import framing
 
 EXPECTED = pathlib.Path(__file__).parent / "data" / "histories.json"
--- a/features/steps/control_faults.py
+++ b/features/steps/control_faults.py
@@ -3,7 +3,7 @@
 from behave import given, then
 
 from pinepitch.simulation import leased_job_trial
-from pinepitch.simulation.jobs.control_scenarios import CONTROL_SCENARIOS
+from pinepitch.simulation.jobs.control_scenarios.registry import CONTROL_SCENARIOS
 
 SEEDS = 6  # with which a planted fault is sought
 
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -18,7 +18,8 @@
 from pinepitch.front.daemon import FrontDaemon
 from pinepitch.model import contract, push_worker, pushed_job, queue_settings
 from pinepitch.runtime.host import Host
-from pinepitch.simulation.fleet import PLANS, Fleet
+from pinepitch.simulation.fleet.plans import PLANS
+from pinepitch.simulation.fleet.processes import Fleet
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.state.cluster_state import ClusterState
 from pinepitch.transport import framing, http
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -300,20 +300,12 @@
 CONFIRMING = 0.03  # seconds; until a daemon has confirmed an order, and not yet sent it on
 
 
-def fleet_of_orders():
-    """A simulated cohort that takes orders; the calls that it shares with the fleet that runs jobs note
-    there what was acknowledged."""
-    fleet = order_fleet.OrderFleet(1)
-    fleet.acknowledgements = []
-    return fleet
-
-
 @given("a cohort that takes orders")
 def step_cluster(context):
     planted = injected_faults.planted(getattr(context, "injected_fault", ""))
     planted.__enter__()
     context.add_cleanup(planted.__exit__, None, None, None)
-    context.fleet = fleet_of_orders()
+    context.fleet = order_fleet.OrderFleet(1)
     context.fleet.begin()
     context.fleet.run(1)
 
@@ -418,7 +410,7 @@
 
     def __init__(self):
         super().__init__()
-        self.fleet = fleet_of_orders()
+        self.fleet = order_fleet.OrderFleet(1)
         self.fleet.begin()
         self.fleet.answer_loss = 0.2
         self.operators = order_fleet.ChangeOperators(self.fleet)
@@ -770,7 +762,7 @@
 
 @given("a cohort that takes orders, one member of which knows level 2")
 def step_level_two(context):
-    context.fleet = fleet = fleet_of_orders()
+    context.fleet = fleet = order_fleet.OrderFleet(1)
     context.old = fleet.nodes["accord1"]
     fleet.kill("accord1")
     context.old.make = LevelTwo
--- a/features/steps/path.py
+++ b/features/steps/path.py
@@ -7,7 +7,11 @@
 import curio
 from behave import given, then, when
 
-from pinepitch.simulation.fleet import PLANS, Fleet, Traffic, check, run
+from pinepitch.simulation.fleet.client_traffic import Traffic
+from pinepitch.simulation.fleet.plans import PLANS
+from pinepitch.simulation.fleet.processes import Fleet
+from pinepitch.simulation.fleet.results import check
+from pinepitch.simulation.fleet.runs import run
 from pinepitch.transport import http
 
 
--- a/features/steps/quorum.py
+++ b/features/steps/quorum.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from pinepitch.consensus.quorum import Membership, Quorum, Reply
-from pinepitch.simulation.fleet import PLANS
+from pinepitch.simulation.fleet.plans import PLANS
 
 
 def spreads(daemon_count, zones):
--- a/features/steps/second_loss.py
+++ b/features/steps/second_loss.py
@@ -2,7 +2,7 @@
 
 from behave import then, when
 
-from pinepitch.simulation import second_loss
+from pinepitch.simulation.second_loss import registry as second_loss
 
 
 @when("second losses are tried as {name} with seeds {first:d} to {last:d}")
--- a/src/pinepitch/cli/commands.py
+++ b/src/pinepitch/cli/commands.py
@@ -136,7 +136,7 @@
 
     def fleet(self, plan="nkansah", seconds=20, rate=1.0, seed=0, folder=None, level="warning", disturb=""):
         """Runs a whole deployment on this machine, checks its histories."""
-        from ..simulation.fleet import fleet
+        from ..simulation.fleet.runs import fleet
 
         fleet(plan, seconds, rate, seed, folder, level, disturb)
 
@@ -148,15 +148,15 @@
 
     def traffic(self, verge=None, seconds=30, rate=1.0):
         """Sends stand-in tickets to the queue `default`, for a try."""
-        from ..simulation.fleet import traffic
+        from ..simulation.fleet.client_traffic import traffic
 
         traffic(verge or os.environ.get("PINEPITCH_VERGE", "127.0.0.1:8080"), seconds, rate)
 
     def disturbances(self, plans="nkansah,pinturas", only="", seconds=12):
         """Runs fleets of processes under every disturbance in turn; prints a table."""
-        from ..simulation.fleet import disturbances
+        from ..simulation.fleet.runs import run_faults
 
-        disturbances(plans, only, seconds)
+        run_faults(plans, only, seconds)
 
     def trials(self, weather="all", seeds=20, first=0, fleet="all", mode="static", plant=""):
         """Runs simulated fleets under failures, over many seeds; prints how to replay a fault."""
@@ -172,7 +172,7 @@
 
     def forecasts(self, seconds=20):
         """Compares rehearsals' forecasts with what fleets of processes then do."""
-        from ..simulation.fleet import forecasts
+        from ..simulation.fleet.forecasts import forecasts
 
         forecasts(seconds)
 
--- /dev/null
+++ b/src/pinepitch/simulation/fault_scenarios/targets.py
@@ -0,0 +1,44 @@
+"""What the fault scenarios share: which daemons they strike, and whether those left give service."""
+
+
+def daemon_names(simulator, kind=None):
+    return [
+        name
+        for name, node in simulator.nodes.items()
+        if node.kind in ((kind,) if kind else ("accord", "verge"))
+    ]
+
+
+def is_in_membership(node):
+    """Whether an accord is a member by its own knowledge."""
+    consensus = node.core.consensus
+    return consensus is not None and node.core.identity in consensus.membership.members()
+
+
+def is_member(node):
+    """The same, with no change of members under way."""
+    return is_in_membership(node) and not node.core.consensus.membership.coming
+
+
+def check_served(simulator, operator, why, within=12.0):
+    """Asks at one verge after another until one answers through a leader."""
+    begun = simulator.now
+    back = simulator.until(
+        lambda: simulator.ask("GET", "/v1/setup", front=simulator.draw.randrange(9), seconds=3.0)[0] == 200,
+        30,
+    )
+    if back is None or simulator.now - begun > within:
+        operator.faults.append(f"no service {why} within {within:.0f} s: {simulator.now - begun:.1f} s")
+
+
+def submit_long(caller, operator, key, tasks):
+    """Lets a stand-in client submit a job of the default queue as soon as it may."""
+    caller.retry.append((operator.now(), key, {"queue": "default", "urgency": 5, "key": key, "tasks": tasks}))
+
+
+def leader_often(simulator, part, kind="accord"):
+    """The leader's name in a part of the cases, else that of any daemon of a kind (None for all)."""
+    leader = simulator.leader()
+    if leader and simulator.draw.random() < part:
+        return leader.name
+    return simulator.draw.choice(daemon_names(simulator, kind))
--- /dev/null
+++ b/src/pinepitch/simulation/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""Fleets of real processes on one machine: deployments, processes, traffic, faults, results."""
--- a/src/pinepitch/simulation/fleet_faults.py
+++ b/src/pinepitch/simulation/fleet/faults.py
@@ -8,8 +8,8 @@
 
 import curio
 
-from ..common import constants
-from ..transport import http
+from ...common import constants
+from ...transport import http
 
 
 async def _leader_place(fleet):
@@ -79,7 +79,7 @@
     return {"killed": len(names), "served_again_after": await _back_within(fleet)}
 
 
-async def restart_verges(fleet):
+async def restart_fronts(fleet):
     names = [name for name in fleet.processes if name.startswith("verge")]
     for name in names:
         fleet.kill(name)
@@ -236,14 +236,14 @@
     return {"full": place, "served_again_after": back, "leader_meanwhile": other}
 
 
-# The registry of disturbances.
+# The registry of faults, by the names that `pinepitch fleet --disturb` takes.
 FLEET_FAULTS = {
     "kill-accord": kill_control_daemon,
     "kill-leader": kill_leader,
     "kill-area": kill_zone,
     "wipe": wipe,
     "outage": outage,
-    "restart-verges": restart_verges,
+    "restart-verges": restart_fronts,
     "freeze-leader": freeze_leader,
     "freeze-verge": freeze_front,
     "freeze-minion": freeze_worker,
--- /dev/null
+++ b/src/pinepitch/simulation/fleet/fleet_operator.py
@@ -0,0 +1,85 @@
+"""A stand-in operator of a fleet of processes."""
+
+import time
+
+from ...transport import http
+from .. import checks
+
+
+class FleetOperator:
+    """A stand-in operator of a fleet. Invariants: as of Operator: what is acknowledged is
+    kept, with when it was, for the checks that both share."""
+
+    def __init__(self, fleet):
+        self.fleet = fleet
+        self.changes, self.refused, self.maybe, self.spans = [], [], [], []
+        self.withdrawn = set()
+        self.count = 0
+
+    async def persist(self, method, target, document=None, headers=(), seconds=30):
+        """Asks at one verge after another until answered other than 429 or 503."""
+
+        async def answered():
+            self.count += 1
+            answer = await self.fleet.call(method, target, document, headers, front=self.count)
+            return isinstance(answer, http.Response) and answer.status not in (429, 503) and answer
+
+        return await self.fleet.until(answered, seconds, f"an answer to {method} {target}")
+
+    async def change(self, document, base=None, manner="merge"):
+        """One change, sent once; its status."""
+        self.count += 1
+        reason, asked = f"change {self.count}", time.time()
+        answer = await self.fleet.call(
+            "PATCH" if manner == "merge" else "PUT",
+            "/v1/setup",
+            document,
+            (("If-Match", "*" if base is None else f'"{base}"'), ("X-Reason", reason)),
+            front=self.count,
+        )
+        status = answer.status if isinstance(answer, http.Response) else 0
+        if status == 200:
+            self.changes.append(
+                (asked, time.time(), answer.document["version"], manner, document, base, reason)
+            )
+        elif status in (409, 422):
+            self.refused.append(reason)
+        else:
+            self.maybe.append((asked, document))
+        return status
+
+    async def close(self, kind, subject):
+        act = f"/v1/minions/{subject}/drain" if kind == "minion" else f"/v1/areas/{subject}/empty"
+        if (await self.persist("POST", act)).status == 200:
+            self.spans.append([kind, subject, time.time(), None])
+
+    async def open(self, kind, subject):
+        act = f"/v1/minions/{subject}/undrain" if kind == "minion" else f"/v1/areas/{subject}/take-back"
+        begun = time.time()
+        await self.persist("POST", act)
+        for span in self.spans:
+            if span[:2] == [kind, subject]:
+                span[3] = begun
+
+    async def withdraw(self, minion, due):
+        await self.persist("POST", f"/v1/minions/{minion}/withdraw", {"due": due})
+        self.spans.append(["minion", minion, time.time(), None])
+        self.withdrawn.add(minion)
+
+    async def check(self):
+        """Faults in what was acknowledged, as read at every verge."""
+        histories, documents = [], {}
+        for place in range(len(self.fleet.fronts)):
+            answer = await self.fleet.call("GET", "/v1/setup/versions", front=place)
+            if not isinstance(answer, http.Response) or answer.status != 200:
+                answer = await self.persist("GET", "/v1/setup/versions")
+            histories.append(answer.document)
+        for version in {one for change in self.changes for one in (change[2], change[2] - 1)}:
+            documents[version] = (await self.persist("GET", f"/v1/setup/versions/{version}")).document[
+                "setup"
+            ]
+        zones = {one[0]: one[1] for one in self.fleet.workers}
+        return [
+            *checks.queue_configurations_kept(histories, documents, self.changes, self.refused),
+            *checks.closed_kept(self.fleet.worker_history(), self.spans, zones),
+        ]
--- a/src/pinepitch/simulation/guarantees.py
+++ b/src/pinepitch/simulation/guarantees.py
@@ -3,10 +3,10 @@
 
 from typing import NamedTuple
 
-from .fault_scenarios import FAULT_SCENARIOS
+from .fault_scenarios.registry import FAULT_SCENARIOS
 from .injected_faults import INJECTED_FAULTS
 from .jobs.control_injected_faults import CONTROL_INJECTED_FAULTS
-from .jobs.control_scenarios import CONTROL_SCENARIOS
+from .jobs.control_scenarios.registry import CONTROL_SCENARIOS
 
 
 class Guarantee(NamedTuple):
--- /dev/null
+++ b/src/pinepitch/simulation/jobs/control_scenarios/losses.py
@@ -0,0 +1,89 @@
+"""Fault scenarios of daemons that are lost right after an acknowledgement."""
+
+from .. import control_faults as faults
+from ..plans import tolerated
+from .common import expect_complete, repair_disks, slow_some_disks
+
+CLIENT_CALLS = ("job",)
+ORDER_CALLS = ("configure", "amend", "evacuate")
+
+
+def _strike_after_acknowledgement(simulator, strike):
+    """Strikes right after an acknowledgement, or some time after an order was sent."""
+    if simulator.draw.random() < 0.3:
+        simulator.orders.change()
+        simulator.run(simulator.draw.uniform(0.005, 0.4))
+        answered = None
+    else:
+        calls = simulator.draw.choice((CLIENT_CALLS, ORDER_CALLS, ORDER_CALLS))
+        answered = faults.run_until_acknowledged(simulator, calls)
+    names = tolerated(simulator.plan, simulator)
+    if answered in faults.control_names(simulator) and answered not in names:
+        names[-1] = answered
+    simulator.run(simulator.draw.uniform(0, 0.004))
+    strike(simulator, names)
+    return names
+
+
+def killed_after_acknowledgement(simulator):
+    """Those that have just acknowledged something lose power, as many as may be lost; all are back
+    within some seconds."""
+    for _ in range(3):
+        names = _strike_after_acknowledgement(simulator, faults.lose_power)
+        simulator.served(f"while {', '.join(names)} were down")
+        faults.start_soon(simulator, names)
+        simulator.run(faults.CATCH_UP)
+
+
+def wiped_after_acknowledgement(simulator):
+    """Those that have just acknowledged something lose their disks, as many as may be lost, while
+    at times all others, whose disks may be slow, lose power too."""
+    for turn in range(2):
+        slow_some_disks(simulator)
+        names = _strike_after_acknowledgement(simulator, faults.wipe)
+        if turn or simulator.draw.random() < 0.5:
+            faults.lose_power(simulator, faults.control_names(simulator))
+        repair_disks(simulator)
+        simulator.run(simulator.draw.choice((0.0, 0.5, 2.0)))
+        every = [name for name, node in simulator.nodes.items() if node.kind == "accord"]
+        faults.start_soon(simulator, every)
+        simulator.served(f"after {', '.join(names)} had lost their disks")
+        expect_complete(simulator, f"after {', '.join(names)} had lost their disks")
+        simulator.run(faults.CATCH_UP)
+
+
+def herd_killed(simulator):
+    """All control daemons and fronts lose power at once, right after a promise or with slow disks,
+    and are started together; again before all is well."""
+    for _ in range(3):
+        slow_some_disks(simulator)
+        faults.run_until_acknowledged(simulator, simulator.draw.choice((CLIENT_CALLS, ORDER_CALLS)))
+        simulator.run(simulator.draw.uniform(0, 0.004))
+        every = [name for name, node in simulator.nodes.items() if node.kind in ("accord", "verge")]
+        faults.lose_power(simulator, every)
+        simulator.run(simulator.draw.choice((0.1, 1.5, 5.0)))
+        repair_disks(simulator)
+        faults.start_soon(simulator, every)
+        if simulator.draw.random() < 0.7:
+            simulator.served("after all had lost power")
+        simulator.run(simulator.draw.uniform(0, 3))
+
+
+def zone_lost(simulator):
+    """A zone is without power: daemons, fronts and tenants; they come back within 1.5 s of each other."""
+    for _ in range(2):
+        zone = simulator.draw.choice(sorted(set(simulator.plan.areas)))
+        names = [
+            name for name, node in simulator.nodes.items() if node.zone == zone and node.kind != "retired"
+        ]
+        counted = [name for name in names if simulator.nodes[name].kind == "accord"]
+        for name in names:
+            if simulator.nodes[name].core is not None:
+                simulator.kill(name)
+        simulator.run(simulator.draw.uniform(2, 6))
+        if simulator.plan.machines_lost == 0 or len(counted) <= simulator.plan.machines_lost:
+            simulator.served(f"without zone {zone}")
+        for name in names:
+            simulator.start(name)
+            simulator.run(1.5 / len(names))
+        simulator.run(faults.CATCH_UP)
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -5,10 +5,10 @@
 
 from ...common import constants, events
 from ...scheduling.leased_job_state import LeasedJobState
-from .. import simulator as simulators
+from ..daemon_calls import send_call
 from ..simulator import START, Simulator
 from ..stand_in_lease_worker import StandInLeaseWorker
-from .limits import BEAT_PATIENCE, ENDS_WITHIN, FIVE, ROOM, SERVED_WITHIN, TENANTS, THREE, TIMEOUT
+from .limits import BEAT_PATIENCE, ENDS_WITHIN, FIVE, ROOM, SERVED_WITHIN, TENANTS, THREE
 from .operator_traffic import OperatorTraffic
 from .plans import FleetPlan
 from .stand_in_client import StandInClient
@@ -72,30 +72,16 @@
                 node.core.bootstrap_among = tuple(self.seeds)
 
     # --- calls ------------------------------------------------------------------------
-    def _sent(self, source, incarnation, node, call, arguments, patience, answered, late=0.0):
-        """A call to one daemon; told(status, document) comes back, or (0, None) in the end."""
+    def send_call(self, source, incarnation, node, call, arguments, patience, answered, late=0.0):
+        """A call to one daemon; answered(status, document) is called, with (0, None) in the end. What is
+        acknowledged is taken note of."""
 
-        def heard(status, document):
+        def noted(status, document):
             if status == 200 and call in ACKNOWLEDGED:
                 self.acknowledgements.append((self.now, call, node.name))
             answered(status, document)
 
-        self.request_count += 1
-        number = self.request_count
-        self.requests[number] = ("call", source, incarnation, ("told", heard), node.name)
-        if node.core is None and (source, node.name) not in self.partitions:
-            self.at(0.01, "answer", number, 0, "null")
-            return
-        self.at(TIMEOUT + late, "answer", number, 0, "null")
-        if not self.lost(source, node.name):
-            plain = json.loads(json.dumps(arguments))
-            self.at(
-                self.latency() + late,
-                "give",
-                node.name,
-                node.incarnation,
-                ("call", number, call, tuple(plain), patience),
-            )
+        send_call(self, source, incarnation, node, call, arguments, patience, noted, late)
 
     def _lateness(self):
         return self.draw.uniform(0, self.late_most) if self.draw.random() < self.late_part else 0.0
@@ -104,7 +90,7 @@
         for effect in effects:
             target = self.by_address[effect[1]]
             if effect[0] == "leave":
-                self._sent(
+                self.send_call(
                     node.name,
                     node.incarnation,
                     target,
@@ -121,7 +107,7 @@
             if node.name in self.under_way:
                 self.under_way[node.name].append((target, identity, json.loads(json.dumps(document))))
                 continue
-            self._sent(
+            self.send_call(
                 node.name,
                 node.incarnation,
                 target,
@@ -134,7 +120,7 @@
 
     def arrive(self, target, identity, document):
         """A beat that was under way for long, whose sender waits for no answer any more."""
-        self._sent("late", 0, target, "beat", (identity, document), BEAT_PATIENCE, lambda *answered: None)
+        self.send_call("late", 0, target, "beat", (identity, document), BEAT_PATIENCE, lambda *answered: None)
 
     def _heartbeat_answered(self, node, incarnation, number):
         """What brings a beat's answer back, late or never by chance."""
@@ -158,7 +144,7 @@
                     name, self.client_stand_in.step(("answered", tag, status, document), START + self.now)
                 )
 
-            self._sent(
+            self.send_call(
                 name, 0, fronts[draw % len(fronts)], call, arguments, constants.CALL_PATIENCE, answered
             )
 
@@ -170,7 +156,7 @@
 
         def attempt():
             if self.now < until:
-                self._sent(
+                self.send_call(
                     "operator",
                     0,
                     nodes[next(turns) % len(nodes)],
@@ -277,10 +263,3 @@
         for job in leased_jobs.jobs.values()
         for wave in job.waves.values()
     }
-
-
-def _later(simulator, function):
-    function()
-
-
-simulators.HANDLERS["later"] = _later
--- a/src/pinepitch/simulation/jobs/limits.py
+++ b/src/pinepitch/simulation/jobs/limits.py
@@ -2,7 +2,6 @@
 
 HOST = "jobs.example"
 BEAT_PATIENCE = 0.8  # seconds; a daemon seeks an answer to a beat this long
-TIMEOUT = 3.0  # seconds; a caller waits this long for an answer
 READ_EVERY = 0.7  # seconds; between two looks at a job
 ROOM = (4000, 8192, 1)  # of one tenant: thousandths of a core, megabytes, accelerators
 TENANTS = 8  # half of them guard their room
--- a/src/pinepitch/simulation/jobs/stand_in_operator.py
+++ b/src/pinepitch/simulation/jobs/stand_in_operator.py
@@ -211,7 +211,9 @@
 
         target = self.random.choice([one for one in self.simulator.nodes.values() if one.kind == "accord"])
         arguments = (order.zone, order.begun)
-        self.simulator._sent("operator", 0, target, "evacuate", arguments, constants.CALL_PATIENCE, on_answer)
+        self.simulator.send_call(
+            "operator", 0, target, "evacuate", arguments, constants.CALL_PATIENCE, on_answer
+        )
 
     def evacuate(self, zone):
         """Begins the evacuation of a zone; its span, listed once it is acknowledged."""
--- a/src/pinepitch/simulation/leased_job_trial.py
+++ b/src/pinepitch/simulation/leased_job_trial.py
@@ -10,7 +10,7 @@
 
 from .jobs import checks
 from .jobs.control_injected_faults import CONTROL_INJECTED_FAULTS
-from .jobs.control_scenarios import CONTROL_SCENARIOS
+from .jobs.control_scenarios.registry import CONTROL_SCENARIOS
 from .jobs.fleet import Tenancy
 from .jobs.injected_faults import planted
 from .jobs.limits import (
--- a/src/pinepitch/simulation/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -9,7 +9,7 @@
 
 from ..common import constants
 from ..scheduling import requests
-from .jobs.fleet import Tenancy
+from .daemon_calls import send_call
 from .simulator import START, Simulator
 
 RESPONSE_TIMEOUT = 1.0  # seconds; without an answer the operator goes on to another daemon
@@ -20,8 +20,6 @@
 class OrderFleet(Simulator):
     """The simulator with daemons that take orders and nobody else."""
 
-    _sent = Tenancy._sent
-
     def __init__(self, seed, zones=("a", "b", "c")):
         self.answer_loss = 0.0  # part of the answers that get lost
         super().__init__(seed, zones, fronts=(), workers=(), founders=len(zones))
@@ -52,7 +50,7 @@
             if self.draw.random() >= self.answer_loss:
                 once(status, document)
 
-        self._sent("operator", 0, self.nodes[name], call, arguments, constants.CALL_PATIENCE, perhaps)
+        send_call(self, "operator", 0, self.nodes[name], call, arguments, constants.CALL_PATIENCE, perhaps)
         self.at(RESPONSE_TIMEOUT, "later", lambda: once(0, None))
 
     def under_way(self):
--- a/src/pinepitch/simulation/pushed_job_trial.py
+++ b/src/pinepitch/simulation/pushed_job_trial.py
@@ -10,7 +10,7 @@
 import traceback
 
 from . import checks, injected_faults
-from .fault_scenarios import FAULT_SCENARIOS
+from .fault_scenarios.registry import FAULT_SCENARIOS
 from .simulator import Simulator
 from .stand_in_operator import Operator
 
--- a/src/pinepitch/simulation/scale/counted_fleet.py
+++ b/src/pinepitch/simulation/scale/counted_fleet.py
@@ -7,7 +7,7 @@
 
 from ...common.daemon_settings import split
 from ...transport import http
-from ..fleet import Fleet
+from ..fleet.processes import Fleet
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -10,7 +10,7 @@
 from ...consensus.leader_clock import LeaderClock
 from ...runtime.host import Link
 from ...transport import framing
-from ..fleet import free_ports
+from ..fleet.processes import free_ports
 from ..jobs import checks, kinds, limits
 from ..stand_in_lease_worker import StandInLeaseWorker
 from .load import JOB_TASKS, RACK
--- a/src/pinepitch/simulation/scale/measuring.py
+++ b/src/pinepitch/simulation/scale/measuring.py
@@ -7,7 +7,7 @@
 import curio
 
 from ...common.daemon_settings import split
-from ..fleet import PLANS
+from ..fleet.plans import PLANS
 from .counted_fleet import CountedFleet
 from .hollow import Hollow
 from .load import JOB_TASKS
--- /dev/null
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -0,0 +1,104 @@
+"""Injected faults that the trials of second losses must find."""
+
+import contextlib
+from unittest import mock
+
+from ...consensus import replica
+from ...consensus.quorum import Membership
+from ...consensus.replica import Consensus
+from ...control import membership
+from ...control.bootstrap import Bootstrap, cluster_identity
+from ...control.daemon import ControlDaemon
+from .. import injected_faults, simulator
+
+
+def _serves_on(self, now):
+    """Names a successor and goes on serving under its lease."""
+    follower = self.followers.get(self.handover.target)
+    if follower is not None and follower.match >= self.last_index() <= self.commit:
+        self._send(self.handover.target, ("handover", self.term, {}), self.hard_sequence)
+        self.handover = None
+
+
+def _stands_down(self, candidates, now):
+    """Gives leadership up without a successor."""
+    if self.role == "leader":
+        self._follow(self.term, now, "stopping")
+    return self._done(now)
+
+
+def _old_list_alone(self, identities, leader):
+    """Takes the old list's word for both."""
+    return self.now.commits(identities, leader)
+
+
+def _shrinks(self, members, live, now):
+    """Takes a stopping voter off the list, spare or no spare."""
+    for leaver in self.leaving:
+        if leaver in members:
+            return {one: zone for one, zone in members.items() if one != leaver}
+    return original_wanted(self, members, live, now)
+
+
+def _any_heir(quorum, leaver, spares, live):
+    """Gives a stopping voter's seat to whatever spare there is."""
+    return min(spares, default=None)
+
+
+def _no_heir(quorum, leaver, spares, live):
+    return None
+
+
+def _counts_at_once(self, sender, term, success, index, beat, now):
+    """Takes an append that was sent for one that is held."""
+    follower = self.followers.get(sender)
+    if self.role == "leader" and term == self.term and follower is not None:
+        original_appended(self, sender, term, True, self.last_index(), beat, now)
+
+
+def _founds_at_sight(self, now):
+    """Consents to whatever list it sees first, whatever the others see."""
+    view = self.view(now)
+    if len(view) < self.bootstrap_size or self.veto(now):
+        return None
+    members = {one: self.empty_daemons[one][0] for one in view}
+    return cluster_identity(members), members
+
+
+def _early_base(self, node, sequence, payload):
+    """Tells a snapshot that came durable before it is."""
+    original_base(self, node, sequence, payload)
+    if sequence is not None:
+        self.at(0.0, "give", node.name, node.incarnation, ("saved", sequence))
+
+
+original_base = simulator.Simulator._base
+original_wanted = ControlDaemon._wanted_members
+original_appended = Consensus._on_appended
+INJECTED_FAULTS = {
+    "serves-on": [(Consensus, "_try_handover", _serves_on)],
+    "no-successor": [(Consensus, "transfer_leadership", _stands_down)],
+    "old-list-alone": [(Membership, "commits", _old_list_alone)],
+    "no-heir": [(membership, "successor", _no_heir)],
+    "seat-dropped": [(ControlDaemon, "_wanted_members", _shrinks)],
+    "any-heir": [(membership, "successor", _any_heir)],
+    "never-spread": [(ControlDaemon, "_spread_zones", lambda *_: None)],
+    "area-alone": [(membership, "gains", lambda *_: False)],
+    "slow-replacement": [(membership.Budget, "replace_after", lambda self: 4.5)],
+    "snapshot-too-soon": [(simulator.Simulator, "_base", _early_base)],
+    "held-too-soon": [(simulator.Simulator, "_save", injected_faults._early_saved)],
+    "counted-too-soon": [(Consensus, "_on_appended", _counts_at_once)],
+    "founds-at-sight": [(Bootstrap, "ready", _founds_at_sight)],
+}
+
+
+@contextlib.contextmanager
+def injected(name):
+    """The fault of that name in place; '' for none."""
+    with contextlib.ExitStack() as stack:
+        for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
+            stack.enter_context(mock.patch.object(owner, attribute, replacement))
+        stack.enter_context(mock.patch.dict(replica.HANDLERS, {"appended": Consensus._on_appended}))
+        effects = {"save": simulator.Simulator._save, "base": simulator.Simulator._base}
+        stack.enter_context(mock.patch.dict(simulator.EFFECTS, effects))
+        yield
--- a/src/pinepitch/simulation/second_loss_trial.py
+++ b/src/pinepitch/simulation/second_loss/trial.py
@@ -1,13 +1,13 @@
 """A fleet in the simulator whose losses are timed to the steps that accords tell by their events.
 
 What was agreed on is read from the disks, not from the deciders' word, and leases are compared at every
-step. `second_loss` holds what is tried with it.
+step. The other modules of this package hold what is tried with it.
 """
 
-from ..consensus.quorum import Quorum
-from ..consensus.replica import Consensus
-from . import simulator as simulators
-from .simulator import OFFSET, Simulator
+from ...consensus.quorum import Quorum
+from ...consensus.replica import Consensus
+from .. import simulator as simulators
+from ..simulator import OFFSET, Simulator
 
 SLOW_SYNC = 0.017  # seconds; a sync of 12 ms on a disk with 5 ms of latency
 MEAN_SYNC = 0.003  # seconds; what the simulator's disks take on average
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -722,6 +722,7 @@
     "expire": Simulator._expire,
     "caller": Simulator._caller,
     "stopping": Simulator._stopping,
+    "later": lambda simulator, function: function(),
 }
 EFFECTS = {
     "send": Simulator._send,
