--- a/features/promises.feature
+++ b/features/guarantees.feature
@@ -5,7 +5,7 @@
     Then no weather and no planted fault is missing from the registry
 
   Scenario: every planted fault is tried, with seeds that find it, in the trials
-    Then features/trial.feature tries every planted fault and every weather
+    Then features/pushed_job_trials.feature tries every planted fault and every weather
 
   Scenario: the page says what the registry says
     Then docs/proof.md is up to date
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -16,7 +16,7 @@
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.transport import http
 
-KEY = ("job", "a.example /orders/5c0e7a21d94b36f8")  # of the call that features/steps/carrier.py takes
+KEY = ("job", "a.example /orders/5c0e7a21d94b36f8")  # of the call that features/steps/forwarder.py takes
 
 CALLER = "10.0.0.9:7000"
 
--- a/features/steps/promises.py
+++ b/features/steps/guarantees.py
@@ -23,9 +23,9 @@
     assert not guarantees.missing(), guarantees.missing()
 
 
-@then("features/trial.feature tries every planted fault and every weather")
+@then("features/pushed_job_trials.feature tries every planted fault and every weather")
 def step_tried(context):
-    words = set(re.findall(r"[a-z-]+", text_of("features", "trial.feature")))
+    words = set(re.findall(r"[a-z-]+", text_of("features", "pushed_job_trials.feature")))
     lacking = (set(guarantees.INJECTED_FAULTS) | set(guarantees.FAULT_SCENARIOS)) - words
     assert not lacking, lacking
 
