--- a/features/adapter_fuzz.feature
+++ b/features/adapter_fuzz.feature
@@ -1,15 +1,15 @@
-Feature: Door fuzz
-  Whatever comes to a door gets a clear answer, stops no daemon and leaves all records alike.
+Feature: Adapter fuzz
+  Whatever comes to an adapter gets a clear answer, stops no daemon and leaves all cluster states alike.
 
-  Scenario Outline: distorted requests to the <door> door, seed <seed>
-    Given simulated daemons with the platform's doors
-    When 800 requests that are distorted with seed <seed> come to the <door> door
-    Then each is answered once, clearly, and in words that the door can write
+  Scenario Outline: distorted requests to the <adapter> adapter, seed <seed>
+    Given simulated daemons with the platform's adapters
+    When 800 requests that are distorted with seed <seed> come to the <adapter> adapter
+    Then each is answered once, clearly, and in words that the adapter can write
     And a configuration came into force just where one was acknowledged
-    And no daemon has stopped, and all records are alike
+    And no daemon has stopped, and all cluster states are alike
 
     Examples:
-      | door    | seed |
+      | adapter | seed |
       | control | 1    |
       | control | 2    |
       | front   | 3    |
--- a/features/adapters.feature
+++ b/features/adapters.feature
@@ -1,4 +1,4 @@
-Feature: Doors
+Feature: Adapters
   What the platform says reaches the product whole, and comes back in the platform's words; what can't be read is refused.
 
   # --- words ---------------------------------------------------------------------------
@@ -8,7 +8,7 @@
     And its steps are as the platform told them
 
   Scenario: the platform's example of a configuration is taken, changed and read back whole
-    Given a record for calls of the platform
+    Given a cluster state for calls of the platform
     When the platform's example of a configuration comes to a control port on top of 0
     Then the platform is answered 200 with configVersion 7
     And reading it back gives what was sent
@@ -19,7 +19,7 @@
     Then the platform is answered 200 with configVersion 7
 
   Scenario Outline: a configuration with <member> is read back as it was sent
-    Given a record for calls of the platform
+    Given a cluster state for calls of the platform
     When the platform's example of a configuration with <member> comes to a control port on top of 0
     Then the platform is answered 200 with configVersion 7
     And reading it back gives what was sent
@@ -79,7 +79,7 @@
       | configuration | is nested 500 deep        |
       | configuration | is nested 100000 deep     |
 
-    Examples: changes and beats
+    Examples: changes and heartbeats
       | kind          | fault                     |
       | change        | is cut short              |
       | change        | holds an inner member twice |
@@ -111,7 +111,7 @@
 
   # --- jobs' names, headers, answers ---------------------------------------------------
   Scenario Outline: a job named <name> is <outcome>
-    Given a record for calls of the platform, with a configuration in force
+    Given a cluster state for calls of the platform, with a configuration in force
     When a job named <name> comes to a front
     Then that name is <outcome>
 
@@ -199,10 +199,10 @@
   Scenario: an evacuation names its zone and whether it begins
     Then evacuations of nave-norte begin and finish in the product's words
 
-  # --- beats and orders ----------------------------------------------------------------
-  Scenario Outline: a beat <form> is read
-    When the platform's example of a beat <form> comes to a control port
-    Then the product can take the beat
+  # --- heartbeats and orders ----------------------------------------------------------------
+  Scenario Outline: a heartbeat <form> is read
+    When the platform's example of a heartbeat <form> comes to a control port
+    Then the product can take the heartbeat
     And what it holds is <told>
 
     Examples:
@@ -217,9 +217,9 @@
       | with members nobody knows  | all that was said             |
       | with short lists           | the same lists, filled up     |
 
-  Scenario Outline: a beat <fault> is refused
-    When the platform's example of a beat <fault> comes to a control port
-    Then the beat is refused with 400, at the door or behind it
+  Scenario Outline: a heartbeat <fault> is refused
+    When the platform's example of a heartbeat <fault> comes to a control port
+    Then the heartbeat is refused with 400, at the adapter or behind it
 
     Examples:
       | fault                              |
@@ -239,12 +239,12 @@
       | whose ends hold an empty entry     |
 
   Scenario: orders are told in the platform's words
-    When the product answers a beat with orders, the leader being here
-    Then the minion is told the same orders, and no other address
-    When the product answers a beat with orders, the leader being elsewhere
-    Then the minion is told the same orders, and the leader's control address
-    When the product answers a beat that changed nothing
-    Then the minion is told nothing
+    When the product answers a heartbeat with orders, the leader being here
+    Then the worker is told the same orders, and no other address
+    When the product answers a heartbeat with orders, the leader being elsewhere
+    Then the worker is told the same orders, and the leader's control address
+    When the product answers a heartbeat that changed nothing
+    Then the worker is told nothing
 
   # --- settings ------------------------------------------------------------------------
   Scenario: the settings file is read, and what it holds beyond is ignored
--- a/features/api.feature
+++ b/features/api.feature
@@ -1,19 +1,19 @@
 Feature: Api
-  Every verge answers every call, with the statuses and codes that the page promises.
+  Every front daemon answers every call, with the statuses and codes that the page guarantees.
 
-  Scenario: a key and a body make one ticket at whatever verge
-    Given a simulated fleet behind its verges
-    When one ticket is handed in at every verge under one key, then with another body
-    Then all but the first answer 200 with the same ticket, and the other body 409 "key_reused"
+  Scenario: a key and a body make one job at whatever front daemon
+    Given a simulated fleet behind its front daemons
+    When one job is handed in at every front daemon under one key, then with another body
+    Then all but the first answer 200 with the same job, and the other body 409 "key_reused"
 
-  Scenario: pages list every ticket once, archived ones too
-    Given a simulated fleet behind its verges
-    When 40 tickets are handed in, finished, and some archived
+  Scenario: pages list every job once, archived ones too
+    Given a simulated fleet behind its front daemons
+    When 40 jobs are handed in, finished, and some archived
     Then pages of 7 list each once in order, by queue and by state and by key as well
 
   Scenario Outline: <call> is answered with <status> and <code>
-    Given a simulated fleet behind its verges
-    Then at every verge <call> is answered with <status> and <code>
+    Given a simulated fleet behind its front daemons
+    Then at every front daemon <call> is answered with <status> and <code>
 
     Examples:
       | call                                         | status | code            |
@@ -30,5 +30,5 @@
       | GET /v1/tickets?limit=x                      | 400    | malformed       |
 
   Scenario: a change names the version it builds on
-    Given a simulated fleet behind its verges
-    Then the setup's version is its ETag, a change on it is taken, and a second on it gets 409 "base_moved"
+    Given a simulated fleet behind its front daemons
+    Then the queue configuration's version is its ETag, a change on it is taken, and a second on it gets 409 "base_moved"
--- a/features/assigning.feature
+++ b/features/assigning.feature
@@ -1,7 +1,7 @@
 Feature: Assigning
-  Work of jobs does not wait beside room that it could take.
+  Work of jobs does not wait beside capacity that it could take.
 
-  Scenario: room that is kept for a wave is taken by it, whatever larger wave stands before it
+  Scenario: capacity that is kept for a wave is taken by it, whatever larger wave stands before it
     Given 7 workers of 8 accelerators
     And inspections of 3 seconds fill 3 workers
     And inspections of 30 seconds fill 4 workers
@@ -11,19 +11,19 @@
 
   Scenario: by no seed does a job wait long beside two workers that could take it
     When scans, gangs, inspections and work that lasts come by chance to 7 workers, by seeds 1 to 24
-    Then by no seed has a job with nothing running waited over 3 seconds beside ample room
+    Then by no seed has a job with nothing running waited over 3 seconds beside ample capacity
     And by no seed has the code counted a broken invariant
 
-  Scenario: less urgent work is not starved by urgent work that asks for twice the room there is
+  Scenario: less urgent work is not starved by urgent work that asks for twice the capacity there is
     Given 7 workers of 8 accelerators
-    When for 60 seconds scans come that ask for 2 times the room, and inspections for a tenth of it
+    When for 60 seconds scans come that ask for 2 times the capacity, and inspections for a tenth of it
     Then of the inspections that came in the first 40 seconds 0.8 were done in time
-    And scans had 0.7 of the room
+    And scans had 0.7 of the capacity
 
   Scenario Outline: with <count> workers less urgent work is not starved by urgent work as large as a worker
     Given <count> workers of 8 accelerators
-    When for 90 seconds <urgent> come that ask for 2 times the room, and inspections <large> accelerators large
-    Then inspections had between 0.1 and 0.6 of the room, scans at least 0.2
+    When for 90 seconds <urgent> come that ask for 2 times the capacity, and inspections <large> accelerators large
+    Then inspections had between 0.1 and 0.6 of the capacity, scans at least 0.2
 
     Examples:
       | count | urgent | large |
@@ -37,35 +37,35 @@
   Scenario: less urgent work that no worker can take withholds nothing from urgent work
     Given 7 workers of 8 accelerators
     And 50 inspections that need a label that no worker has have waited for 60 seconds
-    When scans of 5 seconds have just taken all the room
+    When scans of 5 seconds have just taken all the capacity
     Then all accelerators are in use
 
-  Scenario: workers that are lost with all they run take nothing of the others' room
+  Scenario: workers that are lost with all they run take nothing of the others' capacity
     Given 7 workers of 8 accelerators
     And scans of 30 seconds fill 4 workers, which then fall silent
     When a scan of 3 tasks comes, each as large as a worker
     Then within 0.3 seconds all its tasks have started
 
-  Scenario: a task does not wait long for room near its data beside idle workers
+  Scenario: a task does not wait long for capacity near its data beside idle workers
     Given 7 workers of 8 accelerators
     And inspections of 30 seconds fill the 3 workers of one rack
     When an inspection of 20 seconds comes whose data lies in that rack
     Then within 2.5 seconds all its tasks have started
 
-  Scenario: room is not held back for work that can wait until what takes it is done
+  Scenario: capacity is not held back for work that can wait until what takes it is done
     Given 7 workers of 8 accelerators
-    When scans of 5 seconds have just taken all the room
-    And inspections of 2 seconds come that ask for 3 times the room
+    When scans of 5 seconds have just taken all the capacity
+    And inspections of 2 seconds come that ask for 3 times the capacity
     Then within 1 seconds 0.9 of all accelerators are in use
 
-  Scenario: room is held back for work that can't wait until what takes it is done
+  Scenario: capacity is held back for work that can't wait until what takes it is done
     Given 7 workers of 8 accelerators
-    When scans of 5 seconds have just taken all the room
-    And inspections of 20 seconds come that ask for 3 times the room
+    When scans of 5 seconds have just taken all the capacity
+    And inspections of 20 seconds come that ask for 3 times the capacity
     Then within 1 seconds 0.4 of all accelerators are in use
     And after 1 seconds at most 0.55 of them
 
-  Scenario: a step that is wider than the room does not hold up narrow ones that are due before it
+  Scenario: a step that is wider than the capacity does not hold up narrow ones that are due before it
     Given 7 workers of 8 accelerators
     And inspections of 2 seconds fill 7 workers
     When an inspection of 168 tasks of 2 seconds comes, and then 5 inspections of 2 tasks of 2 seconds
@@ -87,4 +87,4 @@
 
   Scenario: each mechanism can be switched off by itself, and no rule depends on it
     When the same comes to 8 workers with each mechanism switched off by itself
-    Then no worker ran more than it has room for, and work starves without keep_seats and yielding, no other
+    Then no worker ran more than it has capacity for, and work starves without keep_seats and yielding, no other
--- a/features/calls.feature
+++ b/features/calls.feature
@@ -2,9 +2,9 @@
   A call that is carried again, or an act that is told again, takes effect once.
 
   Scenario Outline: <call> that is asked again <when> takes effect once
-    Given accords that lead, with routes and a setup in force
+    Given control daemons that lead, with routes and a queue configuration in force
     When <call> is asked, and the same call again <when>
-    Then both are answered <alike>, and the record stands as after the first
+    Then both are answered <alike>, and the cluster state stands as after the first
 
     Examples:
       | call                        | when                  | alike           |
@@ -29,9 +29,9 @@
       | a minion's leaving          | at once               | alike           |
 
   Scenario Outline: <call> that is asked again while the first is agreed on is answered once
-    Given accords that lead, with routes and a setup in force
+    Given control daemons that lead, with routes and a queue configuration in force
     When <call> is asked twice in one moment
-    Then it is answered once, and the record holds one of it
+    Then it is answered once, and the cluster state holds one of it
 
     Examples:
       | call                  |
--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -7,11 +7,11 @@
     And each exit code is explained
 
   Scenario: no daemon that answers ends a command with its own exit code
-    When an operator lists tickets of a daemon that is not there
+    When an operator lists jobs of a daemon that is not there
     Then the command ends with the exit code for no answer
 
   Scenario: the timeline tells from logs where the time of a job went, and how runs that were stopped ended
-    Given the log of a job that waited 2 seconds for room and whose run was stopped as stalled
+    Given the log of a job that waited 2 seconds for capacity and whose run was stopped as stalled
     When the timeline of that log is asked for
     Then it tells 2.000 seconds until placed, and 1 run stopped as stalled that ended stopped
 
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -180,4 +180,4 @@
     When a change to version 8 on top of 7 takes out route 500 and moves route 501
     Then the configuration is answered with 200
     And each of the 1000 routes but those two is found by its host and prefix
-    And version 8 is read back from an image of the record as it was
+    And version 8 is read back from an image of the cluster state as it was
--- a/features/contact.feature
+++ b/features/contact.feature
@@ -16,13 +16,13 @@
       | stopped-at-write | 0 to 0 |
       | stopped-at-send  | 1 to 1 |
 
-  Scenario Outline: the planted fault <plant> is found when a machine meets <scenario>
-    Given the planted fault <plant>
+  Scenario Outline: the injected fault <injected> is found when a machine meets <scenario>
+    Given the injected fault <injected>
     When a control machine meets <scenario> with seeds <seeds>
     Then some check of contact finds <fault>
 
     Examples:
-      | plant                | scenario         | seeds  | fault                                    |
+      | injected             | scenario         | seeds  | fault                                    |
       | asks-without-end     | stopped-at-send  | 1 to 1 | s after it was asked for                 |
       | ends-on-own-clock    | cut-out          | 1 to 1 | s after it was asked for                 |
       | late-answers-written | stopped-at-write | 0 to 0 | after a newer one was acknowledged       |
@@ -61,10 +61,10 @@
     And the same call is carried again with time left
     Then that change is taken
 
-  Scenario: a leader whose lease is over answers nothing from its record
+  Scenario: a leader whose lease is over answers nothing from its cluster state
     Given a leader of three that serves
     When its followers fall silent for longer than its lease
-    And a change of the setup on an older version is carried to it
+    And a change of the queue configuration on an older version is carried to it
     Then the caller is sent elsewhere, and not refused
 
   Scenario Outline: an answer that comes <when> its patience is <reply>
@@ -78,10 +78,10 @@
       | within | 200, with no more |
       | after  | 504, with no more |
 
-  Scenario: news that was asked for long ago does not make a verge's state fresh
-    Given a verge that follows a leader
+  Scenario: news that was asked for long ago does not make a front daemon's state fresh
+    Given a front daemon that follows a leader
     When the answer to a question for news is read 20 seconds after it was asked
-    Then the verge says that it is stale
+    Then the front daemon says that it is stale
 
   Scenario Outline: what a host reads once it was stopped may have waited: <kind>, <seconds> seconds
     Given a host that ticks
--- a/features/control_faults.feature
+++ b/features/control_faults.feature
@@ -1,5 +1,5 @@
 Feature: Control faults
-  Faults of control daemons break no rule of jobs, configurations and evacuations; planted faults are found.
+  Faults of control daemons break no rule of jobs, configurations and evacuations; injected faults are found.
 
   Scenario: no fault scenario of the control daemons breaks a rule
     Given the trials
@@ -28,8 +28,8 @@
     Then none of the trials finds a fault
     And every fault scenario of the control daemons was tried
 
-  Scenario: planted faults are found by the fault scenarios of the control daemons
-    Given the planted faults
+  Scenario: injected faults are found by the fault scenarios of the control daemons
+    Given the injected faults
       | scenario              | seed | plant              | fault                          |
       | zone-cut              | 0    | lease-ignored      | had ended done, as noted       |
       | acknowledgements-lost | 0    | versions-forgotten | that was refused, was in force |
--- a/features/forwarder.feature
+++ b/features/forwarder.feature
@@ -1,4 +1,4 @@
-Feature: Carrier
+Feature: Forwarder
   A call gets one reply, and is said not to have been taken only when nobody can have taken it.
 
   Scenario Outline: a call that was <history> is given up with <status>
@@ -70,24 +70,24 @@
     Then each has its own reply
 
   Scenario: a daemon that knows nobody says that the call was not taken
-    Given a verge that knows no accord
+    Given a front daemon that knows no control daemon
     When a client's call comes there and nobody is found
     Then the client is told 503 once, and when to come back
 
   Scenario: a daemon whose leader is silent says that the call may have been taken
-    Given a verge that follows a leader
+    Given a front daemon that follows a leader
     When a client's call comes there and the leader is silent
     Then the client is told 504 once
 
   Scenario: a call refused by one who names the leader goes there at once, as the same call
-    Given a verge that follows a leader
+    Given a front daemon that follows a leader
     When a client's call comes there and the leader names another
     Then the same call goes to the other at once
     When the other answers it, twice
     Then the client is told 200 once
 
   Scenario: a call that all refuse is sent again, and given up as not taken
-    Given a verge that follows a leader
+    Given a front daemon that follows a leader
     When a client's call comes there and whoever is asked refuses it
     Then it was sent several times as the same call
     And the client is told 503 once, and when to come back
--- a/features/input.feature
+++ b/features/input.feature
@@ -13,8 +13,8 @@
       | verge   | an unknown level  | level:                        |
       | verge   | a stray setting   | founders: extra keys          |
 
-  Scenario Outline: a ticket with <fault>
-    When a ticket with <fault> is checked
+  Scenario Outline: a job with <fault>
+    When a job with <fault> is checked
     Then the fault at <path> is named
 
     Examples:
@@ -27,9 +27,9 @@
       | due before start   | due              |
       | a stray field      | colour           |
 
-  Scenario Outline: a setup with <fault>
-    When a setup with <fault> is offered to the record
-    Then the fault at <path> is named and the setup in force is unchanged
+  Scenario Outline: a queue configuration with <fault>
+    When a queue configuration with <fault> is offered to the cluster state
+    Then the fault at <path> is named and the queue configuration in force is unchanged
 
     Examples:
       | fault                       | path                    |
@@ -44,17 +44,17 @@
     When 20000 seeded frames, whole, cut and bent, are decoded
     Then each is a message or refused, and a newer version is refused
 
-  Scenario: any document at the setup, ticket and report readers
+  Scenario: any document at the queue configuration, job and report readers
     When 4000 seeded documents, good ones bent at random, are read
-    Then each is taken or refused with paths, and what is taken the record applies
+    Then each is taken or refused with paths, and what is taken the cluster state applies
 
   Scenario: any bytes at the HTTP and wire ports of running daemons
-    Given a verge and an accord of a founded cohort
+    Given a front daemon and a control daemon of a bootstrapped cluster
     When seeded garbage is sent to each of their ports
     Then both still serve, and oversized or malformed calls get their status
 
   Scenario Outline: a call with <fault>
-    When a verge gets a call with <fault>
+    When a front daemon gets a call with <fault>
     Then it is answered with 400 at once and carries nothing
 
     Examples:
@@ -69,9 +69,9 @@
       | a target that is no path     |
 
   Scenario Outline: a report that contradicts an earlier one: <how>
-    Given a simulated fleet with work on a minion
-    When a report of that minion comes with <how>
-    Then nothing it ran is taken for ended and the record audits clean
+    Given a simulated fleet with work on a worker
+    When a report of that worker comes with <how>
+    Then nothing it ran is taken for ended and the cluster state audits clean
 
     Examples:
       | how                                        |
@@ -85,7 +85,7 @@
     Then the prompt one is read whole and the dripping one gets 408
 
   Scenario Outline: an order answered with <nonsense>
-    When a minion answers an order with <nonsense>
+    When a worker answers an order with <nonsense>
     Then the order's outcome is "unknown" and nothing raises
 
     Examples:
--- a/features/jobs_api.feature
+++ b/features/jobs_api.feature
@@ -1,18 +1,18 @@
 Feature: Jobs Api
-  Operators read at every verge what jobs under holds wait for, what runs where, which workers
+  Operators read at every front daemon what jobs under leases wait for, what runs where, which workers
   there are and what is in force; the command line shows the same.
 
-  Scenario: before any configuration there is none to read, then every verge tells the same
+  Scenario: before any configuration there is none to read, then every front daemon tells the same
     Given a simulated fleet without workers
     Then the configuration is answered with 503 and "unconfigured"
     When routes and services come into force
-    Then every verge answers the configuration as it was sent
+    Then every front daemon answers the configuration as it was sent
 
   Scenario: a job is explained from its acceptance to its end
     Given a simulated fleet with three workers and routes in force
     When a job of two steps is handed in
     Then it is queued, its first step has no worker that is open, and its second waits for the first
-    When the workers beat until all of its first step runs
+    When the workers heartbeat until all of its first step runs
     Then each placement names its run, worker, epoch and progress, as the workers have it
     When the first step ends, one task of it after a failure
     Then the first step shows the failure and is done, and the second runs
@@ -46,17 +46,17 @@
 
   Scenario: a job that never was, is not known
     Given a simulated fleet with three workers and routes in force
-    Then every verge answers a job that never was with 404 and "unknown_job"
+    Then every front daemon answers a job that never was with 404 and "unknown_job"
 
   Scenario: workers and evacuations are listed as they are
     Given a simulated fleet with three workers and routes in force
-    Then the workers are listed with service, zone, room and what is placed there
+    Then the workers are listed with service, zone, capacity and what is placed there
     And an evacuation is listed until it is taken back
 
-  Scenario: metrics of jobs agree with the record
+  Scenario: metrics of jobs agree with the cluster state
     Given a simulated fleet with three workers and routes in force
     When a job runs and is cancelled
-    Then the leader's metrics of jobs, runs, workers and the configuration agree with its record
+    Then the leader's metrics of jobs, runs, workers and the configuration agree with its cluster state
 
   Scenario: the command line shows what the API answers
     Given a simulated fleet with three workers and routes in force
--- a/features/leased_job_trials.feature
+++ b/features/leased_job_trials.feature
@@ -1,12 +1,12 @@
-Feature: Tenancy
-  Jobs whose tasks run under holds keep every rule under every weather; planted faults are found.
+Feature: Leased job trials
+  Jobs whose tasks run under leases keep every rule under every fault scenario; injected faults are found.
 
-  Scenario Outline: <weather> breaks no rule of jobs
-    When jobs under holds meet the weather <weather> with seeds 0 to 5
+  Scenario Outline: <scenario> breaks no rule of jobs
+    When jobs under leases meet the fault scenario <scenario> with seeds 0 to 5
     Then no history check finds a fault
 
     Examples:
-      | weather       |
+      | scenario      |
       | calm          |
       | leader-killed |
       | leader-stops  |
@@ -24,24 +24,24 @@
       | frames-replayed |
       | storm         |
 
-  Scenario Outline: <weather> breaks no rule of jobs while the log is compacted all the time
+  Scenario Outline: <scenario> breaks no rule of jobs while the log is compacted all the time
     Given the condition frequent-snapshots
-    When jobs under holds meet the weather <weather> with seeds 6 to 9
+    When jobs under leases meet the fault scenario <scenario> with seeds 6 to 9
     Then no history check finds a fault
 
     Examples:
-      | weather       |
+      | scenario      |
       | leader-killed |
       | wiped         |
       | all-killed    |
 
-  Scenario Outline: the planted fault <plant> is found in jobs under holds
-    Given the planted fault <plant>
-    When jobs under holds meet the weather <weather> with seeds <seeds>
+  Scenario Outline: the injected fault <injected> is found in jobs under leases
+    Given the injected fault <injected>
+    When jobs under leases meet the fault scenario <scenario> with seeds <seeds>
     Then some history check finds <fault>
 
     Examples:
-      | plant               | weather       | fault                         | seeds    |
+      | injected            | scenario      | fault                         | seeds    |
       | absence-at-once     | beats-stale   | had ended done, as noted      | 20 to 31 |
       | hold-not-waited-out | tenants-cut   | had ended done, as noted      | 20 to 31 |
       | lease-ignored       | leader-deaf   | had ended done, as noted      | 20 to 31 |
@@ -61,10 +61,10 @@
       | order-unheeded      | calm          | was done                      | 20 to 31 |
       | answers-unchecked   | frames-replayed | started, though its job was refused | 44 to 55 |
 
-  Scenario: the same seed gives jobs under holds the same history
-    When jobs under holds meet the weather storm twice with seed 3
+  Scenario: the same seed gives jobs under leases the same history
+    When jobs under leases meet the fault scenario storm twice with seed 3
     Then both histories of jobs are the same to the last event
 
-  Scenario: the same seed gives jobs under holds the same history in another process
-    When jobs under holds meet the weather beats-stale with seed 4 in two processes that hash otherwise
+  Scenario: the same seed gives jobs under leases the same history in another process
+    When jobs under leases meet the fault scenario beats-stale with seed 4 in two processes that hash otherwise
     Then both processes tell the same history of jobs
--- a/features/log.feature
+++ b/features/log.feature
@@ -2,19 +2,19 @@
   Entries are held, sent and kept by their bytes; large ones never hold back a heartbeat.
 
   Scenario: hundreds of large changes stay within what the settings allow
-    Given a cohort on machines of 296 MB of memory and 128 MB of disk
+    Given a cluster on machines of 296 MB of memory and 128 MB of disk
     When 100 changes of a 256 KB configuration come 0.2 s apart
     Then every change was acknowledged under one leader
     And no log held more than the limits allow, and no folder more than a quarter of the disk
     And no message between members was larger than one change and its envelope
-    And all members hold the same record
+    And all members hold the same cluster state
 
   Scenario Outline: a member that missed many changes catches up in the time of a few, <how>
-    Given a cohort on machines of 296 MB of memory and 128 MB of disk, on links of 50 Mbit/s
+    Given a cluster on machines of 296 MB of memory and 128 MB of disk, on links of 50 Mbit/s
     When a member misses 16 and, in a second run, 96 changes of a 64 KB configuration and comes back <how> under further ones
     Then it catches up both times, and the second time in at most 3 s and twice the time more
     And it is sent at most 3 MB the second time
-    And whoever led goes on leading, and all members hold the same record
+    And whoever led goes on leading, and all members hold the same cluster state
 
     Examples:
       | how        |
@@ -22,7 +22,7 @@
       | wiped      |
 
   Scenario Outline: a leader whose quorum needs a member on 2 Mbit/s keeps it while that one catches up with <size> KB changes
-    Given a cohort on machines of 296 MB of memory and 128 MB of disk, on links of 2 Mbit/s
+    Given a cluster on machines of 296 MB of memory and 128 MB of disk, on links of 2 Mbit/s
     When a member misses 80 changes of a <size> KB configuration, comes back, and the other follower is lost
     Then it catches up within 20 s and nobody stands for an election
     And a further change is acknowledged
@@ -43,12 +43,12 @@
       | 2    |
 
   Scenario: a snapshot goes on to be sent though its leader makes newer ones
-    Given a cohort on machines of 96 MB of memory and 32 MB of disk, on links of 2 Mbit/s
+    Given a cluster on machines of 96 MB of memory and 32 MB of disk, on links of 2 Mbit/s
     When a member without any log is sent a snapshot of 1 MB under changes that make a newer one every 2 s
     Then it installs the snapshot that it was being sent first
 
   Scenario: changes that no follower keeps are held back before the log is full
-    Given a cohort on machines of 64 MB of memory and 32 MB of disk
+    Given a cluster on machines of 64 MB of memory and 32 MB of disk
     When the disks of both followers stand still while 40 changes of a 256 KB configuration are handed in together
     Then the log holds no more than the limits allow and one change beside
     And what was held back is answered as not taken, and never takes effect
@@ -64,14 +64,14 @@
     Given a settings file of a core with limits.memoryMb=296 and limits.diskMb=128
     Then the place tells 296000000 bytes of memory and 128000000 of disk, and the log may hold 16000000
     And a folder on a tenth of that disk leaves the log 4000000
-    And the accord's own settings take memory_mb and disk_mb, and refuse 0, true and a text
+    And the control daemon's own settings take memory_mb and disk_mb, and refuse 0, true and a text
 
-  Scenario Outline: the planted fault <plant> is found
-    Given the planted fault <plant> among large changes
+  Scenario Outline: the injected fault <injected> is found
+    Given the injected fault <injected> among large changes
     Then the scenario "<scenario>" fails
 
     Examples:
-      | plant               | scenario                                                    |
+      | injected            | scenario                                                    |
       | bytes-uncounted     | hundreds of large changes                                   |
       | taken-forgotten     | hundreds of large changes                                   |
       | laggards-by-entries | a member that missed many changes                           |
@@ -87,7 +87,7 @@
     And decoding the large one gives the operation back
 
   Scenario: sizes told of operations are not below what their encoding takes
-    Given a day of jobs under holds that is calm, of seed 3
+    Given a day of jobs under leases that is calm, of seed 3
     Then every small entry's size is from once to six times its encoding
 
   Scenario: a large frame holds up no heartbeat
--- a/features/models.feature
+++ b/features/models.feature
@@ -1,5 +1,5 @@
 Feature: Models
-  Every schedule of small fleets, up to a depth, and random ones beyond it keep what consensus promises.
+  Every schedule of small fleets, up to a depth, and random ones beyond it keep what consensus guarantees.
 
   Scenario: no schedule of any model breaks an invariant
     When every model of the registry is searched within its brief bounds
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -2,28 +2,28 @@
   An operator's order is taken once, never refused once taken, and never taken anew when it comes late.
 
   Scenario: random orders are answered as the plain rules say
-    Then random orders, sent again and after restarts of the record, are answered as the rules say
+    Then random orders, sent again and after restarts of the cluster state, are answered as the rules say
 
-  Scenario: random orders at a cohort in trouble keep the rules
-    Then random orders at a cohort that loses answers, daemons and disks keep the rules
+  Scenario: random orders at a cluster in trouble keep the rules
+    Then random orders at a cluster that loses answers, daemons and disks keep the rules
 
-  Scenario Outline: random orders at a cohort find the planted fault <plant>
-    Given the planted fault <plant>
-    Then random orders at a cohort do not keep the rules
+  Scenario Outline: random orders at a cluster find the injected fault <injected>
+    Given the injected fault <injected>
+    Then random orders at a cluster do not keep the rules
 
     Examples:
-      | plant                  |
+      | injected               |
       | base-unheeded          |
       | number-is-enough       |
       | taken-not-in-snapshots |
       | late-orders-taken      |
 
-  Scenario Outline: random orders find the planted fault <plant>
-    Given the planted fault <plant>
+  Scenario Outline: random orders find the injected fault <injected>
+    Given the injected fault <injected>
     Then random orders are not answered as the rules say
 
     Examples:
-      | plant                   |
+      | injected                |
       | base-unheeded           |
       | number-is-enough        |
       | taken-not-in-snapshots  |
@@ -46,7 +46,7 @@
       | a change by name |
 
   Scenario Outline: a Begin that was <held>, <ending>, comes too late to undo an acknowledged Finish
-    Given a cohort that takes orders
+    Given a cluster that takes orders
     When a Begin is <held>, <ending> and finished, and then let go on
     Then the zone stays free, and an order for it is taken anew
 
@@ -61,14 +61,14 @@
       | carried by a daemon that is cut off        | given up                            |
       | confirmed by a daemon that then is cut off | given up                            |
 
-  Scenario Outline: the planted fault <plant> lets a Begin that was <held>, <ending>, undo a Finish
-    Given the planted fault <plant>
-    And a cohort that takes orders
+  Scenario Outline: the injected fault <injected> lets a Begin that was <held>, <ending>, undo a Finish
+    Given the injected fault <injected>
+    And a cluster that takes orders
     When a Begin is <held>, <ending> and finished, and then let go on
     Then the zone does not stay free
 
     Examples:
-      | plant                  | held                                       | ending                             |
+      | injected               | held                                       | ending                             |
       | late-orders-taken      | confirmed by a daemon that then is cut off | sent again elsewhere, acknowledged |
       | late-orders-taken      | confirmed by a daemon that then freezes    | sent again elsewhere, acknowledged |
       | orders-confirmed-late  | carried by a daemon that is cut off        | sent again elsewhere, acknowledged |
@@ -77,19 +77,19 @@
       | holding-orders-unnoted | confirmed by a daemon that then is cut off | given up                           |
 
   Scenario: an order for a zone is acknowledged within a second in calm times
-    Given a cohort that takes orders
+    Given a cluster that takes orders
     When 200 orders are given one after another at daemons of all roles
     Then each was acknowledged within 0.2 seconds
 
-  Scenario: after more changes of the setup than are remembered, an old one is not made again
-    Given 1200 changes of the setup that build on no version, of one verge
+  Scenario: after more changes of the queue configuration than are remembered, an old one is not made again
+    Given 1200 changes of the queue configuration that build on no version, of one front daemon
     Then the first one sent again is neither made nor refused, also after a restart
     And the newest 1000 sent again are answered as they were
-    And a new one of that verge, and the first one of another, are made
+    And a new one of that front daemon, and the first one of another, are made
 
-  Scenario: 1001 verges that lived make no record of changes grow
-    Given 3 changes of the setup of each of 1400 verges
-    Then no more than 1000 outcomes and 1000 verges are remembered
+  Scenario: 1001 front daemons that lived make no record of changes grow
+    Given 3 changes of the queue configuration of each of 1400 front daemons
+    Then no more than 1000 outcomes and 1000 front daemons are remembered
 
   Scenario Outline: after more changes than are remembered, an old one <that> is refused
     Given 1100 changes were taken, one upon the other, a whole one among the first
@@ -103,7 +103,7 @@
       | under a number below 0                 | 412    |
 
   Scenario Outline: a configuration whose body has <size> is <fate>
-    Given a cohort that takes orders
+    Given a cluster that takes orders
     When a configuration whose body has <size> comes to a control port
     Then it is <fate> everywhere
 
@@ -114,7 +114,7 @@
       | one byte more than allowed   | not taken |
 
   Scenario: while a member knows level 2 only, orders for zones are taken as before
-    Given a cohort that takes orders, one member of which knows level 2
+    Given a cluster that takes orders, one member of which knows level 2
     When an evacuation is begun and finished
     Then both were agreed on as level 2 knows them, and neither bears an index
     When that member knows level 3
--- a/features/outage.feature
+++ b/features/outage.feature
@@ -1,18 +1,18 @@
 Feature: Outage
-  When every accord was killed at once, the way back from the last start is short and safe.
+  When every control daemon was killed at once, the way back from the last start is short and safe.
 
   Scenario: a leader is there soon after the last start, and answers soon after that
-    When every accord is killed and started again, with seeds 10 to 15
+    When every control daemon is killed and started again, with seeds 10 to 15
     Then half of them have a leader within 1.2 of a lease, and all within 1.4
     And all take a job within 0.25 s of it, and start a task within 0.5 s of it
 
   Scenario: a voter that refused while it waited for a lease to end is asked again
-    Given two accords with a log that start anew, the second 0.3 s after the first
+    Given two control daemons with a log that start anew, the second 0.3 s after the first
     When the first asks for votes once it may
     Then it leads within 0.3 s of the end of the second's wait
 
   Scenario: a vote that was lost is asked for again
-    Given two accords with a log that start anew, the second 0.3 s after the first
+    Given two control daemons with a log that start anew, the second 0.3 s after the first
     When the first asks for votes once it may, and its first vote request is lost
     Then it leads within 0.3 s of the end of the second's wait
 
@@ -21,23 +21,23 @@
     Then it asks for pre-votes within 0.25 s, under the term it has
 
   Scenario: the wait for a lease counts from the begin of the process, and is never shorter
-    Given an accord with a log whose process began 0.25 s before its first tick
+    Given a control daemon with a log whose process began 0.25 s before its first tick
     Then it gives no vote before a lease from the begin of the process is over
     And it gives one 0.02 s later
 
   Scenario: a data folder is one process's at a time
     Given a data folder that a process owns
-    Then an accord on it ends at once and says so
+    Then a control daemon on it ends at once and says so
     And the folder can be owned again once that process has let go
 
   Scenario: in a long outage callers are told soon that nobody took their call
-    When every accord is killed and started again after 5 s, with seeds 0 to 1
+    When every control daemon is killed and started again after 5 s, with seeds 0 to 1
     Then no try is held longer than 2.3 s, and on average none over 0.5 s
     And nine in ten are told that the call was not taken
     And all take a job within 0.25 s of it, and start a task within 0.5 s of it
 
-  Scenario Outline: a verge without news from a leader for <silent> s gives a call up after <held> s
-    Given a verge that last heard its leader <silent> s ago
+  Scenario Outline: a front daemon without news from a leader for <silent> s gives a call up after <held> s
+    Given a front daemon that last heard its leader <silent> s ago
     When a call of 2 s comes that <way>
     Then it is answered <status> after <held> s
 
--- a/features/path.feature
+++ b/features/path.feature
@@ -1,19 +1,19 @@
 Feature: Path
-  The whole path as separate processes, from a ticket at a verge to a task ended on a minion.
+  The whole path as separate processes, from a job at a front daemon to a task ended on a worker.
 
-  Scenario: three accords, two verges, two minions, traffic, and every history check
-    Given a small fleet of processes with its setup in force
+  Scenario: three control daemons, two front daemons, two workers, traffic, and every history check
+    Given a small fleet of processes with its queue configuration in force
     When its traffic runs for 4 seconds
-    Then every ticket becomes final and no history check finds a fault
-    And a ticket is read back at every verge
+    Then every job becomes final and no history check finds a fault
+    And a job is read back at every front daemon
     And each process ends within 2 seconds of its SIGTERM with exit code 0
 
-  Scenario Outline: a small fleet under <disturbance> keeps every promise
-    When a small fleet suffers <disturbance> under its traffic
-    Then no check of the run finds a fault and every ticket became final
+  Scenario Outline: a small fleet under <fault> keeps every guarantee
+    When a small fleet suffers <fault> under its traffic
+    Then no check of the run finds a fault and every job became final
 
     Examples:
-      | disturbance     |
+      | fault           |
       | freeze-leader   |
       | freeze-minion   |
       | kill-minion     |
--- a/features/pushed_job_trials.feature
+++ b/features/pushed_job_trials.feature
@@ -1,12 +1,12 @@
 Feature: Trial
-  Simulated fleets under every weather of failures keep every promise; planted faults are found.
+  Simulated fleets under every fault scenario of failures keep every guarantee; injected faults are found.
 
-  Scenario Outline: <weather> breaks no promise
-    When the weather <weather> is tried with seeds 1 to 3 on every fleet in turn
+  Scenario Outline: <scenario> breaks no guarantee
+    When the fault scenario <scenario> is tried with seeds 1 to 3 on every fleet in turn
     Then no check finds a fault
 
     Examples:
-      | weather        |
+      | scenario       |
       | calm           |
       | kills          |
       | leaders-fall   |
@@ -38,40 +38,40 @@
       | crowds-ten     |
       | cancel-cut     |
 
-  Scenario: a day's end breaks no promise, whatever fault ends it
-    When the weather final is tried with seeds 1 to 7 on every fleet in turn
+  Scenario: a day's end breaks no guarantee, whatever fault ends it
+    When the fault scenario final is tried with seeds 1 to 7 on every fleet in turn
     Then no check finds a fault
 
-  Scenario Outline: <weather> breaks no promise in dynamic mode
-    When the weather <weather> is tried in dynamic mode with seeds 1 to 2 on nine accords
+  Scenario Outline: <scenario> breaks no guarantee in dynamic mode
+    When the fault scenario <scenario> is tried in dynamic mode with seeds 1 to 2 on nine control daemons
     Then no check finds a fault
 
     Examples:
-      | weather      |
+      | scenario     |
       | kills        |
       | leaders-fall |
       | cuts         |
       | power        |
 
-  Scenario Outline: <weather> breaks no promise while the log is compacted all the time
+  Scenario Outline: <scenario> breaks no guarantee while the log is compacted all the time
     Given the condition frequent-snapshots
-    When the weather <weather> is tried with seeds 4 to 6 on every fleet in turn
+    When the fault scenario <scenario> is tried with seeds 4 to 6 on every fleet in turn
     Then no check finds a fault
 
     Examples:
-      | weather      |
+      | scenario     |
       | leaders-fall |
       | replaced     |
       | power        |
       | storm        |
 
-  Scenario Outline: the planted fault <plant> is found
-    Given the planted fault <plant>
-    When the weather <weather> is tried with seeds 0 to 11 on every fleet in turn
+  Scenario Outline: the injected fault <injected> is found
+    Given the injected fault <injected>
+    When the fault scenario <scenario> is tried with seeds 0 to 11 on every fleet in turn
     Then some check finds <fault>
 
     Examples:
-      | plant                 | weather      | fault                      |
+      | injected              | scenario     | fault                      |
       | early-proof           | minions-fail | while another ran          |
       | silence-is-an-end     | minions-fail | started after it had ended |
       | sent-again            | foul         | started twice              |
@@ -100,22 +100,22 @@
       | killed-once           | cancel-cut   | ran on after its cancel    |
       | history-cut           | final        | missing at day's end       |
 
-  Scenario: the planted fault own-clock is found
-    Given the planted fault own-clock
-    When the weather clocks is tried with seeds 12 to 23 on every fleet in turn
+  Scenario: the injected fault own-clock is found
+    Given the injected fault own-clock
+    When the fault scenario clocks is tried with seeds 12 to 23 on every fleet in turn
     Then some check finds started early
 
-  Scenario: the planted fault lost-not-counted is found
-    Given the planted fault lost-not-counted
-    When the weather crashes is tried with seeds 0 to 23 on every fleet in turn
+  Scenario: the injected fault lost-not-counted is found
+    Given the injected fault lost-not-counted
+    When the fault scenario crashes is tried with seeds 0 to 23 on every fleet in turn
     Then some check finds failures
 
-  Scenario Outline: <weather> with seed <seed> on <fleet>, once broken: <cause>
-    When the weather <weather> is tried with seed <seed> on the fleet <fleet>
+  Scenario Outline: <scenario> with seed <seed> on <fleet>, once broken: <cause>
+    When the fault scenario <scenario> is tried with seed <seed> on the fleet <fleet>
     Then no check finds a fault
 
     Examples:
-      | weather  | seed | fleet | cause                                                   |
+      | scenario | seed | fleet | cause                                                   |
       | storm    | 2    | bare  | a thawed verge took old news for the time of day        |
       | replaced | 134  | bare  | an overtaken answer was taken for a forgetful follower  |
       | replaced | 11   | bare  | a newcomer was let in beside one not yet known as lost  |
@@ -125,9 +125,9 @@
       | final    | 5    | bare  | time stood still after clocks had been behind           |
 
   Scenario: the same seed gives the same history
-    When the weather storm is tried twice with seed 3
+    When the fault scenario storm is tried twice with seed 3
     Then both histories are the same to the last event
 
   Scenario: the same seed gives the same history in another process
-    When the weather operators is tried with seed 4 in two processes that hash otherwise
+    When the fault scenario operators is tried with seed 4 in two processes that hash otherwise
     Then both processes tell the same history
--- a/features/rules.feature
+++ b/features/rules.feature
@@ -1,5 +1,5 @@
 Feature: Rules
-  Alert rules in the Prometheus manner may hold approvals back, and never an emergency change.
+  Alert rules in the Prometheus manner may pause approvals, and never an emergency change.
 
   Scenario Outline: a rules file with <fault> is refused with its place
     When a rules file with <fault> is read
@@ -16,19 +16,19 @@
       | an alert named twice        | groups.0.rules.1.alert |
       | a stray field               | groups.0.rules.0.colour |
 
-  Scenario: an accord with a rules file that can't be read does not start
-    When a bent rules file is given to a starting accord
+  Scenario: a control daemon with a rules file that can't be read does not start
+    When a bent rules file is given to a starting control daemon
     Then it ends with 2 and one line that names the place
 
-  Scenario: a firing rule holds an approval until it clears, whoever leads
-    Given a simulated fleet whose rules hold approvals while tasks are parked
+  Scenario: a firing rule pauses an approval until it clears, whoever leads
+    Given a simulated fleet whose rules pause approvals while tasks are parked
     And a draft that was found better
-    When an impossible ticket is parked for 3 seconds
+    When an impossible job is parked for 3 seconds
     Then approving is refused with "held", the alert and when to come back
     And an emergency change goes through
-    And a new leader still holds approvals
-    And once the ticket is cancelled approving puts the draft, made anew, in force
+    And a new leader still pauses approvals
+    And once the job is cancelled approving puts the draft, made anew, in force
 
-  Scenario: a hold of a lower epoch changes nothing
-    When a record gets a hold under an old epoch
+  Scenario: a pause of a lower epoch changes nothing
+    When a cluster state gets a pause under an old epoch
     Then it holds nothing
--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -24,7 +24,7 @@
 import cbor2
 
 from pinepitch.common import constants, packed_operations
-from pinepitch.simulation import leased_job_trial, pushed_job_trial
+from pinepitch.simulation import daemon_calls, leased_job_trial, pushed_job_trial
 from pinepitch.simulation import simulator as simulators
 from pinepitch.simulation.jobs import fleet as job_fleets
 from pinepitch.simulation.model_checker import fleets as model_fleets
@@ -137,6 +137,7 @@
         mock.patch.object(framing, "encode", tapped_encode),
         mock.patch.object(simulators, "json", documents),
         mock.patch.object(job_fleets, "json", documents),
+        mock.patch.object(daemon_calls, "json", documents),
         contextlib.suppress(Ended),
     ):
         yield
--- a/features/scale.feature
+++ b/features/scale.feature
@@ -1,24 +1,24 @@
 Feature: Scale
   Real daemons beside hollow workers that share one process: what is counted is whole, no rule of
-  jobs is broken, and what a leader spends on one beat or one seat does not hide a worse power.
+  jobs is broken, and what a leader spends on one heartbeat or one seat does not hide a worse power.
 
   Scenario: a small fleet of daemons and hollow workers keeps the rules, and its counts are whole
     When real daemons bear 8 hollow workers that run 8 tasks and start 10 a second
     Then no history check of jobs finds a fault
     And the 8 tasks run, and starts come at 10 a second, give or take a half
-    And each worker beats more often than once a second, and less than 10 times
-    And the leader took every beat that was answered, and every role's frames are counted
-    And every accord applies the same entries
+    And each worker heartbeats more often than once a second, and less than 10 times
+    And the leader took every heartbeat that was answered, and every role's frames are counted
+    And every control daemon applies the same entries
 
-  Scenario: twice the workers bring about twice the beats
+  Scenario: twice the workers bring about twice the heartbeats
     When real daemons bear 6 hollow workers, then 12
-    Then the beats of the second run are 1.6 to 2.4 times those of the first
+    Then the heartbeats of the second run are 1.6 to 2.4 times those of the first
     And no history check of jobs finds a fault
 
   Scenario: a line is fitted as it was drawn
     Then points of 3 + 2x give the slope 2, the intercept 3 and no residual
     And a daemon at its limit is no point of a slope
 
-  Scenario: one beat of a worker costs alike in herds of two sizes
-    When 50 and 200 workers beat in this process
-    Then one beat among 200 costs less than 3 times one among 50
+  Scenario: one heartbeat of a worker costs alike in herds of two sizes
+    When 50 and 200 workers heartbeat in this process
+    Then one heartbeat among 200 costs less than 3 times one among 50
--- a/features/second_loss.feature
+++ b/features/second_loss.feature
@@ -23,12 +23,12 @@
       | founding-struck      | 1    |
       | only-copy-leaves     | 3    |
 
-  Scenario Outline: the planted fault <plant> is found by <trial>
-    When second losses are tried as <trial> with seeds 0 to 3 and the planted fault <plant>
+  Scenario Outline: the injected fault <injected> is found by <trial>
+    When second losses are tried as <trial> with seeds 0 to 3 and the injected fault <injected>
     Then some trial of second losses finds <fault>
 
     Examples:
-      | plant             | trial                | fault                       |
+      | injected          | trial                | fault                       |
       | serves-on         | leader-stops-cut-off | relies on its lease of term |
       | no-successor      | leader-stops         | without a leader for        |
       | no-heir           | seat-handed-on       | the voters are              |
--- a/features/steps/adapter_fuzz.py
+++ b/features/steps/adapter_fuzz.py
@@ -200,12 +200,12 @@
         self.replies.setdefault(request, []).append(Response(status, document, tuple(headers)))
 
 
-@given("simulated daemons with the platform's doors")
+@given("simulated daemons with the platform's adapters")
 def step_daemons(context):
     context.daemons = Daemons()
 
 
-@when("{count:d} requests that are distorted with seed {seed:d} come to the {adapter} door")
+@when("{count:d} requests that are distorted with seed {seed:d} come to the {adapter} adapter")
 def step_fuzz(context, count, seed, adapter):
     draw, daemons = random.Random(seed), context.daemons
     kind = "accord" if adapter == "control" else "verge"
@@ -215,7 +215,7 @@
     context.count = count
 
 
-@then("each is answered once, clearly, and in words that the door can write")
+@then("each is answered once, clearly, and in words that the adapter can write")
 def step_answered(context):
     assert len(context.daemons.responses) == context.count
     for request, response in context.daemons.responses:
@@ -231,7 +231,7 @@
     assert set(configuration.taken) == {1, *context.daemons.versions}, configuration.taken
 
 
-@then("no daemon has stopped, and all records are alike")
+@then("no daemon has stopped, and all cluster states are alike")
 def step_alike(context):
     simulator = context.daemons.simulator
     simulator.run(2)
--- a/features/steps/adapters.py
+++ b/features/steps/adapters.py
@@ -215,12 +215,12 @@
     assert not first.saves and not first.gang and not second.lasts and not second.twice
 
 
-@given("a record for calls of the platform")
+@given("a cluster state for calls of the platform")
 def step_record(context):
     context.core = Core()
 
 
-@given("a record for calls of the platform, with a configuration in force")
+@given("a cluster state for calls of the platform, with a configuration in force")
 def step_configured(context):
     context.core = Core()
     made = control("POST", adapters.REPLACE, body_of(CONFIGURATION), x_based_on_version="0")
@@ -542,13 +542,13 @@
     return heartbeat
 
 
-@when("the platform's example of a beat {form} comes to a control port")
+@when("the platform's example of a heartbeat {form} comes to a control port")
 def step_heartbeat(context, form):
     context.sent = heartbeat_with(form)
     context.made = control("POST", adapters.HEARTBEAT + "i-7f3a91c2", body_of(context.sent))
 
 
-@then("the product can take the beat")
+@then("the product can take the heartbeat")
 def step_heartbeat_taken(context):
     assert not isinstance(context.made, Response), context.made
     call, arguments, _ = context.made
@@ -584,7 +584,7 @@
     assert found.leaves_at == (10.0 + sent["leavesAtMs"] / 1000 if answered == "when it leaves" else None)
 
 
-@then("the beat is refused with 400, at the door or behind it")
+@then("the heartbeat is refused with 400, at the adapter or behind it")
 def step_heartbeat_refused(context):
     response = Core().answer(context.made)
     assert response.status == 400, response
@@ -614,34 +614,34 @@
     context.answered_orders = json.loads(json.dumps(response.document))
 
 
-@when("the product answers a beat with orders, the leader being here")
+@when("the product answers a heartbeat with orders, the leader being here")
 def step_orders_here(context):
     orders(context, {**ORDERS, "home": "10.0.0.1:7000"})
 
 
-@when("the product answers a beat with orders, the leader being elsewhere")
+@when("the product answers a heartbeat with orders, the leader being elsewhere")
 def step_orders_not_taken(context):
     orders(context, {**ORDERS, "home": "10.0.0.4:7000"})
 
 
-@when("the product answers a beat that changed nothing")
+@when("the product answers a heartbeat that changed nothing")
 def step_no_orders(context):
     orders(context, {})
 
 
-@then("the minion is told the same orders, and no other address")
+@then("the worker is told the same orders, and no other address")
 def step_notified_orders(context):
     assert context.answered_orders == ORDERS_ANSWERED, context.answered_orders
 
 
-@then("the minion is told the same orders, and the leader's control address")
+@then("the worker is told the same orders, and the leader's control address")
 def step_notified_address(context):
     assert context.answered_orders == {**ORDERS_ANSWERED, "heartbeatAddress": "10.0.0.4:8080"}, (
         context.answered_orders
     )
 
 
-@then("the minion is told nothing")
+@then("the worker is told nothing")
 def step_notified_nothing(context):
     assert context.answered_orders == {}, context.answered_orders
 
--- a/features/steps/api.py
+++ b/features/steps/api.py
@@ -11,7 +11,7 @@
 ONE = {"queue": "default", "key": "k", "tasks": [{"name": "a", "work": {"seconds": 0.05}}]}
 
 
-@given("a simulated fleet behind its verges")
+@given("a simulated fleet behind its front daemons")
 def step_fleet(context):
     context.simulator = Simulator(31)
     context.simulator.begin()
@@ -20,21 +20,21 @@
     context.fronts = sum(node.kind == "verge" for node in context.simulator.nodes.values())
 
 
-@when("one ticket is handed in at every verge under one key, then with another body")
+@when("one job is handed in at every front daemon under one key, then with another body")
 def step_key(context):
     ask = context.simulator.ask
     context.answers = [ask("POST", "/v1/tickets", ONE, front=place) for place in range(context.fronts)]
     context.other = ask("POST", "/v1/tickets", {**ONE, "urgency": 9}, front=1)
 
 
-@then('all but the first answer 200 with the same ticket, and the other body 409 "{code}"')
+@then('all but the first answer 200 with the same job, and the other body 409 "{code}"')
 def step_same(context, code):
     assert [status for status, _ in context.answers] == [201] + [200] * (context.fronts - 1), context.answers
     assert len({answer["ticket"] for _, answer in context.answers}) == 1
     assert context.other[0] == 409 and context.other[1]["error"]["code"] == code, context.other
 
 
-@when("{count:d} tickets are handed in, finished, and some archived")
+@when("{count:d} jobs are handed in, finished, and some archived")
 def step_many(context, count):
     simulator = context.simulator
     context.made = []
@@ -69,7 +69,7 @@
     assert pages(context, "&key=k5") == [names[5]] and pages(context, "&key=unheard") == []
 
 
-@then("at every verge {call} is answered with {status:d} and {code}")
+@then("at every front daemon {call} is answered with {status:d} and {code}")
 def step_status(context, call, status, code):
     method, target, *body = call.split(" ", 2)
     for place in range(context.fronts):
@@ -92,7 +92,10 @@
         assert got[0][1] == status and got[0][2]["error"]["code"] == code, got
 
 
-@then('the setup\'s version is its ETag, a change on it is taken, and a second on it gets 409 "{code}"')
+@then(
+    "the queue configuration's version is its ETag, a change on it is taken, and a second on it "
+    'gets 409 "{code}"'
+)
 def step_etag(context, code):
     simulator = context.simulator
     version = simulator.ask("GET", "/v1/setup")[1]["version"]
--- a/features/steps/archive.py
+++ b/features/steps/archive.py
@@ -62,7 +62,7 @@
         )
 
 
-@given("a record that has finished {count:d} tickets")
+@given("a cluster state that has finished {count:d} jobs")
 def step_record(context, count):
     context.cluster_state, context.index, context.was, context.begun = ClusterState(), 1, {}, 0.0
     context.cluster_state.apply(1, 0.0, ("duty", "placing", "test"))
@@ -110,7 +110,7 @@
         assert context.cluster_state.count == before
 
 
-@then("cancelling an archived ticket says how it ended")
+@then("cancelling an archived job says how it ended")
 def step_cancel(context):
     assert "t1" not in context.cluster_state.pushed_jobs
     assert context.cluster_state.apply(10**6, 0.0, ("cancel", "t1")) == ("ended", "finished")
@@ -128,7 +128,7 @@
     assert after < context.before * 1.25, (context.before, after)
 
 
-@then("an archived ticket takes less than {most:d} bytes")
+@then("an archived job takes less than {most:d} bytes")
 def step_bytes(context, most):
     archive = context.cluster_state.archive
     assert sum(map(len, archive.segments.values())) / archive.count < most
@@ -202,7 +202,7 @@
     )
 
 
-@when("an accord is cut off for a while and comes back")
+@when("a control daemon is cut off for a while and comes back")
 def step_away(context):
     context.node = away(context)
     context.had = context.node.core.cluster_state.archive.sealed
@@ -221,7 +221,7 @@
     step_holds(context)
 
 
-@when("an accord comes back empty")
+@when("a control daemon comes back empty")
 def step_empty(context):
     context.node = away(context)
     context.simulator.kill(context.node.name)
--- a/features/steps/assigning.py
+++ b/features/steps/assigning.py
@@ -77,7 +77,9 @@
         context.fleets[field] = by_chance(1, count, policies.DEFAULT._replace(**{field: False}))
 
 
-@then("no worker ran more than it has room for, and work starves without {first:w} and {second:w}, no other")
+@then(
+    "no worker ran more than it has capacity for, and work starves without {first:w} and {second:w}, no other"
+)
 def step_capacity_kept(context, first, second):
     starved = set()
     for field, fleet in context.fleets.items():
@@ -88,7 +90,7 @@
     assert starved == {first, second}, starved
 
 
-@then("by no seed has a job with nothing running waited over {most:d} seconds beside ample room")
+@then("by no seed has a job with nothing running waited over {most:d} seconds beside ample capacity")
 def step_no_idle(context, most):
     longest = {seed: round(fleet.longest_idle, 1) for seed, fleet in context.fleets.items()}
     bad = {seed: seconds for seed, seconds in longest.items() if seconds > most}
@@ -97,8 +99,8 @@
 
 # --- shares of the room ------------------------------------------------------------------
 @when(
-    "for {seconds:d} seconds scans come that ask for {share:d} times the room, "
-    "and inspections for a tenth of it"
+    "for {seconds:d} seconds scans come that ask for {share:d} times the capacity, and inspections "
+    "for a tenth of it"
 )
 def step_overload(context, seconds, share):
     fleet, draw = context.fleet, random.Random(1)
@@ -130,7 +132,7 @@
     assert jobs_of and good >= part * len(jobs_of), f"{good} of {len(jobs_of)}"
 
 
-@then("scans had {part:g} of the room")
+@then("scans had {part:g} of the capacity")
 def step_scans_share(context, part):
     fleet = context.fleet
     available = (fleet.now - 100) * len(fleet.workers) * WORKER_CAPACITY[2]
@@ -138,8 +140,8 @@
 
 
 @when(
-    "for {seconds:d} seconds {urgent} come that ask for {share:d} times the room, "
-    "and inspections {large:d} accelerators large"
+    "for {seconds:d} seconds {urgent} come that ask for {share:d} times the capacity, and "
+    "inspections {large:d} accelerators large"
 )
 def step_large(context, seconds, urgent, share, large):
     fleet = context.fleet
@@ -152,7 +154,7 @@
         fleet.run(4)
 
 
-@then("inspections had between {least:g} and {most:g} of the room, scans at least {scans:g}")
+@then("inspections had between {least:g} and {most:g} of the capacity, scans at least {scans:g}")
 def step_between(context, least, most, scans):
     fleet = context.fleet
     available = (fleet.now - 100) * len(fleet.workers) * WORKER_CAPACITY[2]
@@ -207,7 +209,7 @@
     assert set(states) == {"placed"}, states
 
 
-@when("scans of {seconds:d} seconds have just taken all the room")
+@when("scans of {seconds:d} seconds have just taken all the capacity")
 def step_burst(context, seconds):
     fleet = context.fleet
     fleet.put("scans", len(fleet.workers), 8, seconds)
@@ -215,7 +217,7 @@
     assert fleet.in_use() == 1.0, fleet.in_use()
 
 
-@when("inspections of {seconds:d} seconds come that ask for {share:d} times the room")
+@when("inspections of {seconds:d} seconds come that ask for {share:d} times the capacity")
 def step_inspections(context, seconds, share):
     fleet = context.fleet
     fleet.put("inspections", share * len(fleet.workers) * WORKER_CAPACITY[2], 1, seconds)
--- a/features/steps/assignments.py
+++ b/features/steps/assignments.py
@@ -133,7 +133,7 @@
         ]
 
 
-@given("an accord that leads alone, with routes in force and holds of 4 seconds")
+@given("a control daemon that leads alone, with routes in force and leases of 4 seconds")
 def step_lead(context):
     context.cluster = SimulatedCluster()
     assert context.cluster.told("configure", 0, CONFIGURATION) == (200, {"version": 1})
@@ -186,42 +186,42 @@
         context.simulated_worker.running[(reference, run)] = saved or f"s{run}"
 
 
-@when("minion {name:w} beats")
+@when("worker {name:w} heartbeats")
 def step_heartbeats(context, name):
     heartbeat(context, name)
 
 
-@when("minion {name:w} beats {count:d} times")
+@when("worker {name:w} heartbeats {count:d} times")
 def step_heartbeats_often(context, name, count):
     for _ in range(count):
         heartbeat(context, name)
 
 
-@when("minion {name:w} beats until it is told a start")
+@when("worker {name:w} heartbeats until it is told a start")
 def step_until_start(context, name):
     until_start(context, name)
 
 
-@when("minion {name:w} sends a beat")
+@when("worker {name:w} sends a heartbeat")
 def step_sends(context, name):
     send(context, name)
 
 
-@when("minion {name:w} sends a beat without a zone")
+@when("worker {name:w} sends a heartbeat without a zone")
 def step_malformed(context, name):
     identity, document = context.simulated_workers[name].beat(context.cluster.now)
     del document["zone"]
     context.token = context.cluster.ask("beat", identity, document)
 
 
-@then("the beat is answered with {status:d}")
+@then("the heartbeat is answered with {status:d}")
 def step_heartbeat_status(context, status):
     context.cluster.until(lambda: context.token in context.cluster.answers, 2)
     kind, answer, *_ = context.cluster.answers[context.token]
     assert kind == "answer" and answer[0] == status, answer
 
 
-@when("minion {name:w} beats, which takes {seconds:g} seconds to arrive")
+@when("worker {name:w} heartbeats, which takes {seconds:g} seconds to arrive")
 def step_late(context, name, seconds):
     worker = context.simulated_worker = context.simulated_workers[name]
     identity, document = worker.beat(context.cluster.now)
@@ -231,54 +231,54 @@
     hear(context)
 
 
-@given("a beat of minion one is on its way")
+@given("a heartbeat of worker one is on its way")
 def step_in_transit(context):
     context.late = context.simulated_workers["one"].beat(context.cluster.now)
 
 
-@given("a beat of minion one that lists nothing is on its way")
+@given("a heartbeat of worker one that lists nothing is on its way")
 def step_empty_in_transit(context):
     context.late = context.simulated_workers["one"].beat(context.cluster.now)
     context.late[1]["running"] = []
 
 
-@when("the beat of minion one arrives")
+@when("the heartbeat of worker one arrives")
 def step_arrives(context):
     context.cluster.ask("beat", *context.late)
     context.cluster.run(0.3)
 
 
-@when("the beat arrives after newer ones")
+@when("the heartbeat arrives after newer ones")
 def step_after_newer(context):
     context.token = context.cluster.ask("beat", *context.late)
     hear(context)
 
 
-@when("the beat arrives with an end that is no more")
+@when("the heartbeat arrives with an end that is no more")
 def step_with_end(context):
     context.late[1]["ended"] = [[1, TASK, 1, "stopped", ""]]
     step_after_newer(context)
 
 
-@then("it is answered without a hold, a start or a stop")
+@then("it is answered without a lease, a start or a stop")
 def step_bare(context):
     assert context.heard[0] == "answer" and context.heard[1][0] == 200, context.heard
     answered = context.heard[1][1]
     assert not {"hold_ms", "start", "stop", "seen"} & set(answered), answered
 
 
-@when("minion one does not get that answer")
+@when("worker one does not get that answer")
 def step_not_got(context):
     assert not context.simulated_workers["one"].running
 
 
-@when("minion {name:w} begins what it was told")
+@when("worker {name:w} begins what it was told")
 def step_begins(context, name):
     context.simulated_worker = context.simulated_workers[name]
     begins(context)
 
 
-@given("minion one runs run 1 of a job of 1 task")
+@given("worker one runs run 1 of a job of 1 task")
 def step_runs(context):
     heartbeat(context, "one")
     step_job(context)
@@ -288,44 +288,44 @@
     heartbeat(context, "one")
 
 
-@when("run {run:d} ends {how:w} at minion {name:w}")
+@when("run {run:d} ends {how:w} at worker {name:w}")
 def step_ends(context, run, how, name):
     step_ends_saved(context, run, how, name, "")
 
 
-@when('run {run:d} ends {how:w} at minion {name:w} with "{saved}" saved')
+@when('run {run:d} ends {how:w} at worker {name:w} with "{saved}" saved')
 def step_ends_saved(context, run, how, name, saved):
     worker = context.simulated_workers[name]
     del worker.running[(TASK, run)]
     worker.ended.append([1, TASK, run, how, saved])
 
 
-@when("minion one also runs {what}")
+@when("worker one also runs {what}")
 def step_stray(context, what):
     context.simulated_workers["one"].running[STRAYS[what]] = ""
 
 
-@when("minion one tells an end of {what}")
+@when("worker one tells an end of {what}")
 def step_stray_end(context, what):
     context.simulated_workers["one"].ended.append([1, *STRAYS[what], "done", ""])
 
 
-@given("minion two has no room")
+@given("worker two has no capacity")
 def step_no_capacity(context):
     context.simulated_workers["two"].room = [0, 0, 0]
 
 
-@when("minion two has room")
+@when("worker two has capacity")
 def step_capacity(context):
     context.simulated_workers["two"].room = [4000, 4096, 0]
 
 
-@when("minion one is draining")
+@when("worker one is draining")
 def step_draining(context):
     context.simulated_workers["one"].state = "draining"
 
 
-@when("minion one is in an emptied zone")
+@when("worker one is in an emptied zone")
 def step_evacuated(context):
     confirmed = context.cluster.accord.cluster_state.index
     assert context.cluster.told("evacuate", "zone-one", True, confirmed)[0] == 200
@@ -337,20 +337,20 @@
     assert context.cluster.told("evacuate", "zone-one", False, confirmed)[0] == 200
 
 
-@when("minion two beats from the address of minion one until it is told a start")
+@when("worker two heartbeats from the address of worker one until it is told a start")
 def step_reborn(context):
     context.simulated_workers["two"].address = context.simulated_workers["one"].address
     context.unresponsive_since = context.answered_at
     until_start(context, "two")
 
 
-@when("minion one says that it ends")
+@when("worker one says that it ends")
 def step_leaves(context):
     assert context.cluster.told("beat-leave", "one")[0] == 200
 
 
 # --- a gang --------------------------------------------------------------------------
-@given("minions one, two, three and four have room for one task each")
+@given("workers one, two, three and four have capacity for one task each")
 def step_narrow(context):
     for place, name in enumerate(("one", "two", "three", "four"), 1):
         worker = context.simulated_workers.setdefault(name, SimulatedWorker(name, f"10.8.0.{place}:80"))
@@ -371,7 +371,7 @@
     raise AssertionError(f"{left} were told no start")
 
 
-@given("minions one and two run a gang, and fall silent until it is placed at three and four")
+@given("workers one and two run a gang, and fall silent until it is placed at three and four")
 def step_gang(context):
     heartbeat(context, "one")
     heartbeat(context, "two")
@@ -392,14 +392,14 @@
     cluster.until(lambda: {one[0] for one in cluster.placed()} == {"three", "four"}, 1.5)
 
 
-@when("minion {name:w} is told its start")
+@when("worker {name:w} is told its start")
 def step_notified_start(context, name):
     context.simulated_worker = context.simulated_workers[name]
     if not context.simulated_worker.starts:  # an idle minion's beat stays open and may have told it already
         until_start(context, name, 2)
 
 
-@when('minion one tells how its run of the gang ended, with "{saved}" saved')
+@when('worker one tells how its run of the gang ended, with "{saved}" saved')
 def step_gang_end(context, saved):
     worker = context.simulated_workers["one"]
     ((reference, run),) = worker.running
@@ -461,30 +461,30 @@
     context.cluster.step("tick")
 
 
-@when("{seconds:g} seconds pass without a beat")
+@when("{seconds:g} seconds pass without a heartbeat")
 def step_pass(context, seconds):
     context.cluster.sent.clear()
     context.cluster.run(seconds)
 
 
-@when("the accord starts again from its disk")
+@when("the control daemon starts again from its disk")
 def step_restart(context):
     context.cluster.begin()
     context.answered_at = context.cluster.now  # a hold may have been given until just before
 
 
-@when("only minion two beats")
+@when("only worker two heartbeats")
 def step_only_two(context):
     context.unresponsive_since = context.answered_at
     until_start(context, "two")
 
 
-@when("only minion two beats until it is told a start")
+@when("only worker two heartbeats until it is told a start")
 def step_only_two_start(context):
     until_start(context, "two")
 
 
-@when("its hold runs out while the disk does not save")
+@when("its lease runs out while the disk does not save")
 def step_lapses(context):
     cluster = context.cluster
     cluster.run(context.answered_at + span(context) - 0.1 - cluster.now)
@@ -494,7 +494,7 @@
     assert cluster.placed()
 
 
-@when("minion one beats until its end is seen")
+@when("worker one heartbeats until its end is seen")
 def step_until_seen(context):
     for _ in range(40):
         heartbeat(context, "one")
@@ -509,24 +509,24 @@
 
 
 # --- what is told --------------------------------------------------------------------
-@then("nothing was sent to any minion meanwhile")
+@then("nothing was sent to any worker meanwhile")
 def step_nothing_sent(context):
     addresses = {worker.address for worker in context.simulated_workers.values()}
     assert not [one for one in context.cluster.sent if one[1] in addresses], context.cluster.sent
 
 
-@then("the beat was not taken")
+@then("the heartbeat was not taken")
 def step_not_taken(context):
     assert context.heard[0] == "elsewhere", context.heard
 
 
-@then("the beat has no answer with a hold")
+@then("the heartbeat has no answer with a lease")
 def step_no_answer(context):
     found = context.cluster.answers.get(context.token)
     assert found is None or found[0] != "answer" or "hold_ms" not in found[1][1], found
 
 
-@then("it is told to start run {run:d} with the job's text, under a hold and a fence")
+@then("it is told to start run {run:d} with the job's text, under a lease and a fence")
 def step_start(context, run):
     answered = context.simulated_worker.told
     assert [list(one) for one in answered["start"]] == [[TASK, run, "do it", ""]], answered
@@ -557,7 +557,7 @@
     assert not context.simulated_worker.told.get("stop"), context.simulated_worker.told
 
 
-@then("minion one was told no start at all")
+@then("worker one was told no start at all")
 def step_never(context):
     assert not context.simulated_workers["one"].starts, context.simulated_workers["one"].starts
 
@@ -592,14 +592,14 @@
     assert [one[1:] for one in context.cluster.placed()] == [(TASK, run)], context.cluster.placed()
 
 
-@then("minion two is told no start before the hold and its margins are over")
+@then("worker two is told no start before the lease and its margins are over")
 def step_not_before(context):
     assert context.cluster.now - context.unresponsive_since >= span(context), (
         context.cluster.now - context.unresponsive_since
     )
 
 
-@then("minion two is told to start run 2 soon after")
+@then("worker two is told to start run 2 soon after")
 def step_soon_after(context):
     assert [one[:2] for one in map(list, context.simulated_worker.told["start"])] == [[TASK, 2]], (
         context.simulated_worker.told
--- a/features/steps/bootstrap.py
+++ b/features/steps/bootstrap.py
@@ -26,12 +26,12 @@
         context.simulator.start(node.name)
 
 
-@when("all its accords come back empty while its verges run on")
+@when("all its control daemons come back empty while its front daemons run on")
 def step_empty(context):
     empty(context, of(context, "accord"))
 
 
-@then("no cohort is founded in {seconds:d} seconds, and the accords say what holds them back")
+@then("no cluster is bootstrapped in {seconds:d} seconds, and the control daemons say what holds them back")
 def step_none(context, seconds):
     begun = context.simulator.now
     context.simulator.run(seconds)
@@ -40,7 +40,7 @@
     assert informed == {node.name for node in of(context, "accord")}, informed
 
 
-@when("all its accords come back empty and all its verges start anew")
+@when("all its control daemons come back empty and all its front daemons start anew")
 def step_anew(context):
     for node in of(context, "verge"):
         context.simulator.kill(node.name)
@@ -50,21 +50,21 @@
         context.simulator.start(node.name)
 
 
-@then("a cohort with another name is founded within {seconds:d} seconds")
+@then("a cluster with another name is bootstrapped within {seconds:d} seconds")
 def step_founded(context, seconds):
     assert context.simulator.until(lambda: context.simulator.leader() is not None, seconds) is not None
     clusters = {node.core.cluster for node in of(context, "accord")}
     assert len(clusters) == 1 and clusters != {context.cluster} and None not in clusters, clusters
 
 
-@when("one accord comes back empty while cut off from all others")
+@when("one control daemon comes back empty while cut off from all others")
 def step_alone(context):
     context.node = next(node for node in of(context, "accord") if node is not context.simulator.leader())
     context.simulator.partition([context.node.name], list(context.simulator.nodes))
     empty(context, [context.node])
 
 
-@then("it founds nothing in {seconds:d} seconds, and joins the old cohort once it is back")
+@then("it bootstraps nothing in {seconds:d} seconds, and joins the old cluster once it is back")
 def step_joins(context, seconds):
     context.simulator.run(seconds)
     assert context.node.core.cluster is None
@@ -79,7 +79,7 @@
     assert core.cluster == context.cluster
 
 
-@when("a verge is cut off from every accord for {seconds:d} seconds")
+@when("a front daemon is cut off from every control daemon for {seconds:d} seconds")
 def step_partition(context, seconds):
     context.node = of(context, "verge")[0]
     context.simulator.partition([context.node.name], [node.name for node in of(context, "accord")])
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -128,7 +128,7 @@
     return name, arguments
 
 
-@given("accords that lead, with routes and a setup in force")
+@given("control daemons that lead, with routes and a queue configuration in force")
 def step_lead(context):
     context.control_daemons = ControlDaemons()
 
@@ -152,7 +152,7 @@
     context.changes = call != "a minion's leaving"  # which is no entry, and counts once for its life
 
 
-@then("both are answered {alike}, and the record stands as after the first")
+@then("both are answered {alike}, and the cluster state stands as after the first")
 def step_once(context, alike):
     assert context.first[0] in (200, 201), context.first
     if alike == "alike":
@@ -169,7 +169,7 @@
     context.answered_calls = context.control_daemons.give(name, arguments, "the token", times=2)
 
 
-@then("it is answered once, and the record holds one of it")
+@then("it is answered once, and the cluster state holds one of it")
 def step_one(context):
     assert len(context.answered_calls) == 1 and context.answered_calls[0][0] in (200, 201), (
         context.answered_calls
--- a/features/steps/command_line.py
+++ b/features/steps/command_line.py
@@ -71,7 +71,7 @@
         assert f"  {code}  {meaning}" in context.report[()]
 
 
-@when("an operator lists tickets of a daemon that is not there")
+@when("an operator lists jobs of a daemon that is not there")
 def step_nobody(context):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))  # bound but not listening: refused at once
@@ -99,7 +99,7 @@
     return output
 
 
-@given("the log of a job that waited 2 seconds for room and whose run was stopped as stalled")
+@given("the log of a job that waited 2 seconds for capacity and whose run was stopped as stalled")
 def step_log(context):
     output = (
         (10.0, 186, {"job": JOB, "queue": "work"}),
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -254,7 +254,7 @@
     step_leads(context, "/moved/1f", "h0.example", "r501", "1f")
 
 
-@then("version {version:d} is read back from an image of the record as it was")
+@then("version {version:d} is read back from an image of the cluster state as it was")
 def step_image(context, version):
     before = context.core.call("configuration")
     context.core.cluster_state = ClusterState.decode(ClusterState.encode(context.core.cluster_state.image()))
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -176,7 +176,7 @@
     assert context.leader.core.consensus.serving(), "it has given leadership up"
 
 
-@when("a change of the setup on an older version is carried to it")
+@when("a change of the queue configuration on an older version is carried to it")
 def step_old_change(context):
     core, now = context.leader.core, context.simulator.steady()
     arguments = (core.cluster_state.version - 1, "merge", {"queues": {}}, "someone", "")
@@ -209,7 +209,7 @@
     front.step(("tick",), now + seconds, now + seconds)
 
 
-@then("the verge says that it is stale")
+@then("the front daemon says that it is stale")
 def step_stale(context):
     assert context.front.stale and context.front.body is not None
 
--- a/features/steps/control_faults.py
+++ b/features/steps/control_faults.py
@@ -15,7 +15,7 @@
     ]
 
 
-@given("the planted faults")
+@given("the injected faults")
 def step_injected(context):
     context.sought = {
         (queue_settings["scenario"], queue_settings["plant"]): queue_settings["fault"]
--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -27,7 +27,7 @@
     return document, explanation(document)
 
 
-@given("a simulated fleet with a ticket that failed once and then finished")
+@given("a simulated fleet with a job that failed once and then finished")
 def step_failed_once(context):
     fleet(context)
     workers = [node.core for node in context.simulator.nodes.values() if node.kind == "minion"]
@@ -49,7 +49,10 @@
     assert context.simulator.until(finished, 20) is not None
 
 
-@then("whence names both attempts with minion, verge, how, epoch, setup version and lenders")
+@then(
+    "explain names both attempts with worker, front daemon, how, epoch, queue configuration version "
+    "and lenders"
+)
 def step_attempts(context):
     document, text = explain_job(context)
     made = document["tasks"][0]["attempts_made"]
@@ -64,7 +67,7 @@
     context.before = document["tasks"]
 
 
-@then("it says the same once the ticket is archived")
+@then("it says the same once the job is archived")
 def step_archived(context):
     with mock.patch.object(constants, "FINISHED_LIVE", 0), mock.patch.object(constants, "SEGMENT_JOBS", 4):
         for _ in range(4):
@@ -77,14 +80,14 @@
         assert explain_job(context)[0]["tasks"] == context.before
 
 
-@given("a simulated fleet with an impossible ticket")
+@given("a simulated fleet with an impossible job")
 def step_impossible(context):
     fleet(context)
     submit(context, [{"name": "x", "labels": ["unheard-of"]}])
     context.simulator.run(1)
 
 
-@then("whence says what no minion has, and lists each minion as lacking it")
+@then("explain says what no worker has, and lists each worker as lacking it")
 def step_lacking(context):
     document, text = explain_job(context)
     assert "parked when it came: task x asks for unheard-of" in text
--- a/features/steps/forwarder.py
+++ b/features/steps/forwarder.py
@@ -129,7 +129,7 @@
 
 
 # --- in a verge ----------------------------------------------------------------------
-@given("a verge that knows no accord")
+@given("a front daemon that knows no control daemon")
 def step_front(context):
     context.front, context.now = (
         FrontDaemon("verge", ADDRESS, "north", (LEADER, OTHER, "10.0.0.3:7000")),
@@ -138,7 +138,7 @@
     context.asks, context.replies = [], []
 
 
-@given("a verge that follows a leader")
+@given("a front daemon that follows a leader")
 def step_follows(context):
     step_front(context)
     for identity, address in (("one", LEADER), ("two", OTHER)):
--- a/features/steps/guarantees.py
+++ b/features/steps/guarantees.py
@@ -17,13 +17,13 @@
         return file.read()
 
 
-@then("no weather and no planted fault is missing from the registry")
+@then("no fault scenario and no injected fault is missing from the registry")
 def step_complete(context):
     assert len(guarantees.GUARANTEES) >= 12 and len(guarantees.FAILURES) >= 15
     assert not guarantees.missing(), guarantees.missing()
 
 
-@then("features/pushed_job_trials.feature tries every planted fault and every weather")
+@then("features/pushed_job_trials.feature tries every injected fault and every fault scenario")
 def step_tried(context):
     words = set(re.findall(r"[a-z-]+", text_of("features", "pushed_job_trials.feature")))
     lacking = (set(guarantees.INJECTED_FAULTS) | set(guarantees.FAULT_SCENARIOS)) - words
@@ -37,7 +37,7 @@
     assert guarantees.written(page) == page
 
 
-@then("each check named by a promise is found in the code")
+@then("each check named by a guarantee is found in the code")
 def step_checks(context):
     owners = (checks, pushed_job_trial, Operator, Simulator)
     for guarantee in guarantees.GUARANTEES:
--- a/features/steps/history.py
+++ b/features/steps/history.py
@@ -67,7 +67,7 @@
     )
 
 
-@when("a setup of {count:d} rows is changed {times:d} times by one cell")
+@when("a queue configuration of {count:d} queues is changed {times:d} times by one cell")
 def step_large(context, count, times):
     begin(context)
     change(context, "whole", {"queues": {f"q{one:04d}": dict(rows.DEFAULTS) for one in range(count)}})
@@ -86,7 +86,7 @@
     context.times = times
 
 
-@then("the history takes less than {most:d} times the bytes of one setup")
+@then("the history takes less than {most:d} times the bytes of one queue configuration")
 def step_bytes(context, most):
     took = len(cbor2.dumps(context.cluster_state.queue_configurations.image()))
     assert took < most * context.one, (took, context.one)
@@ -101,12 +101,12 @@
     )
 
 
-@then("only the changed row is checked anew")
+@then("only the changed queue is checked anew")
 def step_kept(context):
     assert context.kept == context.times, context.kept
 
 
-@when("a setup with a null in its notes comes into force")
+@when("a queue configuration with a null in its notes comes into force")
 def step_null(context):
     begin(context)
     change(context, "whole", {"queues": {"q": {}}, "notes": {"by": "planner"}})
--- a/features/steps/incarnations.py
+++ b/features/steps/incarnations.py
@@ -99,19 +99,19 @@
     return [effect[1] for effect in effects if effect[0] == "event"]
 
 
-@given("a follower that was started again while the leader had a beat of one minion from it")
+@given("a follower that was started again while the leader had a heartbeat of one worker from it")
 def step_restarted(context):
     context.cluster = SimulatedCluster()
     context.former = context.cluster.carried(WORKER_ONE, "beat", heartbeat_of("one"))
     context.cluster.restart()
 
 
-@when("its new life carries a beat of another minion")
+@when("its new incarnation carries a heartbeat of another worker")
 def step_new_heartbeat(context):
     context.newer = context.cluster.carried(WORKER_TWO, "beat", heartbeat_of("another"))
 
 
-@when("the leader's answer to the former life's beat arrives")
+@when("the leader's answer to the former incarnation's heartbeat arrives")
 def step_former_answer(context):
     (answer,) = context.cluster.ask_leader(context.former)
     context.effects = context.cluster.follower_hears(answer)
@@ -123,18 +123,18 @@
     assert events(context.effects) == [ANSWER_TO_NOBODY], context.effects
 
 
-@when("the leader's answer to the new life's beat arrives")
+@when("the leader's answer to the new incarnation's heartbeat arrives")
 def step_newer_answer(context):
     (answer,) = context.cluster.ask_leader(context.newer)
     context.effects = [*context.cluster.follower_hears(answer), *context.cluster.follower_hears(answer)]
 
 
-@then("the other minion is told it once")
+@then("the other worker is told it once")
 def step_notified_once(context):
     assert [one[1:3] for one in replies(context.effects)] == [(WORKER_TWO, 200)], context.effects
 
 
-@then("the leader answers both beats, each once")
+@then("the leader answers both heartbeats, each once")
 def step_both(context):
     answers = context.cluster.ask_leader(context.former, context.newer)
     reported = sorted(answer[1] for answer in answers)
@@ -146,7 +146,7 @@
     return (None, "merge", {"notes": {"words": words}}, "operator", "a reason")
 
 
-@given("a follower whose former life has carried a change of the setup to its end")
+@given("a follower whose former incarnation has carried a change of the queue configuration to its end")
 def step_changed(context):
     context.cluster = cluster = SimulatedCluster()
     (answer,) = cluster.ask_leader(cluster.carried(1, "change", change_of("former")))
@@ -154,7 +154,7 @@
     cluster.restart()
 
 
-@when("its new life carries another change")
+@when("its new incarnation carries another change")
 def step_other_change(context):
     cluster = context.cluster
     (context.answer,) = cluster.ask_leader(cluster.carried(1, "change", change_of("newer")))
@@ -168,7 +168,7 @@
 
 
 # --- an answer to another call --------------------------------------------------------
-@given("a daemon that carries a beat of one minion")
+@given("a daemon that carries a heartbeat of one worker")
 def step_daemon(context):
     context.events = []
     context.forwarder = Forwarder("life", "10.0.0.9:7000", lambda number, **_: context.events.append(number))
@@ -182,7 +182,7 @@
 }
 
 
-@when("an answer under that beat's token tells of {another}")
+@when("an answer under that heartbeat's token tells of {another}")
 def step_other_answer(context, another):
     context.effects = context.forwarder.answered(context.token, (200, {}, None), OTHER_CALLS[another], 100.0)
 
@@ -200,7 +200,7 @@
     context.effects = context.forwarder.answered(context.token, (200, {}, None), ("beat", "one"), 100.0)
 
 
-@then("the minion is told it once")
+@then("the worker is told it once")
 def step_worker_notified(context):
     assert [one[1:3] for one in replies(context.effects)] == [(WORKER_ONE, 200)], context.effects
 
@@ -297,7 +297,7 @@
 NEWEST_TERM = 99
 
 
-@given("a follower of a cohort that serves")
+@given("a follower of a cluster that serves")
 def step_follower(context):
     context.cluster = SimulatedCluster()
 
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -79,7 +79,7 @@
     return {"queue": "default", "tasks": [{"name": "a"}, {"name": "b", "after": ["a"]}]}
 
 
-@when("a ticket with {fault} is checked")
+@when("a job with {fault} is checked")
 def step_pushed_job(context, fault):
     document = one_pushed_job()
     first, second = document["tasks"]
@@ -105,7 +105,7 @@
     assert context.taken is None and path in [one[0] for one in context.faults], context.faults
 
 
-@when("a setup with {fault} is offered to the record")
+@when("a queue configuration with {fault} is offered to the cluster state")
 def step_configuration(context, fault):
     context.cluster_state = ClusterState()
     plain, _ = pushed_job.checked({**one_pushed_job(), "key": "k"})
@@ -130,7 +130,7 @@
     )
 
 
-@then("the fault at {path} is named and the setup in force is unchanged")
+@then("the fault at {path} is named and the queue configuration in force is unchanged")
 def step_unchanged(context, path):
     assert context.outcome[0] == "invalid", context.outcome
     assert path in [one[0] for one in context.outcome[1]], context.outcome
@@ -224,7 +224,7 @@
         context.read.append((number, reader, *reader(bend(goods[reader], draw))))
 
 
-@then("each is taken or refused with paths, and what is taken the record applies")
+@then("each is taken or refused with paths, and what is taken the cluster state applies")
 def step_read(context):
     record, taken = ClusterState(), 0
     for number, reader, plain, faults in context.read:
@@ -245,7 +245,7 @@
     assert 100 < taken < len(context.read) - 100, taken
 
 
-@given("a verge and an accord of a founded cohort")
+@given("a front daemon and a control daemon of a bootstrapped cluster")
 def step_daemons(context):
     folder = tempfile.TemporaryDirectory(prefix="pinepitch-")
     context.add_cleanup(folder.cleanup)
@@ -332,7 +332,7 @@
 }
 
 
-@when("a verge gets a call with {fault}")
+@when("a front daemon gets a call with {fault}")
 def step_call(context, fault):
     method, target, body = CALLS[fault]
     front = FrontDaemon("v", "127.0.0.1:1", "a", ("127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
@@ -346,7 +346,7 @@
     assert not any(effect[0] == "send" for effect in context.effects)
 
 
-@given("a simulated fleet with work on a minion")
+@given("a simulated fleet with work on a worker")
 def step_work(context):
     context.simulator = Simulator(4)
     context.simulator.begin()
@@ -366,7 +366,7 @@
     )
 
 
-@when("a report of that minion comes with {how}")
+@when("a report of that worker comes with {how}")
 def step_contradicts(context, how):
     core, now = context.core, context.simulator.now + 1000.0
     known = core.push_workers[context.worker_name].report
@@ -385,7 +385,7 @@
     context.ends, _, _ = core.take_report(changed, now)
 
 
-@then("nothing it ran is taken for ended and the record audits clean")
+@then("nothing it ran is taken for ended and the cluster state audits clean")
 def step_unbelieved(context):
     assert len(context.reserved) >= 1 and not context.ends, context.ends
     context.core.cluster_state.audit()
@@ -436,7 +436,7 @@
 }
 
 
-@when("a minion answers an order with {nonsense}")
+@when("a worker answers an order with {nonsense}")
 def step_nonsense(context, nonsense):
     async def answered():
         listener = curio.socket.socket()
--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -168,7 +168,7 @@
         assert got[0] == status and got[1]["error"]["code"] == code, got
 
 
-@then("every verge answers the configuration as it was sent")
+@then("every front daemon answers the configuration as it was sent")
 def step_configured(context):
     for place in range(context.fronts):
         assert context.simulator.ask("GET", "/v1/configuration", front=place) == (200, CONFIGURATION)
@@ -197,7 +197,7 @@
         ), second
 
 
-@when("the workers beat until all of its first step runs")
+@when("the workers heartbeat until all of its first step runs")
 def step_first_runs(context):
     heartbeats_until(context, lambda: len(all_running(context)) == 3)
     send_heartbeats(context, rounds=2)
@@ -327,7 +327,7 @@
     assert document["state"] == "cancelled" and document["placements"] == [], document
 
 
-@then('every verge answers a job that never was with {status:d} and "{code}"')
+@then('every front daemon answers a job that never was with {status:d} and "{code}"')
 def step_unknown(context, status, code):
     for place in range(context.fronts):
         got = context.simulator.ask("GET", "/v1/jobs/ffffffffffffffff", front=place)
@@ -335,7 +335,7 @@
 
 
 # --- workers and evacuations -----------------------------------------------------------------
-@then("the workers are listed with service, zone, room and what is placed there")
+@then("the workers are listed with service, zone, capacity and what is placed there")
 def step_listed(context):
     submit(context, [{"count": 1, "cpu": 3000, "mem_mb": 96, "lasts": True}])
     heartbeats_until(context, lambda: len(all_running(context)) == 1)
@@ -380,7 +380,7 @@
 
 
 # --- metrics ---------------------------------------------------------------------------------
-@then("the leader's metrics of jobs, runs, workers and the configuration agree with its record")
+@then("the leader's metrics of jobs, runs, workers and the configuration agree with its cluster state")
 def step_metrics(context):
     simulator = context.simulator
     submit(context, [{"count": 2, "cpu": 100}, {"count": 1, "cpu": 100, "after": [0]}], "00000000000000aa")
--- a/features/steps/learners.py
+++ b/features/steps/learners.py
@@ -6,7 +6,7 @@
 from pinepitch.simulation.simulator import Simulator
 
 
-@given("a cohort of three accords")
+@given("a cluster of three control daemons")
 def step_cluster(context):
     context.simulator = Simulator(5, workers=())
     context.simulator.begin()
@@ -34,7 +34,7 @@
     assert len(simulator.leader().core.consensus.learners) == constants.MAX_CLUSTER_MEMBERS
 
 
-@when("one of the three is lost for good and a newcomer comes in its area")
+@when("one of the three is lost for good and a newcomer comes in its zone")
 def step_replaced(context):
     simulator = context.simulator
     former = next(
--- a/features/steps/lease.py
+++ b/features/steps/lease.py
@@ -33,13 +33,13 @@
     ]
 
 
-@given("an accord with a log that starts anew")
+@given("a control daemon with a log that starts anew")
 def step_anew(context):
     context.now = 100.0
     context.consensus_under_test = begun("b", context.now)
 
 
-@given("an accord with a log that starts anew, and has not looked at its clock yet")
+@given("a control daemon with a log that starts anew, and has not looked at its clock yet")
 def step_not_looked(context):
     context.now = 100.0
     context.consensus_under_test = restored("b")
@@ -54,7 +54,9 @@
         context.observed.append(answers(effects, "prevoted"))
 
 
-@when("it is asked for pre-votes that begin its life, and until a lease from then has ended by any clock")
+@when(
+    "it is asked for pre-votes that begin its incarnation, and until a lease from then has ended by any clock"
+)
 def step_pre_votes_first(context):
     step_pre_votes(context, since=0.01)
 
@@ -66,7 +68,7 @@
     assert [one[2] for one in late] == [True], late
 
 
-@given("an accord with a log that heard its leader just now")
+@given("a control daemon with a log that heard its leader just now")
 def step_heard(context):
     context.now = 100.0
     context.consensus_under_test = begun("b", context.now - 10)
@@ -91,7 +93,7 @@
     assert [one[2] for one in second] == [True], second
 
 
-@given("a leader whose followers answered a beat")
+@given("a leader whose followers answered a heartbeat")
 def step_leader(context):
     context.now = 100.0
     leader = context.leader = begun("a", context.now - 10)
@@ -107,7 +109,7 @@
         )
 
 
-@then("its lease stands until LEADER_LEASE after that beat was sent, and not longer")
+@then("its lease stands until LEADER_LEASE after that heartbeat was sent, and not longer")
 def step_stands(context):
     assert context.leader.leased(context.now + constants.LEADER_LEASE - 0.01)
     assert not context.leader.leased(context.now + constants.LEADER_LEASE + 0.01)
@@ -184,7 +186,7 @@
     assert context.core.told == [context.clocks[time.CLOCK_BOOTTIME]] * 2, context.core.told
 
 
-@given("an accord with a log that was not stepped yet")
+@given("a control daemon with a log that was not stepped yet")
 def step_unstepped(context):
     context.now = 100.0
     context.consensus_under_test = Consensus("b", 7, MEMBERS)
--- a/features/steps/leased_job_trials.py
+++ b/features/steps/leased_job_trials.py
@@ -9,7 +9,7 @@
 from pinepitch.simulation import leased_job_trial
 
 
-@when("jobs under holds meet the weather {scenario} with seeds {first:d} to {last:d}")
+@when("jobs under leases meet the fault scenario {scenario} with seeds {first:d} to {last:d}")
 def step_try(context, scenario, first, last):
     injected_fault = getattr(context, "injected_fault", "")
     context.work = [(scenario, seed, injected_fault) for seed in range(first, last + 1)]
@@ -39,7 +39,7 @@
     return simulator.worker_history, simulator.client_stand_in.history, simulator.trace
 
 
-@when("jobs under holds meet the weather {scenario} twice with seed {seed:d}")
+@when("jobs under leases meet the fault scenario {scenario} twice with seed {seed:d}")
 def step_twice(context, scenario, seed):
     context.histories = []
     for _ in range(2):
@@ -62,7 +62,10 @@
 """
 
 
-@when("jobs under holds meet the weather {scenario} with seed {seed:d} in two processes that hash otherwise")
+@when(
+    "jobs under leases meet the fault scenario {scenario} with seed {seed:d} in two processes that "
+    "hash otherwise"
+)
 def step_processes(context, scenario, seed):
     context.outputs = [
         subprocess.run(
--- a/features/steps/leased_jobs.py
+++ b/features/steps/leased_jobs.py
@@ -64,14 +64,14 @@
 
 
 # --- by hand -------------------------------------------------------------------------
-@given("a board whose queue allows {attempts:d} attempts")
+@given("a leased job state whose queue allows {attempts:d} attempts")
 def step_leased_jobs(context, attempts):
     context.leased_jobs, context.now = LeasedJobState(), 1.0
     context.met = {}  # (task, run) -> the minion it was placed on
     assert context.leased_jobs.configure(0, 0, document(attempts), "first") == ("configured", 1)
 
 
-@given("a board whose queue allows {attempts:d} attempts and that holds {most:d} jobs at most")
+@given("a leased job state whose queue allows {attempts:d} attempts and that holds {most:d} jobs at most")
 def step_small(context, attempts, most):
     patch = mock.patch.object(constants, "MAX_LEASED_JOBS", most)
     patch.start()
@@ -79,14 +79,14 @@
     step_leased_jobs(context, attempts)
 
 
-@when('the board takes job {job_letter:w} with steps "{steps}"')
+@when('the leased job state takes job {job_letter:w} with steps "{steps}"')
 def step_take(context, job_letter, steps):
     context.outcome = context.leased_jobs.accept(
         context.now, NAMES[job_letter], QUEUE, plain_of(steps=steps_of(steps))
     )[0]
 
 
-@when("the board takes job {job_letter:w} at another queue")
+@when("the leased job state takes job {job_letter:w} at another queue")
 def step_not_taken(context, job_letter):
     context.outcome = context.leased_jobs.accept(
         context.now, NAMES[job_letter], "nowhere", plain_of(steps=[{}])
@@ -94,30 +94,30 @@
 
 
 @when(
-    'the board takes job {job_letter:w} with steps "{steps}" '
-    "due {times:d} times every {every:d} seconds from {first:d} on"
+    'the leased job state takes job {job_letter:w} with steps "{steps}" due {times:d} times every '
+    "{every:d} seconds from {first:d} on"
 )
 def step_timed(context, job_letter, steps, times, every, first):
     plain = plain_of(steps=steps_of(steps), times=times, every_ms=every * 1000, first_ms=first * 1000)
     context.outcome = context.leased_jobs.accept(context.now, NAMES[job_letter], QUEUE, plain)[0]
 
 
-@when("{seconds:g} seconds have passed on the board")
+@when("{seconds:g} seconds have passed on the leased job state")
 def step_passed(context, seconds):
     context.now = seconds
 
 
-@when("the final states' time has all but passed on the board")
+@when("the final states' time has all but passed on the leased job state")
 def step_almost(context):
     context.now += constants.FINAL_LASTS - 0.1
 
 
-@when("the final states' time has passed on the board")
+@when("the final states' time has passed on the leased job state")
 def step_over(context):
     context.now += 0.2
 
 
-@when('the board places "{tasks}" of {job_letter:w} on {worker:w}')
+@when('the leased job state places "{tasks}" of {job_letter:w} on {worker:w}')
 def step_place(context, tasks, job_letter, worker):
     waves = {}
     for time, number, index in tasks_of(tasks):
@@ -138,12 +138,12 @@
         context.outcome = outcomes[0]
 
 
-@when('the board hears that run {run:d} of "{tasks}" of {job_letter:w} ended {how:w}')
+@when('the leased job state hears that run {run:d} of "{tasks}" of {job_letter:w} ended {how:w}')
 def step_heard(context, run, tasks, job_letter, how):
     ends(context, tasks, job_letter, run, how, True)
 
 
-@when('the board lets go of run {run:d} of "{tasks}" of {job_letter:w} as {how:w}')
+@when('the leased job state lets go of run {run:d} of "{tasks}" of {job_letter:w} as {how:w}')
 def step_let_go(context, run, tasks, job_letter, how):
     ends(context, tasks, job_letter, run, how, False)
 
@@ -156,37 +156,37 @@
         ends(context, task, job_letter, run, how, True)
 
 
-@when("the board cancels {job_letter:w}")
+@when("the leased job state cancels {job_letter:w}")
 def step_cancel(context, job_letter):
     context.outcome = context.leased_jobs.cancel(context.now, NAMES[job_letter])[0]
 
 
-@then("the board answers {reported:w}")
+@then("the leased job state answers {reported:w}")
 def step_answers(context, reported):
     assert context.outcome == reported, context.outcome
 
 
-@then("the board shows {job_letter:w} as {state:w}")
+@then("the leased job state shows {job_letter:w} as {state:w}")
 def step_shows(context, job_letter, state):
     assert context.leased_jobs.state(NAMES[job_letter]) == state, context.leased_jobs.state(NAMES[job_letter])
 
 
-@then("the board does not know {job_letter:w}")
+@then("the leased job state does not know {job_letter:w}")
 def step_unknown(context, job_letter):
     assert context.leased_jobs.state(NAMES[job_letter]) is None
 
 
-@then("the board counts {count:d} job that has not begun")
+@then("the leased job state counts {count:d} job that has not begun")
 def step_counts(context, count):
     assert context.leased_jobs.counts.get(QUEUE, 0) == count, context.leased_jobs.counts
 
 
-@then('the board has "{waves}" ready')
+@then('the leased job state has "{waves}" ready')
 def step_ready(context, waves):
     assert sorted(key[1:] for key in context.leased_jobs.ready) == tasks_of(waves), context.leased_jobs.ready
 
 
-@then('the board has "" ready')
+@then('the leased job state has "" ready')
 def step_none_ready(context):
     assert not context.leased_jobs.ready, context.leased_jobs.ready
 
@@ -240,7 +240,7 @@
 
 
 # --- placing epochs ------------------------------------------------------------------
-@given("a record whose board holds a job, and a placing epoch followed by another")
+@given("a cluster state whose leased job state holds a job, and a placing epoch followed by another")
 def step_epochs(context):
     context.cluster_state = ClusterState()
     context.index = 0
@@ -267,13 +267,13 @@
     context.outcome = log(context, operation)
 
 
-@then("it is refused for its epoch and the board is as it was")
+@then("it is refused for its epoch and the leased job state is as it was")
 def step_refused(context):
     assert context.outcome == ("refused", "epoch"), context.outcome
     assert cbor2.dumps(context.cluster_state.leased_jobs.image()) == context.image
 
 
-@then("it is taken and the board has changed")
+@then("it is taken and the leased job state has changed")
 def step_taken(context):
     assert context.outcome[0] != "refused", context.outcome
     assert cbor2.dumps(context.cluster_state.leased_jobs.image()) != context.image
@@ -435,7 +435,7 @@
     return found
 
 
-@given("three records that apply the same {count:d} random operations of seed {seed:d}")
+@given("three cluster states that apply the same {count:d} random operations of seed {seed:d}")
 def step_histories(context, count, seed):
     records = [ClusterState(), ClusterState(), ClusterState()]
     chance = Chance(seed)
--- a/features/steps/log.py
+++ b/features/steps/log.py
@@ -26,13 +26,15 @@
 KILO = 1_024
 
 
-@given("a cohort on machines of {memory:d} MB of memory and {disk:d} MB of disk")
+@given("a cluster on machines of {memory:d} MB of memory and {disk:d} MB of disk")
 def step_cluster(context, memory, disk):
     context.limits = Limits(memory * MEGA, disk * MEGA)
     context.rate = float("inf")
 
 
-@given("a cohort on machines of {memory:d} MB of memory and {disk:d} MB of disk, on links of {rate:d} Mbit/s")
+@given(
+    "a cluster on machines of {memory:d} MB of memory and {disk:d} MB of disk, on links of {rate:d} Mbit/s"
+)
 def step_cluster_slow(context, memory, disk, rate):
     context.limits = Limits(memory * MEGA, disk * MEGA)
     context.rate = rate * MEGA / 8
@@ -75,7 +77,7 @@
     assert largest <= max(constants.APPEND_BYTES, context.simulator.size) + ENVELOPE, largest
 
 
-@then("all members hold the same record")
+@then("all members hold the same cluster state")
 def step_same(context):
     assert not context.simulator.faults(), context.simulator.faults()
     indexes = {node.core.cluster_state.index for node in context.simulator.nodes.values()}
@@ -105,7 +107,7 @@
     assert context.found[1][1] <= most * MEGA, context.found
 
 
-@then("whoever led goes on leading, and all members hold the same record")
+@then("whoever led goes on leading, and all members hold the same cluster state")
 def step_led_on(context):
     assert len(context.simulator.leaderships()) == 1, context.simulator.leaderships()
     step_same(context)
@@ -268,7 +270,7 @@
     assert unpacked(measured(large)[0]) == large
 
 
-@given("a day of jobs under holds that is calm, of seed {seed:d}")
+@given("a day of jobs under leases that is calm, of seed {seed:d}")
 def step_calm(context, seed):
     faults, context.simulator = leased_job_trial.trial("calm", seed)
     assert not faults, faults
@@ -429,7 +431,7 @@
     assert Limits(context.place.memory, context.place.disk // 10).log == log
 
 
-@then("the accord's own settings take memory_mb and disk_mb, and refuse 0, true and a text")
+@then("the control daemon's own settings take memory_mb and disk_mb, and refuse 0, true and a text")
 def step_own_settings(context):
     flags = {
         "address": "10.1.0.4:1",
@@ -446,7 +448,7 @@
         assert found is None and "memory_mb" in faults[0], (value, faults)
 
 
-@given("the planted fault {injected_fault} among large changes")
+@given("the injected fault {injected_fault} among large changes")
 def step_injected(context, injected_fault):
     fault = planted(injected_fault)
     fault.__enter__()
--- a/features/steps/metrics.py
+++ b/features/steps/metrics.py
@@ -35,7 +35,7 @@
     context.simulator.run(12)
 
 
-@then("its leader tells waits, ends, credits, syncs and events that agree with the record")
+@then("its leader tells waits, ends, credits, syncs and events that agree with the cluster state")
 def step_leader(context):
     leader = context.simulator.leader()
     found, _, _ = figures(context.simulator, leader)
@@ -73,7 +73,7 @@
             assert text.count("# TYPE") == text.count("# HELP") == len(families)
 
 
-@then("each verge's figures add up to the orders that minions started or refused")
+@then("each front daemon's figures add up to the orders that workers started or refused")
 def step_fronts(context):
     simulator = context.simulator
     orders = sum(
@@ -99,7 +99,7 @@
     assert leader.core.cluster_state.image() == before
 
 
-@when("a record is given an operation that it does not know")
+@when("a cluster state is given an operation that it does not know")
 def step_unknown(context):
     context.cluster_state = ClusterState()
     context.before = ClusterState.encode(context.cluster_state.image())
@@ -117,7 +117,7 @@
     )
 
 
-@when("a minion with long work falls silent")
+@when("a worker with long work falls silent")
 def step_unresponsive(context):
     simulator = context.simulator
     status, _ = simulator.persist(
@@ -133,7 +133,7 @@
     simulator.run(4)
 
 
-@then("its leader tells one silent minion and the tasks held there")
+@then("its leader tells one silent worker and the tasks held there")
 def step_notified_unresponsive(context):
     leader = context.simulator.leader()
     found, _, _ = figures(context.simulator, leader)
--- a/features/steps/moves.py
+++ b/features/steps/moves.py
@@ -45,13 +45,13 @@
     context.worker_name = runs(context, context.pushed_job)[0][2]
 
 
-@when("a feed runs and its minion is drained")
+@when("a feed runs and its worker is drained")
 def step_drained(context):
     feed(context)
     assert context.simulator.persist("POST", f"/v1/minions/{context.worker_name}/drain")[0] == 200
 
 
-@when("a feed runs and its area is emptied and taken back")
+@when("a feed runs and its zone is emptied and taken back")
 def step_emptied(context):
     feed(context)
     context.area = context.simulator.nodes[context.worker_name].zone
@@ -61,8 +61,8 @@
     context.simulator.run(3)
 
 
-@then("it runs on another minion within {seconds:d} seconds, its first run over before the second began")
-@then("it runs in another area within {seconds:d} seconds, its first run over before the second began")
+@then("it runs on another worker within {seconds:d} seconds, its first run over before the second began")
+@then("it runs in another zone within {seconds:d} seconds, its first run over before the second began")
 def step_moved(context, seconds):
     until_runs(context, context.pushed_job, 2, seconds)
     first, second = runs(context, context.pushed_job)[:2]
@@ -73,7 +73,7 @@
     assert len(runs(context, context.pushed_job)) == 2
 
 
-@when("a feed runs, all other room is taken, and its minion is drained")
+@when("a feed runs, all other capacity is taken, and its worker is drained")
 def step_full(context):
     feed(context)
     simulator = context.simulator
@@ -93,7 +93,7 @@
     assert simulator.persist("POST", f"/v1/minions/{context.worker_name}/drain")[0] == 200
 
 
-@then("it runs on there after {seconds:d} seconds, and moves once room is free")
+@then("it runs on there after {seconds:d} seconds, and moves once capacity is free")
 def step_stays(context, seconds):
     context.simulator.run(seconds)
     assert [one[1:] for one in runs(context, context.pushed_job)] == [(None, context.worker_name)]
@@ -102,7 +102,7 @@
     assert first[1] <= second[0] and second[2] != context.worker_name
 
 
-@when("a feed runs and its minion is cut off for {seconds:d} seconds")
+@when("a feed runs and its worker is cut off for {seconds:d} seconds")
 def step_partition(context, seconds):
     feed(context)
     context.simulator.partition([context.worker_name], list(context.simulator.nodes))
@@ -116,7 +116,7 @@
     assert [one[1:] for one in runs(context, context.pushed_job)] == [(None, context.worker_name)]
 
 
-@when("all room is taken by work that yields and an urgent ticket comes")
+@when("all capacity is taken by work that yields and an urgent job comes")
 def step_urgent(context):
     simulator = context.simulator
     assert (
@@ -142,9 +142,7 @@
     )
 
 
-@then(
-    "the urgent ticket starts within {seconds:d} seconds, and what yielded runs again with no failure counted"
-)
+@then("the urgent job starts within {seconds:d} seconds, and what yielded runs again with no failure counted")
 def step_yielded(context, seconds):
     until_runs(context, context.pushed_job, 6, seconds)
     simulator = context.simulator
@@ -171,7 +169,7 @@
     )
 
 
-@then("it is killed twice, the ticket fails, and no attempt ran over {most:d} seconds")
+@then("it is killed twice, the job fails, and no attempt ran over {most:d} seconds")
 def step_killed(context, most):
     simulator = context.simulator
     assert (
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -221,7 +221,7 @@
         assert found == expected, f"{found} is read back, not {expected}"
 
 
-@then("random orders, sent again and after restarts of the record, are answered as the rules say")
+@then("random orders, sent again and after restarts of the cluster state, are answered as the rules say")
 def step_record_model(context):
     with mock.patch.object(constants, "CONFIGURATIONS_KEPT", REMEMBERED):
         run_state_machine_as_test(OrdersAtARecord, settings=BOUNDED)
@@ -300,7 +300,7 @@
 CONFIRMING = 0.03  # seconds; until a daemon has confirmed an order, and not yet sent it on
 
 
-@given("a cohort that takes orders")
+@given("a cluster that takes orders")
 def step_cluster(context):
     planted = injected_faults.planted(getattr(context, "injected_fault", ""))
     planted.__enter__()
@@ -601,7 +601,7 @@
             assert found == reference.document, (found, reference.document)
 
 
-@then("random orders at a cohort that loses answers, daemons and disks keep the rules")
+@then("random orders at a cluster that loses answers, daemons and disks keep the rules")
 def step_cluster_model(context):
     with contextlib.ExitStack() as patches:
         for name, value in SNAPSHOTS.items():
@@ -609,7 +609,7 @@
         run_state_machine_as_test(OrdersAtACohort, settings=FLEET_BOUNDED)
 
 
-@then("random orders at a cohort do not keep the rules")
+@then("random orders at a cluster do not keep the rules")
 def step_cluster_model_fails(context):
     must_find(context.injected_fault, lambda: step_cluster_model(context))
 
@@ -632,7 +632,7 @@
     return core
 
 
-@given("{count:d} changes of the setup that build on no version, of one verge")
+@given("{count:d} changes of the queue configuration that build on no version, of one front daemon")
 def step_configurations(context, count):
     context.core, context.count = configuration_core(), count
     context.outcomes = [configuration_change(context.core, "v1a2.verge0", one) for one in range(1, count + 1)]
@@ -656,13 +656,13 @@
         assert outcome == context.outcomes[number - 1], outcome
 
 
-@then("a new one of that verge, and the first one of another, are made")
+@then("a new one of that front daemon, and the first one of another, are made")
 def step_configurations_new(context):
     assert configuration_change(context.core, "v1a2.verge0", context.count + 1)[0] == "setup"
     assert configuration_change(context.core, "v9.verge0", 1)[0] == "setup"
 
 
-@given("{count:d} changes of the setup of each of {fronts:d} verges")
+@given("{count:d} changes of the queue configuration of each of {fronts:d} front daemons")
 def step_configurations_many(context, count, fronts):
     context.core = configuration_core()
     for front in range(fronts):
@@ -670,7 +670,7 @@
             assert configuration_change(context.core, f"v{front}.verge", number)[0] == "setup"
 
 
-@then("no more than {outcomes:d} outcomes and {fronts:d} verges are remembered")
+@then("no more than {outcomes:d} outcomes and {fronts:d} front daemons are remembered")
 def step_configurations_bounded(context, outcomes, fronts):
     kept, forgotten = context.core.cluster_state.marks.image()
     assert len(kept) == outcomes and len(forgotten) == fronts, (len(kept), len(forgotten))
@@ -760,7 +760,7 @@
     level = 2
 
 
-@given("a cohort that takes orders, one member of which knows level 2")
+@given("a cluster that takes orders, one member of which knows level 2")
 def step_level_two(context):
     context.fleet = fleet = order_fleet.OrderFleet(1)
     context.old = fleet.nodes["accord1"]
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -33,7 +33,7 @@
     return consensus
 
 
-@when("every accord is killed and started again, with seeds {first:d} to {last:d}")
+@when("every control daemon is killed and started again, with seeds {first:d} to {last:d}")
 def step_outages(context, first, last):
     context.outages = [outage.measure(seed, WATCHED) for seed in range(first, last + 1)]
 
@@ -51,7 +51,7 @@
         assert one.started - one.leader <= started, one
 
 
-@given("two accords with a log that start anew, the second {late:g} s after the first")
+@given("two control daemons with a log that start anew, the second {late:g} s after the first")
 def step_two(context, late):
     context.control_daemons = {"a": restarted("a"), "b": restarted("b")}
     context.starts = {"a": 100.0, "b": 100.0 + late}
@@ -127,7 +127,7 @@
     assert context.consensus_under_test.role == "prospect" and context.consensus_under_test.term == 4
 
 
-@given("an accord with a log whose process began {before:g} s before its first tick")
+@given("a control daemon with a log whose process began {before:g} s before its first tick")
 def step_began(context, before):
     context.now = 100.0
     core = ControlDaemon("b", "10.0.0.2:1", "south", ("10.0.0.1:1",))
@@ -168,7 +168,7 @@
     context.lock = FolderLock(context.folder)
 
 
-@then("an accord on it ends at once and says so")
+@then("a control daemon on it ends at once and says so")
 def step_ends(context):
     ended = subprocess.run(
         [
@@ -197,7 +197,7 @@
     os.close(again.descriptor)
 
 
-@when("every accord is killed and started again after {down:g} s, with seeds {first:d} to {last:d}")
+@when("every control daemon is killed and started again after {down:g} s, with seeds {first:d} to {last:d}")
 def step_long_outages(context, down, first, last):
     context.outages = [outage.measure(seed, WATCHED, down) for seed in range(first, last + 1)]
 
@@ -218,7 +218,7 @@
 FRONT, LEADER = "10.0.0.9:7000", "10.0.0.1:7000"
 
 
-@given("a verge that last heard its leader {unresponsive_for:g} s ago")
+@given("a front daemon that last heard its leader {unresponsive_for:g} s ago")
 def step_front(context, unresponsive_for):
     context.front, context.now = FrontDaemon("verge", FRONT, "north", (LEADER,)), 50.0
     context.front.step(("tick",), context.now, 0.0)
--- a/features/steps/path.py
+++ b/features/steps/path.py
@@ -15,7 +15,7 @@
 from pinepitch.transport import http
 
 
-@given("a small fleet of processes with its setup in force")
+@given("a small fleet of processes with its queue configuration in force")
 def step_fleet(context):
     folder = tempfile.TemporaryDirectory(prefix="pinepitch-")
     context.add_cleanup(folder.cleanup)
@@ -31,7 +31,7 @@
     context.unfinished = curio.run(context.traffic.run, seconds)
 
 
-@then("every ticket becomes final and no history check finds a fault")
+@then("every job becomes final and no history check finds a fault")
 def step_checked(context):
     assert context.traffic.caller.accepted, "no ticket was accepted"
     assert not context.unfinished, context.unfinished
@@ -40,7 +40,7 @@
     assert len(finals) == len(context.traffic.caller.accepted)
 
 
-@then("a ticket is read back at every verge")
+@then("a job is read back at every front daemon")
 def step_read(context):
     job = next(iter(context.traffic.caller.accepted))
     for place in range(len(context.fleet.fronts)):
@@ -65,7 +65,7 @@
         context.result = curio.run(run, Fleet(PLANS["small"], folder), 4, 1.0, 0, fault)
 
 
-@then("no check of the run finds a fault and every ticket became final")
+@then("no check of the run finds a fault and every job became final")
 def step_run_checked(context):
     assert context.result["summary"]["accepted"] > 0 and context.result["disturbed"] is not None, (
         context.result
--- a/features/steps/placing.py
+++ b/features/steps/placing.py
@@ -84,12 +84,12 @@
         return sorted(first.values())
 
 
-@given("{count:d} minions with room {capacity:d}")
+@given("{count:d} workers with capacity {capacity:d}")
 def step_workers(context, count, capacity):
     context.yard = Yard(count, capacity=capacity)
 
 
-@given("{count:d} minions with room {capacity:d}, all of it taken")
+@given("{count:d} workers with capacity {capacity:d}, all of it taken")
 def step_taken(context, count, capacity):
     context.yard = Yard(count, {"main": {**QUEUES["main"], "share": count * capacity}})
     context.yard.put(0.0, units=capacity, seconds=1e9, count=count)
@@ -102,13 +102,13 @@
     context.plans = [context.yard.put(0.0, wait=3600.0) for _ in range(count)]
 
 
-@given("{count:d} tickets for a label that no minion has, each of another shape")
+@given("{count:d} jobs for a label that no worker has, each of another shape")
 def step_impossible(context, count):
     for one in range(count):
         context.yard.put(0.0, units=one + 1 if one < 400 else 400, labels=[f"unheard-{one}"])
 
 
-@when("a ticket comes that may start now")
+@when("a job comes that may start now")
 def step_now(context):
     context.pushed_job = context.yard.put(1.0)
 
@@ -155,7 +155,7 @@
     assert 0 < context.looks[1] <= context.looks[0] <= 8, context.looks
 
 
-@when("three tickets come with dues in 50, 20 and 30 seconds and one without")
+@when("three jobs come with dues in 50, 20 and 30 seconds and one without")
 def step_dues(context):
     context.order = [context.yard.put(0.0, due=due, seconds=1.0) for due in (0.0, 50.0, 20.0, 30.0)]
     context.yard.until(0.0, 20.0)
@@ -167,7 +167,7 @@
     assert [ref.partition("/")[0] for _, ref, *_ in context.yard.starts] == [twenty, thirty, fifty, none]
 
 
-@when("a ticket without due meets a stream with dues that fills the room for 2 hours")
+@when("a job without due meets a stream with dues that fills the capacity for 2 hours")
 def step_due_stream(context):
     context.yard.put(0.0, seconds=5.0, due=30.0)
     context.yard.until(0.0, 1.0)
@@ -246,7 +246,9 @@
 }
 
 
-@when("small work of one queue keeps 95 percent of the room busy for {seconds:d} seconds and {what} comes")
+@when(
+    "small work of one queue keeps 95 percent of the capacity busy for {seconds:d} seconds and {what} comes"
+)
 def step_small(context, seconds, what):
     draw, stream, moment = random.Random(what), [], 0.0
     while moment < seconds:
@@ -257,7 +259,7 @@
     context.yard.until(10.0, seconds, [one for one in stream if one[0] > 10.0])
 
 
-@when("a gang of {count:d} starts and one minion refuses its member")
+@when("a gang of {count:d} starts and one worker refuses its member")
 def step_refused(context, count):
     yard = context.yard
     context.pushed_job = yard.put(0.0, units=8, seconds=5.0, count=count, gang="g")
--- a/features/steps/pushed_job_trials.py
+++ b/features/steps/pushed_job_trials.py
@@ -9,13 +9,13 @@
 from pinepitch.simulation import pushed_job_trial
 
 
-@given("the planted fault {injected_fault}")
+@given("the injected fault {injected_fault}")
 @given("the condition {injected_fault}")
 def step_inject_fault(context, injected_fault):
     context.injected_fault = injected_fault
 
 
-@when("the weather {scenario} is tried with seeds {first:d} to {last:d} on every fleet in turn")
+@when("the fault scenario {scenario} is tried with seeds {first:d} to {last:d} on every fleet in turn")
 def step_try(context, scenario, first, last):
     injected_fault = getattr(context, "injected_fault", "")
     context.work = [
@@ -30,12 +30,15 @@
     ]
 
 
-@when("the weather {scenario} is tried with seed {seed:d} on the fleet {fleet}")
+@when("the fault scenario {scenario} is tried with seed {seed:d} on the fleet {fleet}")
 def step_one(context, scenario, seed, fleet):
     context.work = [(scenario, seed, fleet, "static", "")]
 
 
-@when("the weather {scenario} is tried in dynamic mode with seeds {first:d} to {last:d} on nine accords")
+@when(
+    "the fault scenario {scenario} is tried in dynamic mode with seeds {first:d} to {last:d} on "
+    "nine control daemons"
+)
 def step_dynamic(context, scenario, first, last):
     context.work = [(scenario, seed, "nine", "dynamic", "") for seed in range(first, last + 1)]
 
@@ -60,7 +63,7 @@
     raise AssertionError(f"the planted fault went unseen; found: {found[:6]}")
 
 
-@when("the weather {scenario} is tried twice with seed {seed:d}")
+@when("the fault scenario {scenario} is tried twice with seed {seed:d}")
 def step_twice(context, scenario, seed):
     context.histories = []
     for _ in range(2):
@@ -85,7 +88,7 @@
 """
 
 
-@when("the weather {scenario} is tried with seed {seed:d} in two processes that hash otherwise")
+@when("the fault scenario {scenario} is tried with seed {seed:d} in two processes that hash otherwise")
 def step_processes(context, scenario, seed):
     context.outputs = [
         subprocess.run(
--- a/features/steps/quorum.py
+++ b/features/steps/quorum.py
@@ -42,7 +42,7 @@
     return minimal([one for one in subsets(quorum.members) if elected_by(quorum, one)])
 
 
-@given("every way to spread 1 to {daemon_count:d} accords over 1 to {zones:d} areas")
+@given("every way to spread 1 to {daemon_count:d} control daemons over 1 to {zones:d} zones")
 def step_spreads(context, daemon_count, zones):
     context.spreads = spreads(daemon_count, zones)
 
@@ -72,7 +72,7 @@
             assert one & other, (members, one, other)
 
 
-@then("of five accords any two may go, of three any one")
+@then("of five control daemons any two may go, of three any one")
 def step_may_go(context):
     for members, commits, elects in context.listed:
         lost = {5: 2, 3: 1}.get(len(members), 0)
@@ -89,7 +89,7 @@
         context.quorums.append(Quorum(members, "static"))
 
 
-@then("in each the accords left without any one area commit and elect")
+@then("in each the control daemons left without any one zone commit and elect")
 def step_zone(context):
     for quorum in context.quorums:
         for zone in set(quorum.members.values()):
@@ -97,7 +97,7 @@
             assert quorum.commits(left, left[0]) and elected_by(quorum, left), (quorum, zone)
 
 
-@then("in each the accords left without any one accord commit and elect")
+@then("in each the control daemons left without any one control daemon commit and elect")
 def step_control_daemon(context):
     for quorum in context.quorums:
         for lost in quorum.members:
@@ -105,7 +105,7 @@
             assert quorum.commits(left, left[0]) and elected_by(quorum, left), (quorum, lost)
 
 
-@when("one accord is added, removed or replaced by joint consensus")
+@when("one control daemon is added, removed or replaced by joint consensus")
 def step_joint(context):
     context.joints = []
     for members in context.spreads:
@@ -249,7 +249,7 @@
     assert context.broken, "no history showed the fault"
 
 
-@given("nine accords in three groups and the votes of Figure 2 in term 6")
+@given("nine control daemons in three groups and the votes of Figure 2 in term 6")
 def step_figure(context):
     members = {f"S{number}": f"group{(number + 2) // 3}" for number in range(1, 10)}
     context.modes = {mode: Quorum(members, mode) for mode in ("static", "dynamic")}
--- a/features/steps/rules.py
+++ b/features/steps/rules.py
@@ -52,7 +52,7 @@
     assert ("" if place == "nowhere" else place) in [one[0] for one in context.faults], context.faults
 
 
-@when("a bent rules file is given to a starting accord")
+@when("a bent rules file is given to a starting control daemon")
 def step_start(context):
     with tempfile.TemporaryDirectory(prefix="pinepitch-") as folder:
         path = f"{folder}/rules.yml"
@@ -82,7 +82,7 @@
     assert len(lines) == 1 and "groups.0.rules.0.for" in lines[0], lines
 
 
-@given("a simulated fleet whose rules hold approvals while tasks are parked")
+@given("a simulated fleet whose rules pause approvals while tasks are parked")
 def step_fleet(context):
     context.simulator = Simulator(5, setup=QUEUE_CONFIGURATION)
     for node in context.simulator.nodes.values():
@@ -112,7 +112,7 @@
     context.draft = draft(context)
 
 
-@when("an impossible ticket is parked for {seconds:d} seconds")
+@when("an impossible job is parked for {seconds:d} seconds")
 def step_parked(context, seconds):
     status, answer = context.simulator.persist(
         "POST", "/v1/tickets", {"queue": "wide", "tasks": [{"name": "x", "labels": ["unheard-of"]}]}
@@ -143,7 +143,7 @@
     assert status == 200
 
 
-@then("a new leader still holds approvals")
+@then("a new leader still pauses approvals")
 def step_failover(context):
     simulator = context.simulator
     old = simulator.leader()
@@ -161,7 +161,7 @@
     old.core.rules = alert_rules.read(GOOD)[0]
 
 
-@then("once the ticket is cancelled approving puts the draft, made anew, in force")
+@then("once the job is cancelled approving puts the draft, made anew, in force")
 def step_cleared(context):
     simulator = context.simulator
     assert simulator.persist("POST", f"/v1/tickets/{context.pushed_job}/cancel")[0] == 200
@@ -171,7 +171,7 @@
     assert simulator.persist("GET", "/v1/setup")[1]["setup"]["queues"]["narrow"]["limit"] == 32
 
 
-@when("a record gets a hold under an old epoch")
+@when("a cluster state gets a pause under an old epoch")
 def step_old(context):
     context.cluster_state = ClusterState()
     context.cluster_state.apply(1, 1.0, ("duty", "placing", "a"))
--- a/features/steps/scale.py
+++ b/features/steps/scale.py
@@ -33,13 +33,13 @@
     assert starts / 2 <= found["starts"] <= starts * 1.5, found["starts"]
 
 
-@then("each worker beats more often than once a second, and less than {most:d} times")
+@then("each worker heartbeats more often than once a second, and less than {most:d} times")
 def step_pace(context, most):
     found = context.found[0]
     assert found["load"]["workers"] < found["beats"] < most * found["load"]["workers"], found["beats"]
 
 
-@then("the leader took every beat that was answered, and every role's frames are counted")
+@then("the leader took every heartbeat that was answered, and every role's frames are counted")
 def step_frames(context):
     found = context.found[0]
     assert set(found["roles"]) == {"leader", "follower1", "follower2", "verge"}, set(found["roles"])
@@ -53,13 +53,13 @@
         )
 
 
-@then("every accord applies the same entries")
+@then("every control daemon applies the same entries")
 def step_entries(context):
     entries = [one["entries"] for role, one in context.found[0]["roles"].items() if role != "verge"]
     assert min(entries) > 0 and max(entries) - min(entries) <= 0.25 * max(entries) + 2, entries
 
 
-@then("the beats of the second run are {least:g} to {most:g} times those of the first")
+@then("the heartbeats of the second run are {least:g} to {most:g} times those of the first")
 def step_ratio(context, least, most):
     few, many = [one["beats"] for one in context.found]
     assert least * few <= many <= most * few, (few, many)
@@ -81,7 +81,7 @@
     assert used == 3 and abs(slope - 0.01) < 1e-9 and worst < 1e-9, (slope, worst, used)
 
 
-@when("{few:d} and {many:d} workers beat in this process")
+@when("{few:d} and {many:d} workers heartbeat in this process")
 def step_herds(context, few, many):
     context.costs = []
     for workers in (few, many):
@@ -89,6 +89,6 @@
         context.costs.append(min(herd.round() for _ in range(5)) / workers)
 
 
-@then("one beat among {many:d} costs less than {times:d} times one among {few:d}")
+@then("one heartbeat among {many:d} costs less than {times:d} times one among {few:d}")
 def step_alike(context, many, times, few):
     assert context.costs[1] < times * context.costs[0], context.costs
--- a/features/steps/second_loss.py
+++ b/features/steps/second_loss.py
@@ -11,7 +11,7 @@
     context.trials = [(name, seed) for seed in range(first, last + 1)]
 
 
-@when("second losses are tried as {name} with seeds {first:d} to {last:d} and the planted fault {fault}")
+@when("second losses are tried as {name} with seeds {first:d} to {last:d} and the injected fault {fault}")
 def step_try_injected(context, name, first, last, fault):
     context.injected_fault = fault
     context.trials = [(name, seed) for seed in range(first, last + 1)]
--- a/features/steps/snapshot_incarnations.py
+++ b/features/steps/snapshot_incarnations.py
@@ -86,7 +86,7 @@
     transfer.follower = member("follower", 2)
 
 
-@when("what its former life answered last arrives again")
+@when("what its former incarnation answered last arrives again")
 def step_former_answer(context):
     transfer = context.transfer
     with mock.patch.object(constants, "SNAPSHOT_CHUNK", transfer.chunk_size):
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -82,7 +82,7 @@
     }
 
 
-@then("an accord on it does not start, says which version it reads, and touches nothing")
+@then("a control daemon on it does not start, says which version it reads, and touches nothing")
 def step_foreign(context):
     ended = subprocess.run(
         [
@@ -128,7 +128,7 @@
     assert isinstance(Store(context.folder).load(), Damaged)
 
 
-@then("an accord on it starts with a new identity and keeps the old files aside")
+@then("a control daemon on it starts with a new identity and keeps the old files aside")
 def step_new(context):
     store, base, steps, _, why = open_store(context.folder)
     assert why and base is None and not steps
--- a/features/steps/stored_data.py
+++ b/features/steps/stored_data.py
@@ -52,7 +52,7 @@
         assert found[what] == value, f"{who} shows another {what}: {found[what]!r} is not {value!r}"
 
 
-@when("the restarted daemons take a ticket, a job and a configuration")
+@when("the restarted daemons take a job, a job and a configuration")
 def step_go_on(context):
     cohort = stored_folders.restarted(context.folder)
     context.tickets = stored_folders.listed(cohort)
@@ -72,7 +72,7 @@
     context.cohort = stored_folders.restarted(context.folder, context.stopped + 100.0)
 
 
-@then("the ticket, the job and the configuration are there, and all that was there before")
+@then("the job, the job and the configuration are there, and all that was there before")
 def step_both(context):
     tickets = stored_folders.listed(context.cohort)
     assert tickets[:-1] == context.tickets
@@ -136,7 +136,7 @@
     os.unlink(path_of(context, "step"))
 
 
-@when("the folder holds another old ticket")
+@when("the folder holds another old job")
 def step_other_ticket(context):
     stored_folders.rewritten(path_of(context, "base"), b"key-100", b"key-xyz")
 
--- a/features/steps/table.py
+++ b/features/steps/table.py
@@ -89,7 +89,7 @@
     assert (before["version"], before["setup"]) == (after["version"], after["setup"])
 
 
-@then("approving it puts it in force at every verge within {seconds:d} seconds")
+@then("approving it puts it in force at every front daemon within {seconds:d} seconds")
 def step_approved(context, seconds):
     status, answer = ask(context, "POST", f"/v1/drafts/{context.draft}/approve")
     assert status == 200, answer
@@ -185,7 +185,7 @@
     simulator.kill(name)
 
 
-@then("another accord measures it under a higher epoch")
+@then("another control daemon measures it under a higher epoch")
 def step_other(context):
     assert (
         context.simulator.until(
@@ -211,7 +211,7 @@
     simulator.run(2)
 
 
-@then("the record keeps the draft unmeasured by it")
+@then("the cluster state keeps the draft unmeasured by it")
 def step_kept(context):
     measure = ask(context, "GET", f"/v1/drafts/{context.draft}")[1]["measure"]
     assert measure is None or "fake" not in measure
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -92,7 +92,7 @@
     context.simulator.run(3)
 
 
-@when("its accords are restarted one by one as a made-up next version")
+@when("its control daemons are restarted one by one as a made-up next version")
 def step_rolling(context):
     context.early = []
     for node in control_daemons(context):
@@ -110,7 +110,7 @@
     assert deferred and deferred[0][3]["operation"] == "remark"
 
 
-@then("then it is, every accord holds it, and the histories check clean")
+@then("then it is, every control daemon holds it, and the histories check clean")
 def step_agreed(context):
     assert remarks(context)
     clean(context)
@@ -119,7 +119,7 @@
     assert all(one[:1] == remarks_seen[0][:1] and len(one) > 2 for one in remarks_seen), remarks_seen
 
 
-@when("two accords are restarted as a made-up next version and then back")
+@when("two control daemons are restarted as a made-up next version and then back")
 def step_back(context):
     for kind in (NextControlDaemon, ControlDaemon):
         for node in control_daemons(context)[:2]:
@@ -132,7 +132,7 @@
     clean(context)
 
 
-@when("all accords have the next version, something new is agreed, and one is set back")
+@when("all control daemons have the next version, something new is agreed, and one is set back")
 def step_set_back(context):
     for node in control_daemons(context):
         become(context, node, NextControlDaemon)
--- a/features/store.feature
+++ b/features/store.feature
@@ -1,5 +1,5 @@
 Feature: Store
-  What was promised survives; what can't be trusted counts as empty.
+  What was acknowledged survives; what can't be trusted counts as empty.
 
   Scenario: versions come back in order
     Given a store with 5 steps
@@ -13,7 +13,7 @@
     Given a store with 5 steps
     When <damage>
     Then loading it again says that it is damaged
-    And an accord on it starts with a new identity and keeps the old files aside
+    And a control daemon on it starts with a new identity and keeps the old files aside
 
     Examples:
       | damage                                  |
@@ -24,18 +24,18 @@
   Scenario Outline: a store of <version> version is left as it is
     Given a store with 5 steps
     When a file has <version> version
-    Then an accord on it does not start, says which version it reads, and touches nothing
+    Then a control daemon on it does not start, says which version it reads, and touches nothing
 
     Examples:
       | version  |
       | a newer  |
       | an older |
 
-  Scenario: a full disk promises nothing
+  Scenario: a full disk guarantees nothing
     Given a store whose writes fail for lack of space
     Then writing a step raises and the step is not there afterwards
 
-  Scenario Outline: a disk that fails at <step> promises nothing and goes on once it works
+  Scenario Outline: a disk that fails at <step> guarantees nothing and goes on once it works
     Given a store with 5 steps
     When writing fails at <step> and is tried again with more in it
     Then the 5 steps and the one tried again are there, and nothing else
--- a/features/stored_data.feature
+++ b/features/stored_data.feature
@@ -14,9 +14,9 @@
 
   Scenario Outline: daemons on the <kind> data folders go on, and restart with old and new
     Given a copy of the <kind> stored data folders
-    When the restarted daemons take a ticket, a job and a configuration
+    When the restarted daemons take a job, a job and a configuration
     And the daemons are restarted once more
-    Then the ticket, the job and the configuration are there, and all that was there before
+    Then the job, the job and the configuration are there, and all that was there before
 
     Examples:
       | kind  |
@@ -49,5 +49,5 @@
     Examples:
       | changed                   | what                               |
       | lacks its newest step     | digest of the record with the log  |
-      | holds another old ticket  | digest of the snapshot's record    |
+      | holds another old job     | digest of the snapshot's record    |
       | holds another vote        | votes                              |
--- a/features/table.feature
+++ b/features/table.feature
@@ -17,7 +17,7 @@
   Scenario: a better table is found better, approved, and in force everywhere
     When a draft that widens the crowded queue is rehearsed
     Then its verdict is "better"
-    And approving it puts it in force at every verge within 2 seconds
+    And approving it puts it in force at every front daemon within 2 seconds
     And the waits that follow are shorter, as forecast
 
   Scenario: two drafts on one base, one wins
@@ -32,13 +32,13 @@
     When a draft that widens the crowded queue is made but not rehearsed
     Then approving it is refused with "not_measured" and leaves the version in force
 
-  Scenario: the accord that rehearses dies, and the next in order measures
+  Scenario: the control daemon that rehearses dies, and the next in order measures
     When a better draft is rehearsed and whoever holds the rehearsal duty dies
-    Then another accord measures it under a higher epoch
+    Then another control daemon measures it under a higher epoch
 
   Scenario: a result of a lower epoch is refused
     When a better draft is rehearsed and a result under an older epoch arrives
-    Then the record keeps the draft unmeasured by it
+    Then the cluster state keeps the draft unmeasured by it
 
   Scenario: placing is not slowed by rehearsing
     When placing is timed in virtual time with and without a rehearsal under way
