--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -17,7 +17,7 @@
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.transport import http
 
-KEY = ("job", "a.example /orders/5c0e7a21d94b36f8")  # of the call that features/steps/carrier.py takes
+KEY = ("job", "a.example /orders/5c0e7a21d94b36f8")  # of the call that features/steps/forwarder.py takes
 
 CALLER = "10.0.0.9:7000"
 
@@ -177,7 +177,7 @@
     assert context.leader.core.consensus.serving(), "it has given leadership up"
 
 
-@when("a change of the setup on an older version is carried to it")
+@when("a change of the queue configuration on an older version is carried to it")
 def step_old_change(context):
     core, now = context.leader.core, context.simulator.steady()
     arguments = (core.cluster_state.version - 1, "merge", {"queues": {}}, "someone", "")
@@ -212,7 +212,7 @@
     front.step(("tick",), now + seconds, now + seconds)
 
 
-@then("the verge says that it is stale")
+@then("the front daemon says that it is stale")
 def step_stale(context):
     assert context.front.stale and context.front.body is not None
 
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -733,6 +733,7 @@
     "expire": Simulator._expire,
     "caller": Simulator._caller,
     "stopping": Simulator._stopping,
+    "later": lambda simulator, function: function(),
 }
 EFFECTS = {
     Send: Simulator._send,
