--- a/features/lease.feature
+++ b/features/lease.feature
@@ -18,7 +18,7 @@
 
   Scenario: a leader's lease ends with the answers of its quorum
     Given a leader whose followers answered a beat
-    Then its lease stands until LEAD_LEASE after that beat was sent, and not longer
+    Then its lease stands until LEADER_LEASE after that beat was sent, and not longer
 
   Scenario: the lease is shorter than the time-out, and a hold outlasts an election
     Then the constants leave a lease no room beside an election
--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -14,7 +14,7 @@
 
 from pinepitch.common import constants, packed_operations
 from pinepitch.common.effects import PostOrder, Rehearse, Reply
-from pinepitch.consensus import replica
+from pinepitch.consensus import messages
 from pinepitch.consensus.log import measured
 from pinepitch.control import requests
 from pinepitch.control.daemon import ControlDaemon
@@ -46,7 +46,7 @@
     return {
         "frames": {
             *(kind for kind in contract.CONTRACTS if kind not in ("raft", "ask", "answer")),
-            *(f"raft {kind}" for kind in {*contract.RAFT, *replica.HANDLERS}),
+            *(f"raft {kind}" for kind in {*contract.RAFT, *messages.MESSAGES}),
             *(
                 f"{kind} {call}"
                 for kind in ("ask", "answer")
--- a/features/steps/archive.py
+++ b/features/steps/archive.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
-from pinepitch.consensus.replica import Consensus
+from pinepitch.consensus import snapshot_sender
 from pinepitch.simulation import injected_faults, pushed_job_trial
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.state.cluster_state import ClusterState
@@ -171,15 +171,15 @@
     stack = injected_faults.planted("frequent-snapshots")
     stack.__enter__()
     context.add_cleanup(stack.__exit__, None, None, None)
-    context.sent, payload = [], Consensus._snapshot_payload
+    context.sent, payload = [], snapshot_sender.snapshot_payload
 
-    def noted(self, stored):
-        first, last = self.base_segments
+    def noted(replica, stored):
+        first, last = replica.base_segments
         context.sent.append((stored, list(range(max(first, stored + 1), last + 1))))
-        return payload(self, stored)
+        return payload(replica, stored)
 
-    Consensus._snapshot_payload = noted
-    context.add_cleanup(setattr, Consensus, "_snapshot_payload", payload)
+    snapshot_sender.snapshot_payload = noted
+    context.add_cleanup(setattr, snapshot_sender, "snapshot_payload", payload)
     context.simulator = Simulator(3)
     context.simulator.begin()
     context.simulator.caller("caller", pushed_job_trial.TRAFFIC)
--- a/features/steps/backlog.py
+++ b/features/steps/backlog.py
@@ -5,7 +5,10 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.common.effects import SaveChange
+from pinepitch.consensus.effects import CommitEntries, LogEvent, SendMessage
 from pinepitch.consensus.log import measured
+from pinepitch.consensus.messages import AppendEntries
 from pinepitch.consensus.replica import Consensus
 
 NAMES = {"a": "north", "b": "south", "c": "west"}
@@ -38,16 +41,16 @@
 
     def _take(self, name, effects):
         for effect in effects:
-            if effect[0] == "send":
-                self.queue.append((name, effect[1], effect[2]))
-                if effect[2][0] == "append":
+            if isinstance(effect, SendMessage):
+                self.queue.append((name, effect.receiver, effect.message))
+                if isinstance(effect.message, AppendEntries):
                     self.beats.append(self.now)
-            elif effect[0] == "save":
-                self._take(name, self.members[name].saved(effect[1], self.now))
-            elif effect[0] == "commit":
-                self.applied[name].append(effect[2])
-            elif effect[0] == "event":
-                self.events.append((self.now, name, effect[1]))
+            elif isinstance(effect, SaveChange):
+                self._take(name, self.members[name].saved(effect.sequence, self.now))
+            elif isinstance(effect, CommitEntries):
+                self.applied[name].append(effect.entries)
+            elif isinstance(effect, LogEvent):
+                self.events.append((self.now, name, effect.number))
 
     def leader(self):
         return next((one for one in self.members.values() if one.role == "leader"), None)
--- a/features/steps/lease.py
+++ b/features/steps/lease.py
@@ -6,7 +6,20 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.consensus import election, replication
+from pinepitch.consensus.effects import LogEvent, SendMessage, StepDown
+from pinepitch.consensus.messages import (
+    AppendEntries,
+    AppendReply,
+    LeadershipTransfer,
+    PreVoteReply,
+    PreVoteRequest,
+    TakeoverRequest,
+    VoteReply,
+    VoteRequest,
+)
 from pinepitch.consensus.replica import Consensus
+from pinepitch.consensus.roles import Role
 from pinepitch.runtime.host import Host
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
@@ -28,9 +41,8 @@
 
 
 def answers(effects, kind):
-    return [
-        message for effect in effects if effect[0] == "send" for message in (effect[2],) if message[0] == kind
-    ]
+    sent = [effect.message for effect in effects if isinstance(effect, SendMessage)]
+    return [message for message in sent if type(message) is kind]
 
 
 @given("an accord with a log that starts anew")
@@ -50,8 +62,8 @@
     context.observed = []
     longest = constants.LEADER_LEASE * (1 + constants.CLOCK_DRIFT) / (1 - constants.CLOCK_DRIFT)
     for after in (0.01, since + constants.LEADER_LEASE + 0.01, since + longest + 0.01):
-        effects = context.consensus_under_test.step("c", ("prevote", 4, 1, 3), context.now + after)
-        context.observed.append(answers(effects, "prevoted"))
+        effects = context.consensus_under_test.step("c", PreVoteRequest(4, 1, 3), context.now + after)
+        context.observed.append(answers(effects, PreVoteReply))
 
 
 @when("it is asked for pre-votes that begin its life, and until a lease from then has ended by any clock")
@@ -62,49 +74,48 @@
 @then("it refuses at first and grants then")
 def step_refused_granted(context):
     *early, late = context.observed
-    assert all(not one[2] for sent_before in early for one in sent_before), early
-    assert [one[2] for one in late] == [True], late
+    assert all(not one.granted for sent_before in early for one in sent_before), early
+    assert [one.granted for one in late] == [True], late
 
 
 @given("an accord with a log that heard its leader just now")
 def step_heard(context):
     context.now = 100.0
     context.consensus_under_test = begun("b", context.now - 10)
-    context.consensus_under_test.step("a", ("append", 3, 1, 3, (), 1, 1), context.now)
+    context.consensus_under_test.step("a", AppendEntries(3, 1, 3, (), 1, 1), context.now)
 
 
 @when("it is asked for a vote in a later term at once, and again once a {wait} is over")
 def step_votes(context, wait):
     context.observed = []
     for after in (0.01, WAITS[wait] + 0.02):
-        effects = context.consensus_under_test.step("c", ("vote", 4, 1, 3), context.now + after)
+        effects = context.consensus_under_test.step("c", VoteRequest(4, 1, 3), context.now + after)
         effects += context.consensus_under_test.saved(
             context.consensus_under_test.sequence, context.now + after
         )
-        context.observed.append(answers(effects, "voted"))
+        context.observed.append(answers(effects, VoteReply))
 
 
 @then("it says nothing at first and grants then")
 def step_nothing_granted(context):
     first, second = context.observed
     assert first == [], first
-    assert [one[2] for one in second] == [True], second
+    assert [one.granted for one in second] == [True], second
 
 
 @given("a leader whose followers answered a beat")
 def step_leader(context):
     context.now = 100.0
     leader = context.leader = begun("a", context.now - 10)
-    leader._campaign("candidate", context.now - 1)
+    election.campaign(leader, Role.CANDIDATE, context.now - 1)
     leader.saved(leader.sequence, context.now - 1)
-    leader.step("b", ("voted", 4, True, "a", 3, {}), context.now - 1)
+    leader.step("b", VoteReply(4, True, "a", 3, {}), context.now - 1)
     leader.saved(leader.sequence, context.now - 1)
     assert leader.role == "leader"
-    leader._broadcast(context.now)
+    replication.broadcast(leader, context.now)
     for follower in ("b", "c"):
-        leader.step(
-            follower, ("appended", 4, True, leader.last_index(), leader.heartbeat), context.now + 0.05
-        )
+        reply = AppendReply(4, True, leader.last_index(), leader.heartbeat)
+        leader.step(follower, reply, context.now + 0.05)
 
 
 @then("its lease stands until LEADER_LEASE after that beat was sent, and not longer")
@@ -198,7 +209,7 @@
     _, effects = leader.propose([("noop",)], 0.0, now)
     effects += leader.saved(leader.sequence, now)
     effects += leader.transfer_leadership({"b", "c"}, now)
-    context.observed = [answers(effects, "handover"), leader.role, leader.leased(now)]
+    context.observed = [answers(effects, LeadershipTransfer), leader.role, leader.leased(now)]
 
 
 @then("it leads on, and names the successor once all is held, without a lease by then")
@@ -206,10 +217,10 @@
     leader, now = context.leader, context.now + 0.07
     assert context.observed == [[], "leader", True], context.observed
     target = leader.handover.target
-    effects = leader.step(target, ("appended", 4, True, leader.last_index(), leader.heartbeat), now)
-    assert answers(effects, "handover") == [("handover", 4, {})], effects
-    kinds = [effect[0] for effect in effects]
-    assert kinds.index("unlead") < kinds.index("send"), kinds
+    effects = leader.step(target, AppendReply(4, True, leader.last_index(), leader.heartbeat), now)
+    assert answers(effects, LeadershipTransfer) == [LeadershipTransfer(4, {})], effects
+    kinds = [type(effect) for effect in effects]
+    assert kinds.index(StepDown) < kinds.index(SendMessage), kinds
     assert leader.role == "follower" and not leader.leased(now)
 
 
@@ -217,21 +228,23 @@
 def step_takeovers(context):
     context.observed = []
     for released in (2, 3):
-        effects = context.consensus_under_test.step("c", ("takeover", 4, 1, 3, released), context.now + 0.01)
+        effects = context.consensus_under_test.step(
+            "c", TakeoverRequest(4, 1, 3, released), context.now + 0.01
+        )
         effects += context.consensus_under_test.saved(
             context.consensus_under_test.sequence, context.now + 0.01
         )
-        context.observed.append(answers(effects, "voted"))
+        context.observed.append(answers(effects, VoteReply))
 
 
 def campaigns(effects):
-    return [effect for effect in effects if effect[0] == "event" and effect[1] in (120, 121)]
+    return [one.number for one in effects if isinstance(one, LogEvent) and one.number in (120, 121)]
 
 
 @when("others than its leader, and an older leader, name it successor")
 def step_named(context):
-    context.effects = context.consensus_under_test.step("c", ("handover", 3, {}), context.now + 0.01)
-    context.effects += context.consensus_under_test.step("a", ("handover", 2, {}), context.now + 0.01)
+    context.effects = context.consensus_under_test.step("c", LeadershipTransfer(3, {}), context.now + 0.01)
+    context.effects += context.consensus_under_test.step("a", LeadershipTransfer(2, {}), context.now + 0.01)
 
 
 @then("it begins no election")
@@ -241,7 +254,7 @@
 
 @then("it does, without a pre-vote, once its leader names it")
 def step_election(context):
-    effects = context.consensus_under_test.step("a", ("handover", 3, {}), context.now + 0.01)
-    assert [event[1] for event in campaigns(effects)] == [121], effects
+    effects = context.consensus_under_test.step("a", LeadershipTransfer(3, {}), context.now + 0.01)
+    assert campaigns(effects) == [121], effects
     effects = context.consensus_under_test.saved(context.consensus_under_test.sequence, context.now + 0.02)
-    assert answers(effects, "takeover") == [("takeover", 4, 1, 3, 3)] * 2, effects
+    assert answers(effects, TakeoverRequest) == [TakeoverRequest(4, 1, 3, 3)] * 2, effects
--- a/features/steps/log.py
+++ b/features/steps/log.py
@@ -12,7 +12,10 @@
 from pinepitch.common import constants, daemon_settings
 from pinepitch.common.limits import Limits
 from pinepitch.common.packed_operations import Packed, dumps, unpacked
+from pinepitch.consensus import election
+from pinepitch.consensus.effects import SendMessage
 from pinepitch.consensus.log import measured
+from pinepitch.consensus.messages import ChunkReply, SnapshotChunk
 from pinepitch.consensus.replica import Consensus
 from pinepitch.simulation import leased_job_trial
 from pinepitch.simulation.changes import BODY, ControlCluster, document_of, missed, planted
@@ -367,25 +370,26 @@
     leader.archive = None
     leader.tick(100.0)
     leader.term = 4
-    leader._become_leader(110.0)
-    leader._done(110.0)
+    election.become_leader(leader, 110.0)
+    leader.done(110.0)
     leader.saved(leader.sequence, 110.0)
     leader.followers["b"].next = 1
     context.now = 110.2
     asked = chunks_of(leader.tick(context.now))
-    assert [one[5] for one in asked] == [-1], asked
-    first = chunks_of(leader.step("b", ("pieced", 4, 9, -1, 0, 1), context.now + 0.01))
-    assert [one[5] for one in first] == [0], first
+    assert [one.offset for one in asked] == [-1], asked
+    first = chunks_of(leader.step("b", ChunkReply(4, 9, -1, 0, 1), context.now + 0.01))
+    assert [one.offset for one in first] == [0], first
 
 
 def chunks_of(effects):
     """The pieces sent to b."""
-    return [one[2] for one in effects if one[0] == "send" and one[1] == "b" and one[2][0] == "piece"]
+    sent = [one.message for one in effects if isinstance(one, SendMessage) and one.receiver == "b"]
+    return [message for message in sent if isinstance(message, SnapshotChunk)]
 
 
 @when("the answer to its first piece comes twice")
 def step_twice(context):
-    answer = ("pieced", 4, 9, constants.APPEND_START, 0, 1)
+    answer = ChunkReply(4, 9, constants.APPEND_START, 0, 1)
     context.sent = [
         chunk
         for after in (0.02, 0.03)
@@ -395,7 +399,8 @@
 
 @then("one further piece is sent")
 def step_one_chunk(context):
-    assert [one[5] for one in context.sent] == [constants.APPEND_START], [one[5] for one in context.sent]
+    offsets = [one.offset for one in context.sent]
+    assert offsets == [constants.APPEND_START], offsets
 
 
 @given("a settings file of a core with limits.memoryMb={memory} and limits.diskMb={disk}")
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -14,8 +14,12 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
-from pinepitch.common.effects import Reply, Send
+from pinepitch.common.effects import Reply, SaveChange, Send
+from pinepitch.consensus import election
+from pinepitch.consensus.effects import SendMessage
+from pinepitch.consensus.messages import PreVoteReply, PreVoteRequest, VoteReply, VoteRequest
 from pinepitch.consensus.replica import Consensus
+from pinepitch.consensus.roles import Role
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.front.daemon import FrontDaemon
 from pinepitch.runtime.host import Link
@@ -66,7 +70,7 @@
 
 @when("the first asks for votes once it may, and its first vote request is lost")
 def step_asks_lost(context):
-    context.lost = {"vote"}
+    context.lost = {VoteRequest}
     context.led_at = run_until_led(context)
 
 
@@ -89,16 +93,16 @@
 def deliver(context, sender, effects, now):
     """Hands messages over and calls saves done, until nothing is left to do."""
     for effect in effects:
-        if effect[0] == "save":
-            deliver(context, sender, context.control_daemons[sender].saved(effect[1], now), now)
-        elif (
-            effect[0] == "send" and effect[1] in context.control_daemons and now >= context.starts[effect[1]]
-        ):
-            if effect[2][0] in context.lost:
-                context.lost.remove(effect[2][0])
+        if isinstance(effect, SaveChange):
+            deliver(context, sender, context.control_daemons[sender].saved(effect.sequence, now), now)
+        elif isinstance(effect, SendMessage) and effect.receiver in context.control_daemons:
+            if now < context.starts[effect.receiver]:
                 continue
-            answers = context.control_daemons[effect[1]].step(sender, effect[2], now)
-            deliver(context, effect[1], answers, now)
+            if type(effect.message) in context.lost:
+                context.lost.remove(type(effect.message))
+                continue
+            answers = context.control_daemons[effect.receiver].step(sender, effect.message, now)
+            deliver(context, effect.receiver, answers, now)
 
 
 @then("it leads within {most:g} s of the end of the second's wait")
@@ -113,10 +117,10 @@
     context.now = 100.0
     context.consensus_under_test = restarted("a")
     context.consensus_under_test.tick(context.now)
-    context.consensus_under_test._campaign("candidate", context.now + 1.0)
+    election.campaign(context.consensus_under_test, Role.CANDIDATE, context.now + 1.0)
     context.consensus_under_test.saved(context.consensus_under_test.sequence, context.now + 1.0)
     for voter in ("b", "c"):
-        context.consensus_under_test.step(voter, ("voted", 4, False, "c", 3, {4: "c"}), context.now + 1.01)
+        context.consensus_under_test.step(voter, VoteReply(4, False, "c", 3, {4: "c"}), context.now + 1.01)
 
 
 @then("it asks for pre-votes within {most:g} s, under the term it has")
@@ -146,8 +150,9 @@
 
 
 def granted(context, at):
-    effects = context.consensus_under_test.step("a", ("prevote", 4, 1, 3), at)
-    return [effect[2][2] for effect in effects if effect[0] == "send" and effect[2][0] == "prevoted"]
+    effects = context.consensus_under_test.step("a", PreVoteRequest(4, 1, 3), at)
+    sent = [effect.message for effect in effects if isinstance(effect, SendMessage)]
+    return [message.granted for message in sent if isinstance(message, PreVoteReply)]
 
 
 @then("it gives no vote before a lease from the begin of the process is over")
--- a/features/steps/snapshot_lives.py
+++ b/features/steps/snapshot_lives.py
@@ -5,7 +5,11 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
-from pinepitch.consensus.replica import Consensus, Follower
+from pinepitch.consensus import replication
+from pinepitch.consensus.effects import InstallSnapshot, SaveBase, SendMessage
+from pinepitch.consensus.follower import Follower
+from pinepitch.consensus.messages import SnapshotChunk
+from pinepitch.consensus.replica import Consensus
 
 MEMBERS = {"leader": "a", "follower": "b", "other": "c"}
 SEGMENTS = {number: bytes([number]) * 40 for number in range(1, 7)}
@@ -51,25 +55,25 @@
         queue = list(effects)
         while queue:
             effect = queue.pop(0)
-            if effect[0] == "install":
+            if isinstance(effect, InstallSnapshot):
                 self.installed = effect
-            elif effect[0] == "base":
-                queue.extend(self.follower.saved(effect[1], self.now))
-            elif effect[0] == "send" and effect[1] == "follower":
-                if effect[2][0] == "piece" and effect[2][5] >= 0:
+            elif isinstance(effect, SaveBase):
+                queue.extend(self.follower.saved(effect.sequence, self.now))
+            elif isinstance(effect, SendMessage) and effect.receiver == "follower":
+                if isinstance(effect.message, SnapshotChunk) and effect.message.offset >= 0:
                     chunks -= 1
                     if chunks < 0:
                         return
-                queue.extend(self.follower.step("leader", effect[2], self.now))
-            elif effect[0] == "send" and effect[1] == "leader":
-                self.last_answer = effect[2]
-                queue.extend(self.leader.step("follower", effect[2], self.now))
+                queue.extend(self.follower.step("leader", effect.message, self.now))
+            elif isinstance(effect, SendMessage) and effect.receiver == "leader":
+                self.last_answer = effect.message
+                queue.extend(self.leader.step("follower", effect.message, self.now))
 
     def resend(self):
         """The leader sends again what was not answered."""
         self.now += 2 * constants.APPEND_RESEND
-        self.leader._replicate("follower", self.now)
-        return self.leader._done(self.now)
+        replication.replicate(self.leader, "follower", self.now)
+        return self.leader.done(self.now)
 
 
 @given("a leader that sends a follower a snapshot in {chunks}, without the segments that it holds")
@@ -102,5 +106,5 @@
             transfer.run(transfer.resend())
     assert transfer.installed is not None, "nothing was installed"
     stored = {number: SEGMENTS[number] for number in range(1, transfer.follower.archive.sealed + 1)}
-    assert {**stored, **transfer.installed[3]} == SEGMENTS, transfer.installed
+    assert {**stored, **transfer.installed.segments} == SEGMENTS, transfer.installed
     assert transfer.leader.followers["follower"].match == SNAPSHOT_INDEX
--- /dev/null
+++ b/src/pinepitch/consensus/acknowledgements.py
@@ -0,0 +1,73 @@
+"""What a leader does with its followers' answers to entries, heartbeats and chunks of a snapshot."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..common import constants
+from . import commitment, leadership_transfer, reads, replication, snapshot_sender
+from .messages import AppendReply, ChunkReply
+from .roles import LEADER
+
+if TYPE_CHECKING:
+    from .follower import Follower
+    from .replica import Consensus
+
+
+def on_append_reply(replica: Consensus, sender: str, message: AppendReply, now: float) -> None:
+    """Takes note of what a follower holds, commits what that allows and sends what it lacks."""
+    term, success, index, heartbeat = message
+    follower = replica.followers.get(sender)
+    if replica.role != LEADER or term != replica.term or follower is None:
+        return
+    follower.heard_at = now
+    follower.heartbeat = max(follower.heartbeat, heartbeat)
+    if index is None:  # a heartbeat alone, beside a snapshot
+        reads.check_round(replica, now)
+        return
+    if success:
+        follower.denials = 0
+    elif index < follower.match:
+        _denied(replica, sender, follower, index)
+    if follower.forgot:
+        return
+    if success:
+        _take_success(follower, index, now)
+    else:
+        follower.probing = True
+        follower.next = max(follower.match + 1, min(follower.next - 1, index + 1), 1)
+        follower.flow.clear()
+    commitment.advance(replica, now)
+    reads.check_round(replica, now)
+    if replica.handover is not None:
+        leadership_transfer.try_handover(replica, now)
+    if replica.role == LEADER and sender in replica.followers and follower.next <= replica.last_index():
+        replication.replicate(replica, sender, now)
+
+
+def _denied(replica: Consensus, sender: str, follower: Follower, index: int) -> None:
+    """A follower lacks what it acknowledged; once or twice may be an answer overtaken by a newer one."""
+    follower.denials += 1
+    if follower.denials == constants.DENIALS:
+        replica.event(128, follower=sender, acknowledged=follower.match, holds=index)
+        follower.forgot = True  # its disk lost what it acknowledged: nothing it says counts
+        follower.match = 0
+
+
+def _take_success(follower: Follower, index: int, now: float) -> None:
+    follower.flow.answered(index, now)
+    if index > follower.match:
+        follower.match = index
+    follower.next = max(follower.next, follower.match + 1)
+    follower.probing = False
+
+
+def on_chunk_reply(replica: Consensus, sender: str, message: ChunkReply, now: float) -> None:
+    """Goes on with a snapshot, or with the log behind it."""
+    follower = replica.followers.get(sender)
+    if replica.role != LEADER or message.term != replica.term or follower is None:
+        return
+    follower.heard_at = now
+    follower.heartbeat = max(follower.heartbeat, message.heartbeat)
+    if snapshot_sender.take_answer(replica, follower, message, now):
+        replication.replicate(replica, sender, now)
--- a/src/pinepitch/consensus/cluster_clock.py
+++ b/src/pinepitch/consensus/cluster_clock.py
@@ -1,33 +1,39 @@
-"""Cohort time: the median of the members' clocks, carried by the monotonic clock."""
+"""Cluster time: the median of the members' wall clocks, carried on by the monotonic clock."""
 
 from ..common import constants
 
 
 class ClusterClock:
-    """Invariants: read() never goes back; between two reads it moves with the monotonic
+    """What the cluster takes for the time of day, in seconds.
+
+    Invariants: read() never goes back; between two reads it moves with the monotonic
     clock, bent by at most SLEW; a reading too old has no say in the median, and fewer
     readings than a majority of the members have none at all. While carried, the time goes
     on from the newest that was agreed, which is never ahead of the truth, and the first
     median ahead of it takes its place."""
 
-    def __init__(self):
-        self.offset = None  # cohort time less monotonic time
-        self.carried = True  # whether offset comes from the record, not from clocks
-        self.readings = {}  # member -> (its clock less our monotonic time, when heard)
+    def __init__(self) -> None:
+        self.offset: float | None = None  # seconds; cluster time less monotonic time
+        self.carried = True  # whether offset comes from the cluster state, not from clocks
+        self.readings: dict[
+            str, tuple[float, float]
+        ] = {}  # member -> (its clock less our monotonic time, when heard)
         self.last = 0.0
-        self.moved = None
+        self.moved: float | None = None  # the monotonic time of the newest read
 
-    def hear(self, member, clock, now):
+    def hear(self, member: str, clock: float, now: float) -> None:
         """A member's wall clock, heard at monotonic `now`."""
         self.readings[member] = (clock - now, now)
 
-    def read(self, now, agreed=0.0, needed=1):
-        """The cohort's time at monotonic `now`; `agreed` is the newest in the record and
+    def read(self, now: float, agreed: float = 0.0, needed: int = 1) -> float:
+        """The cluster's time at monotonic `now`; `agreed` is the newest in the cluster state and
         `needed` a majority of the members."""
         fresh = sorted(
             offset for offset, heard in self.readings.values() if now - heard <= constants.CLOCK_FRESH
         )
-        if self.offset is None or now + self.offset < agreed:
+        if self.offset is None:
+            self.offset = agreed - now
+        elif now + self.offset < agreed:
             self.carried = self.carried or now + self.offset < agreed - constants.TIME_BEHIND
             self.offset = agreed - now
         if len(fresh) >= needed:
@@ -36,6 +42,7 @@
                 if lower >= self.offset:
                     self.offset, self.carried = lower, False
             else:
+                assert self.moved is not None
                 # of two middle clocks the one that has not jumped
                 median = upper if abs(upper - self.offset) < abs(lower - self.offset) else lower
                 most = min(1.0, max(0.0, now - self.moved)) * constants.SLEW  # a freeze earns no leap
--- /dev/null
+++ b/src/pinepitch/consensus/commitment.py
@@ -0,0 +1,85 @@
+"""What counts as committed, and what follows: applying it in slices, the second half of a joint change."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..common import constants
+from . import log_changes, reads, replication
+from .effects import CommitEntries
+from .quorum import Membership, Quorum
+
+if TYPE_CHECKING:
+    from .replica import Consensus
+
+
+def advance(replica: Consensus, now: float) -> None:
+    """Moves commit to the newest own-term entry that a commit quorum holds."""
+    matches = {
+        identity: follower.match
+        for identity, follower in replica.followers.items()
+        if identity not in replica.learners
+    }
+    matches[replica.identity] = replica.durable
+    for index in sorted(set(matches.values()), reverse=True):
+        if index <= replica.committed or replica.term_at(index) != replica.term:
+            break
+        holders = {identity for identity, match in matches.items() if match >= index}
+        if replica.membership.commits(holders, replica.identity):
+            commit_to(replica, index, now)
+            break
+
+
+def commit_to(replica: Consensus, index: int, now: float) -> None:
+    """Takes an entry and all before it for committed. A backlog that is under way goes on by ticks."""
+    committing = replica.commit < replica.committed
+    replica.committed = max(replica.committed, index)
+    if not committing:
+        commit_slice(replica, now)
+
+
+def commit_slice(replica: Consensus, now: float) -> None:
+    """Commits as much as one step may take: a restarted member has all since its base to apply, and
+    must go on sending heartbeats and answering meanwhile, or others take its place."""
+    start = replica.commit + 1
+    entries, _ = replica.log.slice_from(start, constants.COMMIT_ENTRIES, constants.COMMIT_BYTES)
+    entries = entries[: replica.committed - replica.commit]
+    replica.commit += len(entries)
+    replica.effects.append(CommitEntries(start, entries))
+    if replica.commit == replica.committed and replica.serving():
+        _after_commit(replica, now)
+
+
+def _after_commit(replica: Consensus, now: float) -> None:
+    reads.start_round(replica, now)
+    if replica.commit < replica.membership_index:
+        return
+    if replica.membership.coming is not None:
+        _leave_joint_membership(replica, replica.membership.coming, now)
+    else:
+        _end_change(replica, now)
+
+
+def _leave_joint_membership(replica: Consensus, quorum: Quorum, now: float) -> None:
+    """The joint membership is committed: the coming one alone is next (section 8)."""
+    coming = Membership(quorum)
+    replica.event(131)
+    entry = (replica.term, 0.0, ("members", coming.image()))
+    log_changes.append(replica, [entry], replica.last_index() + 1)
+    replication.replicate_all(replica, now)
+
+
+def _end_change(replica: Consensus, now: float) -> None:
+    """The membership is committed alone: who is not in it is sent nothing more."""
+    members = replica.membership.members()
+    gone = [
+        identity
+        for identity in replica.followers
+        if identity not in members and identity not in replica.learners
+    ]
+    for identity in gone:
+        del replica.followers[identity]
+    if gone:
+        replica.event(132, members=sorted(members))
+    if replica.identity not in members:
+        replica.follow(replica.term, now, "no longer a member")
--- /dev/null
+++ b/src/pinepitch/consensus/election.py
@@ -0,0 +1,209 @@
+"""Elections: pre-votes and votes, asked for, given and counted.
+
+Who is elected is decided by Algorithms 1 and 2 in `quorum`; here are the messages, what a voter grants and
+the times. Pre-vote: section 8. docs/design/elections.md has the reasons.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..common import constants
+from . import log_changes, membership_change, replication
+from .effects import BecomeLeader
+from .follower import Follower
+from .messages import (
+    NewerTerm,
+    PreVoteReply,
+    PreVoteRequest,
+    RemovedNotice,
+    TakeoverRequest,
+    VoteReply,
+    VoteRequest,
+)
+from .quorum import Reply
+from .roles import CANDIDATE, FOLLOWER, LEADER, PRE_CANDIDATE, Role
+
+if TYPE_CHECKING:
+    from .replica import Consensus
+
+
+# --- the candidate's part -------------------------------------------------------------
+def campaign(replica: Consensus, role: Role, now: float, released: int = 0) -> None:
+    """Begins an election; `released` is the term whose leader gave up its lease for it, if one did."""
+    replica.role, replica.replies, replica.released = role, {}, released
+    replica.reset_election(now)
+    term = replica.term + 1
+    replica.following = None
+    if role == CANDIDATE:
+        replica.term = term
+        replica.history[term] = replica.identity
+        replica.hard_dirty = True
+    replica.event(121 if role == CANDIDATE else 120, campaign=term)
+    replica.replies[replica.identity] = _reply(replica, True)
+    ask_votes(replica, now)
+    count_votes(replica, now)
+
+
+def ask_votes(replica: Consensus, now: float) -> None:
+    """Asks for what the campaign under way needs, and again until the time-out: a request or its
+    answer may get lost, and a voter that still waits for a lease to end grants a moment later."""
+    replica.ask_at = now + constants.VOTE_AGAIN * (0.5 + replica.random.random())
+    request = _vote_request(replica)
+    for identity in replica.membership.members():
+        if identity != replica.identity:
+            replica.send(identity, request, replica.after_flush())
+
+
+def _vote_request(replica: Consensus) -> PreVoteRequest | VoteRequest | TakeoverRequest:
+    last_index = replica.last_index()
+    last_term = replica.term_at(last_index)
+    assert last_term is not None
+    term = replica.term if replica.role == CANDIDATE else replica.term + 1
+    if replica.released:
+        return TakeoverRequest(term, last_index, last_term, replica.released)
+    if replica.role == CANDIDATE:
+        return VoteRequest(term, last_index, last_term)
+    return PreVoteRequest(term, last_index, last_term)
+
+
+def count_votes(replica: Consensus, now: float) -> None:
+    """Goes on to the next step of the election that the replies allow. A candidate leads only once its
+    own vote is durable."""
+    term = replica.term if replica.role == CANDIDATE else replica.term + 1
+    result = replica.membership.elects(replica.replies, term, replica.leader, replica.leader_term)
+    if result.satisfied:
+        if replica.role == PRE_CANDIDATE:
+            campaign(replica, CANDIDATE, now)
+        elif replica.hard_sequence <= replica.saved_sequence and not replica.hard_dirty:
+            become_leader(replica, now)
+    elif replica.role == CANDIDATE and not result.possible:
+        # the votes were split: nobody may have won, so it asks for pre-votes anew soon
+        again_at = now + constants.RESTART_JITTER * replica.random.random()
+        assert replica.election_at is not None
+        replica.election_at = min(replica.election_at, again_at)
+
+
+def become_leader(replica: Consensus, now: float) -> None:
+    """Leads the present term: begins with an entry of its own, which commits all before it."""
+    replica.role = LEADER
+    replica.following = replica.identity
+    replica.leader, replica.leader_term = replica.identity, replica.term
+    replica.history = {}
+    replica.hard_dirty = True
+    replica.followers = {
+        identity: Follower(replica.last_index(), now)
+        for identity in replica.membership.members()
+        if identity != replica.identity
+    }
+    replica.heartbeat = 0
+    replica.reads_now, replica.reads_next, replica.round = [], [], None
+    replica.event(122, groups=len(replica.membership.now.groups()))
+    replica.effects.append(BecomeLeader(replica.term))
+    log_changes.append(replica, [(replica.term, 0.0, ("noop",))], replica.last_index() + 1)
+    learners = replica.inherited_learners if replica.released else {}
+    replica.inherited_learners = {}
+    for identity, zone in learners.items():
+        membership_change.learn(replica, identity, zone, now)
+    replication.broadcast(replica, now)
+
+
+def on_pre_vote_reply(replica: Consensus, sender: str, message: PreVoteReply, now: float) -> None:
+    """Counts a reply to the pre-vote under way."""
+    if replica.role == PRE_CANDIDATE and message.term == replica.term + 1:
+        _take_reply(replica, sender, message, now)
+
+
+def on_vote_reply(replica: Consensus, sender: str, message: VoteReply, now: float) -> None:
+    """Counts a reply to the election under way."""
+    if replica.role == CANDIDATE and message.term == replica.term:
+        _take_reply(replica, sender, message, now)
+
+
+def _take_reply(replica: Consensus, sender: str, message: PreVoteReply | VoteReply, now: float) -> None:
+    _, granted, leader, leader_term, history = message
+    replica.replies[sender] = Reply(granted, leader, leader_term, dict(history))
+    count_votes(replica, now)
+
+
+def on_newer_term(replica: Consensus, sender: str, message: NewerTerm, now: float) -> None:
+    """Another replica's term is newer than what this one sent."""
+    if message.term > replica.term:
+        replica.follow(message.term, now, "behind")
+
+
+def on_removed(replica: Consensus, sender: str, message: RemovedNotice, now: float) -> None:
+    """A member that serves under a leader says that this one was replaced."""
+    knows = sender in replica.membership.members() and message.commit > replica.membership_index
+    if knows and replica.role != LEADER:
+        replica.removed = True
+        if replica.role != FOLLOWER:
+            replica.follow(replica.term, now, "stranger")
+
+
+# --- the voter's part -----------------------------------------------------------------
+def _reply(replica: Consensus, granted: bool) -> Reply:
+    return Reply(granted, replica.leader, replica.leader_term, dict(replica.history))
+
+
+def is_current(replica: Consensus, last_index: int, last_term: int) -> bool:
+    """Whether a log that ends so holds all that this one may have committed."""
+    own_index = replica.last_index()
+    own_term = replica.term_at(own_index)
+    assert own_term is not None
+    return (last_term, last_index) >= (own_term, own_index)
+
+
+def on_pre_vote(replica: Consensus, sender: str, message: PreVoteRequest, now: float) -> None:
+    """Says whether a vote would be given; not while a leader is near."""
+    term, last_index, last_term = message
+    near = replica.leader_near(now)
+    if near and sender not in replica.membership.members():
+        replica.send(sender, RemovedNotice(replica.term, replica.commit))
+        return
+    if term <= replica.term:
+        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        return
+    granted = is_current(replica, last_index, last_term) and not near
+    replica.send(sender, PreVoteReply(term, *_reply(replica, granted)), replica.hard_sequence)
+
+
+def on_vote(replica: Consensus, sender: str, message: VoteRequest, now: float) -> None:
+    """Answers a vote request; not beside a leader that was heard."""
+    term, last_index, last_term = message
+    if term < replica.term:
+        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        return
+    if replica.leader_near(now) and sender != replica.following:
+        return  # it won its pre-vote before the leader was heard again, whose lease stands on that
+    _answer_vote(replica, sender, term, last_index, last_term, now)
+
+
+def on_takeover(replica: Consensus, sender: str, message: TakeoverRequest, now: float) -> None:
+    """A vote asked for by a candidate whom the leader of the term `released` named: that leader, and
+    every older one, relies on its lease no more; a newer one may."""
+    term, last_index, last_term, released = message
+    if term < replica.term:
+        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        return
+    if replica.leader_near(now) and replica.leader_term > released:
+        return
+    _answer_vote(replica, sender, term, last_index, last_term, now)
+
+
+def _answer_vote(
+    replica: Consensus, sender: str, term: int, last_index: int, last_term: int, now: float
+) -> None:
+    if term > replica.term:
+        replica.follow(term, now, "newer term")
+    choice = replica.history.get(term)
+    granted = (
+        replica.leader_term < term and is_current(replica, last_index, last_term) and choice in (None, sender)
+    )
+    if granted and choice is None:
+        replica.history[term] = sender
+        replica.hard_dirty = True
+        replica.reset_election(now)
+        replica.event(124, candidate=sender)
+    durable_at = max(replica.after_flush() if replica.hard_dirty else 0, replica.hard_sequence)
+    replica.send(sender, VoteReply(term, *_reply(replica, granted)), durable_at)
--- a/src/pinepitch/consensus/flow_control.py
+++ b/src/pinepitch/consensus/flow_control.py
@@ -1,15 +1,15 @@
-"""What is under way to one follower, and how much of it the way there was seen to carry."""
+"""What is under way to one follower, and how much at once the link there was seen to carry."""
 
 import collections
 from typing import NamedTuple
 
 from ..common import constants
 
-PATIENT = 4  # times as slow as seen before; so long an answer to a large message is waited for
+PATIENCE_FACTOR = 4  # times as slow as seen before: so long an answer to a large message is waited for
 
 
 class Sent(NamedTuple):
-    """One append or piece without an answer yet."""
+    """One append or chunk without an answer yet: its last index (0 for a chunk), bytes, seconds."""
 
     last: int
     size: int
@@ -17,27 +17,29 @@
 
 
 class Flow:
-    """Invariants: under_way is in the order of sending; budget is from MIN_APPEND_BYTES to
+    """The flow of messages to one follower. Sizes and budget in bytes, times in seconds.
+
+    Invariants: in_flight is in the order of sending; budget is from MIN_APPEND_BYTES to
     APPEND_BYTES; at most one message of BULK_BYTES or more is under way, and then it alone,
     since such ones go by a connection of their own and order holds for one connection only."""
 
-    def __init__(self):
-        self.in_flight = collections.deque()
+    def __init__(self) -> None:
+        self.in_flight: collections.deque[Sent] = collections.deque()
         self.budget = constants.APPEND_START
-        self.rate = None  # bytes a second of the last large message that was answered
+        self.rate: float | None = None  # bytes a second of the last large message that was answered
         self.progress_at = -1e9
         self.losses = 0  # in a row
 
-    def bulky(self):
+    def bulky(self) -> bool:
         """Whether a large message is under way."""
         in_flight = self.in_flight
         return bool(in_flight) and in_flight[0].size >= constants.BULK_BYTES
 
-    def begin(self, last, size, now):
+    def begin(self, last: int, size: int, now: float) -> None:
         """A message whose answer says `last` or more is sent."""
         self.in_flight.append(Sent(last, size, now))
 
-    def answered(self, upto, now):
+    def answered(self, upto: int, now: float) -> None:
         """All up to `upto` has arrived and is durable."""
         in_flight = self.in_flight
         while in_flight and (in_flight[0].last <= upto or not in_flight[0].size):
@@ -46,7 +48,7 @@
             if sent.size >= constants.MIN_APPEND_BYTES:
                 self._learn(sent, now)
 
-    def _learn(self, sent, now):
+    def _learn(self, sent: Sent, now: float) -> None:
         self.losses = 0
         took = max(now - sent.at, 1e-3)
         self.rate = sent.size / took
@@ -55,7 +57,7 @@
         elif took > 2 * constants.HEARTBEAT:
             self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
 
-    def overdue(self, now):
+    def overdue(self, now: float) -> bool:
         """Whether what is under way must be taken for lost."""
         if not self.in_flight:
             return False
@@ -63,19 +65,19 @@
         size = self.in_flight[0].size
         patience = constants.APPEND_RESEND
         if size >= constants.BULK_BYTES:
-            rate = constants.LINK_SLOWEST if self.rate is None else self.rate / PATIENT
+            rate = constants.LINK_SLOWEST if self.rate is None else self.rate / PATIENCE_FACTOR
             patience += (1 + self.losses) * size / rate
         return now - since > patience
 
-    def lost(self):
+    def lost(self) -> None:
         """Nothing under way is waited for any longer."""
         if self.bulky():
             self.losses = min(self.losses + 1, constants.MAX_LOSSES)
             self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
             if self.rate is not None:
-                self.rate /= 2  # the way may have become slower
+                self.rate /= 2  # the link may have become slower
         self.in_flight.clear()
 
-    def clear(self):
+    def clear(self) -> None:
         """The follower asks for something else."""
         self.in_flight.clear()
--- /dev/null
+++ b/src/pinepitch/consensus/following.py
@@ -0,0 +1,91 @@
+"""A follower's part: the leader's heartbeats and entries."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from . import commitment, log_changes
+from .messages import AppendEntries, AppendReply, NewerTerm
+from .roles import FOLLOWER
+
+if TYPE_CHECKING:
+    from .replica import Consensus
+
+
+def hear_leader(replica: Consensus, sender: str, term: int, now: float) -> None:
+    """Takes `sender` for the leader of `term`. Votes of terms up to this one are needed no more
+    (docs/flexiraft.md, change 6)."""
+    if term > replica.term or replica.role != FOLLOWER:
+        replica.follow(term, now, "leader heard")
+    replica.following = sender
+    replica.removed = False
+    replica.heard_leader = now
+    replica.reset_election(now)
+    if replica.leader_term < term:
+        replica.leader, replica.leader_term = sender, term
+        replica.history = {past: choice for past, choice in replica.history.items() if past > term}
+        replica.hard_dirty = True
+
+
+def on_append(replica: Consensus, sender: str, message: AppendEntries, now: float) -> None:
+    """Takes entries that fit the log; acknowledges what is durable, later what is not durable yet."""
+    term, previous, previous_term, entries, commit, heartbeat = message
+    if term < replica.term:
+        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        return
+    hear_leader(replica, sender, term, now)
+    if previous == 0 and previous_term == 0 and not entries and commit == 0:
+        replica.send(sender, AppendReply(term, True, None, heartbeat), replica.hard_wait())
+        return
+    last = previous + len(entries)
+    if last <= replica.base_index:
+        _acknowledge(replica, sender, last, heartbeat)
+        return
+    if previous < replica.base_index:
+        entries = entries[replica.base_index - previous :]
+        previous, previous_term = replica.base_index, replica.base_term
+    stored = replica.term_at(previous)
+    if stored is None or stored != previous_term:
+        hint = _agreeing_index(replica, previous, stored)
+        replica.send(sender, AppendReply(term, False, hint, heartbeat), replica.hard_wait())
+        return
+    if _take_entries(replica, previous, entries):
+        replica.send(sender, AppendReply(term, True, last, heartbeat), replica.after_flush())
+    else:
+        _acknowledge(replica, sender, last, heartbeat)
+    up_to = min(commit, last)
+    if up_to > replica.committed:
+        commitment.commit_to(replica, up_to, now)
+
+
+def _acknowledge(replica: Consensus, sender: str, last: int, heartbeat: int) -> None:
+    """Acknowledges what is durable of the entries up to `last`."""
+    reply = AppendReply(replica.term, True, min(last, replica.durable), heartbeat)
+    replica.send(sender, reply, replica.hard_wait())
+
+
+def _agreeing_index(replica: Consensus, previous: int, stored: int | None) -> int:
+    """An entry before `previous` for the leader to try next; a term that conflicts is passed over whole."""
+    hint = min(previous - 1, replica.last_index())
+    if stored is not None:
+        while hint > replica.commit and replica.term_at(hint) == stored:
+            hint -= 1
+    return max(hint, replica.commit)
+
+
+def _take_entries(replica: Consensus, previous: int, entries: Any) -> bool:
+    """Adds what the log lacks of the entries after `previous`, in place of what conflicts; whether it
+    lacked any. Entries from the wire are lists."""
+    for position, entry in enumerate(entries):
+        index = previous + 1 + position
+        own = replica.term_at(index)
+        if own is not None and own == entry[0]:
+            continue
+        if own is not None:
+            if index <= replica.committed:
+                raise AssertionError(f"entry {index} is committed and conflicts")
+            log_changes.truncate(replica, index)
+        fresh = [(term, time, tuple(operation)) for term, time, operation in entries[position:]]
+        log_changes.append(replica, fresh, index)
+        return True
+    return False
--- /dev/null
+++ b/src/pinepitch/consensus/leadership_transfer.py
@@ -0,0 +1,67 @@
+"""Leadership transfer: a leader that stops lets a voter take over (docs/design/elections.md)."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from ..common import constants
+from . import election, replication
+from .messages import LeadershipTransfer
+from .roles import CANDIDATE, FOLLOWER
+
+if TYPE_CHECKING:
+    from .replica import Consensus
+
+
+class Handover(NamedTuple):
+    """A leader's intent to let `target` lead. Until then it leads on; after `until` it just stands down.
+
+    Invariant: leadership, and with it the lease, is given up before the target hears of it."""
+
+    target: str
+    until: float  # seconds of the steady clock
+
+
+def begin(replica: Consensus, candidates: set[str], now: float) -> None:
+    """Chooses a successor among `candidates`; with none stands down at once."""
+    target = _successor(replica, candidates, now)
+    if target is None:
+        replica.follow(replica.term, now, "stopping")
+        return
+    replica.handover = Handover(target, now + constants.HANDOVER_WITHIN)
+    replication.replicate_all(replica, now)
+    try_handover(replica, now)
+
+
+def _successor(replica: Consensus, candidates: set[str], now: float) -> str | None:
+    """The voter of every list in force, heard lately, that holds most of the log; None without one."""
+    quorums = replica.membership.quorums()
+    able = [
+        (follower.match, identity)
+        for identity, follower in replica.followers.items()
+        if identity in candidates
+        and all(identity in quorum.members for quorum in quorums)
+        and now - follower.heard_at <= constants.LEADER_LEASE
+        and not follower.forgot
+    ]
+    return max(able)[1] if able else None
+
+
+def try_handover(replica: Consensus, now: float) -> None:
+    """Gives leadership up in favour of the successor once it holds all, and all is committed."""
+    assert replica.handover is not None
+    target, last = replica.handover.target, replica.last_index()
+    follower = replica.followers.get(target)
+    if follower is None or follower.match < last or replica.commit < last:
+        return
+    learners = dict(replica.learners)
+    replica.follow(replica.term, now, "handed over")
+    replica.send(target, LeadershipTransfer(replica.term, learners), replica.hard_sequence)
+
+
+def on_transfer(replica: Consensus, sender: str, message: LeadershipTransfer, now: float) -> None:
+    """The leader of this term gave up its lease and names this voter its successor."""
+    newest = message.term == replica.term == replica.leader_term and sender == replica.leader
+    if newest and replica.may_campaign(now) and replica.role == FOLLOWER:
+        replica.inherited_learners = dict(message.learners)
+        election.campaign(replica, CANDIDATE, now, released=message.term)
--- a/src/pinepitch/consensus/log.py
+++ b/src/pinepitch/consensus/log.py
@@ -1,21 +1,28 @@
 """The entries of the log as they are held in memory, with their size in bytes.
 
-An entry is (term, time, operation). An operation of MIN_PACKED_BYTES bytes or more is held encoded
-(ground/packed.py) and decoded only when it is applied.
+An operation of MIN_PACKED_BYTES bytes or more is stored encoded (common/packed_operations.py) and decoded
+only when it is applied.
 """
 
 import marshal
+from collections.abc import Iterable
+from typing import Any
 
 import cbor2
 
 from ..common import constants
 from ..common.packed_operations import Packed
 
+# An operation of the cluster state, (name, arguments ...), or a Packed one.
+Operation = Any
+# (term, time in seconds, operation)
+Entry = tuple[int, float, Operation]
+
 ENTRY = 64  # bytes; of an entry beside its operation
 MARSHAL_VERSION = 2  # the newest that writes each value out wherever it stands
 
 
-def _size(operation):
+def _size(operation: Operation) -> int:
     """About how many bytes an operation takes: those of its marshal form, which never leaves this
     process, is no smaller than what is sent and needs a fifth of the time or less."""
     try:
@@ -24,7 +31,7 @@
         return ENTRY + len(cbor2.dumps(operation))
 
 
-def measured(operation):
+def measured(operation: Operation) -> tuple[Operation, int]:
     """(the operation, packed if it is large, its size in bytes)."""
     if type(operation) is not Packed:
         size = _size(operation)
@@ -34,7 +41,7 @@
     return operation, ENTRY + len(operation.data)
 
 
-def packed_step(payload):
+def packed_step(payload: list[Any]) -> list[Any]:
     """What a step file held, its large operations packed."""
     for kind, change in payload:
         if kind == "raft" and isinstance(change, list):
@@ -43,20 +50,22 @@
 
 
 class Log:
-    """Entries without a gap. Invariants: entries[i] has index first + i and sizes[i] is its size;
+    """Entries without a gap.
+
+    Invariants: entries[i] has index first + i and sizes[i] is its size;
     size is the sum of sizes."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.first = 1
-        self.entries = []
-        self.sizes = []
+        self.entries: list[Entry] = []
+        self.sizes: list[int] = []  # bytes
         self.size = 0
 
-    def last(self):
+    def last(self) -> int:
         """The index of the newest entry, first - 1 where there is none."""
         return self.first + len(self.entries) - 1
 
-    def append(self, entries):
+    def append(self, entries: Iterable[Entry]) -> None:
         """Adds entries at the end; large operations are packed."""
         for term, time, operation in entries:
             operation, size = measured(operation)
@@ -64,14 +73,14 @@
             self.sizes.append(size)
             self.size += size
 
-    def truncate(self, index):
+    def truncate(self, index: int) -> None:
         """Drops the entries from `index` on."""
         position = max(0, index - self.first)
         self.size -= sum(self.sizes[position:])
         del self.entries[position:]
         del self.sizes[position:]
 
-    def drop_before(self, index):
+    def drop_before(self, index: int) -> None:
         """Drops the entries before `index`, which is the first one from now on."""
         count = index - self.first
         self.size -= sum(self.sizes[:count])
@@ -79,15 +88,15 @@
         del self.sizes[:count]
         self.first = index
 
-    def clear(self, first):
+    def clear(self, first: int) -> None:
         """Drops all; the next entry has the index `first`."""
         self.first, self.entries, self.sizes, self.size = first, [], [], 0
 
-    def bytes_between(self, start, end):
+    def bytes_between(self, start: int, end: int) -> int:
         """Bytes of the entries from `start` to `end`, both included."""
         return sum(self.sizes[max(0, start - self.first) : max(0, end + 1 - self.first)])
 
-    def slice_from(self, index, most_entries, most_bytes):
+    def slice_from(self, index: int, most_entries: int, most_bytes: int) -> tuple[list[Entry], int]:
         """(entries from `index` on, their bytes): one at least, as many as both bounds allow."""
         position = index - self.first
         if position == len(self.entries) - 1:
@@ -100,7 +109,7 @@
             end += 1
         return self.entries[position:end], size
 
-    def tail_start(self, index, most_entries, most_bytes):
+    def tail_start(self, index: int, most_entries: int, most_bytes: int) -> int:
         """The lowest index so that the entries from it to `index` keep both bounds."""
         size, start = 0, index + 1
         while start > self.first and index + 1 - start < most_entries:
--- /dev/null
+++ b/src/pinepitch/consensus/log_changes.py
@@ -0,0 +1,58 @@
+"""Changes of a replica's log, and of what depends on it: the membership in force, what is durable."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from ..common.packed_operations import kind_of
+from .log import Entry
+from .quorum import membership_from_image
+
+if TYPE_CHECKING:
+    from .replica import Consensus
+
+
+def find_membership(replica: Consensus) -> None:
+    """Takes the membership of the newest entry that has one, or that of the base."""
+    entries = replica.log.entries
+    for position in range(len(entries) - 1, -1, -1):
+        operation = entries[position][2]
+        if kind_of(operation) == "members":
+            replica.membership = membership_from_image(operation[1])
+            replica.membership_index = replica.first + position
+            return
+    replica.membership, replica.membership_index = replica.base_membership, replica.base_index
+
+
+def append(replica: Consensus, entries: Sequence[Entry], start: int) -> None:
+    """Adds entries, the first of which gets the index `start`. A membership is in force at once, before it
+    is committed (joint consensus, section 8)."""
+    if replica.dirty_from is None or start < replica.dirty_from:
+        replica.dirty_from = start
+    replica.log.append(entries)
+    for position, (_, _, operation) in enumerate(entries):
+        if kind_of(operation) == "members":
+            replica.membership = membership_from_image(operation[1])
+            replica.membership_index = start + position
+
+
+def truncate(replica: Consensus, index: int) -> None:
+    """Drops entries from `index` on."""
+    replica.log.truncate(index)
+    replica.truncate = index if replica.truncate is None else min(replica.truncate, index)
+    if replica.dirty_from is not None and replica.dirty_from >= index:
+        replica.dirty_from = None
+    replica.durable = min(replica.durable, index - 1)
+    for save in replica.saving:
+        save.last_index = min(save.last_index, index - 1)
+    find_membership(replica)
+
+
+def drop_log(replica: Consensus, first: int) -> None:
+    """Drops every entry, the next one being `first`, for a snapshot that the log does not lead to:
+    of what is on disk or on its way there only what is committed stays true."""
+    replica.log.clear(first)
+    replica.durable = min(replica.durable, replica.commit)
+    for save in replica.saving:
+        save.last_index = min(save.last_index, replica.commit)
--- /dev/null
+++ b/src/pinepitch/consensus/membership_change.py
@@ -0,0 +1,57 @@
+"""Changes of the membership by joint consensus (section 8), and learners: those that catch up before."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..common import constants
+from .follower import Follower
+from .quorum import Membership, Quorum
+from .roles import LEADER
+
+if TYPE_CHECKING:
+    from .effects import Effect
+    from .replica import Consensus
+
+
+def begin(
+    replica: Consensus, members: dict[str, str], time: float, now: float
+) -> tuple[int, list[Effect]] | None:
+    """Begins a joint change to `members` (identity -> zone); None when one is under way or there is no own
+    commit yet."""
+    if replica.role != LEADER or replica.membership.coming is not None or not replica.serving():
+        return None
+    if replica.handover is not None:
+        return None  # the successor's to decide
+    if replica.membership_index > replica.commit:
+        return None
+    coming = Quorum(dict(members), replica.membership.now.mode)
+    replica.event(130, members=sorted(members))
+    for identity in members:
+        replica.learners.pop(identity, None)  # from here on a voter, whose copies and answers count
+    joint = Membership(replica.membership.now, coming)
+    return replica.propose([("members", joint.image())], time, now)
+
+
+def learn(replica: Consensus, identity: str, zone: str, now: float) -> None:
+    """Starts to replicate to one that is no member yet."""
+    if replica.role == LEADER and identity not in replica.followers:
+        replica.learners[identity] = zone
+        replica.followers[identity] = Follower(replica.last_index(), now)
+
+
+def forget_learner(replica: Consensus, identity: str) -> None:
+    """Ends replicating to one that is no member."""
+    if replica.learners.pop(identity, None) is not None:
+        replica.followers.pop(identity, None)
+
+
+def caught_up(replica: Consensus, identity: str) -> bool:
+    """Whether a learner is close enough behind to become a voter."""
+    follower = replica.followers.get(identity)
+    if follower is None or follower.probing or follower.transfer is not None:
+        return False
+    last = replica.last_index()
+    if follower.match + constants.CAUGHT_UP < last:
+        return False
+    return replica.log.bytes_between(follower.match + 1, last) <= constants.CAUGHT_UP_BYTES
--- a/src/pinepitch/consensus/quorum.py
+++ b/src/pinepitch/consensus/quorum.py
@@ -1,10 +1,11 @@
-"""The quorum type: FlexiRaft's group majorities, its Algorithms 1 and 2, joint changes.
+"""Who decides: FlexiRaft's group majorities, its Algorithms 1 and 2, joint changes.
 
 Sections named in comments are of "FlexiRaft: Flexible Quorums with Raft" (CIDR 2023).
 """
 
 import functools
-from typing import NamedTuple
+from collections.abc import Iterable, Mapping
+from typing import Any, NamedTuple
 
 GROUPINGS_KEPT = 64  # of lists of members; a cluster has a few at a time
 
@@ -19,11 +20,15 @@
     granted: bool
     leader: str | None
     leader_term: int
-    history: dict
+    history: dict[int, str]
+
+
+Groups = dict[str, frozenset[str]]  # group -> identities in it
+Replies = Mapping[str, Reply]  # identity -> its reply
 
 
 class Result(NamedTuple):
-    """Invariant: satisfied implies possible."""
+    """Whether an election is won, and whether it may still be. Invariant: satisfied implies possible."""
 
     satisfied: bool
     possible: bool
@@ -33,9 +38,10 @@
 
 
 @functools.lru_cache(maxsize=GROUPINGS_KEPT)
-def _groups(members, mode):
+def _groups(members: tuple[tuple[str, str], ...], mode: str) -> Groups:
     """group -> identities in it, for members as pairs. Kept: a leader asks for it at every call it takes."""
-    quorum, groups = Quorum(dict(members), mode), {}
+    quorum = Quorum(dict(members), mode)
+    groups: dict[str, set[str]] = {}
     for identity in sorted(quorum.members):
         groups.setdefault(quorum.group_of(identity), set()).add(identity)
     return {group: frozenset(inside) for group, inside in groups.items()}
@@ -44,48 +50,46 @@
 class Quorum(NamedTuple):
     """Who decides, for one list of members.
 
-    Invariants: members maps identity to area; groups are disjoint and cover members;
+    Invariants: members maps identity to zone; groups are disjoint and cover members;
     2 * elect > number of groups, and commit + elect > number of groups, so that in
     static and single mode any two election quorums, and any commit and election quorum, meet in a
     whole group's majority and hence in a member."""
 
-    members: dict
+    members: dict[str, str]
     mode: str
 
-    def group_of(self, identity):
-        """The group a member is in: its area, or itself in single mode and where fewer than 3 areas exist."""
+    def group_of(self, identity: str) -> str:
+        """The group a member is in: its zone, or itself in single mode and where fewer than 3 zones exist."""
         zone = self.members[identity]
         if self.mode == "single" or self.mode == "static" and len(set(self.members.values())) < 3:
             return identity
         return zone
 
-    def groups(self):
+    def groups(self) -> Groups:
         """group -> identities in it; not to be changed."""
         return _groups(tuple(self.members.items()), self.mode)
 
-    def commit_count(self):
+    def commit_count(self) -> int:
         """c of 'majority in c of k groups': the largest that keeps both intersections."""
         return (len(self.groups()) + 1) // 2
 
-    def elect_count(self):
+    def elect_count(self) -> int:
         """The derived k - c + 1 (section 4.1)."""
         return len(self.groups()) - self.commit_count() + 1
 
-    def majorities(self, identities):
+    def majorities(self, identities: Iterable[str]) -> set[str]:
         """The groups in which `identities` hold a majority."""
-        identities = set(identities)
-        return {
-            group for group, inside in self.groups().items() if 2 * len(inside & identities) > len(inside)
-        }
+        found = set(identities)
+        return {group for group, inside in self.groups().items() if 2 * len(inside & found) > len(inside)}
 
-    def commits(self, identities, leader):
+    def commits(self, identities: Iterable[str], leader: str) -> bool:
         """Whether `identities` are a commit quorum under `leader`."""
         majority_groups = self.majorities(identities)
         if self.mode != "dynamic":
             return len(majority_groups) >= self.commit_count()
         return leader in self.members and self.group_of(leader) in majority_groups
 
-    def elects(self, replies, term, leader, leader_term):
+    def elects(self, replies: Replies, term: int, leader: str | None, leader_term: int) -> Result:
         """Algorithm 1. `replies`: identity -> Reply; `leader`: the last one known."""
         for reply in replies.values():
             if reply.leader is not None and reply.leader_term > leader_term:
@@ -102,7 +106,7 @@
             return self._all(replies, {self.group_of(leader)})
         return self._walk(replies, term, leader, leader_term)
 
-    def _walk(self, replies, term, leader, leader_term):
+    def _walk(self, replies: Replies, term: int, leader: str, leader_term: int) -> Result:
         """Lines 14 to 35 of Algorithm 1, with Algorithm 2 inside.
 
         Changed from the print: the groups a leader may be in add up instead of being
@@ -126,14 +130,14 @@
                 possible = possible | {self.group_of(winner)}
         return self._counted(replies, every, len(every))
 
-    def _potential_winners(self, term, possible, replies):
+    def _potential_winners(self, term: int, possible: set[str], replies: Replies) -> set[str]:
         """Whoever may have won `term`, counting each unheard member as its voter."""
         every = self.groups()
-        winners = set()
+        winners: set[str] = set()
         for group in possible:
             inside = every[group]
             unheard = len(inside - set(replies))
-            votes = {}
+            votes: dict[str, int] = {}
             for identity in inside & set(replies):
                 choice = replies[identity].history.get(term)
                 if choice is not None:
@@ -143,7 +147,7 @@
                     winners.add(choice)
         return winners
 
-    def _counted(self, replies, groups, wanted):
+    def _counted(self, replies: Replies, groups: Groups, wanted: int) -> Result:
         """Majority of grants in `wanted` of `groups`."""
         satisfied = possible = 0
         for inside in groups.values():
@@ -153,7 +157,7 @@
             possible += 2 * (len(inside) - refused) > len(inside)
         return Result(satisfied >= wanted, possible >= wanted)
 
-    def _all(self, replies, groups):
+    def _all(self, replies: Replies, groups: set[str]) -> Result:
         every = self.groups()
         return self._counted(replies, {group: every[group] for group in groups}, len(groups))
 
@@ -167,15 +171,15 @@
     now: Quorum
     coming: Quorum | None = None
 
-    def quorums(self):
+    def quorums(self) -> tuple[Quorum, ...]:
         """The quorums that must all agree."""
         return (self.now,) if self.coming is None else (self.now, self.coming)
 
-    def members(self):
-        """identity -> area of every voter, of either list."""
+    def members(self) -> dict[str, str]:
+        """identity -> zone of every voter, of either list."""
         return {**self.now.members, **(self.coming.members if self.coming else {})}
 
-    def commits(self, identities, leader):
+    def commits(self, identities: Iterable[str], leader: str) -> bool:
         """Whether `identities` commit under `leader` by every quorum in force.
 
         In dynamic mode a leader that a list lacks can't have a group there: such a list
@@ -188,20 +192,20 @@
                 return False
         return True
 
-    def elects(self, replies, term, leader, leader_term):
-        """Algorithm 1 over every quorum in force; replies of strangers don't count."""
+    def elects(self, replies: Replies, term: int, leader: str | None, leader_term: int) -> Result:
+        """Algorithm 1 over every quorum in force; replies of others than members don't count."""
         results = []
         for quorum in self.quorums():
             own = {one: reply for one, reply in replies.items() if one in quorum.members}
             results.append(quorum.elects(own, term, leader, leader_term))
         return Result(all(one.satisfied for one in results), all(one.possible for one in results))
 
-    def image(self):
+    def image(self) -> list[Any]:
         """What goes on the wire and on disk."""
         return [[dict(quorum.members), quorum.mode] for quorum in self.quorums()]
 
 
-def membership_from_image(image):
-    """The Cohort of an image()."""
+def membership_from_image(image: list[Any]) -> Membership:
+    """The Membership of an image()."""
     quorums = [Quorum(dict(members), mode) for members, mode in image]
     return Membership(quorums[0], quorums[1] if len(quorums) > 1 else None)
--- /dev/null
+++ b/src/pinepitch/consensus/snapshot_base.py
@@ -0,0 +1,100 @@
+"""The base of a replica: what its disk holds, read at the start and replaced at each compaction.
+
+A payload of a base is [hard state, [index, term, membership, image, segments], first index, entries]. Hard
+state is [term, last leader known, its term, voting history]: Raft's, and the extra state of section 5.1.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
+
+from ..common import constants
+from ..common.packed_operations import kind_of
+from . import log_changes
+from .quorum import membership_from_image
+
+if TYPE_CHECKING:
+    from .replica import Consensus
+
+
+def restore(replica: Consensus, base: list[Any] | None, changes: Iterable[Any]) -> None:
+    """Takes what the store held: the payload of a base, and the changes saved after it."""
+    if base is not None:
+        hard, snapshot, first, entries = base
+        _take_hard_state(replica, hard)
+        replica.base_index, replica.base_term, membership, replica.base_image, segments = snapshot
+        replica.base_segments = tuple(segments)
+        replica.base_membership = membership_from_image(membership)
+        replica.log.clear(first)
+        replica.log.append(entries)
+    for hard, truncate, start, entries in changes:
+        if hard is not None:
+            _take_hard_state(replica, hard)
+        if truncate is not None:
+            replica.log.truncate(truncate)
+        if entries:
+            replica.log.truncate(start)
+            replica.log.append(entries)
+    replica.commit = replica.committed = replica.base_index
+    replica.durable = replica.last_index()
+    log_changes.find_membership(replica)
+
+
+def _take_hard_state(replica: Consensus, hard: list[Any]) -> None:
+    replica.term, replica.leader, replica.leader_term, history = hard
+    replica.history = dict(history)
+
+
+def hard_state(replica: Consensus) -> list[Any]:
+    """The hard state as it is saved."""
+    return [replica.term, replica.leader, replica.leader_term, dict(replica.history)]
+
+
+def bootstrap_payload(replica: Consensus) -> list[Any]:
+    """The payload of the first base: no entries, the bootstrap members."""
+    return [hard_state(replica), [0, 0, replica.base_membership.image(), None, (1, 0)], 1, []]
+
+
+def payload(replica: Consensus) -> list[Any]:
+    """All that a base must hold."""
+    snapshot = [
+        replica.base_index,
+        replica.base_term,
+        replica.base_membership.image(),
+        replica.base_image,
+        replica.base_segments,
+    ]
+    return [hard_state(replica), snapshot, replica.first, list(replica.log.entries)]
+
+
+def compact(replica: Consensus, index: int, image: bytes, segments: tuple[int, int]) -> list[Any]:
+    """Takes `image`, which stands on `segments` of the archive, as the cluster state up to `index`; the
+    payload of the new base."""
+    replica.base_segments = segments
+    term = replica.term_at(index)
+    assert term is not None
+    membership = replica.base_membership
+    for position in range(replica.first, index + 1):
+        operation = replica.entry(position)[2]
+        if kind_of(operation) == "members":
+            membership = membership_from_image(operation[1])
+    replica.base_membership = membership
+    replica.base_index, replica.base_term, replica.base_image = index, term, image
+    # base_membership must stay true for entries from `first` on: only a membership older than
+    # the kept tail may differ, and find_membership reads newest first, so it never does.
+    replica.log.drop_before(_kept_from(replica, index))
+    return payload(replica)
+
+
+def _kept_from(replica: Consensus, index: int) -> int:
+    """The first entry to keep behind a base at `index`: a tail, and what followers still need
+    as far as the laggards' bounds go."""
+    keep = replica.log.tail_start(index, constants.SNAPSHOT_TAIL, replica.limits.tail)
+    needed = [follower.needed_from() for follower in replica.followers.values()]
+    needed = [first for first in needed if replica.first <= first < keep]
+    if needed:
+        most_entries = constants.LAGGARD_TIMES * constants.SNAPSHOT_TAIL
+        furthest = replica.log.tail_start(index, most_entries, replica.limits.laggard)
+        keep = min(keep, max(min(needed), furthest))
+    return keep
--- /dev/null
+++ b/src/pinepitch/consensus/snapshot_receiver.py
@@ -0,0 +1,94 @@
+"""A follower's part in receiving a snapshot: chunks in, and the new base in place of the log."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from . import following, log_changes, snapshot_base
+from .effects import InstallSnapshot, SaveBase
+from .messages import ChunkReply, NewerTerm, SnapshotChunk
+from .quorum import membership_from_image
+from .saves import PendingSave
+from .snapshot_transfer import ASK_WHAT_IS_STORED, COMPLETE_OFFSET, IncomingSnapshot
+
+if TYPE_CHECKING:
+    from .replica import Consensus
+
+
+def on_chunk(replica: Consensus, sender: str, message: SnapshotChunk, now: float) -> None:
+    """Takes a chunk, says what is needed next, and installs the snapshot once it is complete."""
+    if message.term < replica.term:
+        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        return
+    following.hear_leader(replica, sender, message.term, now)
+    stored = replica.archive.sealed if replica.archive is not None else 0
+    if message.last_index <= replica.commit:
+        _answer(replica, sender, message, COMPLETE_OFFSET, stored, replica.hard_wait())
+        return
+    if message.offset < 0 or not _goes_on(replica.incoming, message):
+        _begin_anew(replica, sender, message, stored)
+        return
+    incoming = replica.incoming
+    assert incoming is not None
+    taken = incoming.take(message.offset, message.total, message.chunk)
+    if not taken or len(incoming.data) < message.total:
+        _answer(replica, sender, message, len(incoming.data), stored, replica.hard_wait())
+        return
+    received = incoming.complete(stored)
+    if received is None:
+        _begin_anew(replica, sender, message, stored)
+        return
+    replica.incoming = None
+    replica.base_image, replica.base_segments, segments = received
+    _replace_log(replica, message)
+    _save_base(replica, message.last_index, segments, now)
+    _answer(replica, sender, message, message.total, stored, replica.sequence)
+
+
+def _answer(
+    replica: Consensus, sender: str, message: SnapshotChunk, offset: int, stored: int, durable_at: int
+) -> None:
+    reply = ChunkReply(message.term, message.last_index, offset, stored, message.heartbeat)
+    replica.send(sender, reply, durable_at)
+
+
+def _goes_on(incoming: IncomingSnapshot | None, message: SnapshotChunk) -> bool:
+    """Whether a chunk is of the snapshot that is being received."""
+    if incoming is None or incoming.last_index != message.last_index:
+        return False
+    return message.offset <= 0 or incoming.total == message.total
+
+
+def _begin_anew(replica: Consensus, sender: str, message: SnapshotChunk, stored: int) -> None:
+    """Asks for the snapshot from its start, beside what this incarnation stores."""
+    replica.incoming = IncomingSnapshot(message.last_index)
+    _answer(replica, sender, message, ASK_WHAT_IS_STORED, stored, replica.hard_wait())
+
+
+def _replace_log(replica: Consensus, message: SnapshotChunk) -> None:
+    """Lets the snapshot stand for the log up to its index."""
+    index = message.last_index
+    if replica.term_at(index) == message.snapshot_term:
+        replica.log.drop_before(index + 1)
+    else:
+        log_changes.drop_log(replica, index + 1)
+    replica.base_index, replica.base_term = index, message.snapshot_term
+    replica.base_membership = membership_from_image(message.membership)
+    replica.commit = index
+    replica.committed = max(replica.committed, index)
+    log_changes.find_membership(replica)
+
+
+def _save_base(replica: Consensus, index: int, segments: dict[int, bytes], now: float) -> None:
+    """Saves the new base, which holds all that was to be saved."""
+    replica.truncate = replica.dirty_from = None
+    replica.hard_dirty = False
+    replica.sequence += 1
+    replica.hard_sequence = replica.sequence
+    for save in replica.saving:
+        save.last_index = min(save.last_index, replica.last_index())
+    replica.saving.append(PendingSave(replica.sequence, replica.last_index(), now))
+    assert replica.base_image is not None
+    replica.effects.append(InstallSnapshot(index, replica.base_image, segments))
+    replica.effects.append(SaveBase(replica.sequence, snapshot_base.payload(replica)))
+    replica.event(127, index=index)
--- /dev/null
+++ b/src/pinepitch/consensus/snapshot_sender.py
@@ -0,0 +1,116 @@
+"""The leader's part in sending a snapshot: the newest base and the segments of the archive that it stands on.
+
+The follower is first asked which segments it stores, then sent the rest in chunks (docs/design/growth.md).
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+import cbor2
+
+from ..common import constants
+from .messages import ChunkReply, SnapshotChunk
+from .snapshot_transfer import ASK_WHAT_IS_STORED, COMPLETE_OFFSET, Snapshot, Transfer
+
+if TYPE_CHECKING:
+    from .follower import Follower
+    from .replica import Consensus
+
+
+class Archive(Protocol):
+    """What consensus asks of the archive of the cluster state: whole segments, sent with a snapshot."""
+
+    @property
+    def sealed(self) -> int:
+        """The number of the newest segment that is stored."""
+
+    def segment(self, number: int) -> bytes:
+        """The bytes of a segment."""
+
+
+def send_chunk(replica: Consensus, identity: str, follower: Follower, now: float) -> None:
+    """Sends a follower the next chunk, unless one is under way."""
+    if replica.base_image is None:
+        return
+    transfer = follower.transfer
+    if transfer is None or transfer.payload is None and transfer.snapshot.last_index != replica.base_index:
+        follower.flow.clear()
+        transfer = follower.transfer = Transfer(_newest_snapshot(replica))
+    if transfer.in_flight:
+        return
+    chunk = transfer.chunk(min(constants.SNAPSHOT_CHUNK, follower.flow.budget))
+    snapshot, total = transfer.snapshot, len(transfer.payload or b"")
+    message = SnapshotChunk(replica.term, *snapshot, transfer.offset, total, chunk, replica.heartbeat)
+    replica.send(identity, message)
+    transfer.in_flight = True
+    transfer.awaited = transfer.offset + len(chunk)
+    follower.flow.begin(0, len(chunk), now)
+
+
+def _newest_snapshot(replica: Consensus) -> Snapshot:
+    return Snapshot(replica.base_index, replica.base_term, replica.base_membership.image())
+
+
+def take_answer(replica: Consensus, follower: Follower, answer: ChunkReply, now: float) -> bool:
+    """Moves a transfer on by an answer; False for an answer that it does not wait for."""
+    transfer = follower.transfer
+    if transfer is None or transfer.snapshot.last_index != answer.last_index:
+        return False
+    if transfer.repeats(answer.offset, answer.stored):
+        return False
+    follower.flow.answered(0, now)
+    transfer.in_flight = False
+    if answer.offset < 0:
+        _begin(replica, transfer, answer.stored)
+    elif answer.offset == COMPLETE_OFFSET or _all_sent(transfer, answer.offset):
+        _finish(follower, answer.last_index)
+    else:
+        transfer.offset = ASK_WHAT_IS_STORED if transfer.payload is None else answer.offset
+    return True
+
+
+def _begin(replica: Consensus, transfer: Transfer, stored: int) -> None:
+    """Begins at the first chunk, as what the follower stores is known now."""
+    if transfer.snapshot.last_index == replica.base_index:
+        transfer.stored_segment = stored
+        transfer.payload = None  # what was made for a former incarnation is over
+        transfer.payload = _shared_payload(replica, transfer) or snapshot_payload(replica, stored)
+        transfer.offset = 0
+    else:  # a newer snapshot is sent to it instead
+        transfer.payload, transfer.offset = None, ASK_WHAT_IS_STORED
+
+
+def _all_sent(transfer: Transfer, offset: int) -> bool:
+    return transfer.payload is not None and offset >= len(transfer.payload)
+
+
+def _finish(follower: Follower, index: int) -> None:
+    """The follower holds all up to the snapshot's index."""
+    follower.transfer = None
+    follower.flow.clear()
+    follower.match = max(follower.match, index)
+    follower.next = follower.match + 1
+    follower.probing = False
+
+
+def _shared_payload(replica: Consensus, transfer: Transfer) -> bytes | None:
+    """What another follower that lacks the same is being sent already, or None."""
+    for follower in replica.followers.values():
+        other = follower.transfer
+        if other is None or other.payload is None:
+            continue
+        same_snapshot = other.snapshot.last_index == transfer.snapshot.last_index
+        if same_snapshot and other.stored_segment == transfer.stored_segment:
+            return other.payload
+    return None
+
+
+def snapshot_payload(replica: Consensus, stored: int) -> bytes:
+    """The base's image with the segments from `stored` + 1 on that it stands on."""
+    first, last = replica.base_segments
+    segments = {}
+    for number in range(max(first, stored + 1), last + 1):
+        assert replica.archive is not None
+        segments[number] = replica.archive.segment(number)
+    return cbor2.dumps([replica.base_image, [first, last], segments])
--- a/src/pinepitch/consensus/snapshot_transfer.py
+++ b/src/pinepitch/consensus/snapshot_transfer.py
@@ -1,38 +1,74 @@
-"""A snapshot on its way from the leader to one follower."""
+"""A snapshot on its way from the leader to one follower: what either side keeps of it."""
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
+
+import cbor2
+
+ASK_WHAT_IS_STORED = -1  # the offset of a chunk without bytes: asks which segments the follower stores
+COMPLETE_OFFSET = 1 << 40  # the offset that a follower tells which needs nothing of a snapshot
 
 
 class Snapshot(NamedTuple):
-    """The base that stands for the log up to `index`."""
+    """The base that stands for the log up to `last_index`; `membership` is a `Membership.image()`."""
 
-    index: int
+    last_index: int
     term: int
-    membership: list
+    membership: list[Any]
 
 
 class Transfer:
-    """Invariants: the snapshot stays the same until all of it has arrived, whatever newer one
-    its leader makes meanwhile; whole is None until the follower said what it holds."""
+    """The leader's side. Invariants: the snapshot stays the same until all of it has arrived, whatever
+    newer one its leader makes meanwhile; payload is None until the follower said what it stores."""
 
-    def __init__(self, snapshot):
+    def __init__(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
-        self.stored_segment = None  # newest segment that the follower holds
-        self.payload = None
-        self.offset = -1  # -1 asks what is held
-        self.awaited = None  # the offset that the answer to the newest piece will tell
+        self.stored_segment: int | None = None  # newest segment that the follower stores
+        self.payload: bytes | None = None
+        self.offset = ASK_WHAT_IS_STORED
+        self.awaited: int | None = None  # the offset that the answer to the newest chunk will tell
         self.in_flight = False
 
-    def repeats(self, offset, stored_segment):
-        """Whether an answer is one to an earlier piece, or to one that came twice: acted on, it
-        would make every further piece be sent twice."""
+    def repeats(self, offset: int, stored_segment: int) -> bool:
+        """Whether an answer is one to an earlier chunk, or to one that came twice: acted on, it
+        would make every further chunk be sent twice."""
         if self.payload is None:
             return False
-        if offset < 0:  # else a new life of the follower asks for all anew, perhaps holding less
+        if offset < 0:  # else a new incarnation of the follower asks for all anew, perhaps storing less
             return self.offset == 0 and stored_segment == self.stored_segment
         early = 0 < offset <= self.offset or offset == self.offset  # 0 again: it lost what it had
         return self.in_flight and early and offset != self.awaited
 
-    def chunk(self, most):
-        """The next piece, of at most so many bytes."""
-        return b"" if self.offset < 0 else self.payload[self.offset : self.offset + most]
+    def chunk(self, most: int) -> bytes:
+        """The next chunk, of at most so many bytes."""
+        if self.offset < 0:
+            return b""
+        assert self.payload is not None
+        return self.payload[self.offset : self.offset + most]
+
+
+class IncomingSnapshot:
+    """The follower's side. Invariant: whoever sends it was told in this incarnation of the follower
+    which segments it stores, since a former one may have stored more."""
+
+    def __init__(self, last_index: int) -> None:
+        self.last_index = last_index
+        self.total: int | None = None  # bytes, as told with the first chunk
+        self.data = bytearray()
+
+    def take(self, offset: int, total: int, chunk: bytes) -> bool:
+        """Adds a chunk; False when it isn't the next one."""
+        if offset == 0:
+            self.data.clear()
+            self.total = total
+        if offset != len(self.data):
+            return False
+        self.data.extend(chunk)
+        return True
+
+    def complete(self, stored: int) -> tuple[bytes, tuple[int, int], dict[int, bytes]] | None:
+        """(image, span, segments), or None if some segment neither came nor is stored."""
+        image, span, segments = cbor2.loads(bytes(self.data))
+        first, last = span
+        if any(number not in segments for number in range(max(first, stored + 1), last + 1)):
+            return None
+        return image, (first, last), segments
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -16,7 +16,18 @@
     WriteSegment,
 )
 from ..common.packed_operations import unpacked
+from ..consensus import messages as consensus_messages
 from ..consensus.cluster_clock import ClusterClock
+from ..consensus.effects import (
+    BecomeLeader,
+    CommitEntries,
+    InstallSnapshot,
+    LogEvent,
+    ReadConfirmed,
+    SaveBase,
+    SendMessage,
+    StepDown,
+)
 from ..consensus.leader_clock import LeaderClock, Reading
 from ..consensus.replica import Consensus
 from ..scheduling.assignment_manager import AssignmentManager
@@ -575,12 +586,12 @@
         if self.consensus is None or cluster != self.cluster or receiver != self.identity:
             self._event(147, kind="raft", cohort=cluster, receiver=receiver)
             return
-        self._run(self.consensus.step(sender, message, now), now)
+        self._run(self.consensus.step(sender, consensus_messages.decode(message), now), now)
 
     def _on_saved(self, sequence, now):
         self.counts["syncs"] += 1
         if self.consensus.saving:
-            self.sync_histogram.add(now - self.consensus.saving[0][2])
+            self.sync_histogram.add(now - self.consensus.saving[0].begun_at)
         self._run(self.consensus.saved(sequence, now), now)
 
     def _on_disk(self, why, now):
@@ -603,33 +614,35 @@
     def _run(self, effects, now):
         """Carries out what consensus decided."""
         for effect in effects:
-            kind = effect[0]
-            if kind == "send":
-                self._send(
-                    self.sessions.address(effect[1]),
-                    ("raft", self.cluster, self.identity, effect[1], effect[2]),
-                )
-            elif kind == "save":
-                self.effects.append(SaveChange(effect[1], effect[2]))
-            elif kind == "event":
-                self._event(effect[1], **effect[2])
-            elif kind == "base":
-                self.effects.append(WriteBase(effect[1], self.base(effect[2])))
-            elif kind == "commit":
-                self._apply(effect[1], effect[2], now)
-            elif kind == "install":
-                self.since_base = 0
-                archive = self.cluster_state.archive
-                self._take_cluster_state(effect[2], {**archive.retired, **archive.segments, **effect[3]})
-                for number, data in sorted(effect[3].items()):
-                    self.effects.append(WriteSegment(number, data))
-            elif kind == "lead":
-                self._clear_leadership(now)
-                self.leader_since = now
-            elif kind == "unlead":
-                self._step_down(now)
-            elif kind == "read":
-                self._answer_read(effect[1], now)
+            match effect:
+                case SendMessage(receiver, message):
+                    address, wire = self.sessions.address(receiver), consensus_messages.encode(message)
+                    self._send(address, ("raft", self.cluster, self.identity, receiver, wire))
+                case SaveChange():
+                    self.effects.append(effect)
+                case LogEvent(number, fields):
+                    self._event(number, **fields)
+                case SaveBase(sequence, payload):
+                    self.effects.append(WriteBase(sequence, self.base(payload)))
+                case CommitEntries(first, entries):
+                    self._apply(first, entries, now)
+                case InstallSnapshot(_, image, segments):
+                    self._install(image, segments)
+                case BecomeLeader():
+                    self._clear_leadership(now)
+                    self.leader_since = now
+                case StepDown():
+                    self._step_down(now)
+                case ReadConfirmed(token, _):
+                    self._answer_read(token, now)
+
+    def _install(self, image, segments):
+        """Takes the cluster state of a snapshot that was received."""
+        self.since_base = 0
+        archive = self.cluster_state.archive
+        self._take_cluster_state(image, {**archive.retired, **archive.segments, **segments})
+        for number, data in sorted(segments.items()):
+            self.effects.append(WriteSegment(number, data))
 
     def _step_down(self, now):
         for waiting in (*self.awaiting.values(), self.ends_waiting):
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -9,7 +9,7 @@
 
 from ..common import constants
 from ..common.limits import USUAL, Limits
-from ..consensus.replica import Consensus
+from ..consensus import snapshot_sender
 from ..consensus.snapshot_transfer import Transfer
 from ..scheduling.configuration import Configuration
 from .simulator import Simulator
@@ -162,14 +162,14 @@
     return None
 
 
-def _begun_anew(self, identity, follower, now):
+def _begun_anew(replica, identity, follower, now):
     """Sends the newest snapshot from its start whenever there is a newer one."""
-    if follower.transfer is not None and follower.transfer.snapshot.index != self.base_index:
+    if follower.transfer is not None and follower.transfer.snapshot.last_index != replica.base_index:
         follower.transfer = None
-    original_send_piece(self, identity, follower, now)
+    original_send_piece(replica, identity, follower, now)
 
 
-original_send_piece = Consensus._send_chunk
+original_send_piece = snapshot_sender.send_chunk
 
 
 def _taken_forgotten(self, document=None, taken=()):
@@ -187,7 +187,7 @@
     "never-full": _boundless("log"),
     "laggards-by-entries": [*_boundless("tail", "laggard"), (constants, "SNAPSHOT_RATIO", 1 << 50)],
     "one-connection": [(constants, "LINK_BULK", 1 << 50)],
-    "snapshot-begun-anew": [(Consensus, "_send_chunk", _begun_anew)],
+    "snapshot-begun-anew": [(snapshot_sender, "send_chunk", _begun_anew)],
     "answers-twice": [(Transfer, "repeats", lambda self, offset, maxima: False)],
     "taken-forgotten": [(Configuration, "__init__", _taken_forgotten)],
 }
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -8,8 +8,7 @@
 
 from ..common import constants
 from ..common.effects import SaveChange
-from ..consensus import cluster_clock, replica
-from ..consensus.replica import Consensus
+from ..consensus import cluster_clock, election, handlers, messages
 from ..control import daemon, requests
 from ..front import daemon as verge_core
 from ..front.daemon import FrontDaemon
@@ -119,13 +118,13 @@
     return outcome
 
 
-def _votes_again(self, sender, term, last_index, last_term, now):
-    self.history.pop(term, None)
-    self.leader_term = min(self.leader_term, term - 1)
-    original_vote(self, sender, term, last_index, last_term, now)
+def _votes_again(replica, sender, message, now):
+    replica.history.pop(message.term, None)
+    replica.leader_term = min(replica.leader_term, message.term - 1)
+    original_vote(replica, sender, message, now)
 
 
-original_vote = Consensus._on_vote
+original_vote = election.on_vote
 
 
 def _cancel_in_word(self, identity):
@@ -234,7 +233,7 @@
         (constants, "SEGMENT_JOBS", 4),
         (constants, "SNAPSHOT_CHUNK", 20_000),
     ],
-    "votes-twice": [(Consensus, "_on_vote", _votes_again), (constants, "ELECTION_JITTER", 0.01)],
+    "votes-twice": [(election, "on_vote", _votes_again), (constants, "ELECTION_JITTER", 0.01)],
 }
 
 
@@ -250,7 +249,7 @@
                 (cluster_state.ACTIONS, "cancel", ClusterState._cancel),
             ]
             registries += [
-                (replica.HANDLERS, "vote", Consensus._on_vote),
+                (handlers.HANDLERS, messages.VoteRequest, election.on_vote),
                 (verge_core.INPUTS, "told", FrontDaemon._on_updates),
             ]
             for registry, key, value in registries:
--- a/src/pinepitch/simulation/model_checker/fleets.py
+++ b/src/pinepitch/simulation/model_checker/fleets.py
@@ -3,6 +3,7 @@
 from typing import NamedTuple
 
 from ...common import constants
+from ...consensus.messages import AppendEntries, AppendReply, VoteReply, VoteRequest
 from .script import act, deliver, drop, elect, keep_only, quiet_without, settle, wait_unheard, wait_without
 from .state import Budget, ModelState
 from .timed import TimedBudget, TimedModelState
@@ -82,20 +83,20 @@
 LATE_ANSWER = (
     *SERVING,
     wait_unheard(2),
-    deliver("append", "b"),
-    *(keep_only("appended"), wait_unheard(1)) * 4,
+    deliver(AppendEntries, "b"),
+    *(keep_only(AppendReply), wait_unheard(1)) * 4,
 )
 OLDER_TERM = (
     elect("a"),
     act("propose", "a"),
     drop,
     act("stand", "c"),
-    deliver("vote", "b"),
-    deliver("voted", "c"),
+    deliver(VoteRequest, "b"),
+    deliver(VoteReply, "c"),
     drop,
     act("stand", "a"),
-    deliver("vote", "b"),
-    deliver("voted", "a"),
+    deliver(VoteRequest, "b"),
+    deliver(VoteReply, "a"),
 )
 DEPOSED = (
     *SERVING,
@@ -125,7 +126,7 @@
         Fleet(
             THREE,
             budget=Budget(stands=2, proposals=1, beats=2, restarts=1),
-            script=(elect("a"), act("propose", "a"), deliver("append", "b"), drop, act("stand", "c")),
+            script=(elect("a"), act("propose", "a"), deliver(AppendEntries, "b"), drop, act("stand", "c")),
         ),
         Bounds(5, 700),
         Bounds(10, 1_000_000),
@@ -174,7 +175,12 @@
             THREE,
             {"d": "west"},
             budget=Budget(stands=2, proposals=1, beats=1, restarts=1),
-            script=(*CHANGING, deliver("append", "b"), deliver("append", "c"), deliver("appended", "a")),
+            script=(
+                *CHANGING,
+                deliver(AppendEntries, "b"),
+                deliver(AppendEntries, "c"),
+                deliver(AppendReply, "a"),
+            ),
         ),
         Bounds(5, 700),
         Bounds(10, 1_000_000),
@@ -200,7 +206,7 @@
         Fleet(
             THREE,
             budget=Budget(stands=2, proposals=1, changes=1, beats=2, wipes=1),
-            script=(elect("a"), act("propose", "a"), deliver("append", "b")),
+            script=(elect("a"), act("propose", "a"), deliver(AppendEntries, "b")),
         ),
         Bounds(5, 700),
         Bounds(9, 1_000_000),
--- a/src/pinepitch/simulation/model_checker/invariants.py
+++ b/src/pinepitch/simulation/model_checker/invariants.py
@@ -3,6 +3,7 @@
 import functools
 import itertools
 
+from ...consensus import election
 from ...consensus.quorum import Membership, Reply, membership_from_image
 from .replica import frozen
 
@@ -97,7 +98,7 @@
             continue
         last = candidate.last_index()
         last_term = candidate.term_at(last)
-        voters = frozenset(voter.identity for voter in logs if voter._fresh(last, last_term))
+        voters = frozenset(voter.identity for voter in logs if election.is_current(voter, last, last_term))
         if wins(frozen(candidate.membership.image()), voters):
             raise Violation(f"{candidate.identity} can be elected and lacks committed entry {index}")
 
--- a/src/pinepitch/simulation/model_checker/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -6,8 +6,11 @@
 from typing import NamedTuple
 
 from ...common import constants
+from ...consensus.follower import Follower
 from ...consensus.log import Log
-from ...consensus.replica import Consensus, Follower, IncomingSnapshot
+from ...consensus.messages import encode
+from ...consensus.replica import Consensus
+from ...consensus.snapshot_transfer import IncomingSnapshot
 
 LONG_AGO = -1e9
 SCALARS = (int, str, bool, float, bytes, type(None))
@@ -34,10 +37,10 @@
         raise AssertionError(f"segment {number} is not there")
 
 
-class Job(NamedTuple):
-    """A write under way. Invariant: jobs of one disk become durable in order."""
+class Write(NamedTuple):
+    """A write under way. Invariant: writes of one disk become durable in order."""
 
-    kind: str  # save or base
+    replaces: bool  # whether it is a base, in place of all that was saved, or a change
     sequence: int | None
     payload: list
 
@@ -51,6 +54,11 @@
     return value
 
 
+def frozen_message(message):
+    """A hashable copy of a message between replicas, with its kind."""
+    return frozen(encode(message))
+
+
 def frozen_entries(entries):
     """A hashable copy of entries of the log."""
     return tuple([one if one[2][0] != "members" else frozen(one) for one in entries])
@@ -79,7 +87,7 @@
     for name in ("deferred", "effects", "reads_now", "reads_next"):
         fields[name] = list(fields[name])
     twin.log = _copy_of_log(consensus.log)
-    twin.saving = [list(one) for one in consensus.saving]
+    twin.saving = [save.copy() for save in consensus.saving]
     twin.followers = {identity: _copy_of_follower(one) for identity, one in consensus.followers.items()}
     if consensus.incoming is not None:
         twin.incoming = _copy_of_incoming(consensus.incoming)
@@ -87,7 +95,7 @@
 
 
 def _copy_of_incoming(incoming):
-    twin = IncomingSnapshot(incoming.index)
+    twin = IncomingSnapshot(incoming.last_index)
     twin.total, twin.data = incoming.total, bytearray(incoming.data)
     return twin
 
@@ -150,13 +158,13 @@
 
     def complete(self):
         """Makes the next write durable; the write."""
-        job, self.queue = self.queue[0], self.queue[1:]
+        write, self.queue = self.queue[0], self.queue[1:]
         self._disk_key = None
-        if job.kind == "base":
-            self.disk = job.payload
+        if write.replaces:
+            self.disk = write.payload
         else:
-            self.disk = self.stored([job.payload]).base_payload()
-        return job
+            self.disk = self.stored([write.payload]).base_payload()
+        return write
 
     def stored(self, changes=()):
         """A Consensus that starts from the disk."""
@@ -180,8 +188,8 @@
             _forget_flow_times(follower.flow)
         if consensus.handover is not None:
             consensus.handover = consensus.handover._replace(until=now)
-        for saving in consensus.saving:
-            saving[2] = 0.0
+        for save in consensus.saving:
+            save.begun_at = 0.0
 
     def key(self):
         """A fingerprint: replicas with equal keys behave alike from here on."""
@@ -192,7 +200,7 @@
     def _durable_state(self):
         if self._disk_key is None:
             self._disk_key = hash(frozen(self.disk))
-        queued = tuple((job.kind, frozen(job.payload)) for job in self.queue)
+        queued = tuple((write.replaces, frozen(write.payload)) for write in self.queue)
         return self._disk_key, queued
 
     def _state(self):
@@ -222,11 +230,13 @@
             followers,
             one.sequence - sequence,
             max(0, one.hard_sequence - sequence),
-            tuple((saving[0] - sequence, saving[1]) for saving in one.saving),
-            tuple((need - sequence, frozen(effect)) for need, effect in one.deferred),
+            tuple((save.sequence - sequence, save.last_index) for save in one.saving),
+            tuple(
+                (need - sequence, sent.receiver, frozen_message(sent.message)) for need, sent in one.deferred
+            ),
             None
             if one.incoming is None
-            else (one.incoming.index, one.incoming.total, bytes(one.incoming.data)),
+            else (one.incoming.last_index, one.incoming.total, bytes(one.incoming.data)),
         )
 
 
--- a/src/pinepitch/simulation/model_checker/schedule.py
+++ b/src/pinepitch/simulation/model_checker/schedule.py
@@ -7,6 +7,7 @@
 import random
 from typing import NamedTuple
 
+from ...consensus.roles import LEADER
 from . import invariants
 from .faults import conditions
 from .fleets import FAST, FIVE, SLOW, THREE, Fleet
@@ -68,7 +69,7 @@
 
     def _leased(self, identity):
         consensus = self.world.replicas[identity].consensus
-        return consensus.role == "leader" and consensus.leased(self.world.now(identity))
+        return consensus.role == LEADER and consensus.leased(self.world.now(identity))
 
     def deliver(self):
         """All messages that no cut and no stopped daemon holds back."""
--- a/src/pinepitch/simulation/model_checker/script.py
+++ b/src/pinepitch/simulation/model_checker/script.py
@@ -22,7 +22,7 @@
     def line(state):
         for number in sorted(state.messages):
             message = state.post.messages[number]
-            if message.message[0] == kind and message.receiver == receiver:
+            if type(message.message) is kind and message.receiver == receiver:
                 state = state.step(Action("deliver", number))
         return state
 
@@ -73,7 +73,7 @@
 
     def line(state):
         for number in sorted(state.messages):
-            if state.post.messages[number].message[0] != kind:
+            if type(state.post.messages[number].message) is not kind:
                 state = state.step(Action("lose", number))
         return state
 
--- a/src/pinepitch/simulation/model_checker/state.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -8,12 +8,32 @@
 from typing import NamedTuple
 
 from ...common import constants
+from ...common.effects import SaveChange
+from ...consensus import election, replication
+from ...consensus.effects import (
+    BecomeLeader,
+    CommitEntries,
+    InstallSnapshot,
+    SaveBase,
+    SendMessage,
+)
+from ...consensus.messages import (
+    AppendEntries,
+    AppendReply,
+    ChunkReply,
+    NewerTerm,
+    PreVoteReply,
+    RemovedNotice,
+    SnapshotChunk,
+    VoteReply,
+)
+from ...consensus.roles import CANDIDATE, LEADER
 from . import invariants
 from .invariants import Violation
-from .replica import SHORTEST, Job, Replica, frozen, identity_in
+from .replica import SHORTEST, Replica, Write, frozen, frozen_message, identity_in
 
 NOW = 1000.0  # seconds; the one reading of every clock
-STALE_ANSWERS = ("voted", "appended", "pieced")  # answers that mean nothing in a later term
+STALE_ANSWERS = (VoteReply, AppendReply, ChunkReply)  # answers that mean nothing in a later term
 
 
 class Message(NamedTuple):
@@ -32,7 +52,7 @@
 
     def number(self, sender, receiver, message):
         """The number of a message, new or seen before."""
-        key = (sender, receiver, frozen(message))
+        key = (sender, receiver, frozen_message(message))
         number = self.numbers.get(key)
         if number is None:
             number = self.numbers[key] = len(self.messages)
@@ -68,7 +88,7 @@
     Invariants: `leaders` names at most one leader a term; `committed[i]` is what every
     replica has, or will have, at index i + 1; letters wait only for daemons that are there."""
 
-    ignored = ("behind", "stranger", "prevoted")  # messages that only make elections faster
+    ignored = (NewerTerm, RemovedNotice, PreVoteReply)  # messages that only make elections faster
 
     def __init__(self, fleet):
         self.post = Post()
@@ -118,7 +138,7 @@
                 found.append(Action("wipe", identity))
             if self.budget.stands and self._may_stand(replica):
                 found.append(Action("stand", identity))
-            if replica.consensus.role == "leader":
+            if replica.consensus.role == LEADER:
                 found += self._leader_actions(identity, replica)
             if self.budget.compactions and replica.consensus.commit > replica.consensus.base_index:
                 found.append(Action("compact", identity))
@@ -211,10 +231,10 @@
         self._complete(replica)
 
     def _complete(self, replica):
-        job = replica.complete()
+        write = replica.complete()
         self.logs = {**self.logs, replica.identity: replica.stored()}
-        if job.sequence is not None:
-            self._carry_out(replica, replica.consensus.saved(job.sequence, self.now(replica.identity)))
+        if write.sequence is not None:
+            self._carry_out(replica, replica.consensus.saved(write.sequence, self.now(replica.identity)))
 
     def _restart(self, action):
         self._spend("restarts")
@@ -239,10 +259,10 @@
         replica = self._touch(action.subject)
         self._forget_times(replica)
         consensus, now = replica.consensus, self.now(action.subject)
-        if consensus.role == "leader":
-            consensus._follow(consensus.term, now, "commit quorum not heard")
-        consensus._campaign("candidate", now)
-        self._carry_out(replica, consensus._done(now))
+        if consensus.role == LEADER:
+            consensus.follow(consensus.term, now, "commit quorum not heard")
+        election.campaign(consensus, CANDIDATE, now)
+        self._carry_out(replica, consensus.done(now))
 
     def _propose(self, action):
         self._spend("proposals")
@@ -268,8 +288,8 @@
         replica = self._touch(action.subject)
         consensus, now = replica.consensus, self.now(action.subject)
         consensus.learn(action.detail, self.replicas[action.detail].zone, now)
-        consensus._replicate(action.detail, now, heartbeat=True)
-        self._carry_out(replica, consensus._done(now))
+        replication.replicate(consensus, action.detail, now, heartbeat=True)
+        self._carry_out(replica, consensus.done(now))
 
     def _beat(self, action):
         """Sends anew whatever is not acknowledged."""
@@ -279,43 +299,45 @@
         consensus, now = replica.consensus, self.now(action.subject)
         for follower in consensus.followers.values():
             follower.sent_at = now - 2 * constants.APPEND_RESEND
-        consensus._broadcast(now)
-        self._carry_out(replica, consensus._done(now))
+        replication.broadcast(consensus, now)
+        self._carry_out(replica, consensus.done(now))
 
     def _compact(self, action):
         self._spend("compactions")
         replica = self._touch(action.subject)
         consensus = replica.consensus
         payload = consensus.compact(consensus.commit, b"record")
-        self._carry_out(replica, [("base", None, payload)])
+        self._carry_out(replica, [SaveBase(None, payload)])
 
     # --- effects ----------------------------------------------------------------------
     def _carry_out(self, replica, effects):
         for effect in effects:
-            kind = effect[0]
-            if kind == "send":
-                self._post(replica.identity, effect[1], effect[2])
-            elif kind in ("save", "base"):
-                replica.queue += (Job(kind, effect[1], effect[2]),)
-            elif kind == "commit":
-                self._commit(replica, effect[1], effect[2])
-            elif kind == "install":
-                self._install(replica)
-            elif kind == "lead":
-                self._lead(replica)
+            match effect:
+                case SendMessage(receiver, message):
+                    self._post(replica.identity, receiver, message)
+                case SaveChange(sequence, change):
+                    replica.queue += (Write(False, sequence, change),)
+                case SaveBase(sequence, payload):
+                    replica.queue += (Write(True, sequence, payload),)
+                case CommitEntries(first, entries):
+                    self._commit(replica, first, entries)
+                case InstallSnapshot():
+                    self._install(replica)
+                case BecomeLeader():
+                    self._lead(replica)
         self._forget_times(replica)
         if replica.queue and not self.slow_disks:
             self._complete(replica)
 
     def _post(self, sender, receiver, message):
-        if message[0] in self.ignored or receiver not in self.replicas:
+        if type(message) in self.ignored or receiver not in self.replicas:
             return
         self.messages |= {self.post.number(sender, receiver, self._posted(message))}
 
     def _posted(self, message):
         """A message without the number of its beat, which only leases and reads need."""
-        if message[0] in ("append", "appended", "piece", "pieced"):
-            return (*message[:-1], 0)
+        if isinstance(message, (AppendEntries, AppendReply, SnapshotChunk, ChunkReply)):
+            return message._replace(heartbeat=0)
         return message
 
     def _forget_stale(self):
@@ -325,8 +347,8 @@
             self.messages = frozenset(kept)
 
     def _stale(self, model_message):
-        kind, term, *_ = model_message.message
-        return kind in STALE_ANSWERS and term < self.logs[model_message.receiver].term
+        message = model_message.message
+        return type(message) in STALE_ANSWERS and message.term < self.logs[model_message.receiver].term
 
     # --- what was promised ------------------------------------------------------------
     def _commit(self, replica, first, entries):
@@ -339,7 +361,7 @@
             if index != len(self.committed) + 1:
                 raise Violation(f"{replica.identity} commits {index} before what precedes it")
             self.committed += (found,)
-            if replica.consensus.role == "leader" and entry[2][0] == "members":
+            if replica.consensus.role == LEADER and entry[2][0] == "members":
                 logs = list(self.logs.values())
                 invariants.check_commit_of_members(logs, frozen(entry[2][1]), self.committed)
 
@@ -371,7 +393,7 @@
             self._check_durable(replica)
 
     def _check_memberships(self, former, latter):
-        if latter.role == "leader" and former.role == "leader" and former.membership != latter.membership:
+        if latter.role == LEADER and former.role == LEADER and former.membership != latter.membership:
             invariants.check_change(frozen(former.membership.image()), frozen(latter.membership.image()))
 
     def _check_durable(self, replica):
--- a/src/pinepitch/simulation/model_checker/timed.py
+++ b/src/pinepitch/simulation/model_checker/timed.py
@@ -7,6 +7,8 @@
 
 from typing import NamedTuple
 
+from ...consensus.effects import ReadConfirmed
+from ...consensus.roles import LEADER
 from .invariants import Violation
 from .replica import machine_of
 from .state import Action, ModelState
@@ -15,11 +17,6 @@
 BEGIN = 1000.0  # seconds; what every clock reads at first
 
 
-def _flow_times(flow):
-    """The times of what is under way to a follower."""
-    return tuple(round(sent.at, 3) for sent in flow.in_flight), round(max(flow.progress_at, 0.0), 3)
-
-
 class TimedBudget(NamedTuple):
     """How often each kind of step may still be taken; times out of it pass by themselves."""
 
@@ -105,7 +102,7 @@
 
     def leaders_by_themselves(self):
         """Daemons that take themselves for the leader."""
-        return [one for one in sorted(self.replicas) if self.replicas[one].consensus.role == "leader"]
+        return [one for one in sorted(self.replicas) if self.replicas[one].consensus.role == LEADER]
 
     def _awake(self, action):
         if action.kind in ("deliver", "repeat"):
@@ -153,9 +150,9 @@
 
     def _carry_out(self, replica, effects):
         for effect in effects:
-            if effect[0] == "read" and effect[2] < effect[1]:
+            if isinstance(effect, ReadConfirmed) and effect.commit < effect.token:
                 raise Violation(
-                    f"{replica.identity} reads at {effect[2]}, when asked {effect[1]} was committed"
+                    f"{replica.identity} reads at {effect.commit}, when asked {effect.token} was committed"
                 )
         super()._carry_out(replica, effects)
 
@@ -165,7 +162,7 @@
         super().check(before)
         for identity, replica in self.replicas.items():
             consensus = replica.consensus
-            if consensus.role != "leader" or not consensus.leased(self.now(identity)):
+            if consensus.role != LEADER or not consensus.leased(self.now(identity)):
                 continue
             for term, leader in self.leaders:
                 if term > consensus.term:
--- a/src/pinepitch/simulation/second_loss.py
+++ b/src/pinepitch/simulation/second_loss.py
@@ -11,7 +11,7 @@
 
 from ..common import constants
 from ..common.effects import SaveChange, WriteBase
-from ..consensus import replica
+from ..consensus import acknowledgements, handlers, leadership_transfer, messages
 from ..consensus.quorum import Membership
 from ..consensus.replica import Consensus
 from ..control import membership
@@ -401,19 +401,20 @@
 
 
 # --- planted faults ------------------------------------------------------------------------
-def _serves_on(self, now):
+def _serves_on(replica, now):
     """Names a successor and goes on serving under its lease."""
-    follower = self.followers.get(self.handover.target)
-    if follower is not None and follower.match >= self.last_index() <= self.commit:
-        self._send(self.handover.target, ("handover", self.term, {}), self.hard_sequence)
-        self.handover = None
+    target = replica.handover.target
+    follower = replica.followers.get(target)
+    if follower is not None and follower.match >= replica.last_index() <= replica.commit:
+        replica.send(target, messages.LeadershipTransfer(replica.term, {}), replica.hard_sequence)
+        replica.handover = None
 
 
 def _stands_down(self, candidates, now):
     """Gives leadership up without a successor."""
     if self.role == "leader":
-        self._follow(self.term, now, "stopping")
-    return self._done(now)
+        self.follow(self.term, now, "stopping")
+    return self.done(now)
 
 
 def _old_list_alone(self, identities, leader):
@@ -438,11 +439,12 @@
     return None
 
 
-def _counts_at_once(self, sender, term, success, index, beat, now):
+def _counts_at_once(replica, sender, message, now):
     """Takes an append that was sent for one that is held."""
-    follower = self.followers.get(sender)
-    if self.role == "leader" and term == self.term and follower is not None:
-        original_appended(self, sender, term, True, self.last_index(), beat, now)
+    follower = replica.followers.get(sender)
+    if replica.role == "leader" and message.term == replica.term and follower is not None:
+        stored = message._replace(success=True, match_index=replica.last_index())
+        original_append_reply(replica, sender, stored, now)
 
 
 def _founds_at_sight(self, now):
@@ -463,9 +465,9 @@
 
 original_base = simulator.Simulator._base
 original_wanted = ControlDaemon._wanted_members
-original_appended = Consensus._on_appended
+original_append_reply = acknowledgements.on_append_reply
 INJECTED_FAULTS = {
-    "serves-on": [(Consensus, "_try_handover", _serves_on)],
+    "serves-on": [(leadership_transfer, "try_handover", _serves_on)],
     "no-successor": [(Consensus, "transfer_leadership", _stands_down)],
     "old-list-alone": [(Membership, "commits", _old_list_alone)],
     "no-heir": [(membership, "successor", _no_heir)],
@@ -476,7 +478,7 @@
     "slow-replacement": [(membership.Budget, "replace_after", lambda self: 4.5)],
     "snapshot-too-soon": [(simulator.Simulator, "_base", _early_base)],
     "held-too-soon": [(simulator.Simulator, "_save", injected_faults._early_saved)],
-    "counted-too-soon": [(Consensus, "_on_appended", _counts_at_once)],
+    "counted-too-soon": [(acknowledgements, "on_append_reply", _counts_at_once)],
     "founds-at-sight": [(Bootstrap, "ready", _founds_at_sight)],
 }
 
@@ -487,7 +489,8 @@
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
-        stack.enter_context(mock.patch.dict(replica.HANDLERS, {"appended": Consensus._on_appended}))
+        handler = {messages.AppendReply: acknowledgements.on_append_reply}
+        stack.enter_context(mock.patch.dict(handlers.HANDLERS, handler))
         effects = {SaveChange: simulator.Simulator._save, WriteBase: simulator.Simulator._base}
         stack.enter_context(mock.patch.dict(simulator.EFFECTS, effects))
         yield
