--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -29,9 +29,9 @@
 from .follower import Follower
 from .handlers import ANSWERS, HANDLERS
 from .log import Entry, Log, Operation
+from .pending_save import PendingSave
 from .quorum import Membership, Quorum, Reply
 from .roles import CANDIDATE, FOLLOWER, LEADER, PRE_CANDIDATE
-from .saves import PendingSave
 from .snapshot_sender import Archive
 from .snapshot_transfer import IncomingSnapshot
 
@@ -63,7 +63,7 @@
         self.random = random.Random(f"{identity}-{seed}")
         self._init_hard_state()
         self._init_log(Membership(Quorum(dict(members or {}), mode)))
-        self._init_saves()
+        self._init_persistence()
         self._init_elections()
         self._init_leadership()
         self.effects: list[Effect] = []
@@ -86,7 +86,7 @@
         self.commit = 0
         self.committed = 0  # the newest entry known to be committed: commit follows it in slices
 
-    def _init_saves(self) -> None:
+    def _init_persistence(self) -> None:
         self.sequence = self.saved_sequence = 0  # of the newest save begun, and of the newest durable one
         self.hard_sequence = 0  # of the newest save with hard state
         self.durable = 0
--- a/src/pinepitch/consensus/snapshot_receiver.py
+++ b/src/pinepitch/consensus/snapshot_receiver.py
@@ -7,8 +7,8 @@
 from . import following, log_changes, snapshot_base
 from .effects import InstallSnapshot, SaveBase
 from .messages import ChunkReply, NewerTerm, SnapshotChunk
+from .pending_save import PendingSave
 from .quorum import membership_from_image
-from .saves import PendingSave
 from .snapshot_transfer import ASK_WHAT_IS_STORED, COMPLETE_OFFSET, IncomingSnapshot
 
 if TYPE_CHECKING:
