--- a/features/input.feature
+++ b/features/input.feature
@@ -2,16 +2,16 @@
   Bad input is refused whole, every fault named by its path, and stops nothing.
 
   Scenario Outline: settings with <fault>
-    When <program> is started with <fault>
+    When `pinepitch <program>` is started with <fault>
     Then it ends with 2 and names <path>
 
     Examples:
       | program | fault             | path                          |
-      | accord  | two seeds         | seeds: expected exactly 3     |
-      | accord  | a host name       | address: expected an IP       |
-      | accord  | no data folder    | data: required                |
-      | verge   | an unknown level  | level:                        |
-      | verge   | a stray setting   | founders: extra keys          |
+      | control | two seeds         | seeds: expected exactly 3     |
+      | control | a host name       | address: expected an IP       |
+      | control | no data folder    | data: required                |
+      | front   | an unknown level  | level:                        |
+      | front   | a stray setting   | founders: extra keys          |
 
   Scenario Outline: a job with <fault>
     When a job with <fault> is checked
--- a/features/jobs_api.feature
+++ b/features/jobs_api.feature
@@ -61,5 +61,5 @@
   Scenario: the command line shows what the API answers
     Given a simulated fleet with three workers and routes in force
     When a job runs whose name looks like a number
-    Then "pinepitch job show" and "whence" name its placements, and "workers" and "configuration show" what there is
+    Then "pinepitch job show" and "pinepitch explain" name its placements, and "workers" and "configuration show" what there is
     And a job that never was ends the command with 1
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -25,15 +25,14 @@
 from pinepitch.state.cluster_state import ClusterState
 from pinepitch.transport import framing, http
 
-PACKAGES = {"accord": "control", "verge": "front"}  # of each program
 GOOD = {
-    "accord": {
+    "control": {
         "address": "127.0.0.1:7000",
         "area": "a",
         "data": "unused",
         "seeds": "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3",
     },
-    "verge": {
+    "front": {
         "address": "127.0.0.1:7000",
         "http": "127.0.0.1:7001",
         "area": "a",
@@ -49,7 +48,7 @@
 }
 
 
-@when("{program} is started with {fault}")
+@when("`pinepitch {program}` is started with {fault}")
 def step_start(context, program, fault):
     settings = {**GOOD[program], **BENT[fault]}
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -61,7 +60,8 @@
             [
                 sys.executable,
                 "-c",
-                f"from pinepitch.{PACKAGES[program]}.program import main; main()",
+                "from pinepitch.cli.program import main; main()",
+                program,
                 f"--settings={file.name}",
             ],
             capture_output=True,
--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -425,12 +425,12 @@
 def answered(context, entry, *arguments):
     """(what a command prints, its exit code), its calls going to the simulated fleet."""
 
-    def ask(front, method, target, document=None, headers=()):
+    def request(front, method, target, document=None, headers=()):
         return Response(*context.simulator.ask(method, target, document))
 
     out, code = io.StringIO(), 0
     with (
-        mock.patch.object(front_commands, "ask", ask),
+        mock.patch.object(front_commands, "request", request),
         contextlib.redirect_stdout(out),
         contextlib.redirect_stderr(out),
     ):
@@ -450,7 +450,7 @@
 
 
 @then(
-    '"pinepitch job show" and "whence" name its placements, '
+    '"pinepitch job show" and "pinepitch explain" name its placements, '
     'and "workers" and "configuration show" what there is'
 )
 def step_commands(context):
--- a/features/steps/rules.py
+++ b/features/steps/rules.py
@@ -64,7 +64,7 @@
                 "-c",
                 "from pinepitch.control.program import main; main()",
                 "--address=127.0.0.1:1",
-                "--area=a",
+                "--zone=a",
                 f"--data={folder}/data",
                 "--seeds=127.0.0.1:1,127.0.0.1:2,127.0.0.1:3",
                 f"--rules={path}",
--- a/features/steps/store.py
+++ b/features/steps/store.py
@@ -90,7 +90,7 @@
             "-c",
             "from pinepitch.control.program import main; main()",
             "--address=127.0.0.1:1",
-            "--area=a",
+            "--zone=a",
             f"--data={context.folder}",
             "--seeds=127.0.0.1:1,127.0.0.1:2,127.0.0.1:3",
         ],
--- a/src/pinepitch/cli/front_commands.py
+++ b/src/pinepitch/cli/front_commands.py
@@ -1,95 +1,107 @@
-"""What the commands share: one call to a front daemon, its answer as text, and the exit codes: 0 done,
-1 refused, 2 wrong use, 3 no verge answered, 4 come back later."""
+"""What the commands share: one call to a front daemon, and its answer as text."""
 
 import json
 import os
 import sys
+from collections.abc import Callable, Sequence
+from typing import Any, TypeVar
 
 import curio
+from fire.decorators import SetParseFn
 
 from ..common import daemon_settings
 from ..transport import http
+from . import earlier_names
+from .exit_codes import ExitCode, leave, of_status
+from .text_tables import flat
 
-EXIT_REFUSED, EXIT_USE, EXIT_UNREACHED, EXIT_LATER = 1, 2, 3, 4
+Document = dict[str, Any]
+Headers = Sequence[tuple[str, str]]
+Function = TypeVar("Function", bound=Callable[..., Any])
 
+DEFAULT_FRONT = "127.0.0.1:8080"
+ANSWER_WITHIN = 10  # seconds; a call that a leader has to answer may take a whole election
 
-def ask(verge, method, target, document=None, headers=()):
-    """The answer of a verge, or exit 3."""
 
-    async def one():
-        client = http.Client(*daemon_settings.split(verge))
+def front_address(address: str | None) -> str:
+    """IP:PORT of the front daemon to speak to: as given, else of the environment, else the default."""
+    if address:
+        return address
+    environment = earlier_names.environment("PINEPITCH_FRONT", os.environ)
+    return environment or DEFAULT_FRONT
+
+
+def request(front: str, method: str, target: str, document: Any = None, headers: Headers = ()) -> Any:
+    """The http.Response of a front daemon; the process ends with NO_ANSWER if there is none."""
+
+    async def call() -> Any:
+        client = http.Client(*daemon_settings.split(front))
         try:
-            return await curio.ignore_after(10, client.call(method, target, document, headers))
+            return await curio.ignore_after(ANSWER_WITHIN, client.call(method, target, document, headers))
         finally:
             await client.close()
 
-    answer = curio.run(one)
+    answer = curio.run(call)
     if not isinstance(answer, http.Response):
-        print(f"pinepitch: no answer from {verge}", file=sys.stderr)
-        sys.exit(EXIT_UNREACHED)
+        leave(ExitCode.NO_ANSWER, f"no answer from {front}")
     return answer
 
 
-def table(rows, columns=None):
-    """Rows of a listing as aligned text."""
-    if not rows:
-        return "(none)"
-    columns = columns or list(rows[0])
-    cells = [[str(column) for column in columns]]
-    cells += [["" if row.get(column) is None else str(row.get(column)) for column in columns] for row in rows]
-    widths = [max(len(line[place]) for line in cells) for place in range(len(columns))]
-    return "\n".join(
-        "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=False)).rstrip()
-        for line in cells
-    )
+def finish(answer: Any, as_json: bool, show: Callable[[Document], str]) -> None:
+    """Prints an answer and, unless it is a success, ends the process with the code that fits it."""
+    code = of_status(answer.status)
+    if code is not ExitCode.DONE:
+        print(json.dumps(answer.document, indent=2), file=sys.stdout if answer.status < 300 else sys.stderr)
+        leave(code)
+    print(json.dumps(answer.document, indent=2) if as_json else show(answer.document))
+
 
+def as_json_text(document: Document) -> str:
+    """A document as indented JSON."""
+    return json.dumps(document, indent=2)
 
-def finish(answer, as_json, show):
-    """Prints an answer and leaves with the code that fits it."""
-    if as_json or not 200 <= answer.status < 300:
-        print(json.dumps(answer.document, indent=2), file=sys.stdout if answer.status < 300 else sys.stderr)
-    else:
-        print(show(answer.document))
-    if 200 <= answer.status < 300:
-        return
-    sys.exit(EXIT_LATER if answer.status in (429, 503) else EXIT_REFUSED)
 
+def text_argument(name: str) -> Callable[[Function], Function]:
+    """Has an argument of a command taken as text, as it was typed, also if it looks like a number."""
 
-def flat(document):
-    """A document's plain fields, a line each, and its lists as tables."""
-    lines = [f"{key}: {value}" for key, value in document.items() if not isinstance(value, list)]
-    for key, value in document.items():
-        if isinstance(value, list):
-            lines.append(f"{key}:")
-            lines.append(
-                table(value) if value and isinstance(value[0], dict) else "  " + ", ".join(map(str, value))
-            )
-    return "\n".join(lines)
+    def decorate(function: Function) -> Function:
+        SetParseFn(str, name)(function)
+        return function
+
+    return decorate
 
 
 class FrontCommands:
-    """Commands that speak to one verge: --verge IP:PORT or PINEPITCH_VERGE."""
+    """Commands that speak to one front daemon: --front IP:PORT or PINEPITCH_FRONT."""
 
-    def __init__(self, verge=None, json=False, operator=None):
-        self._front = verge or os.environ.get("PINEPITCH_VERGE", "127.0.0.1:8080")
+    def __init__(self, front: str | None = None, json: bool = False, operator: str | None = None) -> None:
+        self._front = front_address(front)
         self._json = json
         self._operator = operator or os.environ.get("USER", "unnamed")
 
-    def _get(self, target, show=flat):
-        finish(ask(self._front, "GET", target), self._json, show)
-
-    def _do(self, method, target, document=None, headers=(), show=flat):
+    def _get(self, target: str, show: Callable[[Document], str] = flat) -> None:
+        """Prints what a read call answers."""
+        finish(request(self._front, "GET", target), self._json, show)
+
+    def _do(
+        self,
+        method: str,
+        target: str,
+        document: Any = None,
+        headers: Headers = (),
+        show: Callable[[Document], str] = flat,
+    ) -> None:
+        """Prints what a change answers; the change bears the operator's name."""
         headers = (("X-Operator", self._operator), *headers)
-        finish(ask(self._front, method, target, document, headers), self._json, show)
+        finish(request(self._front, method, target, document, headers), self._json, show)
 
 
-def read_file(file):
-    """The JSON document in a file ('-' for standing input), or exit 2."""
+def read_file(file: str) -> Any:
+    """The JSON document in a file ('-' for standard input); WRONG_USE if it can't be read."""
     try:
         if file == "-":
             return json.load(sys.stdin)
         with open(file) as opened:
             return json.load(opened)
     except (OSError, ValueError) as fault:
-        print(f"pinepitch: {file}: {fault}", file=sys.stderr)
-        sys.exit(EXIT_USE)
+        leave(ExitCode.WRONG_USE, f"{file}: {fault}")
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -34,30 +34,31 @@
 def run(
     settings=None,
     address=None,
-    area=None,
+    zone=None,
     seeds=None,
     data=None,
     level=None,
-    founders=None,
+    bootstrap_size=None,
     mode=None,
     http=None,
     rules=None,
     memory_mb=None,
     disk_mb=None,
 ):
-    """Runs an accord.
+    """Runs a control daemon.
 
     Args:
-        settings: a TOML file with the fields below; flags win over it.
+        settings: a TOML file; flags win over it. Its fields are named as the flags, but for
+            `area` (--zone) and `founders` (--bootstrap-size).
         address: own IP:PORT.
-        area: the area this machine stands in.
+        zone: the zone this machine stands in.
         seeds: three IP:PORT of other daemons, parted by commas.
         data: the data folder.
         level: log level: debug, info, warning, error, critical.
-        founders: how many empty accords may found a cohort (default 3; 1 for a try).
-        mode: quorum mode of a founding: static (default), dynamic, or single (every accord a group).
+        bootstrap_size: how many empty control daemons may start a cluster (default 3; 1 for a try).
+        mode: quorum mode of a new cluster: static (default), dynamic, or single (every member a group).
         http: own IP:PORT for health and metrics; none when left out.
-        rules: a YAML file of alert rules; the same one at every accord.
+        rules: a YAML file of alert rules; the same one at every control daemon.
         memory_mb: megabytes of memory it may take (default 512); bounds the log.
         disk_mb: megabytes that its data folder may take (default 2000); bounds the log.
     """
@@ -66,11 +67,11 @@
         settings,
         {
             "address": address,
-            "area": None if area is None else str(area),
+            "area": None if zone is None else str(zone),
             "seeds": list(seeds) if isinstance(seeds, tuple) else seeds,
             "data": data,
             "level": level,
-            "founders": founders,
+            "founders": bootstrap_size,
             "mode": mode,
             "http": http,
             "rules": rules,
@@ -106,5 +107,6 @@
     serve("accord", core, found, log, store)
 
 
-def main():
-    fire.Fire(run, name="accord")
+def main(arguments=None):
+    """Runs the daemon with these arguments, by default the process's."""
+    fire.Fire(run, command=arguments, name="pinepitch control")
--- a/src/pinepitch/front/program.py
+++ b/src/pinepitch/front/program.py
@@ -9,14 +9,14 @@
 from .daemon import FrontDaemon
 
 
-def run(settings=None, address=None, area=None, seeds=None, http=None, level=None):
-    """Runs a verge.
+def run(settings=None, address=None, zone=None, seeds=None, http=None, level=None):
+    """Runs a front daemon.
 
     Args:
-        settings: a TOML file with the fields below; flags win over it.
+        settings: a TOML file; flags win over it. Its fields are named as the flags, but for `area` (--zone).
         address: own IP:PORT towards other daemons.
-        http: own IP:PORT towards callers, minions and operators.
-        area: the area this machine stands in.
+        http: own IP:PORT towards callers, workers and operators.
+        zone: the zone this machine stands in.
         seeds: three IP:PORT of other daemons, parted by commas.
         level: log level: debug, info, warning, error, critical.
     """
@@ -25,7 +25,7 @@
         settings,
         {
             "address": address,
-            "area": None if area is None else str(area),
+            "area": None if zone is None else str(zone),
             "seeds": list(seeds) if isinstance(seeds, tuple) else seeds,
             "http": http,
             "level": level,
@@ -36,5 +36,6 @@
     serve("verge", FrontDaemon(identity, found.address, found.zone, found.seeds), found, log)
 
 
-def main():
-    fire.Fire(run, name="verge")
+def main(arguments=None):
+    """Runs the daemon with these arguments, by default the process's."""
+    fire.Fire(run, command=arguments, name="pinepitch front")
--- a/src/pinepitch/simulation/fleet/processes.py
+++ b/src/pinepitch/simulation/fleet/processes.py
@@ -78,10 +78,10 @@
             f"accord{place}",
             "from pinepitch.control.program import main; main()",
             f"--address={address}",
-            f"--area={zone}",
+            f"--zone={zone}",
             f"--seeds={self.seeds}",
             f"--data={os.path.join(self.data, f'accord{place}')}",
-            f"--founders={self.plan.founders}",
+            f"--bootstrap-size={self.plan.founders}",
             f"--level={self.level}",
             *([f"--http={self.own[place]}"] if place < len(self.own) else []),
         )
@@ -93,7 +93,7 @@
             "from pinepitch.front.program import main; main()",
             f"--address={address}",
             f"--http={web}",
-            f"--area={zone}",
+            f"--zone={zone}",
             f"--seeds={self.seeds}",
             f"--level={self.level}",
         )
