--- a/src/pinepitch/cli/queue_table.py
+++ b/src/pinepitch/cli/queue_table.py
@@ -114,7 +114,7 @@
     try:
         with open(file, newline="") as opened:
             for number, row in enumerate(csv.DictReader(opened), FIRST_ROW):
-                if _is_whole(row):
+                if _is_complete(row):
                     cells += _cells_of(row)
                 else:
                     faults.append(
@@ -127,8 +127,8 @@
     return cells
 
 
-def _is_whole(row: dict[Any, Any]) -> bool:
-    """Whether a row names its queue and has as many cells as there are columns."""
+def _is_complete(row: dict[Any, Any]) -> bool:
+    """Whether a row names its queue and has a cell for each column."""
     return bool(row.get("queue")) and None not in row and None not in row.values()
 
 
