--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -17,9 +17,9 @@
 from pinepitch.consensus.replica import Consensus
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.front.daemon import FrontDaemon
-from pinepitch.runtime.host import Link
 from pinepitch.simulation import outage
 from pinepitch.storage.folder_lock import FolderLock
+from pinepitch.transport.link import Link
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
 WATCHED = 3.0  # seconds from the last start
