--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -50,7 +50,7 @@
             *(
                 f"{kind} {call}"
                 for kind in ("ask", "answer")
-                for call in {*contract.ARGUMENTS, *requests.CALLS}
+                for call in {*contract.ARGUMENTS, *requests.REQUESTS}
             ),
         },
         "operations": set(ACTIONS),
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -9,7 +9,7 @@
 
 from pinepitch.common.effects import Send
 from pinepitch.consensus.leader_clock import Reading
-from pinepitch.control.requests import CALLS
+from pinepitch.control.requests import REQUESTS
 from pinepitch.model import pushed_job as tickets
 from pinepitch.simulation import simulator as simulators
 
@@ -188,5 +188,5 @@
     with open(os.path.join(ROOT, "docs", "design", "control", "calls.md")) as file:
         queue_settings = re.findall(r"^\| `([a-z-]+)` \|", file.read(), re.M)
     readings = {"job-read", "configuration", "job-explain", "workers", "evacuations"}  # under the lease
-    wanted = {name for name, call in CALLS.items() if not call.reads} - readings
+    wanted = {name for name, call in REQUESTS.items() if not call.reads} - readings
     assert sorted(queue_settings) == sorted(wanted), (set(queue_settings) ^ wanted, queue_settings)
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -5,6 +5,7 @@
 import cbor2
 from behave import given, then, when
 
+from pinepitch.model.decisions import Answer
 from pinepitch.scheduling import requests
 from pinepitch.state.cluster_state import ClusterState
 
@@ -19,9 +20,9 @@
         """(status, document, retry) as the leader would answer."""
         # what comes over the wire and through the log comes as lists
         made = requests.CALLS[name](self, "token", cbor2.loads(cbor2.dumps(arguments)), 0.0)
-        if made[0] == "answer":
-            return made[1]
-        _, operation, shape, extra = made
+        if isinstance(made, Answer):
+            return made
+        operation, shape, extra = made
         self.index += 1
         outcome = self.cluster_state.apply(self.index, float(self.index), cbor2.loads(cbor2.dumps(operation)))
         return requests.SHAPES[shape](self, outcome, extra, 0.0)
--- a/features/steps/doors.py
+++ b/features/steps/doors.py
@@ -12,6 +12,7 @@
 from behave import given, then, when
 
 from pinepitch.common import constants
+from pinepitch.model.decisions import Answer
 from pinepitch.scheduling import leased_job as jobs
 from pinepitch.scheduling import requests, worker
 from pinepitch.state.cluster_state import ClusterState
@@ -164,10 +165,10 @@
         call, arguments, _ = made
         arguments = framed(arguments)
         answered = requests.CALLS[call](self, "token", arguments, 0.0)
-        if answered[0] == "answer":
-            status, document, retry = answered[1]
+        if isinstance(answered, Answer):
+            status, document, retry = answered
         else:
-            _, operation, shape, extra = answered
+            operation, shape, extra = answered
             self.index += 1
             operation = framed(operation)
             outcome = self.cluster_state.apply(self.index, float(self.index), operation)
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -21,6 +21,7 @@
 
 from pinepitch.common import constants
 from pinepitch.control.daemon import ControlDaemon
+from pinepitch.model.decisions import Answer
 from pinepitch.scheduling import requests
 from pinepitch.simulation import order_fleet, order_rules
 from pinepitch.simulation.jobs import injected_faults
@@ -90,9 +91,9 @@
 
     def call(self, name, *arguments):
         made = requests.CALLS[name](self, "token", arguments, 0.0)
-        if made[0] == "answer":
-            return made[1]
-        _, operation, shape, extra = made
+        if isinstance(made, Answer):
+            return made
+        operation, shape, extra = made
         self.index += 1
         outcome = self.cluster_state.apply(self.index, float(self.index), json.loads(json.dumps(operation)))
         return requests.SHAPES[shape](self, outcome, extra, 0.0)
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -27,7 +27,7 @@
 from .bootstrap import Bootstrap
 from .leader import LeaderRole
 from .placement import Placer
-from .requests import SHAPES
+from .requests import OUTCOME_ANSWERS
 from .sessions import Sessions
 
 
@@ -677,7 +677,7 @@
     def _tell(self, address, token, shape, extra, outcome, now):
         if token is None:
             return
-        self.answer(address, token, SHAPES[shape](self, outcome, extra, now))
+        self.answer(address, token, OUTCOME_ANSWERS[shape](self, outcome, extra, now))
 
     # --- calls that come here from outside --------------------------------------------
     def _on_call(self, request, call, arguments, patience, now):
--- a/src/pinepitch/control/leader.py
+++ b/src/pinepitch/control/leader.py
@@ -4,11 +4,12 @@
 
 from ..common import constants, metrics
 from ..common.effects import Reply
+from ..model.decisions import Answer, DeferHeartbeat, ProposeEnds
 from ..model.push_worker import PushWorker
 from ..scheduling import requests as job_calls
 from ..transport.request_key import subject_of
 from . import metrics_text
-from .requests import CALLS
+from .requests import REQUESTS
 
 LEASED_CALLS = tuple(job_calls.CALLS)  # calls that only a leader with its lease and epoch may answer
 
@@ -49,7 +50,7 @@
             self._refuse(address, token, self.address, attempt, now)
             return
         self.pending_requests[token] = taken
-        handler = CALLS.get(call)
+        handler = REQUESTS.get(call)
         if handler is None:
             message = "whoever leads does not know this call"
             self.answer(address, token, job_calls.problem(400, "unknown_call", message))
@@ -75,23 +76,23 @@
     def _decide(self, address, token, handler, arguments, now):
         """Asks a handler for an answer at once or an operation to agree on."""
         decision = handler.make(self, token, arguments, now)
-        if decision[0] == "ends":
-            self._propose_ends(decision[1], (address, token, "report", decision[2]), now)
-        elif decision[0] == "beat":
-            self.assignments.take_heartbeat(decision[1], decision[2], address, token, now)
-        elif decision[0] == "answer":
+        if isinstance(decision, DeferHeartbeat):
+            self.assignments.take_heartbeat(decision.identity, decision.document, address, token, now)
+        elif isinstance(decision, Answer):
             if self.leased(now):
-                self.answer(address, token, decision[1], self.consensus.lease_end(now))
+                self.answer(address, token, decision, self.consensus.lease_end(now))
             else:  # what stands in the record here may be old
                 self.not_taken(address, token, None, now)
+        elif isinstance(decision, ProposeEnds):
+            self._propose_ends(decision.ends, (address, token, "report", decision.context), now)
         else:
-            _, operation, shape, extra = decision
-            self.propose(operation, (address, token, shape, extra), now)
+            operation, outcome_answer, context = decision
+            self.propose(operation, (address, token, outcome_answer, context), now)
 
     def _answer_read(self, read, now):
         address, token, handler, arguments = self.reading.pop(read, (None, None, None, None))
         if handler is not None:
-            self.answer(address, token, handler.make(self, token, arguments, now)[1])
+            self.answer(address, token, handler.make(self, token, arguments, now))
 
     def answer(self, address, token, answer, until=None):
         """The answer to a call in hand, perhaps to one that this accord carried itself; what was
@@ -103,7 +104,8 @@
             answered = self.indexed_forwarder.answered(token, answer, current.key, self.step_at, until)
             self.effects.extend(answered)
         else:
-            self._send(address, ("answer", token, answer, current.key))
+            # as a plain tuple, which is encoded without a search for its type
+            self._send(address, ("answer", token, tuple(answer), current.key))
 
     def not_taken(self, address, token, leader, now):
         """A call in hand that this accord does not take after all."""
--- /dev/null
+++ b/src/pinepitch/control/requests/drafts.py
@@ -0,0 +1,143 @@
+"""Requests about drafts: changes of the queue configuration that are rehearsed before they are approved."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from ...common import constants
+from ...model.decisions import Answer, Propose, problem
+from .queue_configuration import CHANGE_ANSWERS
+
+if TYPE_CHECKING:
+    from ...state.cluster_state import ClusterState
+    from .leader import Leader
+
+# what of a draft callers see, in this order
+DRAFT_FIELDS = ("draft", "base", "patch", "who", "why", "time", "state", "measure")
+
+
+# --- reading -------------------------------------------------------------------------
+def draft_view(cluster_state: ClusterState, identity: str) -> dict[str, Any]:
+    """A draft as operators see it; `stale` says that another version came into force since."""
+    draft = cluster_state.drafts[identity]
+    return {
+        "cells": _changed_cells(cluster_state, draft),
+        **{name: draft[name] for name in DRAFT_FIELDS},
+        "stale": draft["base"] != cluster_state.version and draft["state"] != "approved",
+    }
+
+
+def _changed_cells(cluster_state: ClusterState, draft: dict[str, Any]) -> list[list[Any]]:
+    """[cell, value in the version that the draft builds on, value in the draft] of all that it changes."""
+    base = cluster_state.queue_configurations.read(draft["base"])["queues"]
+    drafted = draft["setup"]["queues"]
+    cells = [
+        [f"{queue}.{column}", base.get(queue, {}).get(column), value]
+        for queue, queue_settings in sorted(drafted.items())
+        for column, value in queue_settings.items()
+        if base.get(queue, {}).get(column) != value
+    ]
+    cells += [[queue, "a row", None] for queue in sorted(base) if queue not in drafted]
+    return cells
+
+
+def _number(identity: str) -> int:
+    """The number of a draft, by which drafts are listed."""
+    return int(identity[1:])
+
+
+def list_drafts(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+    """All drafts that are kept, the oldest first."""
+    cluster_state = leader.cluster_state
+    drafts = [draft_view(cluster_state, one) for one in sorted(cluster_state.drafts, key=_number)]
+    return Answer(200, {"drafts": drafts})
+
+
+def read_draft(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+    """One draft with its measure, if it has one."""
+    if arguments[0] not in leader.cluster_state.drafts:
+        return _missing(leader, ("missing",))
+    return Answer(200, draft_view(leader.cluster_state, arguments[0]))
+
+
+# --- changing ------------------------------------------------------------------------
+def draft(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+    """Keeps a patch as a draft on the version it builds on."""
+    base, patch, who, why = arguments
+    return Propose(("draft", token, base, patch, who, why), "draft")
+
+
+def rehearse(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+    """Asks for a rehearsal of a draft, on the workers that are open now."""
+    capacities = [
+        [name, worker.report.zone, worker.report.capacity, list(worker.report.labels)]
+        for name, worker in sorted(leader.push_workers.items())
+        if not worker.unresponsive(now) and not leader.cluster_state.closed(name, worker.report.zone)
+    ]
+    return Propose(("rehearse", arguments[0], capacities), "draft")
+
+
+def approve(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+    """Brings a draft into force that its rehearsal found better."""
+    identity, who, why = arguments
+    return Propose(("approve", token, identity, who, why), "draft")
+
+
+def drop(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+    """Forgets a draft."""
+    return Propose(("drop", arguments[0]), "dropped", arguments[0])
+
+
+# --- outcomes ------------------------------------------------------------------------
+def _missing(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return problem(404, "unknown_draft", "no such draft")
+
+
+def _ended(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return problem(409, "ended", f"the draft is already {outcome[1]}")
+
+
+def _unmeasured(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return problem(409, "not_measured", "rehearse the draft on the version in force first")
+
+
+def _worse(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return problem(409, "not_better", f"the rehearsal's verdict: {outcome[1]}", verdict=outcome[1])
+
+
+def _paused(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return problem(
+        409,
+        "held",
+        "approvals are held by firing alerts; an emergency change is not",
+        constants.PAUSED_RETRY_AFTER,
+        alerts=[{"alert": alert, "why": why} for alert, why in outcome[1]],
+    )
+
+
+def _drafted(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return Answer(200, draft_view(leader.cluster_state, outcome[1]))
+
+
+# outcome of an operation on a draft -> what makes its answer; others are those of any change
+_DRAFT_ANSWERS = {
+    "missing": _missing,
+    "ended": _ended,
+    "unmeasured": _unmeasured,
+    "worse": _worse,
+    "held": _paused,
+    "draft": _drafted,
+}
+
+
+def draft_answer(
+    leader: Leader, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+) -> Answer:
+    """The answer to an operation on a draft: the draft, the version it brought, or what forbids it."""
+    make = _DRAFT_ANSWERS.get(outcome[0])
+    return make(leader, outcome) if make is not None else CHANGE_ANSWERS[outcome[0]](outcome)
+
+
+def dropped_answer(leader: Leader, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
+    """The answer to the dropping of a draft."""
+    return _missing(leader, outcome) if outcome[0] == "missing" else Answer(200, {"dropped": identity})
--- /dev/null
+++ b/src/pinepitch/control/requests/explanations.py
@@ -0,0 +1,130 @@
+"""The request that explains a pushed job: why each of its tasks stands where it stands."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from ...model.decisions import Answer
+from ...model.task import reference
+from .pushed_jobs import job_summary, unknown_job
+
+if TYPE_CHECKING:
+    from ...model.push_worker import PushWorker
+    from ...model.pushed_job import PushedJob
+    from ...model.task import Standing, Task
+    from .leader import Leader
+
+
+def explain(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+    """A job with the reason of each task, from the cluster state and the newest placing round."""
+    job = leader.cluster_state.pushed_job(arguments[0])
+    if job is None:
+        return unknown_job(arguments[0])
+    cluster_state = leader.cluster_state
+    queue_settings = cluster_state.queue_settings.get(job.queue)
+    document = {
+        **job_summary(job),
+        "tasks": [_task_view(leader, job, task, now) for task in job.tasks.values()],
+        "setup_version": cluster_state.version,
+        "placing": list(cluster_state.epochs.get("placing", (0, ""))),
+        "credits": cluster_state.balance(job.queue),
+        "running_units": cluster_state.used_units.get(job.queue, 0),
+        "limit": queue_settings.limit if queue_settings else None,
+    }
+    return Answer(200, document)
+
+
+def _task_view(leader: Leader, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
+    standing = job.standings[task.name]
+    return {
+        "task": task.name,
+        "state": standing.state,
+        "attempt": standing.attempt,
+        "failures": standing.failures,
+        "attempts": task.attempts,
+        "since": standing.since,
+        **_reasons(leader, job, task, now),
+        "attempts_made": [_past_attempt(past) for past in standing.past],
+    }
+
+
+def _reasons(leader: Leader, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
+    """The fields that depend on the task's state."""
+    standing = job.standings[task.name]
+    if standing.state == "placed":
+        return {
+            "minion": standing.worker,
+            "verge": standing.front_daemon,
+            "charges": [list(one) for one in standing.charges],
+            "yields_to": standing.yields_to,
+            "why": "placed: " + _lent(job, standing),
+        }
+    if standing.state == "waiting":
+        return {
+            "why": _waits_for(leader, job, task, standing, now),
+            "candidates": _candidates(leader, task, now),
+        }
+    never_placed = "" if standing.attempt else " before it was placed"
+    return {"minion": standing.worker, "why": f"ended {standing.state}" + never_placed}
+
+
+def _past_attempt(past: tuple[Any, ...]) -> dict[str, Any]:
+    attempt, worker, front_daemon, how, placed, ended, (epoch, version), charges = past
+    return {
+        "attempt": attempt,
+        "minion": worker,
+        "verge": front_daemon,
+        "how": how,
+        "placed": placed,
+        "ended": ended,
+        "epoch": epoch,
+        "setup_version": version,
+        "lenders": [list(one) for one in charges],
+    }
+
+
+def _lent(job: PushedJob, standing: Standing) -> str:
+    """Whose credits back a placed task, in words."""
+    parts = [
+        f"{credits} credits of {'its own queue' if queue == job.queue else queue}"
+        for queue, credits in standing.charges
+    ]
+    return f"attempt {standing.attempt} on {standing.worker} with " + ", ".join(parts)
+
+
+def _waits_for(leader: Leader, job: PushedJob, task: Task, standing: Standing, now: float) -> str:
+    """What keeps a waiting task from being placed, in words."""
+    undone = [one for one in task.after if job.standings[one].state != "done"]
+    if undone:
+        return "waits for " + ", ".join(undone)
+    begins = max(task.not_before, standing.earliest)
+    if leader._now(now) < begins:
+        return f"not before {begins:.3f}"
+    if reference(job.identity, task.name) in leader.placer.proposed:
+        return "proposed, not yet agreed"
+    return leader.placer.reason(leader.cluster_state, job, task.name)
+
+
+def _candidates(leader: Leader, task: Task, now: float) -> list[dict[str, str]]:
+    """What rules out, or doesn't, each worker."""
+    return [
+        {"minion": name, "why": _ruled_out(leader, name, worker, task, now)}
+        for name, worker in sorted(leader.push_workers.items())
+    ]
+
+
+def _ruled_out(leader: Leader, name: str, worker: PushWorker, task: Task, now: float) -> str:
+    """What keeps a task from a worker, or "open"."""
+    report = worker.report
+    left = report.capacity - sum(leader.cluster_state.reserved.get(name, {}).values())
+    closed = leader.cluster_state.closed(name, report.zone)
+    lacking = sorted(set(task.labels) - set(report.labels))
+    if closed:
+        return closed
+    if worker.unresponsive(now):
+        return "silent"
+    if lacking:
+        return "lacks " + ", ".join(lacking)
+    if left < task.units:
+        return f"{left} units left of {report.capacity}"
+    return "on trial" if worker.poor() else "open"
--- /dev/null
+++ b/src/pinepitch/control/requests/pushed_jobs.py
@@ -0,0 +1,187 @@
+"""Requests about pushed jobs: submit, read, list, cancel."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from ...common import constants
+from ...model.decisions import Answer, Decision, Propose, faulty, problem
+
+if TYPE_CHECKING:
+    from ...model.pushed_job import PushedJob
+    from .leader import Leader
+
+
+def unknown_job(identity: str) -> Answer:
+    """The answer about a job that is neither live nor archived."""
+    return problem(404, "unknown_ticket", f"no ticket {identity!r}")
+
+
+# --- submitting ----------------------------------------------------------------------
+def submit(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+    """Takes a checked job; the same key with the same digest of its body is the same job."""
+    key, digest, plain = arguments
+    cluster_state = leader.cluster_state
+    unplaceable = _why_unplaceable(leader, plain, now)
+    refusal = cluster_state.known(key, digest) or cluster_state.job_refusal(plain, unplaceable)
+    if refusal is None:
+        return Propose(("ticket", key, digest, plain, unplaceable), "submit")
+    if refusal[0] == "shed":
+        leader._event(170, queue=plain["queue"], why=refusal[1])
+    return submit_answer(leader, refusal)
+
+
+def _why_unplaceable(leader: Leader, plain: dict[str, Any], now: float) -> str:
+    """Why no known worker, heard of late or not, could take some task, or "". A leader that
+    has not yet gathered its workers rules nothing out."""
+    if not leader.push_workers or now - leader.leader_since < constants.REPORT_GATHERING:
+        return ""
+    seen = set()
+    for task in plain["tasks"]:
+        shape = (task["units"], frozenset(task["labels"]))
+        if shape in seen:
+            continue
+        seen.add(shape)
+        why = _why_none_fits(leader, task["name"], *shape)
+        if why:
+            return why
+    return ""
+
+
+def _why_none_fits(leader: Leader, name: str, units: int, labels: frozenset[str]) -> str:
+    """Why no known worker could ever take a task of so many units with these labels, or ""."""
+    reports = [worker.report for worker in leader.push_workers.values()]
+    capacities = [report.capacity for report in reports if labels <= set(report.labels)]
+    if not capacities:
+        return f"task {name} asks for {', '.join(sorted(labels))}, which no known minion has"
+    most = max(capacities)
+    if most < units:
+        return f"task {name} asks for {units} units, over the {most} of any fitting minion"
+    return ""
+
+
+def _accepted(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return Answer(201, job_summary(leader.cluster_state.pushed_job(outcome[1])))
+
+
+def _known(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return Answer(200, job_summary(leader.cluster_state.pushed_job(outcome[1])))
+
+
+def _mismatch(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return problem(409, "key_reused", "this key came with another body before", ticket=outcome[1])
+
+
+def _rejected(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return problem(429, "shed", outcome[1], constants.RETRY_AFTER)
+
+
+def _invalid(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+    return faulty(outcome[1])
+
+
+# outcome of a submission -> what makes its answer
+_SUBMIT_ANSWERS = {
+    "accepted": _accepted,
+    "known": _known,
+    "mismatch": _mismatch,
+    "shed": _rejected,
+    "invalid": _invalid,
+}
+
+
+def submit_answer(
+    leader: Leader, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+) -> Answer:
+    """The answer to a submission: 201 for a new job, 200 for one known by its key."""
+    return _SUBMIT_ANSWERS[outcome[0]](leader, outcome)
+
+
+# --- reading -------------------------------------------------------------------------
+def job_summary(job: PushedJob) -> dict[str, Any]:
+    """A job without its tasks; times are seconds of the cluster's clock."""
+    return {
+        "ticket": job.identity,
+        "key": job.key,
+        "queue": job.queue,
+        "kind": job.kind,
+        "urgency": job.urgency,
+        "due": job.due,
+        "accepted": job.accepted,
+        "state": job.state,
+        "ended": job.ended_at,
+        "tasks": len(job.tasks),
+        "parked": job.unplaceable,
+    }
+
+
+def _job_with_tasks(job: PushedJob) -> dict[str, Any]:
+    """A job with the standing of each task."""
+    tasks = [_task_view(job, name) for name in job.tasks]
+    return {**job_summary(job), "tasks": tasks}
+
+
+def _task_view(job: PushedJob, name: str) -> dict[str, Any]:
+    task, standing = job.tasks[name], job.standings[name]
+    return {
+        "name": name,
+        "state": standing.state,
+        "attempt": standing.attempt,
+        "failures": standing.failures,
+        "minion": standing.worker,
+        "after": list(task.after),
+        "units": task.units,
+        "labels": list(task.labels),
+        "gang": task.gang,
+        "not_before": task.not_before,
+        "attempts": task.attempts,
+        "yields_to": standing.yields_to,
+        "since": standing.since,
+    }
+
+
+def read_job(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+    """One job with its tasks, live or archived."""
+    job = leader.cluster_state.pushed_job(arguments[0])
+    if job is None:
+        return unknown_job(arguments[0])
+    return Answer(200, _job_with_tasks(job))
+
+
+def list_jobs(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+    """A page of jobs by number, or the one of a key; `next` says after which the next page begins."""
+    after, most, state, queue, key = arguments
+    if key:
+        return Answer(200, {"tickets": _jobs_of_key(leader, key), "next": None})
+    cluster_state, listed = leader.cluster_state, []
+    number, following = after, None
+    while number < cluster_state.count:
+        number += 1
+        job = cluster_state.pushed_job(f"t{number}")
+        if job is None or (state and job.state != state) or (queue and job.queue != queue):
+            continue
+        listed.append(job_summary(job))
+        if len(listed) >= most:
+            following = number if number < cluster_state.count else None
+            break
+    return Answer(200, {"tickets": listed, "next": following})
+
+
+def _jobs_of_key(leader: Leader, key: str) -> list[dict[str, Any]]:
+    known = leader.cluster_state.known(key, "")
+    return [job_summary(leader.cluster_state.pushed_job(known[1]))] if known else []
+
+
+# --- cancelling ----------------------------------------------------------------------
+def cancel(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+    """Cancels a job; what runs of it is told to yield."""
+    return Propose(("cancel", arguments[0]), "cancel", arguments[0])
+
+
+def cancel_answer(leader: Leader, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
+    """The answer to a cancellation: 404 for an unknown job, 409 for one that has ended."""
+    if outcome[0] == "missing":
+        return unknown_job(identity)
+    if outcome[0] == "ended":
+        return problem(409, "ended", f"the ticket is already {outcome[1]}", state=outcome[1])
+    return Answer(200, job_summary(leader.cluster_state.pushed_job(identity)))
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -2,15 +2,12 @@
 operators, answered from the record and from what the leader has gathered."""
 
 from ..common import constants
+from ..model.decisions import Answer, problem
 from .resources import less
 
 RESOURCE_NAMES = ("cpu", "mem_mb", "gpu")
 
 
-def _answer(document):
-    return ("answer", (200, document, None))
-
-
 def _resources_of(resources):
     return dict(zip(RESOURCE_NAMES, resources, strict=False))
 
@@ -33,12 +30,11 @@
     identity, leased_jobs = arguments[0], core.cluster_state.leased_jobs
     found = leased_jobs.jobs.get(identity)
     if found is not None:
-        return _answer(_open_job(core, found, now))
+        return Answer(200, _open_job(core, found, now))
     final = leased_jobs.final.get(identity)
     if final is not None:
-        return _answer(_final_job(core, identity, final))
-    error = {"code": "unknown_job", "message": f"no job {identity!r}"}
-    return ("answer", (404, {"error": error}, None))
+        return Answer(200, _final_job(core, identity, final))
+    return problem(404, "unknown_job", f"no job {identity!r}")
 
 
 def _final_job(core, identity, final):
@@ -190,7 +186,7 @@
         if identity in known:
             line.update(_heard(leased_jobs, known[identity], now))
         listed.append(line)
-    return _answer({"workers": listed})
+    return Answer(200, {"workers": listed})
 
 
 def _unheard(identity, placed):
@@ -235,13 +231,14 @@
 
 def evacuations(core, token, arguments, now):
     """The zones that get no new work, and since when."""
-    return _answer(
+    return Answer(
+        200,
         {
             "evacuations": [
                 {"zone": zone, "since": since}
                 for zone, since in sorted(core.cluster_state.leased_jobs.evacuated.items())
             ]
-        }
+        },
     )
 
 
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -4,6 +4,7 @@
 """
 
 from ..common import constants
+from ..model.decisions import Answer, DeferHeartbeat, Propose, faulty, problem
 from . import configuration, explain
 from . import leased_job as jobs
 from . import worker as workers
@@ -11,21 +12,9 @@
 UNFINISHED = ("queued", "running")  # states of a job
 
 
-def problem(status, code, message, retry=None, **more):
-    """An answer that says no."""
-    return (status, {"error": {"code": code, "message": message, **more}}, retry)
-
-
-def _answer(*rest):
-    return ("answer", rest)
-
-
 def _unready(core):
     if not core.cluster_state.leased_jobs.configuration.version:
-        return (
-            "answer",
-            problem(503, "unconfigured", "no configuration is in force yet", constants.RETRY_AFTER),
-        )
+        return problem(503, "unconfigured", "no configuration is in force yet", constants.RETRY_AFTER)
     return None
 
 
@@ -38,27 +27,19 @@
     host, path, document = arguments
     found = _route(core, host, path)
     if found is None:
-        return _unready(core) or ("answer", problem(404, "no_queue", "no route fits"))
+        return _unready(core) or problem(404, "no_queue", "no route fits")
     route, identity = found
     if not jobs_name(identity):
-        return ("answer", problem(400, "name", "a job is named by 16 hex digits"))
+        return problem(400, "name", "a job is named by 16 hex digits")
     plain, faults = jobs.checked(document)
     if faults:
-        return (
-            "answer",
-            problem(
-                422,
-                "invalid",
-                "the job has faults",
-                faults=[{"path": path, "message": message} for path, message in faults],
-            ),
-        )
+        return faulty(faults, "the job has faults")
     leased_jobs = core.cluster_state.leased_jobs
     state = leased_jobs.state(identity)
     if state is not None:
-        return _answer(200, {"state": state}, None)
+        return Answer(200, {"state": state})
     core.trace(186, job=identity, queue=route["name"])
-    return ("agree", ("job", identity, route["name"], plain), "job", None)
+    return Propose(("job", identity, route["name"], plain), "job")
 
 
 def jobs_name(identity):
@@ -68,7 +49,7 @@
 
 def submitted(core, outcome, extra, now):
     if outcome[0] in ("accepted", "known"):
-        return (200, {"state": core.cluster_state.leased_jobs.state(outcome[1]) or "completed"}, None)
+        return Answer(200, {"state": core.cluster_state.leased_jobs.state(outcome[1]) or "completed"})
     if outcome[0] == "missing":
         return problem(404, "no_queue", "the route is gone")
     return problem(429, "full", "too many jobs are open", constants.RETRY_AFTER)
@@ -79,100 +60,87 @@
     host, path = arguments
     found = _route(core, host, path)
     if found is None:
-        return _unready(core) or ("answer", problem(404, "no_queue", "no route fits"))
+        return _unready(core) or problem(404, "no_queue", "no route fits")
     route, identity = found
     leased_jobs = core.cluster_state.leased_jobs
     if not identity:
-        return _answer(200, {"waiting": leased_jobs.counts.get(route["name"], 0)}, None)
+        return Answer(200, {"waiting": leased_jobs.counts.get(route["name"], 0)})
     state = leased_jobs.state(identity)
     if state is None:
-        return ("answer", problem(410, "no_job", "no such job"))
+        return problem(410, "no_job", "no such job")
     if state not in UNFINISHED:
         core.trace(190, job=identity, state=state)
-    return _answer(200, {"state": state}, None)
+    return Answer(200, {"state": state})
 
 
 def cancel(core, token, arguments, now):
     host, path = arguments
     found = _route(core, host, path)
     if found is None:
-        return _unready(core) or ("answer", problem(404, "no_queue", "no route fits"))
+        return _unready(core) or problem(404, "no_queue", "no route fits")
     identity = found[1]
     state = core.cluster_state.leased_jobs.state(identity)
     if state is None:
-        return ("answer", problem(410, "no_job", "no such job"))
+        return problem(410, "no_job", "no such job")
     if state not in UNFINISHED:
-        return _answer(200, {"state": state}, None)
-    return ("agree", ("job-cancel", identity), "job-cancel", None)
+        return Answer(200, {"state": state})
+    return Propose(("job-cancel", identity), "job-cancel")
 
 
 def cancelled(core, outcome, extra, now):
     if outcome[0] == "missing":
         return problem(410, "no_job", "no such job")
-    return (200, {"state": "cancelled" if outcome[0] == "cancelled" else outcome[1]}, None)
+    return Answer(200, {"state": "cancelled" if outcome[0] == "cancelled" else outcome[1]})
 
 
 def heartbeat(core, token, arguments, now):
     identity, document = arguments
     if not workers.checked(document):
-        return ("answer", problem(400, "beat", "the beat can't be read"))
-    return ("beat", identity, document)
+        return problem(400, "beat", "the beat can't be read")
+    return DeferHeartbeat(identity, document)
 
 
 def leave(core, token, arguments, now):
     core.assignments.leave(arguments[0], now)
-    return _answer(200, {}, None)
+    return Answer(200, {})
 
 
 def configure(core, token, arguments, now):
     base, document = arguments
     if not isinstance(document, dict):
-        return ("answer", problem(400, "invalid", "expected an object"))
-    return (
-        "agree",
-        ("configure", base, document, configuration.digest_of([base, document])),
-        "configured",
-        None,
-    )
+        return problem(400, "invalid", "expected an object")
+    return Propose(("configure", base, document, configuration.digest_of([base, document])), "configured")
 
 
 def amend(core, token, arguments, now):
     base, version, upserts, removes = arguments
     digest = configuration.digest_of([base, version, upserts, removes])
-    return ("agree", ("amend", base, version, upserts, removes, digest), "configured", None)
+    return Propose(("amend", base, version, upserts, removes, digest), "configured")
 
 
 def configured(core, outcome, extra, now):
     if outcome[0] == "configured":
-        return (200, {"version": outcome[1]}, None)
+        return Answer(200, {"version": outcome[1]})
     if outcome[0] == "stale":
         return problem(412, "stale", f"version {outcome[1]} is in force", version=outcome[1])
     if outcome[0] == "forgotten":
         return problem(504, "forgotten", f"version {outcome[1]} is too old to tell whether it was taken")
-    return problem(
-        400,
-        "invalid",
-        "the configuration has faults",
-        faults=[{"path": path, "message": message} for path, message in outcome[1]],
-    )
+    return faulty(outcome[1], "the configuration has faults", 400)
 
 
 def configuration_read(core, token, arguments, now):
-    return _unready(core) or _answer(200, core.cluster_state.leased_jobs.configuration.document, None)
+    return _unready(core) or Answer(200, core.cluster_state.leased_jobs.configuration.document)
 
 
 def evacuate(core, token, arguments, now):
     """An order for a zone, with the index of the log that was confirmed as it came."""
     zone, begun, confirmed = arguments
     if not 0 < len(zone) <= constants.MAX_NAME_LENGTH:
-        return (
-            "answer",
-            problem(400, "zone", f"a zone has a name of 1 to {constants.MAX_NAME_LENGTH} characters"),
-        )
+        return problem(400, "zone", f"a zone has a name of 1 to {constants.MAX_NAME_LENGTH} characters")
     operation = ("evacuation", zone, begun, confirmed)
     if core.cluster_state.levels["evacuation"] > core.common_level():
         operation = ("evacuate", zone, begun)
-    return ("agree", operation, "evacuated", None)
+    return Propose(operation, "evacuated")
 
 
 def evacuated(core, outcome, extra, now):
@@ -181,7 +149,7 @@
         return problem(503, "superseded", why, constants.RETRY_AFTER)
     if outcome[0] == "full":
         return problem(429, "full", "too many zones are evacuated", constants.RETRY_AFTER)
-    return (200, {}, None)
+    return Answer(200, {})
 
 
 # name -> how it is made; each is read by accord/calls.py
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -10,7 +10,8 @@
 from ..common.effects import SaveChange
 from ..consensus import cluster_clock, replica
 from ..consensus.replica import Consensus
-from ..control import daemon, requests
+from ..control import daemon
+from ..control.requests import pushed_jobs
 from ..front import daemon as verge_core
 from ..front.daemon import FrontDaemon
 from ..model import push_worker, pushed_job
@@ -188,7 +189,7 @@
 INJECTED_FAULTS = {
     "promises-when-full": [(simulator.Simulator, "_durable", _confirms_when_full)],
     "any-clock": [(cluster_clock.ClusterClock, "read", _any_clock)],
-    "impossible-unseen": [(requests, "_why_unplaceable", lambda daemon, plain, now: "")],
+    "impossible-unseen": [(pushed_jobs, "_why_unplaceable", lambda daemon, plain, now: "")],
     "bound-ignored": [(ClusterState, "job_refusal", lambda self, plain, parked="": None)],
     "limit-ignored": [
         (rows, "queue_settings_of", lambda document: QueueSettings(**{**document, "limit": 1000}))
--- a/src/pinepitch/simulation/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -142,7 +142,7 @@
     def digest(self):
         """What the record would remember it by."""
         plain = json.loads(json.dumps(self.arguments))
-        return requests.CALLS[self.call](None, "", plain, 0.0)[1][-1]
+        return requests.CALLS[self.call](None, "", plain, 0.0).operation[-1]
 
     def statuses(self):
         return {status for _, _, status in self.answers}
