--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -1,37 +1,183 @@
-"""What an accord tells of itself: health and metrics."""
+"""What a control daemon tells of itself: health and metrics.
+
+Each collector below returns the families of one subject; `COLLECTORS` names them in the order in which
+they are told. What only a leader gathers is told by the leader alone.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..common import metrics
 from ..scheduling.idle_capacity import IDLE_BESIDE_WORK, KEPT_UNTAKEN
 
+if TYPE_CHECKING:
+    from ..common.metrics import Histogram
+    from ..scheduling.leased_job_state import LeasedJobState
+    from .daemon import ControlDaemon
+
+Labels = tuple[str, ...]
+Sample = tuple[Labels, Any]  # label values, and a number or a histogram
+
+RESOURCES = ("cpu", "memory", "accelerators")  # as in a worker's capacity
+
+
+class Family(NamedTuple):
+    """One metric with all its samples, as `common.metrics.text` takes it."""
+
+    kind: str  # "gauge", "counter" or "histogram"
+    name: str  # without the prefix
+    help_text: str
+    labels: Labels
+    samples: list[Sample]
 
-def health(core, now):
-    """What this accord knows of itself."""
-    consensus = core.consensus
+
+def _single(kind: str, name: str, help_text: str, value: float | Histogram) -> Family:
+    """A metric without labels."""
+    return Family(kind, name, help_text, (), [((), value)])
+
+
+def _by_label(kind: str, name: str, help_text: str, label: str, values: Mapping[str, Any]) -> Family:
+    """A metric with one label, its samples in the order of the label's values."""
+    return Family(kind, name, help_text, (label,), [((one,), value) for one, value in sorted(values.items())])
+
+
+def _by_queue(name: str, help_text: str, queues: Iterable[str], values: Mapping[str, float]) -> Family:
+    """A gauge of each of the queues, 0 for one that `values` lacks."""
+    samples: list[Sample] = [((queue,), values.get(queue, 0)) for queue in sorted(queues)]
+    return Family("gauge", name, help_text, ("queue",), samples)
+
+
+# --- health --------------------------------------------------------------------------
+def health(daemon: ControlDaemon, now: float) -> dict[str, Any]:
+    """What this daemon knows of itself; `time` is the cluster's, in seconds."""
+    consensus = daemon.consensus
     return {
-        "identity": core.identity,
-        "area": core.zone,
-        "cohort": core.cluster,
-        "address": core.address,
+        "identity": daemon.identity,
+        "area": daemon.zone,
+        "cohort": daemon.cluster,
+        "address": daemon.address,
         "role": consensus.role if consensus else "outside",
         "term": consensus.term if consensus else 0,
-        "leader": core._leader_address(),
+        "leader": daemon._leader_address(),
         "commit": consensus.commit if consensus else 0,
-        "applied": core.cluster_state.index,
-        "setup_version": core.cluster_state.version,
+        "applied": daemon.cluster_state.index,
+        "setup_version": daemon.cluster_state.version,
         "disk_waiting": len(consensus.saving) if consensus else 0,
-        "time": core._now(now),
+        "time": daemon._now(now),
     }
 
 
-def _push_workers(core, now):
+# --- consensus and sessions ----------------------------------------------------------
+def _consensus(daemon: ControlDaemon, now: float) -> list[Family]:
+    consensus = daemon.consensus
+    leading = consensus is not None and consensus.role == "leader"
+    commit, saving = (consensus.commit, len(consensus.saving)) if consensus else (0, 0)
+    return [
+        _single("gauge", "leading", "1 while this accord leads.", int(leading)),
+        _single("gauge", "term", "The newest term known.", consensus.term if consensus else 0),
+        _single("gauge", "commit_index", "Entries known to be committed.", commit),
+        _single("gauge", "disk_waiting", "Saves not yet durable.", saving),
+    ]
+
+
+def _daemon_counts(daemon: ControlDaemon, now: float) -> list[Family]:
+    counts = daemon.counts
+    sessions = {kind: len(daemon.sessions.live(kind)) for kind in ("accord", "verge")}
+    synced = "From a save's begin to its being durable."
+    return [
+        _single("counter", "syncs", "Saves made durable.", counts["syncs"]),
+        _single("counter", "messages_sent", "Messages sent to other daemons.", counts["sent"]),
+        _single("counter", "entries_applied", "Entries applied to the record.", counts["applied"]),
+        _single("histogram", "sync_seconds", synced, daemon.sync_histogram),
+        _by_label("gauge", "sessions", "Sessions held, by kind of daemon.", "kind", sessions),
+    ]
+
+
+# --- pushed jobs ---------------------------------------------------------------------
+def _pushed_jobs(daemon: ControlDaemon, now: float) -> list[Family]:
+    state = daemon.cluster_state
+    return [
+        _single("gauge", "setup_version", "Version of the setup in force here.", state.version),
+        _by_label("gauge", "tickets_live", "Tickets not yet final, by queue.", "queue", state.live_counts),
+        _single("gauge", "tickets_archived", "Finished tickets in segments.", state.archive.count),
+    ]
+
+
+def _queues(daemon: ControlDaemon, now: float) -> list[Family]:
+    state = daemon.cluster_state
+    queues = state.queue_settings
+    unplaceable = "Waiting tasks no minion known at their coming could take."
+    credits = "Credits that back running work, by the queue that lent them."
+    return [
+        _by_queue("tasks_waiting", "Waiting tasks, by queue.", queues, state.waiting_counts),
+        _by_queue("tasks_parked", unplaceable, queues, state.unplaceable),
+        _by_queue("units_running", "Units of room reserved, by queue.", queues, state.used_units),
+        _by_queue("credits_out", credits, queues, state.outstanding_credits),
+    ]
+
+
+def _push_workers(daemon: ControlDaemon, now: float) -> list[Family]:
+    held = "Tasks placed on silent minions, held until their end is proven."
+    return [
+        _by_label(
+            "gauge",
+            "minions",
+            "Minions this leader knows, by state.",
+            "state",
+            _push_workers_by_state(daemon, now),
+        ),
+        _single("gauge", "tasks_held", held, _tasks_on_unresponsive(daemon, now)),
+    ]
+
+
+def _push_workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
     states = {"open": 0, "silent": 0, "on trial": 0}
-    for one in core.push_workers.values():
+    for one in daemon.push_workers.values():
         states["silent" if one.unresponsive(now) else "on trial" if one.poor() else "open"] += 1
     return states
 
 
-def _jobs(leased_jobs):
-    """Jobs by state, those not final and those still readable."""
+def _tasks_on_unresponsive(daemon: ControlDaemon, now: float) -> int:
+    """Tasks placed on workers that are not heard."""
+    reserved = daemon.cluster_state.reserved
+    unresponsive = [name for name, one in daemon.push_workers.items() if one.unresponsive(now)]
+    return sum(len(reserved.get(name, ())) for name in unresponsive)
+
+
+def _placing(daemon: ControlDaemon, now: float) -> list[Family]:
+    waited = "From a task's being ready to its placement, while leading."
+    refused = "Placements the record refused, by reason."
+    return [
+        _by_label("counter", "placements_refused", refused, "why", daemon.refusals),
+        _by_label("counter", "task_ends", "Ends proven while leading, by how.", "how", daemon.end_counts),
+        _by_label("histogram", "wait_seconds", waited, "queue", daemon.wait_histograms),
+    ]
+
+
+# --- leased jobs ---------------------------------------------------------------------
+def _leased_jobs(daemon: ControlDaemon, now: float) -> list[Family]:
+    """What is agreed on about leased jobs, which every daemon tells alike, and what was left waiting."""
+    leased_jobs = daemon.cluster_state.leased_jobs
+    open_jobs, final = _jobs_by_state(leased_jobs)
+    waiting = _tasks_waiting(leased_jobs)
+    tasks_waiting = "Tasks of jobs whose earlier steps are done, not placed, by queue."
+    tasks_left = "Tasks of jobs that the leader's newest round left waiting, by queue and why."
+    still_readable = "Final jobs whose state is still readable, by state."
+    left = sorted(_left_waiting(daemon).items())
+    queues = {*waiting, *leased_jobs.configuration.routes}
+    return [
+        _by_label("gauge", "jobs_open", "Jobs not yet final, by state.", "state", open_jobs),
+        _by_label("gauge", "jobs_final", still_readable, "state", final),
+        _by_queue("job_tasks_waiting", tasks_waiting, queues, waiting),
+        Family("gauge", "job_tasks_left", tasks_left, ("queue", "why"), left),
+        _placing_violations(daemon),
+    ]
+
+
+def _jobs_by_state(leased_jobs: LeasedJobState) -> tuple[dict[str, int], dict[str, int]]:
+    """Jobs by state: (those not final, those final and still readable)."""
     open_jobs, final = {"queued": 0, "running": 0}, {"completed": 0, "failed": 0, "cancelled": 0}
     for identity in leased_jobs.jobs:
         state = leased_jobs.state(identity)
@@ -41,36 +187,62 @@
     return open_jobs, final
 
 
-def _workers(core, now):
-    """Workers this leader knows, each under one state."""
-    states = {"ready": 0, "draining": 0, "silent": 0}
-    for one in core.assignments.workers.values():
-        state = "silent" if one.unresponsive(now) else one.state
-        states[state] = states.get(state, 0) + 1
-    return states
+def _tasks_waiting(leased_jobs: LeasedJobState) -> dict[str, int]:
+    """Tasks whose earlier steps are done and which are not placed, by queue."""
+    waiting: dict[str, int] = {}
+    for wave in leased_jobs.ready.values():
+        waiting[wave.job.queue] = waiting.get(wave.job.queue, 0) + len(wave.waiting)
+    return waiting
 
 
-def _left_waiting(core):
-    """(queue, why) -> tasks of jobs that the newest round of this leader left waiting."""
-    counts = {}
-    for key, why in core.assignments.assigner.why.items():
-        wave = core.cluster_state.leased_jobs.ready.get(key)
+def _left_waiting(daemon: ControlDaemon) -> dict[Labels, int]:
+    """(queue, why) -> tasks that the newest round of this leader left waiting."""
+    counts: dict[Labels, int] = {}
+    for key, why in daemon.assignments.assigner.why.items():
+        wave = daemon.cluster_state.leased_jobs.ready.get(key)
         if wave is not None:
             place = (wave.job.queue, why)
             counts[place] = counts.get(place, 0) + len(wave.waiting)
     return counts
 
 
-RESOURCES = ("cpu", "memory", "accelerators")
+def _placing_violations(daemon: ControlDaemon) -> Family:
+    counts = daemon.assignments.assigner.idle_capacity.counts
+    return Family(
+        "counter",
+        "placing_violations",
+        "Invariants of placing found broken while leading, by which; always 0 but for a fault.",
+        ("invariant",),
+        [((invariant,), counts[invariant]) for invariant in (KEPT_UNTAKEN, IDLE_BESIDE_WORK)],
+    )
+
+
+def _lease_workers(daemon: ControlDaemon, now: float) -> list[Family]:
+    leased_jobs = daemon.cluster_state.leased_jobs
+    capacity_help = (
+        "Room of workers that are heard and ready: thousandths of a core, megabytes, accelerators."
+    )
+    capacity = sorted(_worker_capacity(daemon, now).items())
+    placed = sum(map(len, leased_jobs.placements.values()))
+    evacuated = "Zones whose workers get no new work."
+    version = "Version of routes and services in force here, 0 for none."
+    workers = _workers_by_state(daemon, now)
+    return [
+        Family("gauge", "worker_room", capacity_help, ("service", "resource", "state"), capacity),
+        _single("gauge", "runs_placed", "Runs of jobs placed whose end is not proven.", placed),
+        _single("gauge", "zones_evacuated", evacuated, len(leased_jobs.evacuated)),
+        _single("gauge", "configuration_version", version, leased_jobs.configuration.version),
+        _by_label("gauge", "workers", "Workers this leader knows, by state.", "state", workers),
+    ]
 
 
-def _worker_capacity(core, now):
-    """(service, resource, "taken" or "free") -> room of the workers that are heard and ready."""
-    capacity = {}
-    for worker in core.assignments.workers.values():
+def _worker_capacity(daemon: ControlDaemon, now: float) -> dict[Labels, int]:
+    """(service, resource, "taken" or "free") -> capacity of the workers that are heard and ready."""
+    capacity: dict[Labels, int] = {}
+    for worker in daemon.assignments.workers.values():
         if worker.unresponsive(now) or worker.state != "ready":
             continue
-        taken = core.cluster_state.leased_jobs.taken.get(worker.identity, (0, 0, 0))
+        taken = daemon.cluster_state.leased_jobs.taken.get(worker.identity, (0, 0, 0))
         for resource, total, used in zip(RESOURCES, worker.capacity, taken, strict=True):
             for state, amount in (("taken", used), ("free", total - used)):
                 place = (worker.service, resource, state)
@@ -78,273 +250,51 @@
     return capacity
 
 
-def _leased_job_metrics(core, now):
-    """Figures of jobs under holds. What the record holds every accord tells alike; workers and
-    the keeper's counts only a leader has."""
-    leased_jobs, (open_jobs, final) = core.cluster_state.leased_jobs, _jobs(core.cluster_state.leased_jobs)
-    waiting = {}
-    for wave in leased_jobs.ready.values():
-        waiting[wave.job.queue] = waiting.get(wave.job.queue, 0) + len(wave.waiting)
+def _workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
+    """Workers this leader knows, each under one state."""
+    states = {"ready": 0, "draining": 0, "silent": 0}
+    for one in daemon.assignments.workers.values():
+        state = "silent" if one.unresponsive(now) else one.state
+        states[state] = states.get(state, 0) + 1
+    return states
+
+
+def _runs(daemon: ControlDaemon, now: float) -> list[Family]:
+    """What the assignment manager counts, while it leads."""
+    assignments = daemon.assignments
+    counts = assignments.counts
+    ends = "Ends of runs agreed on while leading, by how."
+    stops = "Runs that are to end while their jobs go on, by why."
+    misjudged = "Runs stopped as stalled while leading that were going all the same."
     return [
-        (
-            "gauge",
-            "jobs_open",
-            "Jobs not yet final, by state.",
-            ("state",),
-            [((state,), count) for state, count in sorted(open_jobs.items())],
-        ),
-        (
-            "gauge",
-            "jobs_final",
-            "Final jobs whose state is still readable, by state.",
-            ("state",),
-            [((state,), count) for state, count in sorted(final.items())],
-        ),
-        (
-            "gauge",
-            "job_tasks_waiting",
-            "Tasks of jobs whose earlier steps are done, not placed, by queue.",
-            ("queue",),
-            [
-                ((queue,), waiting.get(queue, 0))
-                for queue in sorted({*waiting, *leased_jobs.configuration.routes})
-            ],
-        ),
-        (
-            "gauge",
-            "job_tasks_left",
-            "Tasks of jobs that the leader's newest round left waiting, by queue and why.",
-            ("queue", "why"),
-            sorted(_left_waiting(core).items()),
-        ),
-        (
-            "counter",
-            "placing_violations",
-            "Invariants of placing found broken while leading, by which; always 0 but for a fault.",
-            ("invariant",),
-            [
-                ((invariant,), core.assignments.assigner.idle_capacity.counts[invariant])
-                for invariant in (KEPT_UNTAKEN, IDLE_BESIDE_WORK)
-            ],
-        ),
-        (
-            "gauge",
-            "worker_room",
-            "Room of workers that are heard and ready: thousandths of a core, megabytes, accelerators.",
-            ("service", "resource", "state"),
-            sorted(_worker_capacity(core, now).items()),
-        ),
-        (
-            "gauge",
-            "runs_placed",
-            "Runs of jobs placed whose end is not proven.",
-            (),
-            [((), sum(map(len, leased_jobs.placements.values())))],
-        ),
-        (
-            "gauge",
-            "zones_evacuated",
-            "Zones whose workers get no new work.",
-            (),
-            [((), len(leased_jobs.evacuated))],
-        ),
-        (
-            "gauge",
-            "configuration_version",
-            "Version of routes and services in force here, 0 for none.",
-            (),
-            [((), leased_jobs.configuration.version)],
-        ),
-        (
-            "gauge",
-            "workers",
-            "Workers this leader knows, by state.",
-            ("state",),
-            [((state,), count) for state, count in sorted(_workers(core, now).items())],
-        ),
-        (
-            "counter",
-            "beats",
-            "Beats of workers taken while leading.",
-            (),
-            [((), core.assignments.counts["beats"])],
-        ),
-        (
-            "counter",
-            "run_starts",
-            "Starts told to workers while leading.",
-            (),
-            [((), core.assignments.counts["starts"])],
-        ),
-        (
-            "counter",
-            "run_stops",
-            "Stops told to workers while leading.",
-            (),
-            [((), core.assignments.counts["stops"])],
-        ),
-        (
-            "counter",
-            "run_ends",
-            "Ends of runs agreed on while leading, by how.",
-            ("how",),
-            [((how,), count) for how, count in sorted(core.assignments.end_counts.items())],
-        ),
-        (
-            "counter",
-            "run_stop_orders",
-            "Runs that are to end while their jobs go on, by why.",
-            ("why",),
-            [((why,), count) for why, count in sorted(core.assignments.stop_counts.items())],
-        ),
-        (
-            "counter",
-            "runs_misjudged",
-            "Runs stopped as stalled while leading that were going all the same.",
-            (),
-            [((), core.assignments.progress.misjudged_count)],
-        ),
+        _single("counter", "beats", "Beats of workers taken while leading.", counts["beats"]),
+        _single("counter", "run_starts", "Starts told to workers while leading.", counts["starts"]),
+        _single("counter", "run_stops", "Stops told to workers while leading.", counts["stops"]),
+        _by_label("counter", "run_ends", ends, "how", assignments.end_counts),
+        _by_label("counter", "run_stop_orders", stops, "why", assignments.stop_counts),
+        _single("counter", "runs_misjudged", misjudged, assignments.progress.misjudged_count),
     ]
 
 
-def text(core, now):
-    """Metrics in the Prometheus manner. What only a leader gathers is told by it alone."""
-    cluster_state, consensus = core.cluster_state, core.consensus
-    leading = consensus is not None and consensus.role == "leader"
-    metric_families = [
-        ("gauge", "leading", "1 while this accord leads.", (), [((), int(leading))]),
-        ("gauge", "term", "The newest term known.", (), [((), consensus.term if consensus else 0)]),
-        (
-            "gauge",
-            "commit_index",
-            "Entries known to be committed.",
-            (),
-            [((), consensus.commit if consensus else 0)],
-        ),
-        (
-            "gauge",
-            "disk_waiting",
-            "Saves not yet durable.",
-            (),
-            [((), len(consensus.saving) if consensus else 0)],
-        ),
-        ("counter", "syncs", "Saves made durable.", (), [((), core.counts["syncs"])]),
-        ("counter", "messages_sent", "Messages sent to other daemons.", (), [((), core.counts["sent"])]),
-        ("counter", "entries_applied", "Entries applied to the record.", (), [((), core.counts["applied"])]),
-        (
-            "histogram",
-            "sync_seconds",
-            "From a save's begin to its being durable.",
-            (),
-            [((), core.sync_histogram)],
-        ),
-        (
-            "gauge",
-            "sessions",
-            "Sessions held, by kind of daemon.",
-            ("kind",),
-            [((kind,), len(core.sessions.live(kind))) for kind in ("accord", "verge")],
-        ),
-        ("gauge", "setup_version", "Version of the setup in force here.", (), [((), cluster_state.version)]),
-        (
-            "gauge",
-            "tickets_live",
-            "Tickets not yet final, by queue.",
-            ("queue",),
-            [((queue,), count) for queue, count in sorted(cluster_state.live_counts.items())],
-        ),
-        (
-            "gauge",
-            "tickets_archived",
-            "Finished tickets in segments.",
-            (),
-            [((), cluster_state.archive.count)],
-        ),
-        (
-            "gauge",
-            "tasks_waiting",
-            "Waiting tasks, by queue.",
-            ("queue",),
-            [
-                ((queue,), cluster_state.waiting_counts.get(queue, 0))
-                for queue in sorted(cluster_state.queue_settings)
-            ],
-        ),
-        (
-            "gauge",
-            "tasks_parked",
-            "Waiting tasks no minion known at their coming could take.",
-            ("queue",),
-            [
-                ((queue,), cluster_state.unplaceable.get(queue, 0))
-                for queue in sorted(cluster_state.queue_settings)
-            ],
-        ),
-        (
-            "gauge",
-            "units_running",
-            "Units of room reserved, by queue.",
-            ("queue",),
-            [
-                ((queue,), cluster_state.used_units.get(queue, 0))
-                for queue in sorted(cluster_state.queue_settings)
-            ],
-        ),
-        (
-            "gauge",
-            "credits_out",
-            "Credits that back running work, by the queue that lent them.",
-            ("queue",),
-            [
-                ((queue,), cluster_state.outstanding_credits.get(queue, 0))
-                for queue in sorted(cluster_state.queue_settings)
-            ],
-        ),
-        (
-            "gauge",
-            "minions",
-            "Minions this leader knows, by state.",
-            ("state",),
-            [((state,), count) for state, count in sorted(_push_workers(core, now).items())],
-        ),
-        (
-            "gauge",
-            "tasks_held",
-            "Tasks placed on silent minions, held until their end is proven.",
-            (),
-            [
-                (
-                    (),
-                    sum(
-                        len(cluster_state.reserved.get(name, ()))
-                        for name, one in core.push_workers.items()
-                        if one.unresponsive(now)
-                    ),
-                )
-            ],
-        ),
-        (
-            "counter",
-            "placements_refused",
-            "Placements the record refused, by reason.",
-            ("why",),
-            [((why,), count) for why, count in sorted(core.refusals.items())],
-        ),
-        (
-            "counter",
-            "task_ends",
-            "Ends proven while leading, by how.",
-            ("how",),
-            [((how,), count) for how, count in sorted(core.end_counts.items())],
-        ),
-        (
-            "histogram",
-            "wait_seconds",
-            "From a task's being ready to its placement, while leading.",
-            ("queue",),
-            [((queue,), histogram) for queue, histogram in sorted(core.wait_histograms.items())],
-        ),
-        *_leased_job_metrics(core, now),
-        metrics.event_metric(core.event_counts),
-    ]
-    return metrics.text(metric_families)
+# --- all -----------------------------------------------------------------------------
+# the subjects, in the order in which they are told
+COLLECTORS: tuple[Callable[[ControlDaemon, float], list[Family]], ...] = (
+    _consensus,
+    _daemon_counts,
+    _pushed_jobs,
+    _queues,
+    _push_workers,
+    _placing,
+    _leased_jobs,
+    _lease_workers,
+    _runs,
+)
+
+
+def text(daemon: ControlDaemon, now: float) -> str:
+    """All metrics in the text format of Prometheus."""
+    families: list[metrics.Metric] = []
+    for collect in COLLECTORS:
+        families.extend(collect(daemon, now))
+    families.append(metrics.event_metric(daemon.event_counts))
+    return metrics.text(families)
