--- a/features/steps/placing.py
+++ b/features/steps/placing.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from pinepitch.control import rehearsal
+from pinepitch.control import replay
 from pinepitch.model import queue_settings as rows
 
 QUEUES = {
@@ -14,7 +14,7 @@
 }
 
 
-class Yard(rehearsal.Replay):
+class Yard(replay.Replay):
     """A replay whose work takes just what it is told to. Invariant: as of Replay."""
 
     def __init__(self, workers, queues=None, capacity=8):
@@ -23,7 +23,7 @@
             workers
             if isinstance(workers, list)
             else [(f"m{one}", "a", capacity, []) for one in range(workers)],
-            rehearsal.Work(()),
+            replay.Work(()),
         )
         self.made = 0
 
@@ -67,7 +67,7 @@
             self.at(moment, "put", what)
         self.look(now)
         while self.moments and self.moments[0][0] <= end:
-            now, _, *moment = rehearsal.heapq.heappop(self.moments)
+            now, _, *moment = replay.heapq.heappop(self.moments)
             self.step(now, *moment)
 
     def step(self, now, kind, *what):
--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -1,55 +1,41 @@
-"""Placing: which waiting task goes to which minion, and who yields to whom.
+"""Placing: which waiting task goes to which worker, and who yields to whom.
 
-A decider: it reads the record and the gathered minions and returns proposals; the record
-checks each again when it is applied.
+A decider: it reads the cluster state and the workers heard of and returns proposals; the cluster
+state checks each again when it is applied.
 """
 
+from __future__ import annotations
+
 import heapq
 import itertools
-from typing import NamedTuple
+from typing import TYPE_CHECKING, Any
 
 from ..common import constants
 from ..model.task import reference, unit_of
+from .placement_round import (
+    HELD_FOR_OLDER,
+    NO_CAPACITY,
+    NO_CREDITS,
+    QUEUE_LIMIT,
+    Charges,
+    PlaceItem,
+    Round,
+    Seat,
+    UnitKey,
+    Wanted,
+)
+from .preemption import Preemption, YieldItem
 
-SHORT = ("no room", "no credits", "the queue's limit")  # what ends in room being held back
-
-
-class Seat(NamedTuple):
-    """A minion as one placing round sees it. Invariant: free counts every reservation in
-    the record and every one proposed but not yet applied."""
-
-    worker: str
-    zone: str
-    capacity: int
-    labels: frozenset
-    incarnation: str
-    poor: bool
-    address: str
-
-
-class Wanted(NamedTuple):
-    """A unit of a ticket that could start now. Invariant: names are its waiting tasks."""
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator, Sequence
 
-    job: object
-    unit: str
-    names: tuple
-    shape: tuple  # (queue, units and labels of each): what none fits of, none fits
+    from ..model.push_worker import PushWorker
+    from ..model.pushed_job import PushedJob
+    from ..state.cluster_state import ClusterState
 
+FrontDaemons = list[tuple[str, str]]  # [(identity, zone), ...] of those with a session
 
-class Round:
-    """What one round knows. Invariants: free counts every reservation in the record, every
-    one proposed, and those of this round; what is held back is for the unit named alone."""
-
-    def __init__(self, seats, free):
-        self.seats, self.free = seats, free
-        self.borrowed, self.used = {}, {}
-        self.held_back = {}  # minion -> (units, (ticket, unit)) held back there
-        self.queues = {}  # queue -> (units, (ticket, unit)) of its credits and limit held back
-
-    def kept(self, held_units, key, wanted):
-        """Units that are held back from `wanted`."""
-        units, owner = held_units.get(key, (0, None))
-        return 0 if owner == (wanted.job.identity, wanted.unit) else units
+SHORT = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being held back
 
 
 class Placer:
@@ -58,141 +44,124 @@
     all, the reason; short holds when each unit that now lacks room, credits or a place
     under its limit was first seen to."""
 
-    def __init__(self):
-        self.proposed = {}
-        self.why = {}
-        self.short = {}
-        self._worker_of = {}
-        self.turn = 0
-
-    def round(self, cluster_state, workers, front_daemons, now, time):
-        """(place items, yield items) of one round."""
+    def __init__(self) -> None:
+        self.proposed: dict[str, tuple[Charges, str, int]] = {}  # reference -> (charges, queue, units)
+        self.why: dict[tuple[str, tuple], str] = {}
+        self.short: dict[UnitKey, float] = {}
+        self._worker_of: dict[str, str] = {}
+        self.turn = 0  # of the front daemons, which send orders in turn
+
+    def round(
+        self,
+        cluster_state: ClusterState,
+        workers: dict[str, PushWorker],
+        front_daemons: FrontDaemons,
+        now: float,
+        time: float,
+    ) -> tuple[tuple[tuple[Any, ...], ...], tuple[YieldItem, ...]]:
+        """(place items, yield items) of one round, as the log holds them; `now` is this daemon's clock,
+        `time` the cluster's, both in seconds."""
         cluster_state.promote_due_units(time)
-        this = Round(*self._seats(cluster_state, workers, now))
+        this_round = Round(*self._seats(cluster_state, workers, now))
         if not front_daemons:
             return (), ()
         for charges, queue, units in self.proposed.values():
-            this.used[queue] = this.used.get(queue, 0) + units
-            for lender, credits in charges:
-                this.borrowed[lender] = this.borrowed.get(lender, 0) + credits
-        items, self.why = [], {}
-        oldest = self._hold_back(cluster_state, this, now)
+            this_round.count(charges, queue, units)
+        items: list[PlaceItem] = []
+        self.why = {}
+        oldest = self._hold_back(cluster_state, this_round, now)
         for wanted in itertools.chain(oldest, self._candidates(cluster_state)):
             if len(items) >= constants.MAX_PLACED_TASKS:
                 break
-            job = wanted.job
-            group = self._fit(cluster_state, wanted, this, front_daemons)
-            key = (job.identity, wanted.unit)
+            group = self._fit(cluster_state, wanted, this_round, front_daemons)
             if isinstance(group, str):
-                self.why[wanted.shape] = group
-                if group in SHORT:
-                    self.short.setdefault(key, now)
-                else:
-                    self.short.pop(key, None)
-                continue
-            self.short.pop(key, None)
-            for item in group:
-                name = item[0].partition("/")[2]
-                self.proposed[item[0]] = (item[6], job.queue, job.tasks[name].units)
-            items.extend(group)
-        return tuple(items), tuple(self._yields(cluster_state, this, time))
+                self._left_waiting(wanted, group, now)
+            else:
+                self._propose(wanted, group)
+                items.extend(group)
+        preemption = Preemption(cluster_state, this_round, self.why, self.proposed)
+        return tuple(map(tuple, items)), tuple(preemption.yields(time))
+
+    def _left_waiting(self, wanted: Wanted, why: str, now: float) -> None:
+        self.why[wanted.shape] = why
+        if why in SHORT:
+            self.short.setdefault(wanted.key, now)
+        else:
+            self.short.pop(wanted.key, None)
+
+    def _propose(self, wanted: Wanted, group: list[PlaceItem]) -> None:
+        self.short.pop(wanted.key, None)
+        job = wanted.job
+        for item in group:
+            name = item.reference.partition("/")[2]
+            self.proposed[item.reference] = (item.charges, job.queue, job.tasks[name].units)
 
-    def reason(self, cluster_state, job, name):
+    def reason(self, cluster_state: ClusterState, job: PushedJob, name: str) -> str:
         """Why a task that could start was not placed by the newest round."""
         slot = cluster_state.slots.get((job.identity, unit_of(job.tasks[name])))
         return self.why.get((slot[1], slot[3]), "not yet looked at") if slot else "its gang is not ready"
 
-    def _hold_back(self, cluster_state, this, now):
+    # --- what is held back ------------------------------------------------------------
+    def _hold_back(self, cluster_state: ClusterState, this_round: Round, now: float) -> list[Wanted]:
         """For the unit of each queue that has been short the longest, and long enough:
-        room on the minions where it will fit first, and its queue's credits and limit.
+        capacity on the workers where it will fit first, and its queue's credits and limit.
         Others still get what is left beside that, which delays it by nothing."""
         self.short = {key: since for key, since in self.short.items() if key in cluster_state.slots}
         oldest = []
         for key, since in sorted(self.short.items(), key=lambda one: (one[1], one[0])):
             identity, unit = key
             begins, queue, _, shape, _ = cluster_state.slots[key]
-            job, queue_settings = cluster_state.pushed_jobs[identity], cluster_state.queue_settings[queue]
+            job = cluster_state.pushed_jobs[identity]
             names = cluster_state.members(job, unit)
-            if (
-                queue in this.queues
-                or begins > cluster_state.promoted_until
-                or reference(identity, names[0]) in self.proposed
-            ):
+            if queue in this_round.queues or begins > cluster_state.promoted_until:
                 continue
-            apart = unit[0] == "/" and len(names) < sum(task.gang == unit[1:] for task in job.tasks.values())
-            if now - since < (
-                constants.PREEMPT_WAIT
-                if queue_settings.preempts or apart
-                else constants.CAPACITY_RESERVE_AFTER
-            ):
+            if reference(identity, names[0]) in self.proposed:
                 continue
-            held_units = self._hold_capacity_back(job, names, this)
+            if now - since < _patience(cluster_state, job, unit, names):
+                continue
+            held_units = this_round.capacity_for(job, names)
             if held_units is not None:
-                this.queues[queue] = (sum(job.tasks[name].units for name in names), key)
-                this.held_back.update({worker: (units, key) for worker, units in held_units.items()})
+                this_round.queues[queue] = (sum(job.tasks[name].units for name in names), key)
+                this_round.held_back.update({worker: (units, key) for worker, units in held_units.items()})
                 oldest.append(Wanted(job, unit, names, (queue, shape)))
         return oldest
 
-    def _hold_capacity_back(self, job, names, this):
-        """minion -> units to hold back for a unit, where most is free; None if it fits nowhere."""
-        taken = {}
-        for name in sorted(names, key=lambda one: (-job.tasks[one].units, one)):
-            task = job.tasks[name]
-            fitting = [
-                seat
-                for seat in this.seats
-                if frozenset(task.labels) <= seat.labels
-                and not seat.poor
-                and seat.worker not in this.held_back
-                and seat.capacity - taken.get(seat.worker, 0) >= task.units
-            ]
-            if not fitting:
-                return None
-            best = max(
-                fitting,
-                key=lambda seat: (
-                    this.free[seat.worker] - taken.get(seat.worker, 0),
-                    -len(seat.labels),
-                    seat.worker,
-                ),
-            )
-            taken[best.worker] = taken.get(best.worker, 0) + task.units
-        return taken
-
-    def _seats(self, cluster_state, workers, now):
-        """Minions that may get work, and the units free on each."""
+    # --- workers and units ------------------------------------------------------------
+    def _seats(
+        self, cluster_state: ClusterState, workers: dict[str, PushWorker], now: float
+    ) -> tuple[list[Seat], dict[str, int]]:
+        """Workers that may get work, and the units free on each: every reservation in the cluster
+        state and every one proposed is taken off."""
         seats, free = [], {}
-        pending = {}
-        for ref, (_, _, units) in self.proposed.items():
-            pending[self._worker_of.get(ref)] = pending.get(self._worker_of.get(ref), 0) + units
+        pending = self._proposed_units()
         for name in sorted(workers):
             worker = workers[name]
             report = worker.report
             if worker.unresponsive(now) or cluster_state.closed(name, report.zone):
                 continue
-            held_units = cluster_state.reserved.get(name, {})
-            taken = sum(held_units.values()) + pending.get(name, 0)
+            taken = sum(cluster_state.reserved.get(name, {}).values()) + pending.get(name, 0)
             poor = worker.poor()
             if poor and (taken or now - worker.trial_at < constants.TRIAL_EVERY):
                 continue
             free[name] = report.capacity - taken
+            labels = frozenset(report.labels)
             seats.append(
-                Seat(
-                    name,
-                    report.zone,
-                    report.capacity,
-                    frozenset(report.labels),
-                    report.incarnation,
-                    poor,
-                    report.address,
-                )
+                Seat(name, report.zone, report.capacity, labels, report.incarnation, poor, report.address)
             )
         return seats, free
 
-    def _candidates(self, cluster_state):
+    def _proposed_units(self) -> dict[str | None, int]:
+        """worker -> units proposed there, not yet applied."""
+        pending: dict[str | None, int] = {}
+        for ref, (_, _, units) in self.proposed.items():
+            worker = self._worker_of.get(ref)
+            pending[worker] = pending.get(worker, 0) + units
+        return pending
+
+    def _candidates(self, cluster_state: ClusterState) -> Iterator[Wanted]:
         """What could start now: most urgent first, queues in turn by how little of their
         share they use, within a queue by due. A shape of which one did not fit is left."""
-        heads = []
+        heads: list[tuple[int, float, str, dict[tuple, Sequence[tuple]]]] = []
         for queue, levels in cluster_state.ready_units.items():
             queue_settings = cluster_state.queue_settings.get(queue)
             if queue_settings is None:
@@ -201,211 +170,88 @@
             heads.extend((-urgency, load, queue, shapes) for urgency, shapes in levels.items())
         heads.sort(key=lambda one: one[:3])
         for _, _, queue, shapes in heads:
-            cursors = [(entries[0], shape, 0) for shape, entries in shapes.items()]
-            heapq.heapify(cursors)
-            while cursors:
-                entry, shape, place = cursors[0]
-                if (queue, shape) in self.why:
-                    heapq.heappop(cursors)
-                    continue
-                if place + 1 < len(shapes[shape]):
-                    heapq.heapreplace(cursors, (shapes[shape][place + 1], shape, place + 1))
-                else:
-                    heapq.heappop(cursors)
-                _, number, unit = entry
-                job = cluster_state.pushed_jobs[f"t{number}"]
-                names = cluster_state.members(job, unit)
-                if reference(job.identity, names[0]) not in self.proposed:
-                    yield Wanted(job, unit, names, (queue, shape))
-
-    def _fit(self, cluster_state, wanted, this, front_daemons):
-        """Items for all tasks of a unit, or the reason why not."""
-        job, names = wanted.job, wanted.names
-        queue = job.queue
-        queue_settings = cluster_state.queue_settings[queue]
-        units = sum(job.tasks[name].units for name in names)
-        kept = this.kept(this.queues, queue, wanted)
-        if (
-            cluster_state.used_units.get(queue, 0) + this.used.get(queue, 0) + units
-            > queue_settings.limit - kept
-        ):
-            return "held back for older work of its queue" if kept else "the queue's limit"
-        taken, lent, group = {}, {}, []
-        for name in sorted(names, key=lambda one: (-job.tasks[one].units, one)):
+            yield from self._candidates_of(cluster_state, queue, shapes)
+
+    def _candidates_of(
+        self, cluster_state: ClusterState, queue: str, shapes: dict[tuple, Sequence[tuple]]
+    ) -> Iterator[Wanted]:
+        """The units of one queue and urgency by due, merged from the lists of their shapes."""
+        cursors = [(entries[0], shape, 0) for shape, entries in shapes.items()]
+        heapq.heapify(cursors)
+        while cursors:
+            entry, shape, place = cursors[0]
+            if (queue, shape) in self.why:
+                heapq.heappop(cursors)
+                continue
+            if place + 1 < len(shapes[shape]):
+                heapq.heapreplace(cursors, (shapes[shape][place + 1], shape, place + 1))
+            else:
+                heapq.heappop(cursors)
+            _, number, unit = entry
+            job = cluster_state.pushed_jobs[f"t{number}"]
+            names = cluster_state.members(job, unit)
+            if reference(job.identity, names[0]) not in self.proposed:
+                yield Wanted(job, unit, names, (queue, shape))
+
+    # --- fitting ----------------------------------------------------------------------
+    def _fit(
+        self, cluster_state: ClusterState, wanted: Wanted, this_round: Round, front_daemons: FrontDaemons
+    ) -> list[PlaceItem] | str:
+        """Items for all tasks of a unit, which are counted in the round, or the reason why not."""
+        job, queue = wanted.job, wanted.job.queue
+        units = sum(job.tasks[name].units for name in wanted.names)
+        kept = this_round.kept(this_round.queues, queue, wanted)
+        used = cluster_state.used_units.get(queue, 0) + this_round.used.get(queue, 0)
+        if used + units > cluster_state.queue_settings[queue].limit - kept:
+            return HELD_FOR_OLDER if kept else QUEUE_LIMIT
+        taken: dict[str, int] = {}
+        lent: dict[str, int] = {}
+        group = []
+        for name in wanted.largest_first():
             task = job.tasks[name]
-            charges = self._charges(cluster_state, job, task.units, this.borrowed, lent, kept)
+            charges = this_round.charges(cluster_state, job, task.units, lent, kept)
             if charges is None:
-                return "held back for older work of its queue" if kept else "no credits"
-            seat = self._draw(task, wanted, this, taken)
+                return HELD_FOR_OLDER if kept else NO_CREDITS
+            seat = this_round.draw(task, wanted, taken)
             if isinstance(seat, str):
                 return seat
             taken[seat.worker] = taken.get(seat.worker, 0) + task.units
-            self.turn += 1
-            near = [one for one, zone in front_daemons if zone == seat.zone] or [
-                one for one, _ in front_daemons
-            ]
-            front_daemon = near[self.turn % len(near)]
-            group.append(
-                (
-                    reference(job.identity, name),
-                    seat.worker,
-                    seat.zone,
-                    seat.capacity,
-                    seat.incarnation,
-                    front_daemon,
-                    charges,
-                    seat.address,
-                )
-            )
+            group.append(self._item(reference(job.identity, name), seat, charges, front_daemons))
         for worker, units_taken in taken.items():
-            this.free[worker] -= units_taken
-        for lender, credits in lent.items():
-            this.borrowed[lender] = this.borrowed.get(lender, 0) + credits
-        this.used[queue] = this.used.get(queue, 0) + units
+            this_round.free[worker] -= units_taken
+        this_round.count(lent.items(), queue, units)
         for item in group:
-            self._worker_of[item[0]] = item[1]
+            self._worker_of[item.reference] = item.worker
         return group
 
-    def _draw(self, task, wanted, this, taken):
-        """The seat for a task: the one with most room left, so that load spreads; seats
-        with labels that the task does not ask for come last, so that they stay free."""
-        best, best_rank, fits = None, None, False
-        labels = frozenset(task.labels)
-        for seat in this.seats:
-            if not labels <= seat.labels or task.units > seat.capacity:
-                continue
-            fits = True
-            left = this.free[seat.worker] - taken.get(seat.worker, 0) - task.units
-            left -= this.kept(this.held_back, seat.worker, wanted)
-            if left < 0 or (seat.poor and taken.get(seat.worker)):
-                continue
-            rank = (seat.poor, len(seat.labels - labels), -left / max(1, seat.capacity), seat.worker)
-            if best is None or rank < best_rank:
-                best, best_rank = seat, rank
-        if best is None:
-            return "no room" if fits else "no minion fits"
-        return best
-
-    def _charges(self, cluster_state, job, units, borrowed, lent, kept):
-        """Who lends the credits: the queue itself but for what it keeps, then the queues
-        with most idle. A feed has no end, so it never borrows."""
-        queue = job.queue
-
-        def balance(one):
-            return cluster_state.balance(one) - borrowed.get(one, 0) - lent.get(one, 0)
-
-        own = min(units, max(0, balance(queue) - kept))
-        charges = [(queue, own)] if own else []
-        rest = units - own
-        if rest and job.kind != "feed":
-            lenders = sorted(
-                (
-                    one
-                    for one, queue_settings in cluster_state.queue_settings.items()
-                    if one != queue and queue_settings.lends and not cluster_state.ready_units.get(one)
-                ),
-                key=lambda one: (-balance(one), one),
-            )
-            for lender in lenders:
-                part = min(rest, balance(lender))
-                if part <= 0:
-                    break
-                charges.append((lender, part))
-                rest -= part
-                if not rest:
-                    break
-        if rest:
-            return None
-        for lender, credits in charges:
-            lent[lender] = lent.get(lender, 0) + credits
-        return tuple(charges)
-
-    def _wanting(self, cluster_state):
-        """(ticket, task name, why) of the oldest single tasks of rows that preempt which found
-        no room, or whose credits are lent out."""
-        for (queue, shape), why in self.why.items():
-            if (
-                why not in ("no room", "no credits")
-                or not cluster_state.queue_settings[queue].preempts
-                or len(shape) != 2
-            ):
-                continue
-            for urgency in sorted(cluster_state.ready_units[queue], reverse=True):
-                for _, number, unit in cluster_state.ready_units[queue][urgency].get(shape, ())[
-                    : constants.MAX_PREEMPTING_TASKS
-                ]:
-                    job = cluster_state.pushed_jobs[f"t{number}"]
-                    if unit in job.tasks and reference(job.identity, unit) not in self.proposed:
-                        yield job, unit, why
-
-    def _yields(self, cluster_state, this, time):
-        """Which running tasks should yield to urgent ones that found no room or whose own
-        credits were lent."""
-        named = set(cluster_state.yielding)
-        served = {found[2].yields_to for found in map(cluster_state.find, named) if found}
-        for job, name, why in self._wanting(cluster_state):
-            task, standing = job.tasks[name], job.standings[name]
-            whom = reference(job.identity, name)
-            if time - standing.since < constants.PREEMPT_WAIT or whom in served:
-                continue
-            if why == "no credits":
-                best = self._recalled(cluster_state, job, task, named)
-            else:
-                best = None
-                for seat in this.seats:
-                    if not frozenset(task.labels) <= seat.labels or task.units > seat.capacity:
-                        continue
-                    victims = self._victims(
-                        cluster_state,
-                        job,
-                        cluster_state.reserved.get(seat.worker, {}),
-                        named,
-                        task.units - this.free[seat.worker],
-                    )
-                    if victims and (best is None or len(victims) < len(best)):
-                        best = victims
-            for ref in best or ():
-                named.add(ref)
-                yield (ref, cluster_state.find(ref)[2].attempt, whom)
-
-    def _recalled(self, cluster_state, job, task, named):
-        """Borrowers of a queue's own credits whose end would bring enough of them back."""
-        gains = {}
-        for held_units in cluster_state.reserved.values():
-            for ref in held_units:
-                other, _, standing = cluster_state.find(ref)
-                back = sum(credits for lender, credits in standing.charges if lender == job.queue)
-                if back and other.queue != job.queue:
-                    gains[ref] = back
-        return self._victims(
-            cluster_state, job, gains, named, task.units - max(0, cluster_state.balance(job.queue))
+    def _item(self, ref: str, seat: Seat, charges: Charges, front_daemons: FrontDaemons) -> PlaceItem:
+        """A task on a worker, its order sent by one of the front daemons of the zone in turn."""
+        self.turn += 1
+        near = [one for one, zone in front_daemons if zone == seat.zone] or [one for one, _ in front_daemons]
+        front_daemon = near[self.turn % len(near)]
+        return PlaceItem(
+            ref,
+            seat.worker,
+            seat.zone,
+            seat.capacity,
+            seat.incarnation,
+            front_daemon,
+            charges,
+            seat.address,
         )
 
-    def _victims(self, cluster_state, job, gains, named, missing):
-        """The least urgent, newest of the tasks in `gains` (reference -> what its end gives)
-        that may be made to yield to a ticket and together give what is missing; None when
-        they don't, or nothing is missing."""
-        victims = []
-        for ref in sorted(
-            gains,
-            key=lambda one: (cluster_state.find(one)[0].urgency, -cluster_state.find(one)[2].since, one),
-        ):
-            if missing <= 0:
-                break
-            other, other_task, _ = cluster_state.find(ref)
-            if (
-                ref in named
-                or other.urgency >= job.urgency
-                or not cluster_state.queue_settings[other.queue].yields
-                or other_task.gang
-            ):
-                continue
-            victims.append(ref)
-            missing -= gains[ref]
-        return victims if victims and missing <= 0 else None
-
-    def forget_proposed(self, items):
+    def forget_proposed(self, references: Iterable[str]) -> None:
         """Hears that proposed items were applied or lost with their leader."""
-        for ref in items:
+        for ref in references:
             self.proposed.pop(ref, None)
             self._worker_of.pop(ref, None)
+
+
+def _patience(cluster_state: ClusterState, job: PushedJob, unit: str, names: Sequence[str]) -> float:
+    """For how many seconds a unit is short before capacity is held back for it: less for a queue that
+    preempts, and for the rest of a gang of which some run already."""
+    is_gang = unit[0] == "/"
+    apart = is_gang and len(names) < sum(task.gang == unit[1:] for task in job.tasks.values())
+    if apart or cluster_state.queue_settings[job.queue].preempts:
+        return constants.PREEMPT_WAIT
+    return constants.CAPACITY_RESERVE_AFTER
--- /dev/null
+++ b/src/pinepitch/control/preemption.py
@@ -0,0 +1,118 @@
+"""Preemption: which running tasks should yield to more urgent ones that a placing round left waiting."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..common import constants
+from ..model.task import reference
+from .placement_round import NO_CAPACITY, NO_CREDITS
+
+if TYPE_CHECKING:
+    from collections.abc import Container, Iterator, Mapping
+
+    from ..model.pushed_job import PushedJob
+    from ..model.task import Task
+    from ..state.cluster_state import ClusterState
+    from .placement_round import Round
+
+YieldItem = tuple[str, int, str]  # (task reference, attempt, reference of whom it yields to)
+
+
+class Preemption:
+    """The preemption of one round. Invariant: named holds every task that yields already,
+    agreed on or found here, so that none is asked for twice."""
+
+    def __init__(
+        self,
+        cluster_state: ClusterState,
+        this_round: Round,
+        why: Mapping[tuple, str],
+        proposed: Container[str],
+    ) -> None:
+        self._cluster_state, self._round = cluster_state, this_round
+        self._why = why  # (queue, shape) -> why the round left one waiting
+        self._proposed = proposed  # references proposed, not yet applied
+        self.named = set(cluster_state.yielding)
+
+    def yields(self, time: float) -> Iterator[YieldItem]:
+        """Who should yield to urgent tasks that found no room or whose own credits were lent;
+        `time` is the cluster's, in seconds."""
+        served = {found[2].yields_to for found in map(self._cluster_state.find, self.named) if found}
+        for job, name, why in self._wanting():
+            task, standing = job.tasks[name], job.standings[name]
+            whom = reference(job.identity, name)
+            if time - standing.since < constants.PREEMPT_WAIT or whom in served:
+                continue
+            if why == NO_CREDITS:
+                victims = self._borrowers(job, task)
+            else:
+                victims = self._fewest_of_one_worker(job, task)
+            for ref in victims or ():
+                self.named.add(ref)
+                yield (ref, self._cluster_state.find(ref)[2].attempt, whom)
+
+    def _wanting(self) -> Iterator[tuple[PushedJob, str, str]]:
+        """(job, task name, why) of the oldest single tasks of queues that preempt which found
+        no room, or whose credits are lent out."""
+        for (queue, shape), why in self._why.items():
+            preempts = self._cluster_state.queue_settings[queue].preempts
+            if why not in (NO_CAPACITY, NO_CREDITS) or not preempts or len(shape) != 2:
+                continue
+            levels = self._cluster_state.ready_units[queue]
+            for urgency in sorted(levels, reverse=True):
+                for _, number, unit in levels[urgency].get(shape, ())[: constants.MAX_PREEMPTING_TASKS]:
+                    job = self._cluster_state.pushed_jobs[f"t{number}"]
+                    if unit in job.tasks and reference(job.identity, unit) not in self._proposed:
+                        yield job, unit, why
+
+    def _fewest_of_one_worker(self, job: PushedJob, task: Task) -> list[str] | None:
+        """The fewest tasks of one worker whose ends would make room for a task."""
+        best = None
+        labels = frozenset(task.labels)
+        for seat in self._round.seats:
+            if not labels <= seat.labels or task.units > seat.capacity:
+                continue
+            reserved = self._cluster_state.reserved.get(seat.worker, {})
+            victims = self._victims(job, reserved, task.units - self._round.free[seat.worker])
+            if victims and (best is None or len(victims) < len(best)):
+                best = victims
+        return best
+
+    def _borrowers(self, job: PushedJob, task: Task) -> list[str] | None:
+        """Borrowers of a queue's own credits whose end would bring enough of them back."""
+        gains = {}
+        for reserved in self._cluster_state.reserved.values():
+            for ref in reserved:
+                other, _, standing = self._cluster_state.find(ref)
+                back = sum(credits for lender, credits in standing.charges if lender == job.queue)
+                if back and other.queue != job.queue:
+                    gains[ref] = back
+        return self._victims(job, gains, task.units - max(0, self._cluster_state.balance(job.queue)))
+
+    def _victims(self, job: PushedJob, gains: Mapping[str, int], missing: int) -> list[str] | None:
+        """The least urgent, newest of the tasks in `gains` (reference -> what its end gives)
+        that may be made to yield to a job and together give what is missing; None when
+        they don't, or nothing is missing."""
+        victims = []
+        for ref in sorted(gains, key=self._urgency_and_age):
+            if missing <= 0:
+                break
+            if self._may_yield(ref, job):
+                victims.append(ref)
+                missing -= gains[ref]
+        return victims if victims and missing <= 0 else None
+
+    def _urgency_and_age(self, ref: str) -> tuple[int, float, str]:
+        job, _, standing = self._cluster_state.find(ref)
+        return (job.urgency, -standing.since, ref)
+
+    def _may_yield(self, ref: str, job: PushedJob) -> bool:
+        """Whether a running task may be made to yield to a job: no part of a gang does."""
+        other, task, _ = self._cluster_state.find(ref)
+        return (
+            ref not in self.named
+            and other.urgency < job.urgency
+            and self._cluster_state.queue_settings[other.queue].yields
+            and not task.gang
+        )
--- /dev/null
+++ b/src/pinepitch/control/replay.py
@@ -0,0 +1,337 @@
+"""Replays of recent traffic: the cluster state and the placing code in virtual time.
+
+Pure, so that they can run apart from the placing path. Times are seconds.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any, NamedTuple
+
+from ..common import constants
+from ..model.push_worker import PushWorker, Report
+from ..state.cluster_state import ClusterState
+from .placement import Placer
+
+METRICS = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
+SHARES = ("dues_missed", "failed", "shed", "preemptions")  # told as shares of a queue's jobs
+
+Block = tuple[float, tuple, tuple]  # (length, what runs at its begin, arrivals), as the sample has it
+WorkKind = tuple[str, str, int, tuple]  # (queue, kind, units, labels)
+QueueMetrics = dict[str, dict[str, float]]  # queue -> metric -> value
+
+
+class SampledTask(NamedTuple):
+    """A task as the traffic sample tells it (`state/traffic_sample.py`)."""
+
+    name: str
+    units: int
+    labels: Sequence[str]
+    after: Sequence[str]
+    wait: float  # from the job's arrival to the task's time, 0 for none
+    gang: str
+    attempts: int  # as asked for, 0 for the queue's
+    limit: float
+    took: float | None  # None if it was not seen to end
+    failures: int
+    lost: float  # by all its failures
+
+
+class SampledJob(NamedTuple):
+    """A job as the traffic sample tells it."""
+
+    arrival: float  # from the begin of its block
+    queue: str
+    kind: str
+    urgency: int  # -1 for the queue's
+    due: float  # from its arrival, 0 for none
+    tasks: Iterable[tuple]  # each a SampledTask
+
+
+class Work:
+    """What the sample tells of each kind of work: how long it takes, how often it fails and
+    after what time. Invariant: the same draw for the same seed, task and attempt, whatever
+    the table."""
+
+    def __init__(self, blocks: Iterable[Block]) -> None:
+        self.lengths: dict[WorkKind, list[float]] = {}
+        self.lost: dict[WorkKind, list[float]] = {}
+        self.tries: dict[WorkKind, int] = {}
+        self.failures: dict[WorkKind, int] = {}
+        for _, _, arrivals in blocks:
+            for arrival in arrivals:
+                job = SampledJob._make(arrival)
+                for task in job.tasks:
+                    self._count(job, SampledTask._make(task))
+
+    def _count(self, job: SampledJob, task: SampledTask) -> None:
+        known = (job.queue, job.kind, task.units, tuple(task.labels))
+        if task.took is not None:
+            self.lengths.setdefault(known, []).append(task.took)
+            self.tries[known] = self.tries.get(known, 0) + 1
+        if task.failures:
+            self.lost.setdefault(known, []).append(task.lost / task.failures)
+            self.tries[known] = self.tries.get(known, 0) + task.failures
+            self.failures[known] = self.failures.get(known, 0) + task.failures
+
+    def outcome(self, known: WorkKind, took: float | None, seed: str) -> tuple[float | None, str]:
+        """(seconds, how it ended) of one attempt; a feed that was not seen to end never does."""
+        draw = random.Random(seed)
+        if draw.random() * self.tries.get(known, 1) < self.failures.get(known, 0):
+            return draw.choice(self.lost[known]), "failed"
+        if took is None:
+            if known[1] == "feed":
+                return None, "done"
+            took = draw.choice(self.lengths.get(known, (1.0,)))
+        return took, "done"
+
+
+def resampled(blocks: Iterable[Block], seed: int) -> tuple[tuple, list[tuple]]:
+    """(running at the start, arrivals) of whole blocks drawn anew and put one after another
+    until they last REPLAY_LASTS or hold REPLAY_JOBS; some block must hold an arrival."""
+    draw = random.Random(f"rehearsal-{seed}")
+    blocks = [block for block in blocks if block[2]]
+    moment, running = 0.0, None
+    arrivals: list[tuple] = []
+    while moment < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_JOBS:
+        length, running_then, arrivals_then = draw.choice(blocks)
+        running = running_then if running is None else running
+        arrivals.extend((moment + one[0], *one[1:]) for one in arrivals_then)
+        moment += length
+    return running or (), arrivals
+
+
+def _worker(name: str, zone: str, capacity: int, labels: Iterable[str]) -> PushWorker:
+    """A worker that reported nothing but its capacity."""
+    report = Report(name, zone, "", capacity, tuple(labels), False, "one", 1, 0.0, (), ())
+    return PushWorker(report, 0.0)
+
+
+class Replay:
+    """One table on some workers in virtual time. Invariants: moments are handled in order of
+    (time, number); a round is due while something is ready and nothing else comes first."""
+
+    def __init__(
+        self, queue_configuration: dict[str, Any], worker_capacities: Iterable, work: Work, seed: int = 0
+    ) -> None:
+        self.cluster_state, self.placer = ClusterState(), Placer()
+        self.index = 0  # of the newest operation
+        self.apply(0.0, ("setup", "rehearsal", None, "whole", queue_configuration, "rehearsal", ""))
+        self.apply(0.0, ("duty", "placing", "rehearsal"))
+        self.workers = {one[0]: _worker(*one) for one in worker_capacities}
+        self.work, self.seed = work, seed
+        self.number = 0  # of the newest moment
+        self.moments: list[tuple] = []  # a heap of (when, number, kind, ...)
+        self.took: dict[str, float | None] = {}  # task reference -> seconds it took where seen
+        self.names: dict[str, tuple[Any, bool]] = {}  # job -> (what tells its draws from others', counted)
+        self.dues: dict[str, float] = {}  # job -> its due
+        self.starts: list[tuple[float, str, int, str]] = []  # (when, task reference, attempt, worker)
+        self.waits: dict[str, list[float]] = {}  # queue -> from ready to placed
+        self.metrics: QueueMetrics = {}
+        self.counts: dict[str, int] = {}  # queue -> jobs that came
+        self.round_at: float | None = None
+
+    # --- time -------------------------------------------------------------------------
+    def at(self, when: float, *moment: Any) -> None:
+        """Notes a moment to come: its kind and what belongs to it."""
+        self.number += 1
+        heapq.heappush(self.moments, (when, self.number, *moment))
+
+    def run(
+        self,
+        arrivals: Sequence[tuple],
+        running: Iterable[tuple] = (),
+        lasting: float = constants.REHEARSAL_LONGEST,
+        pause: Callable[[], None] | None = None,
+    ) -> QueueMetrics:
+        """The metrics of a replay of `arrivals`, with `running` under way at its start; `pause` is
+        called now and then, so that a thread can leave the processor to others."""
+        for one in running:
+            self._begin_running(*one)
+        self.look(0.0)
+        for place, arrival in enumerate(arrivals):
+            self.at(arrival[0], "arrive", arrival, place)
+        last = arrivals[-1][0] if arrivals else 0.0
+        steps = 0
+        while self.moments and self.moments[0][0] <= last + lasting:
+            now, _, *moment = heapq.heappop(self.moments)
+            self.step(now, *moment)
+            steps += 1
+            if pause is not None and steps % constants.REPLAY_SLICE == 0:
+                pause()
+        return self.finish(last + lasting)
+
+    def _begin_running(self, queue: str, kind: str, units: int, labels: Sequence[str], count: int) -> None:
+        """So many alike tasks are under way as the replay begins; they count in no metric."""
+        task = SampledTask("s", units, labels, (), 0.0, "", 0, 0.0, None, 0, 0.0)
+        for place in range(count):
+            job = SampledJob(0.0, queue, kind, -1, 0.0, (task,))
+            self.arrive(0.0, job, f"running-{queue}-{units}-{place}", False)
+
+    def step(self, now: float, kind: str, *what: Any) -> None:
+        """Handles one moment, and says when the next round is due."""
+        moved = True
+        if kind == "arrive":
+            self.arrive(now, *what)
+        elif kind == "end":
+            self.apply(now, ("ended", (what,)))
+        elif kind == "round":
+            if now != self.round_at:
+                return  # one that was overtaken
+            self.round_at = None
+            moved = self.round(now)
+        when = self._next_round(now, moved)
+        if when is not None and (self.round_at is None or when < self.round_at):
+            self.look(when)
+
+    def _next_round(self, now: float, moved: bool) -> float | None:
+        """When a round may next place something, None while only other moments can help."""
+        next_due: float | None = self.cluster_state.promote_due_units(now)
+        if not self.cluster_state.ready_units:
+            return next_due
+        if moved:
+            return now + constants.PLACE_EVERY
+        if self.moments:  # what found no room is tried again when something has happened
+            return max(now + constants.PLACE_EVERY, min(self.moments[0][0], now + 0.5))
+        return None
+
+    def look(self, when: float) -> None:
+        """Has a round at `when`, in the place of any that was due."""
+        self.round_at = when
+        self.at(when, "round")
+
+    def apply(self, now: float, operation: tuple) -> tuple:
+        """The outcome of an operation on the cluster state."""
+        self.index += 1
+        outcome: tuple = self.cluster_state.apply(self.index, now, operation)
+        return outcome
+
+    # --- arrivals ---------------------------------------------------------------------
+    def arrive(self, now: float, arrival: Iterable, place: Any, counted: bool = True) -> None:
+        """A job of the sample comes; `place` tells its draws from others'."""
+        job = SampledJob._make(arrival)
+        tasks = [SampledTask._make(one) for one in job.tasks]
+        plain = _submitted(job, tasks, now)
+        outcome = self.apply(now, ("ticket", f"r{self.number}-{self.index}", "", plain))
+        accepted = outcome[0] == "accepted"
+        if counted:
+            self._count(job.queue, accepted)
+        if not accepted:
+            return
+        identity = outcome[1]
+        self.names[identity] = (place, counted)
+        for task in tasks:
+            self.took[f"{identity}/{task.name}"] = task.took
+        if job.due and counted:
+            self.dues[identity] = now + job.due
+
+    def _count(self, queue: str, accepted: bool) -> None:
+        self.counts[queue] = self.counts.get(queue, 0) + 1
+        self.metrics.setdefault(queue, dict.fromkeys(METRICS, 0.0))
+        self.waits.setdefault(queue, [])
+        if not accepted:
+            self.metrics[queue]["shed"] += 1
+
+    # --- placing ----------------------------------------------------------------------
+    def round(self, now: float) -> bool:
+        """One placing round; whether it did anything."""
+        for worker in self.workers.values():
+            worker.heard_at = now
+        items, yields = self.placer.round(self.cluster_state, self.workers, [("verge", "")], now, now)
+        if items:
+            self._place(now, items)
+        if yields:
+            self._yield(now, yields)
+        for ref, attempt in self.cluster_state.yielding.items():  # a stale end changes nothing
+            self.at(now + 0.1, "end", ref, attempt, "killed")
+        return bool(items or yields)
+
+    def _place(self, now: float, items: tuple) -> None:
+        outcome = self.apply(now, ("place", 1, self.cluster_state.version, items))
+        self.placer.forget_proposed([item[0] for item in items])
+        for ref, refusal in outcome[1]:
+            if not refusal:
+                self.placed(now, ref)
+
+    def _yield(self, now: float, yields: tuple) -> None:
+        self.apply(now, ("yield", 1, yields))
+        for ref, _attempt, _ in yields:
+            found = self.cluster_state.find(ref)
+            if ref in self.cluster_state.yielding and found[0].queue in self.metrics:
+                self.metrics[found[0].queue]["preemptions"] += 1
+
+    def placed(self, now: float, ref: str) -> None:
+        """A task was placed: draws how long it takes, and notes its end."""
+        job, task, standing = self.cluster_state.find(ref)
+        place, counted = self.names[job.identity]
+        seconds, how = self.work.outcome(
+            (job.queue, job.kind, task.units, task.labels),
+            self.took[ref],
+            f"{self.seed}-{place}-{task.name}-{standing.attempt}",
+        )
+        self.starts.append((now, ref, standing.attempt, standing.worker))
+        if not counted and seconds is not None:
+            seconds *= random.Random(f"{self.seed}-{place}").random()  # it ran for a while already
+        if seconds is not None:
+            if task.limit and seconds > task.limit:
+                seconds, how = task.limit, "failed"
+            self.at(now + seconds, "end", ref, standing.attempt, how)
+        if counted:
+            if standing.attempt == 1:
+                self.waits[job.queue].append(max(0.0, now - job.ready_since(task)))
+            self.metrics[job.queue]["room_used"] += task.units * (seconds or 0.0)
+
+    # --- metrics ----------------------------------------------------------------------
+    def finish(self, end: float) -> QueueMetrics:
+        """The metrics: waits in seconds, capacity used in unit seconds, the rest as shares of the
+        queue's jobs."""
+        for job in self.cluster_state.pushed_jobs.values():
+            if job.queue in self.metrics and self.names[job.identity][1]:
+                self._judge(job, end)
+        for queue, metrics in self.metrics.items():
+            waits = sorted(self.waits[queue])
+            metrics["wait_median"] = waits[len(waits) // 2] if waits else 0.0
+            metrics["wait_99"] = waits[min(len(waits) - 1, len(waits) * 99 // 100)] if waits else 0.0
+            for name in SHARES:
+                metrics[name] /= self.counts[queue]
+        return self.metrics
+
+    def _judge(self, job: Any, end: float) -> None:
+        """Counts what became of one job by the replay's end."""
+        metrics, due = self.metrics[job.queue], self.dues.get(job.identity)
+        metrics["dues_missed"] += due is not None and (job.state != "finished" or job.ended_at > due)
+        metrics["failed"] += job.state in ("failed", "failing")
+        if job.state == "pending":
+            self.waits[job.queue].extend(
+                max(0.0, end - max(job.accepted, job.tasks[name].not_before))
+                for name, standing in job.standings.items()
+                if standing.attempt == 0
+            )
+
+
+def _submitted(job: SampledJob, tasks: Iterable[SampledTask], now: float) -> dict[str, Any]:
+    """The checked document of a job that comes now."""
+    return {
+        "queue": job.queue,
+        "kind": job.kind,
+        "urgency": job.urgency,
+        "not_before": 0,
+        "due": now + job.due if job.due else 0,
+        "tasks": [_submitted_task(task, now) for task in tasks],
+    }
+
+
+def _submitted_task(task: SampledTask, now: float) -> dict[str, Any]:
+    return {
+        "name": task.name,
+        "units": task.units,
+        "labels": task.labels,
+        "after": task.after,
+        "gang": task.gang,
+        "not_before": now + task.wait if task.wait else 0,
+        "attempts": task.attempts,
+        "limit": task.limit,
+        "work": None,
+    }
