--- a/src/pinepitch/control/alert_watch.py
+++ b/src/pinepitch/control/alert_watch.py
@@ -1,10 +1,13 @@
-"""Alert rules in the Prometheus manner, as inputs to control; rulefile.py reads them.
+"""Alert rules in the Prometheus manner, as inputs to the leader; `alert_rules.py` reads them from a file.
 
-A firing rule labelled `hold: approvals` holds approvals back until it clears; it never holds
+A firing rule labelled `hold: approvals` pauses approvals until it clears; it never holds back
 an emergency change.
 """
 
+from __future__ import annotations
+
 import operator
+from collections.abc import Sequence
 from typing import NamedTuple
 
 COMPARISONS = {
@@ -16,49 +19,63 @@
     "!=": operator.ne,
 }
 
+Series = dict[str, list[tuple[dict[str, str], float]]]  # metric -> (labels, value) of each sample
+
 
 class Rule(NamedTuple):
-    """Invariants: alert is unique in its file; holds is "approvals" or ''."""
+    """One alert. Invariants: alert is unique in its file; pauses is "approvals" or ""."""
 
     alert: str
     metric: str
-    labels: tuple
-    comparison: str
+    labels: tuple[tuple[str, str], ...]  # that a sample must have
+    comparison: str  # one of COMPARISONS
     bound: float
-    lasting: float
+    lasting: float  # seconds for which the comparison must hold
     pauses: str
     summary: str
 
+    def hits(self, series: Series) -> list[float]:
+        """The values for which the comparison holds."""
+        holds = COMPARISONS[self.comparison]
+        return [
+            value
+            for labels, value in series.get(self.metric, ())
+            if all(labels.get(label) == wanted for label, wanted in self.labels) and holds(value, self.bound)
+        ]
+
+    def why(self, value: float) -> str:
+        """What is told of the alert while it fires on a value."""
+        summary = f": {self.summary}" if self.summary else ""
+        return f"{self.metric} is {value:g}, {self.comparison} {self.bound:g}" + summary
+
 
 class Watch:
-    """What the holder of the duty knows of the rules. Invariant: since holds the rules whose
-    expression holds now, and from when on."""
+    """What the leader knows of the rules. Invariant: since holds the alerts of the rules whose
+    comparison holds now, and from when on, in seconds of this daemon's clock."""
 
-    def __init__(self, rules):
+    def __init__(self, rules: Sequence[Rule]) -> None:
         self.rules = rules
-        self.since = {}
+        self.since: dict[str, float] = {}
 
-    def firing(self, metrics, now):
-        """alert -> why, for the rules that fire by these metrics."""
-        # loaded by its first use: a daemon without rules starts sooner
-        from prometheus_client.parser import text_string_to_metric_families
-
-        series = {}
-        for family in text_string_to_metric_families(metrics):
-            for sample in family.samples:
-                series.setdefault(sample.name, []).append((sample.labels, sample.value))
+    def firing(self, metrics: str, now: float) -> dict[str, str]:
+        """alert -> why, for the rules that fire by these metrics in the text format of Prometheus."""
+        series = _parsed(metrics)
         fires = {}
         for rule in self.rules:
-            hits = [
-                value
-                for labels, value in series.get(rule.metric, ())
-                if all(labels.get(label) == wanted for label, wanted in rule.labels)
-                and COMPARISONS[rule.comparison](value, rule.bound)
-            ]
+            hits = rule.hits(series)
             if not hits:
                 self.since.pop(rule.alert, None)
             elif now - self.since.setdefault(rule.alert, now) >= rule.lasting:
-                fires[rule.alert] = f"{rule.metric} is {hits[0]:g}, {rule.comparison} {rule.bound:g}" + (
-                    f": {rule.summary}" if rule.summary else ""
-                )
+                fires[rule.alert] = rule.why(hits[0])
         return fires
+
+
+def _parsed(metrics: str) -> Series:
+    # loaded by its first use: a daemon without rules starts sooner
+    from prometheus_client.parser import text_string_to_metric_families
+
+    series: Series = {}
+    for family in text_string_to_metric_families(metrics):
+        for sample in family.samples:
+            series.setdefault(sample.name, []).append((sample.labels, sample.value))
+    return series
--- a/src/pinepitch/control/bootstrap.py
+++ b/src/pinepitch/control/bootstrap.py
@@ -1,53 +1,69 @@
-"""Founding: how accords that know no cohort agree, once, on being one."""
+"""Bootstrap: how control daemons that know no cluster agree, once, on being one."""
 
 import hashlib
+from collections.abc import Iterable
+from typing import NamedTuple
 
 from ..common import constants
+from .sessions import CONTROL_DAEMON
+
+
+class EmptyDaemon(NamedTuple):
+    """A control daemon that knows no cluster, as it was last heard."""
+
+    zone: str
+    view: tuple[str, ...]  # identities of the empty daemons that it sees itself
+    heard: float  # seconds of this daemon's clock
 
 
 class Bootstrap:
-    """What an empty accord has seen.
+    """What an empty control daemon has seen.
 
     Invariants: consent is given at most once, to one list, and is durable before it is
-    told; nothing is founded while any daemon reached knows a cohort."""
+    told; no cluster begins while any daemon reached knows one."""
 
-    def __init__(self, identity, zone, bootstrap_size):
-        self.identity, self.zone, self.bootstrap_size = identity, zone, bootstrap_size
-        self.empty_daemons = {identity: (zone, (), 0.0)}  # identity -> (area, its own view, heard)
-        self.known_clusters = {}  # daemon -> (cohort, heard)
-        self.agreed_since = None
-        self.agreed = ()
+    def __init__(self, identity: str, zone: str, bootstrap_size: int) -> None:
+        self.identity, self.zone = identity, zone
+        self.bootstrap_size = bootstrap_size  # how many empty daemons must see each other
+        self.empty_daemons = {identity: EmptyDaemon(zone, (), 0.0)}
+        self.known_clusters: dict[str, tuple[str, float]] = {}  # daemon -> (cluster that it knows, heard)
+        self.agreed_since: float | None = None
+        self.agreed: tuple[str, ...] = ()
 
-    def heard(self, identity, kind, zone, cluster, view, now):
-        """A greeting by any daemon, with the list of empty accords it sees."""
+    def heard(
+        self, identity: str, kind: str, zone: str, cluster: str | None, view: Iterable[str], now: float
+    ) -> None:
+        """A greeting by any daemon, with the list of empty control daemons it sees."""
         if cluster:
             self.known_clusters[identity] = (cluster, now)
             self.empty_daemons.pop(identity, None)
         else:
             self.known_clusters.pop(identity, None)
-            if kind == "accord":
-                self.empty_daemons[identity] = (zone, tuple(view), now)
+            if kind == CONTROL_DAEMON:
+                self.empty_daemons[identity] = EmptyDaemon(zone, tuple(view), now)
 
-    def view(self, now):
-        """The empty accords seen now, in order, this one among them."""
-        self.empty_daemons[self.identity] = (self.zone, (), now)
+    def view(self, now: float) -> tuple[str, ...]:
+        """The empty control daemons seen now, in order, this one among them."""
+        self.empty_daemons[self.identity] = EmptyDaemon(self.zone, (), now)
         self.empty_daemons = {
-            one: seen for one, seen in self.empty_daemons.items() if now - seen[2] <= constants.SESSION_LASTS
+            identity: seen
+            for identity, seen in self.empty_daemons.items()
+            if now - seen.heard <= constants.SESSION_LASTS
         }
         return tuple(sorted(self.empty_daemons))
 
-    def veto(self, now, other_than=None):
-        """The cohort, other than `but`, that some daemon knows, or None. What a daemon was
-        heard to know counts for long: it may greet this accord only now and then."""
+    def veto(self, now: float, other_than: str | None = None) -> str | None:
+        """The cluster, other than `other_than`, that some daemon knows, or None. What a daemon was
+        heard to know counts for long: it may greet this one only now and then."""
         for cluster, heard in self.known_clusters.values():
             if now - heard <= constants.BOOTSTRAP_VETO_LASTS and cluster != other_than:
                 return cluster
         return None
 
-    def ready(self, now):
-        """(cohort identity, members) once the same list was seen by all for SETTLE."""
+    def ready(self, now: float) -> tuple[str, dict[str, str]] | None:
+        """(cluster identity, members) once the same list was seen by all for BOOTSTRAP_STABLE_TIME."""
         view = self.view(now)
-        same = all(self.empty_daemons[one][1] == view for one in view if one != self.identity)
+        same = all(self.empty_daemons[one].view == view for one in view if one != self.identity)
         if self.veto(now) or len(view) < self.bootstrap_size or not same:
             self.agreed_since = None
             return None
@@ -55,10 +71,10 @@
             self.agreed_since, self.agreed = now, view
         if now - self.agreed_since < constants.BOOTSTRAP_STABLE_TIME:
             return None
-        members = {one: self.empty_daemons[one][0] for one in view}
+        members = {one: self.empty_daemons[one].zone for one in view}
         return cluster_identity(members), members
 
 
-def cluster_identity(members):
-    """The identity of the cohort that a list of empty accords founds."""
+def cluster_identity(members: Iterable[str]) -> str:
+    """The identity of the cluster that a list of empty control daemons begins."""
     return hashlib.sha256("/".join(sorted(members)).encode()).hexdigest()[:16]
--- a/src/pinepitch/control/membership.py
+++ b/src/pinepitch/control/membership.py
@@ -3,37 +3,40 @@
 
 import functools
 import itertools
+from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
 from ..common import constants
 from ..consensus.quorum import Quorum
 
+Members = dict[str, str]  # identity -> zone
+
 
 class Tolerance(NamedTuple):
     """What a list of members can lose next and still both commit and elect; larger is better.
 
     Invariant: -1 machines says that it can't even without another loss."""
 
-    machines: int
-    zones: bool
+    machines: int  # any so many
+    zones: bool  # whether any one whole zone
 
 
-def _works(quorum, live):
+def _works(quorum: Quorum, live: Collection[str]) -> bool:
     """Whether those live can commit and elect, whoever of them leads."""
     groups = quorum.majorities(live)
     if quorum.mode == "dynamic":
-        return groups == set(quorum.groups())
-    return len(groups) >= max(quorum.commit_count(), quorum.elect_count())
+        return bool(groups == set(quorum.groups()))
+    return bool(len(groups) >= max(quorum.commit_count(), quorum.elect_count()))
 
 
-def tolerance(quorum, live):
-    """What may be lost next of the members that are live: any so many machines, and any one area."""
+def tolerance(quorum: Quorum, live: Collection[str]) -> Tolerance:
+    """What may be lost next of the members that are live."""
     inside = frozenset(quorum.members) & frozenset(live)
     return _tolerance(tuple(sorted(quorum.members.items())), quorum.mode, inside)
 
 
 @functools.lru_cache(maxsize=64)
-def _tolerance(members, mode, inside):
+def _tolerance(members: tuple[tuple[str, str], ...], mode: str, inside: frozenset[str]) -> Tolerance:
     quorum = Quorum(dict(members), mode)
     if not _works(quorum, inside):
         return Tolerance(-1, False)
@@ -47,20 +50,30 @@
     return Tolerance(machines, any_zone)
 
 
-def swapped(members, leaver, newcomer, zone):
-    """The members once `newcomer`, of `area`, has the seat of `leaver`."""
+def swapped(members: Members, leaver: str, newcomer: str, zone: str) -> Members:
+    """The members once `newcomer`, of `zone`, has the seat of `leaver`."""
     return {**{one: member_zone for one, member_zone in members.items() if one != leaver}, newcomer: zone}
 
 
-def without_harm(quorum, members, live):
-    """Whether the list `members` can lose as much as that of `quorum` can now, by machines and by areas."""
-    before, after = tolerance(quorum, live), tolerance(Quorum(dict(members), quorum.mode), live)
+def _before_and_after(
+    quorum: Quorum, members: Mapping[str, str], live: Collection[str]
+) -> tuple[Tolerance, Tolerance]:
+    """What the list of `quorum` can lose, and what `members` could."""
+    return tolerance(quorum, live), tolerance(Quorum(dict(members), quorum.mode), live)
+
+
+def _no_worse(before: Tolerance, after: Tolerance) -> bool:
     return after.machines >= before.machines and after.zones >= before.zones
 
 
-def successor(quorum, leaver, spares, live):
-    """The spare (identity -> area, in order) that may take the leaver's seat: one of its area, or in
-    single mode, where an area is no group, any that leaves as much to lose as the leaver itself would
+def without_harm(quorum: Quorum, members: Mapping[str, str], live: Collection[str]) -> bool:
+    """Whether the list `members` can lose as much as that of `quorum` can now, by machines and by zones."""
+    return _no_worse(*_before_and_after(quorum, members, live))
+
+
+def successor(quorum: Quorum, leaver: str, spares: Mapping[str, str], live: Collection[str]) -> str | None:
+    """The spare (identity -> zone, in order) that may take the leaver's seat: one of its zone, or in
+    single mode, where a zone is no group, any that leaves as much to lose as the leaver itself would
     once it is back. None without one."""
     zone = quorum.members[leaver]
     present = set(live) | {leaver}
@@ -73,11 +86,11 @@
     return None
 
 
-def gains(quorum, lost, newcomer, zone, live):
-    """Whether a newcomer of another area in a member's seat leaves more to lose, and no less in any way."""
+def gains(quorum: Quorum, lost: str, newcomer: str, zone: str, live: Collection[str]) -> bool:
+    """Whether a newcomer of another zone in a member's seat leaves more to lose, and no less in any way."""
     members = swapped(quorum.members, lost, newcomer, zone)
-    before, after = tolerance(quorum, live), tolerance(Quorum(dict(members), quorum.mode), live)
-    return after != before and after.machines >= before.machines and after.zones >= before.zones
+    before, after = _before_and_after(quorum, members, live)
+    return after != before and _no_worse(before, after)
 
 
 class Budget(NamedTuple):
@@ -88,9 +101,9 @@
     catch_up: float  # seconds; what the platform grants
     change: float  # seconds; the longest joint change measured here
 
-    def replace_after(self):
-        """How long a voter must be unheard before a newcomer takes its seat: what joining, catching up
-        and the joint change leave, with the change counted twice as another may be under way."""
+    def replace_after(self) -> float:
+        """For how many seconds a voter must be unheard before a newcomer takes its seat: what joining,
+        catching up and the joint change leave, with the change counted twice as another may be under way."""
         change = max(self.change, constants.CHANGE_WITHIN)
         left = self.catch_up - constants.JOIN_WITHIN - constants.CATCH_UP_WITHIN - 2 * change
         return max(constants.SESSION_LASTS, left)
@@ -101,28 +114,30 @@
 
     Invariant: kept is what the voter was told last of its seat, None for nothing yet."""
 
-    since: float
+    since: float  # seconds of the leader's clock
     kept: bool | None
 
 
 class Departure:
-    """A stopping accord's wait until its seat is settled.
+    """A stopping control daemon's wait until it is decided who gets its seat.
 
     Invariants: it ends at the latest `within` after it began, and soon if no leader says anything."""
 
-    def __init__(self, now, within):
+    def __init__(self, now: float, within: float) -> None:
         self.begun, self.within = now, within
         self.announced_at = -1e9
-        self.kept = None  # what the leader said: True keeps the seat for it, False gives it to a spare
+        self.kept: bool | None = (
+            None  # what the leader said: True keeps the seat for it, False gives it to a spare
+        )
 
-    def due(self, now):
+    def due(self, now: float) -> bool:
         """Whether the leave is to be told again."""
         if self.kept is not None or now - self.announced_at < constants.GREET_EVERY:
             return False
         self.announced_at = now
         return True
 
-    def over(self, now, member, leading):
+    def over(self, now: float, member: bool, leading: bool) -> bool:
         """Whether the process may end: `member` says whether it still votes by what it knows."""
         waited = now - self.begun
         if waited >= self.within or not member or self.kept:
--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -8,6 +8,7 @@
 
 import heapq
 import itertools
+from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
 from ..common import constants
@@ -21,13 +22,14 @@
     PlaceItem,
     Round,
     Seat,
+    Shape,
     UnitKey,
     Wanted,
 )
 from .preemption import Preemption, YieldItem
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable, Iterator, Sequence
+    from collections.abc import Iterable, Iterator
 
     from ..model.push_worker import PushWorker
     from ..model.pushed_job import PushedJob
@@ -35,6 +37,8 @@
 
 FrontDaemons = list[tuple[str, str]]  # [(identity, zone), ...] of those with a session
 
+ReadyUnits = dict[Shape, Sequence[tuple[Any, int, str]]]  # shape -> (due, number of the job, unit), sorted
+
 SHORT = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being held back
 
 
@@ -46,7 +50,7 @@
 
     def __init__(self) -> None:
         self.proposed: dict[str, tuple[Charges, str, int]] = {}  # reference -> (charges, queue, units)
-        self.why: dict[tuple[str, tuple], str] = {}
+        self.why: dict[tuple[str, Shape], str] = {}
         self.short: dict[UnitKey, float] = {}
         self._worker_of: dict[str, str] = {}
         self.turn = 0  # of the front daemons, which send orders in turn
@@ -161,7 +165,7 @@
     def _candidates(self, cluster_state: ClusterState) -> Iterator[Wanted]:
         """What could start now: most urgent first, queues in turn by how little of their
         share they use, within a queue by due. A shape of which one did not fit is left."""
-        heads: list[tuple[int, float, str, dict[tuple, Sequence[tuple]]]] = []
+        heads: list[tuple[int, float, str, ReadyUnits]] = []
         for queue, levels in cluster_state.ready_units.items():
             queue_settings = cluster_state.queue_settings.get(queue)
             if queue_settings is None:
@@ -172,9 +176,7 @@
         for _, _, queue, shapes in heads:
             yield from self._candidates_of(cluster_state, queue, shapes)
 
-    def _candidates_of(
-        self, cluster_state: ClusterState, queue: str, shapes: dict[tuple, Sequence[tuple]]
-    ) -> Iterator[Wanted]:
+    def _candidates_of(self, cluster_state: ClusterState, queue: str, shapes: ReadyUnits) -> Iterator[Wanted]:
         """The units of one queue and urgency by due, merged from the lists of their shapes."""
         cursors = [(entries[0], shape, 0) for shape, entries in shapes.items()]
         heapq.heapify(cursors)
--- a/src/pinepitch/control/placement_round.py
+++ b/src/pinepitch/control/placement_round.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -20,6 +20,7 @@
 
 Charges = tuple[tuple[str, int], ...]  # ((queue, credits that it lends), ...)
 UnitKey = tuple[str, str]  # (job, start unit)
+Shape = tuple[Any, ...]  # units and labels of each task of a unit: what none fits of, none fits
 
 
 class Seat(NamedTuple):
@@ -40,7 +41,7 @@
     job: PushedJob
     unit: str
     names: tuple[str, ...]
-    shape: tuple[str, tuple]  # (queue, units and labels of each): what none fits of, none fits
+    shape: tuple[str, Shape]  # with its queue
 
     @property
     def key(self) -> UnitKey:
--- a/src/pinepitch/control/preemption.py
+++ b/src/pinepitch/control/preemption.py
@@ -14,7 +14,7 @@
     from ..model.pushed_job import PushedJob
     from ..model.task import Task
     from ..state.cluster_state import ClusterState
-    from .placement_round import Round
+    from .placement_round import Round, Shape
 
 YieldItem = tuple[str, int, str]  # (task reference, attempt, reference of whom it yields to)
 
@@ -27,7 +27,7 @@
         self,
         cluster_state: ClusterState,
         this_round: Round,
-        why: Mapping[tuple, str],
+        why: Mapping[tuple[str, Shape], str],
         proposed: Container[str],
     ) -> None:
         self._cluster_state, self._round = cluster_state, this_round
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -1,50 +1,88 @@
-"""The accord daemon: keeps the record with its cohort."""
+"""The control daemon's program: reads its settings, opens its data folder and serves."""
 
 import secrets
 import sys
+from collections.abc import Iterable
+from typing import Any, NoReturn
 
 import fire
 
 from ..common import events
+from ..common.daemon_settings import Settings
 from ..common.limits import Limits
 from ..runtime.process import checked_settings, serve
 from ..storage.folder_lock import FolderLock
+from .alert_watch import Rule
 from .daemon import ControlDaemon
 from .startup import identity_of, open_store
 
 
-def read_rules(path):
-    """The alert rules of a file, or exit 2 with one line per fault."""
+def _end(faults: Iterable[str]) -> NoReturn:
+    """Ends the program with exit code 2 and a line for each fault."""
+    for fault in faults:
+        print(f"accord: {fault}", file=sys.stderr)
+    sys.exit(2)
+
+
+def read_rules(path: str | None) -> tuple[Rule, ...]:
+    """The alert rules of a file, or exit 2 with one line for each fault."""
     if path is None:
         return ()
-    from .alert_rules import read as rules_of  # most daemons have no such file
+    from .alert_rules import read  # most daemons have no such file
 
     try:
         with open(path, encoding="utf-8") as file:
-            found, faults = rules_of(file.read())
+            found, faults = read(file.read())
     except (OSError, UnicodeDecodeError) as fault:
         found, faults = None, (("", str(fault)),)
     if found is None:
-        for location, message in faults:
-            print(f"accord: rules {path}: {location}: {message}", file=sys.stderr)
-        sys.exit(2)
+        _end(f"rules {path}: {location}: {message}" for location, message in faults)
     return found
 
 
+def _serve(found: Settings, rules: tuple[Rule, ...]) -> None:
+    """Runs a control daemon with checked settings until it is told to stop."""
+    assert found.data is not None, "the settings of a control daemon name its data folder"
+    try:
+        lock = FolderLock(found.data)
+        store, base, steps, segments, damage = open_store(found.data)
+        identity = identity_of(store, base, steps)
+    except OSError as fault:
+        _end([f"data {found.data}: {fault}"])
+    log = events.logger("accord", identity, found.level)
+    if damage:
+        events.emit(log, 103, why=damage)
+    daemon = ControlDaemon(
+        identity,
+        found.address,
+        found.zone,
+        found.seeds,
+        found.bootstrap_members,
+        found.mode,
+        seed=secrets.token_hex(4),
+    )
+    daemon.tracing = found.level == "debug"
+    daemon.rules = rules
+    daemon.limits = Limits(found.memory, found.disk)
+    daemon.begun_at = lock.since
+    daemon.restore(base, steps, segments)
+    serve("accord", daemon, found, log, store)
+
+
 def run(
-    settings=None,
-    address=None,
-    area=None,
-    seeds=None,
-    data=None,
-    level=None,
-    founders=None,
-    mode=None,
-    http=None,
-    rules=None,
-    memory_mb=None,
-    disk_mb=None,
-):
+    settings: Any = None,
+    address: Any = None,
+    area: Any = None,
+    seeds: Any = None,
+    data: Any = None,
+    level: Any = None,
+    founders: Any = None,
+    mode: Any = None,
+    http: Any = None,
+    rules: Any = None,
+    memory_mb: Any = None,
+    disk_mb: Any = None,
+) -> None:
     """Runs an accord.
 
     Args:
@@ -61,50 +99,14 @@
         memory_mb: megabytes of memory it may take (default 512); bounds the log.
         disk_mb: megabytes that its data folder may take (default 2000); bounds the log.
     """
-    found = checked_settings(
-        "accord",
-        settings,
-        {
-            "address": address,
-            "area": None if area is None else str(area),
-            "seeds": list(seeds) if isinstance(seeds, tuple) else seeds,
-            "data": data,
-            "level": level,
-            "founders": founders,
-            "mode": mode,
-            "http": http,
-            "rules": rules,
-            "memory_mb": memory_mb,
-            "disk_mb": disk_mb,
-        },
-    )
-    judged = read_rules(found.rules)
-    try:
-        lock = FolderLock(found.data)
-        store, base, steps, segments, damage = open_store(found.data)
-        identity = identity_of(store, base, steps)
-    except OSError as fault:
-        print(f"accord: data {found.data}: {fault}", file=sys.stderr)
-        sys.exit(2)
-    log = events.logger("accord", identity, found.level)
-    if damage:
-        events.emit(log, 103, why=damage)
-    core = ControlDaemon(
-        identity,
-        found.address,
-        found.zone,
-        found.seeds,
-        found.bootstrap_members,
-        found.mode,
-        seed=secrets.token_hex(4),
-    )
-    core.tracing = found.level == "debug"
-    core.rules = judged
-    core.limits = Limits(found.memory, found.disk)
-    core.begun_at = lock.since
-    core.restore(base, steps, segments)
-    serve("accord", core, found, log, store)
+    flags = dict(locals())  # all arguments by name; fire has read each as a Python literal where it is one
+    del flags["settings"]
+    flags["area"] = None if area is None else str(area)
+    flags["seeds"] = list(seeds) if isinstance(seeds, tuple) else seeds
+    found = checked_settings("accord", settings, flags)
+    _serve(found, read_rules(found.rules))
 
 
-def main():
+def main() -> None:
+    """The command `accord`."""
     fire.Fire(run, name="accord")
--- a/src/pinepitch/control/rehearsal.py
+++ b/src/pinepitch/control/rehearsal.py
@@ -24,7 +24,12 @@
     )
 
 
-def harm(queue: str, pairs: Sequence[tuple[dict, dict]], needed: int, guard: dict[str, float]) -> str | None:
+def harm(
+    queue: str,
+    pairs: Sequence[tuple[dict[str, float], dict[str, float]]],
+    needed: int,
+    guard: dict[str, float],
+) -> str | None:
     """What a draft does to one queue beyond the bounds of the guard, in words, or None."""
     for name in GUARDED:
         before = [one[name] for one, _ in pairs]
@@ -93,7 +98,7 @@
     return queues, harms
 
 
-def _too_little(blocks: Sequence[Block], worker_capacities: Sequence) -> str:
+def _too_little(blocks: Sequence[Block], worker_capacities: Sequence[Sequence[Any]]) -> str:
     """Why nothing can be measured, or ""."""
     count, nonempty = _traffic(blocks)
     if not worker_capacities:
@@ -114,7 +119,7 @@
 def _replayed(
     blocks: Sequence[Block],
     tables: tuple[dict[str, Any], dict[str, Any]],
-    worker_capacities: Sequence,
+    worker_capacities: Sequence[Sequence[Any]],
     pause: Callable[[], None] | None,
     pairs: int,
 ) -> list[Pair]:
@@ -135,7 +140,7 @@
     blocks: Sequence[Block],
     in_force: dict[str, Any],
     draft: dict[str, Any],
-    worker_capacities: Sequence,
+    worker_capacities: Sequence[Sequence[Any]],
     pause: Callable[[], None] | None = None,
     pairs: int = constants.REHEARSAL_PAIRS,
 ) -> dict[str, Any]:
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -18,8 +18,10 @@
 METRICS = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
 SHARES = ("dues_missed", "failed", "shed", "preemptions")  # told as shares of a queue's jobs
 
-Block = tuple[float, tuple, tuple]  # (length, what runs at its begin, arrivals), as the sample has it
-WorkKind = tuple[str, str, int, tuple]  # (queue, kind, units, labels)
+Fields = tuple[Any, ...]  # of a SampledJob, a SampledTask, or an operation
+Running = tuple[Fields, ...]  # each (queue, kind, units, labels, how many)
+Block = tuple[float, Running, tuple[Fields, ...]]  # (length, what runs at its begin, arrivals)
+WorkKind = tuple[str, str, int, tuple[str, ...]]  # (queue, kind, units, labels)
 QueueMetrics = dict[str, dict[str, float]]  # queue -> metric -> value
 
 
@@ -47,7 +49,7 @@
     kind: str
     urgency: int  # -1 for the queue's
     due: float  # from its arrival, 0 for none
-    tasks: Iterable[tuple]  # each a SampledTask
+    tasks: Iterable[Fields]  # each of a SampledTask
 
 
 class Work:
@@ -88,13 +90,13 @@
         return took, "done"
 
 
-def resampled(blocks: Iterable[Block], seed: int) -> tuple[tuple, list[tuple]]:
+def resampled(blocks: Iterable[Block], seed: int) -> tuple[Running, list[Fields]]:
     """(running at the start, arrivals) of whole blocks drawn anew and put one after another
     until they last REPLAY_LASTS or hold REPLAY_JOBS; some block must hold an arrival."""
     draw = random.Random(f"rehearsal-{seed}")
     blocks = [block for block in blocks if block[2]]
     moment, running = 0.0, None
-    arrivals: list[tuple] = []
+    arrivals: list[Fields] = []
     while moment < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_JOBS:
         length, running_then, arrivals_then = draw.choice(blocks)
         running = running_then if running is None else running
@@ -114,7 +116,11 @@
     (time, number); a round is due while something is ready and nothing else comes first."""
 
     def __init__(
-        self, queue_configuration: dict[str, Any], worker_capacities: Iterable, work: Work, seed: int = 0
+        self,
+        queue_configuration: dict[str, Any],
+        worker_capacities: Iterable[Sequence[Any]],
+        work: Work,
+        seed: int = 0,
     ) -> None:
         self.cluster_state, self.placer = ClusterState(), Placer()
         self.index = 0  # of the newest operation
@@ -123,7 +129,7 @@
         self.workers = {one[0]: _worker(*one) for one in worker_capacities}
         self.work, self.seed = work, seed
         self.number = 0  # of the newest moment
-        self.moments: list[tuple] = []  # a heap of (when, number, kind, ...)
+        self.moments: list[Fields] = []  # a heap of (when, number, kind, ...)
         self.took: dict[str, float | None] = {}  # task reference -> seconds it took where seen
         self.names: dict[str, tuple[Any, bool]] = {}  # job -> (what tells its draws from others', counted)
         self.dues: dict[str, float] = {}  # job -> its due
@@ -141,8 +147,8 @@
 
     def run(
         self,
-        arrivals: Sequence[tuple],
-        running: Iterable[tuple] = (),
+        arrivals: Sequence[Fields],
+        running: Iterable[Fields] = (),
         lasting: float = constants.REHEARSAL_LONGEST,
         pause: Callable[[], None] | None = None,
     ) -> QueueMetrics:
@@ -202,14 +208,14 @@
         self.round_at = when
         self.at(when, "round")
 
-    def apply(self, now: float, operation: tuple) -> tuple:
+    def apply(self, now: float, operation: Fields) -> Fields:
         """The outcome of an operation on the cluster state."""
         self.index += 1
-        outcome: tuple = self.cluster_state.apply(self.index, now, operation)
+        outcome: Fields = self.cluster_state.apply(self.index, now, operation)
         return outcome
 
     # --- arrivals ---------------------------------------------------------------------
-    def arrive(self, now: float, arrival: Iterable, place: Any, counted: bool = True) -> None:
+    def arrive(self, now: float, arrival: Iterable[Any], place: Any, counted: bool = True) -> None:
         """A job of the sample comes; `place` tells its draws from others'."""
         job = SampledJob._make(arrival)
         tasks = [SampledTask._make(one) for one in job.tasks]
@@ -248,14 +254,14 @@
             self.at(now + 0.1, "end", ref, attempt, "killed")
         return bool(items or yields)
 
-    def _place(self, now: float, items: tuple) -> None:
+    def _place(self, now: float, items: tuple[Fields, ...]) -> None:
         outcome = self.apply(now, ("place", 1, self.cluster_state.version, items))
         self.placer.forget_proposed([item[0] for item in items])
         for ref, refusal in outcome[1]:
             if not refusal:
                 self.placed(now, ref)
 
-    def _yield(self, now: float, yields: tuple) -> None:
+    def _yield(self, now: float, yields: tuple[Fields, ...]) -> None:
         self.apply(now, ("yield", 1, yields))
         for ref, _attempt, _ in yields:
             found = self.cluster_state.find(ref)
--- a/src/pinepitch/control/startup.py
+++ b/src/pinepitch/control/startup.py
@@ -1,14 +1,17 @@
-"""How an accord opens its data folder: the store, and the identity that stands in it."""
+"""How a control daemon opens its data folder: the store, and the identity that stands in it."""
 
 import secrets
+from typing import Any
 
 from ..consensus.log import packed_step
 from ..storage.store import Damaged, Foreign, Store
 
+Opened = tuple[Store, Any, list[Any], dict[int, Any], str | None]
 
-def open_store(folder):
-    """(store, base, steps, segments, why it was damaged or None); a damaged store counts as
-    empty, one of another version is left as it is: OSError says so."""
+
+def open_store(folder: str) -> Opened:
+    """(store, snapshot base, steps, segments, why it was damaged or None). A damaged store counts as
+    empty; one of another version is left as it is, and OSError says so."""
     store = Store(folder)
     loaded = store.load(packed_step)
     if isinstance(loaded, Foreign):
@@ -18,17 +21,17 @@
     if isinstance(loaded, Damaged):
         store.wipe()
         return store, None, [], {}, loaded.why
-    return store, *loaded, None
+    return store, loaded.base, loaded.steps, loaded.segments, None
 
 
-def identity_of(store, base, steps):
+def identity_of(store: Store, base: Any, steps: list[Any]) -> str:
     """The store's identity; an empty store gets a new one, durable before it is used."""
     if base is not None:
-        return base[0]
+        return str(base[0])
     for step in steps:
         for kind, payload in step:
             if kind == "note" and payload[0] == "identity":
-                return payload[1]
+                return str(payload[1])
     identity = secrets.token_hex(6)
     store.write_step([["note", ["identity", identity]]])
     return identity
