--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -119,7 +119,7 @@
 
 
 def _push_workers(daemon: ControlDaemon, now: float) -> list[Family]:
-    held = "Tasks placed on silent minions, held until their end is proven."
+    on_unresponsive = "Tasks placed on silent minions, held until their end is proven."
     return [
         _by_label(
             "gauge",
@@ -128,7 +128,7 @@
             "state",
             _push_workers_by_state(daemon, now),
         ),
-        _single("gauge", "tasks_held", held, _tasks_on_unresponsive(daemon, now)),
+        _single("gauge", "tasks_held", on_unresponsive, _tasks_on_unresponsive(daemon, now)),
     ]
 
 
--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -14,7 +14,7 @@
 from ..common import constants
 from ..model.task import reference, unit_of
 from .placement_round import (
-    HELD_FOR_OLDER,
+    KEPT_FOR_OLDER,
     NO_CAPACITY,
     NO_CREDITS,
     QUEUE_LIMIT,
@@ -39,13 +39,13 @@
 
 ReadyUnits = dict[Shape, Sequence[tuple[Any, int, str]]]  # shape -> (due, number of the job, unit), sorted
 
-SHORT = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being held back
+SHORT = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being kept back
 
 
 class Placer:
     """Invariants: proposed holds each reference proposed and not yet applied, so that no
     round proposes one twice; why holds, for a shape of which the newest round placed not
-    all, the reason; short holds when each unit that now lacks room, credits or a place
+    all, the reason; short holds when each unit that now lacks capacity, credits or a place
     under its limit was first seen to."""
 
     def __init__(self) -> None:
@@ -73,7 +73,7 @@
             this_round.count(charges, queue, units)
         items: list[PlaceItem] = []
         self.why = {}
-        oldest = self._hold_back(cluster_state, this_round, now)
+        oldest = self._keep_for_oldest(cluster_state, this_round, now)
         for wanted in itertools.chain(oldest, self._candidates(cluster_state)):
             if len(items) >= constants.MAX_PLACED_TASKS:
                 break
@@ -105,8 +105,8 @@
         slot = cluster_state.slots.get((job.identity, unit_of(job.tasks[name])))
         return self.why.get((slot[1], slot[3]), "not yet looked at") if slot else "its gang is not ready"
 
-    # --- what is held back ------------------------------------------------------------
-    def _hold_back(self, cluster_state: ClusterState, this_round: Round, now: float) -> list[Wanted]:
+    # --- what is kept back ------------------------------------------------------------
+    def _keep_for_oldest(self, cluster_state: ClusterState, this_round: Round, now: float) -> list[Wanted]:
         """For the unit of each queue that has been short the longest, and long enough:
         capacity on the workers where it will fit first, and its queue's credits and limit.
         Others still get what is left beside that, which delays it by nothing."""
@@ -117,16 +117,18 @@
             begins, queue, _, shape, _ = cluster_state.slots[key]
             job = cluster_state.pushed_jobs[identity]
             names = cluster_state.members(job, unit)
-            if queue in this_round.queues or begins > cluster_state.promoted_until:
+            if queue in this_round.kept_of_queues or begins > cluster_state.promoted_until:
                 continue
             if reference(identity, names[0]) in self.proposed:
                 continue
             if now - since < _patience(cluster_state, job, unit, names):
                 continue
-            held_units = this_round.capacity_for(job, names)
-            if held_units is not None:
-                this_round.queues[queue] = (sum(job.tasks[name].units for name in names), key)
-                this_round.held_back.update({worker: (units, key) for worker, units in held_units.items()})
+            kept_units = this_round.capacity_for(job, names)
+            if kept_units is not None:
+                this_round.kept_of_queues[queue] = (sum(job.tasks[name].units for name in names), key)
+                this_round.kept_on_workers.update(
+                    {worker: (units, key) for worker, units in kept_units.items()}
+                )
                 oldest.append(Wanted(job, unit, names, (queue, shape)))
         return oldest
 
@@ -202,10 +204,10 @@
         """Items for all tasks of a unit, which are counted in the round, or the reason why not."""
         job, queue = wanted.job, wanted.job.queue
         units = sum(job.tasks[name].units for name in wanted.names)
-        kept = this_round.kept(this_round.queues, queue, wanted)
+        kept = this_round.kept(this_round.kept_of_queues, queue, wanted)
         used = cluster_state.used_units.get(queue, 0) + this_round.used.get(queue, 0)
         if used + units > cluster_state.queue_settings[queue].limit - kept:
-            return HELD_FOR_OLDER if kept else QUEUE_LIMIT
+            return KEPT_FOR_OLDER if kept else QUEUE_LIMIT
         taken: dict[str, int] = {}
         lent: dict[str, int] = {}
         group = []
@@ -213,7 +215,7 @@
             task = job.tasks[name]
             charges = this_round.charges(cluster_state, job, task.units, lent, kept)
             if charges is None:
-                return HELD_FOR_OLDER if kept else NO_CREDITS
+                return KEPT_FOR_OLDER if kept else NO_CREDITS
             seat = this_round.draw(task, wanted, taken)
             if isinstance(seat, str):
                 return seat
@@ -250,7 +252,7 @@
 
 
 def _patience(cluster_state: ClusterState, job: PushedJob, unit: str, names: Sequence[str]) -> float:
-    """For how many seconds a unit is short before capacity is held back for it: less for a queue that
+    """For how many seconds a unit is short before capacity is kept back for it: less for a queue that
     preempts, and for the rest of a gang of which some run already."""
     is_gang = unit[0] == "/"
     apart = is_gang and len(names) < sum(task.gang == unit[1:] for task in job.tasks.values())
--- a/src/pinepitch/control/placement_round.py
+++ b/src/pinepitch/control/placement_round.py
@@ -1,4 +1,4 @@
-"""What one placing round knows and counts: seats, free units, credits lent, and what is held back."""
+"""What one placing round knows and counts: seats, free units, credits lent, and what is kept back."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 NO_CREDITS = "no credits"
 QUEUE_LIMIT = "the queue's limit"
 NO_WORKER = "no minion fits"
-HELD_FOR_OLDER = "held back for older work of its queue"
+KEPT_FOR_OLDER = "held back for older work of its queue"
 
 Charges = tuple[tuple[str, int], ...]  # ((queue, credits that it lends), ...)
 UnitKey = tuple[str, str]  # (job, start unit)
+KeptUnits = dict[str, tuple[int, UnitKey]]  # worker or queue -> (units kept back, for whom)
 Shape = tuple[Any, ...]  # units and labels of each task of a unit: what none fits of, none fits
 
 
@@ -73,14 +74,14 @@
 
 class Round:
     """One round. Invariants: free counts every reservation in the cluster state, every one
-    proposed, and those of this round; what is held back is for the unit named alone."""
+    proposed, and those of this round; what is kept back is for the unit named alone."""
 
     def __init__(self, seats: list[Seat], free: dict[str, int]) -> None:
         self.seats, self.free = seats, free
         self.borrowed: dict[str, int] = {}  # queue -> credits lent, proposed ones with them
         self.used: dict[str, int] = {}  # queue -> units placed, proposed ones with them
-        self.held_back: dict[str, tuple[int, UnitKey]] = {}  # worker -> units held back there, and for whom
-        self.queues: dict[str, tuple[int, UnitKey]] = {}  # queue -> its credits and limit held back, for whom
+        self.kept_on_workers: KeptUnits = {}  # by worker: of its capacity
+        self.kept_of_queues: KeptUnits = {}  # by queue: of its credits and its limit
 
     def count(self, charges: Iterable[tuple[str, int]], queue: str, units: int) -> None:
         """Counts units of a queue as placed, on these credits."""
@@ -88,38 +89,38 @@
         for lender, credits in charges:
             self.borrowed[lender] = self.borrowed.get(lender, 0) + credits
 
-    def kept(self, held_units: dict[str, tuple[int, UnitKey]], key: str, wanted: Wanted) -> int:
-        """Units that are held back from `wanted`."""
-        held = held_units.get(key)
-        return 0 if held is None or held[1] == wanted.key else held[0]
+    def kept(self, kept_units: KeptUnits, key: str, wanted: Wanted) -> int:
+        """Units that are kept back from `wanted`."""
+        kept = kept_units.get(key)
+        return 0 if kept is None or kept[1] == wanted.key else kept[0]
 
     def capacity_for(self, job: PushedJob, names: tuple[str, ...]) -> dict[str, int] | None:
-        """worker -> units to hold back for a unit, where most is free; None if it fits nowhere."""
+        """worker -> units to keep back for a unit, where most is free; None if it fits nowhere."""
         taken: dict[str, int] = {}
         for name in largest_first(job, names):
             task = job.tasks[name]
-            fitting = [seat for seat in self.seats if self._could_hold(seat, task, taken)]
+            fitting = [seat for seat in self.seats if self._could_take(seat, task, taken)]
             if not fitting:
                 return None
             best = max(fitting, key=lambda seat: self._roominess(seat, taken))
             taken[best.worker] = taken.get(best.worker, 0) + task.units
         return taken
 
-    def _could_hold(self, seat: Seat, task: Task, taken: dict[str, int]) -> bool:
+    def _could_take(self, seat: Seat, task: Task, taken: dict[str, int]) -> bool:
         """Whether a worker could take a task once what runs there has ended."""
         return (
             frozenset(task.labels) <= seat.labels
             and not seat.poor
-            and seat.worker not in self.held_back
+            and seat.worker not in self.kept_on_workers
             and seat.capacity - taken.get(seat.worker, 0) >= task.units
         )
 
     def _roominess(self, seat: Seat, taken: dict[str, int]) -> tuple[int, int, str]:
-        """How good a worker is to hold units back on: most free units, fewest labels."""
+        """How good a worker is to keep units back on: most free units, fewest labels."""
         return (self.free[seat.worker] - taken.get(seat.worker, 0), -len(seat.labels), seat.worker)
 
     def draw(self, task: Task, wanted: Wanted, taken: dict[str, int]) -> Seat | str:
-        """The seat for a task: the one with most room left, so that load spreads; seats
+        """The seat for a task: the one with most capacity left, so that load spreads; seats
         with labels that the task does not ask for come last, so that they stay free."""
         best, best_rank, fits = None, None, False
         labels = frozenset(task.labels)
@@ -128,7 +129,7 @@
                 continue
             fits = True
             left = self.free[seat.worker] - taken.get(seat.worker, 0) - task.units
-            left -= self.kept(self.held_back, seat.worker, wanted)
+            left -= self.kept(self.kept_on_workers, seat.worker, wanted)
             if left < 0 or (seat.poor and taken.get(seat.worker)):
                 continue
             rank = (seat.poor, len(seat.labels - labels), -left / max(1, seat.capacity), seat.worker)
--- a/src/pinepitch/control/preemption.py
+++ b/src/pinepitch/control/preemption.py
@@ -36,7 +36,7 @@
         self.named = set(cluster_state.yielding)
 
     def yields(self, time: float) -> Iterator[YieldItem]:
-        """Who should yield to urgent tasks that found no room or whose own credits were lent;
+        """Who should yield to urgent tasks that found no capacity or whose own credits were lent;
         `time` is the cluster's, in seconds."""
         served = {found[2].yields_to for found in map(self._cluster_state.find, self.named) if found}
         for job, name, why in self._wanting():
@@ -54,7 +54,7 @@
 
     def _wanting(self) -> Iterator[tuple[PushedJob, str, str]]:
         """(job, task name, why) of the oldest single tasks of queues that preempt which found
-        no room, or whose credits are lent out."""
+        no capacity, or whose credits are lent out."""
         for (queue, shape), why in self._why.items():
             preempts = self._cluster_state.queue_settings[queue].preempts
             if why not in (NO_CAPACITY, NO_CREDITS) or not preempts or len(shape) != 2:
@@ -67,7 +67,7 @@
                         yield job, unit, why
 
     def _fewest_of_one_worker(self, job: PushedJob, task: Task) -> list[str] | None:
-        """The fewest tasks of one worker whose ends would make room for a task."""
+        """The fewest tasks of one worker whose ends would free enough for a task."""
         best = None
         labels = frozenset(task.labels)
         for seat in self._round.seats:
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -199,7 +199,7 @@
             return next_due
         if moved:
             return now + constants.PLACE_EVERY
-        if self.moments:  # what found no room is tried again when something has happened
+        if self.moments:  # what found no capacity is tried again when something has happened
             return max(now + constants.PLACE_EVERY, min(self.moments[0][0], now + 0.5))
         return None
 
--- a/src/pinepitch/control/requests/push_workers.py
+++ b/src/pinepitch/control/requests/push_workers.py
@@ -21,9 +21,9 @@
         if leader.cluster_state.find(reference) is None:
             leader._event(156, task=reference, attempt=attempt, minion=read.worker)
     fresh = [one for one in ends if one[:2] not in leader.proposed_ends]
-    told = [one[:2] for one in fresh if one[2] not in ("never", "lost")]
+    reported = [one[:2] for one in fresh if one[2] not in ("never", "lost")]
     if fresh:
-        return ProposeEnds(fresh, (acknowledged, strays, told))
+        return ProposeEnds(fresh, (acknowledged, strays, reported))
     return report_answer(leader, None, (acknowledged, strays, ()), now)
 
 
--- a/src/pinepitch/control/requests/queue_configuration.py
+++ b/src/pinepitch/control/requests/queue_configuration.py
@@ -45,8 +45,8 @@
 def read_table(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The table in force, cell by cell."""
     cluster_state = leader.cluster_state
-    rows = queue_settings.cells(cluster_state.queue_configuration)
-    return Answer(200, {"version": cluster_state.version, "rows": rows})
+    cells = queue_settings.cells(cluster_state.queue_configuration)
+    return Answer(200, {"version": cluster_state.version, "rows": cells})
 
 
 def change(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
--- a/src/pinepitch/control/sessions.py
+++ b/src/pinepitch/control/sessions.py
@@ -8,7 +8,7 @@
 NEVER = -1e9  # a time before any other, in seconds
 CONTROL_DAEMON = "accord"  # the kind of a control daemon, as on the wire
 
-Told = tuple[str, str, str, str]  # (identity, kind, zone, address) of a session, as on the wire
+SessionEntry = tuple[str, str, str, str]  # (identity, kind, zone, address) of a session, as on the wire
 Endpoint = tuple[str, str, str]  # (identity, zone, address) of a control daemon, as on the wire
 
 
@@ -53,7 +53,7 @@
             self.control_daemons[identity] = KnownDaemon(zone, address, now)
         return fresh
 
-    def relayed(self, teller: str, sessions: Iterable[Told], now: float) -> None:
+    def relayed(self, teller: str, sessions: Iterable[SessionEntry], now: float) -> None:
         """Another control daemon tells the sessions that it holds."""
         for identity, kind, zone, address in sessions:
             own = self.by_identity.get(identity)
@@ -77,7 +77,7 @@
             del self.by_identity[identity]
         return expired
 
-    def own(self) -> tuple[Told, ...]:
+    def own(self) -> tuple[SessionEntry, ...]:
         """What is told to other control daemons: the sessions held here."""
         return tuple(
             (one.identity, one.kind, one.zone, one.address)
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -242,5 +242,5 @@
     )
 
 
-# name -> how it is made; part of the registry in calls.py
+# name on the wire -> how it is handled; part of control/requests/registry.py
 CALLS = {"job-explain": job, "workers": workers, "evacuations": evacuations}
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -1,4 +1,4 @@
-"""Calls about jobs, beats and the configuration, for the registry of accord/calls.py.
+"""Requests about leased jobs, heartbeats and the configuration, for control/requests/registry.py.
 
 Each is answered by a leader whose lease stands, so that what it reads is the newest.
 """
@@ -152,7 +152,7 @@
     return Answer(200, {})
 
 
-# name -> how it is made; each is read by accord/calls.py
+# name on the wire -> how it is handled; part of control/requests/registry.py
 CALLS = {
     "job": submit,
     "job-read": read,
