--- a/features/same_bytes/runs.py
+++ b/features/same_bytes/runs.py
@@ -179,7 +179,7 @@
     ask("/v1/setup", "GET", "/v1/setup")
     who = {"if-match": "*", "x-operator": "ana", "x-reason": "a test"}
     ask("/v1/setup", "PATCH", "/v1/setup", {"queues": {"feeds": {"limit": 23}}}, who)
-    ask("/v1/setup", "PUT", "/v1/setup", simulator.setup, who)
+    ask("/v1/setup", "PUT", "/v1/setup", simulator.queue_configuration, who)
     ask("/v1/setup/versions", "GET", "/v1/setup/versions")
     ask("/v1/setup/versions/{version}", "GET", "/v1/setup/versions/2")
     ask("/v1/setup/back", "POST", "/v1/setup/back", {"version": 3}, who)
--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -20,6 +20,7 @@
 from pinepitch.front import filters
 from pinepitch.model import contract
 from pinepitch.simulation import simulator as simulators
+from pinepitch.simulation.agreement import plain_image
 from pinepitch.state.archive import Archive
 from pinepitch.state.cluster_state import ACTIONS, ClusterState
 from pinepitch.storage.store import Damaged, Store
@@ -178,7 +179,7 @@
         for index, time, operation in entries:
             outcomes.append(outcome_bytes(record.apply(index, time, tuple(cbor2.loads(operation)))))
     record.audit()
-    return outcomes, simulators.plain_image(record)
+    return outcomes, plain_image(record)
 
 
 # --- files ----------------------------------------------------------------------------
@@ -240,7 +241,7 @@
         archive = Archive()
         sealed[number] = (data, archive.seal(tickets, 0.0)[1])
     return (
-        simulators.plain_image(record),
+        plain_image(record),
         (accord.consensus.base_image, record.encode(record.image())),
         sealed,
     )
--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -26,6 +26,7 @@
 from pinepitch.common import constants, packed_operations
 from pinepitch.simulation import daemon_calls, leased_job_trial, pushed_job_trial
 from pinepitch.simulation import simulator as simulators
+from pinepitch.simulation.agreement import plain_image
 from pinepitch.simulation.jobs import fleet as job_fleets
 from pinepitch.simulation.model_checker import fleets as model_fleets
 from pinepitch.simulation.model_checker import schedule, search
@@ -158,7 +159,7 @@
             history.note("disks", number, segment)
         if node.core is not None:
             record = node.core.cluster_state
-            history.note("images", name, record.index, simulators.plain_image(record))
+            history.note("images", name, record.index, plain_image(record))
 
 
 def note_model(history, world):
--- a/features/soak/soak.py
+++ b/features/soak/soak.py
@@ -48,7 +48,7 @@
                 f"w{place}",
                 ZONES[place % len(ZONES)],
                 f"10.0.0.{place + 1}:80",
-                limits.ROOM,
+                limits.CAPACITY,
                 ["ab"[place // 2 % 2], f"r1-{place % 3}"],
                 place % 2 == 0,
                 seed,
@@ -218,7 +218,7 @@
             *checks.never_twice(self.history),
             *checks.steps_kept(self.history, jobs),
             *checks.attempts_kept(self.history, jobs),
-            *checks.room_kept(self.history),
+            *checks.capacity_kept(self.history),
             *checks.cancels_kept(self.history, jobs, RUNNING_AFTER_CANCEL),
             *checks.outcomes_true(self.history, self.client_stand_in),
         ]
--- a/features/steps/adapter_fuzz.py
+++ b/features/steps/adapter_fuzz.py
@@ -1,4 +1,4 @@
-"""Steps for Door fuzz: distorted requests through the platform's doors into simulated daemons."""
+"""Steps for Adapter fuzz: distorted requests through the platform's adapters into simulated daemons."""
 
 import copy
 import json
--- a/features/steps/api.py
+++ b/features/steps/api.py
@@ -1,4 +1,4 @@
-"""Steps for Api: calls at every verge of a simulated fleet."""
+"""Steps for Api: calls at every front daemon of a simulated fleet."""
 
 import json
 from unittest import mock
--- a/features/steps/archive.py
+++ b/features/steps/archive.py
@@ -1,4 +1,4 @@
-"""Steps for Archive: finished tickets beyond the newest."""
+"""Steps for Archive: finished jobs beyond the newest."""
 
 import os
 import tempfile
@@ -168,7 +168,7 @@
 
 @given("a simulated fleet that compacts and seals all the time")
 def step_fleet(context):
-    stack = injected_faults.planted("frequent-snapshots")
+    stack = injected_faults.injected("frequent-snapshots")
     stack.__enter__()
     context.add_cleanup(stack.__exit__, None, None, None)
     context.sent, payload = [], Consensus._snapshot_payload
--- a/features/steps/assigning.py
+++ b/features/steps/assigning.py
@@ -1,4 +1,4 @@
-"""Steps for Assigning: rounds of the assigner over a board, workers and runs in virtual time."""
+"""Steps for Assigning: rounds of the assigner over a leased job state, workers and runs in virtual time."""
 
 import random
 from unittest import mock
--- a/features/steps/assignments.py
+++ b/features/steps/assignments.py
@@ -1,4 +1,4 @@
-"""Steps for Keeper: a real accord, a cohort of one, stepped by hand under a clock of its own."""
+"""Steps for Assignments: a control daemon, a cluster of one, stepped by hand under its own clock."""
 
 from unittest import mock
 
--- a/features/steps/bootstrap.py
+++ b/features/steps/bootstrap.py
@@ -1,4 +1,4 @@
-"""Steps for Founding: empty machines beside those that remember."""
+"""Steps for Bootstrap: empty machines beside those that remember."""
 
 from behave import given, then, when
 
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -1,4 +1,4 @@
-"""Steps for Calls: the same call asked again at simulated accords."""
+"""Steps for Calls: the same call asked again at simulated control daemons."""
 
 import json
 import os
--- a/features/steps/configuration.py
+++ b/features/steps/configuration.py
@@ -1,4 +1,4 @@
-"""Steps for Configuration: calls of an operator, applied to a record of their own."""
+"""Steps for Configuration: calls of an operator, applied to a cluster state of their own."""
 
 import copy
 
--- a/features/steps/explain.py
+++ b/features/steps/explain.py
@@ -1,4 +1,4 @@
-"""Steps for Whence: explanations of tickets in a simulated fleet."""
+"""Steps for Explain: explanations of jobs in a simulated fleet."""
 
 from unittest import mock
 
--- a/features/steps/forwarder.py
+++ b/features/steps/forwarder.py
@@ -1,4 +1,4 @@
-"""Steps for Carrier: one by hand, and in a verge that is stepped by hand."""
+"""Steps for Forwarder: one by hand, and in a front daemon that is stepped by hand."""
 
 from behave import given, then, when
 
--- a/features/steps/guarantees.py
+++ b/features/steps/guarantees.py
@@ -1,4 +1,4 @@
-"""Steps for Promises: the registry against the weathers, the plants and the page."""
+"""Steps for Guarantees: the registry against the fault scenarios, the injected faults and the page."""
 
 import os
 import re
--- a/features/steps/history.py
+++ b/features/steps/history.py
@@ -1,4 +1,4 @@
-"""Steps for History: setups over a long day."""
+"""Steps for History: queue configurations over a long day."""
 
 import copy
 import random
--- a/features/steps/incarnations.py
+++ b/features/steps/incarnations.py
@@ -1,4 +1,4 @@
-"""Steps for Lives: a follower of a simulated cohort, its former life and its new one."""
+"""Steps for Incarnations: a follower of a simulated cluster, its former incarnation and its new one."""
 
 from unittest import mock
 
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -1,4 +1,4 @@
-"""Steps for Input: bad settings, tickets, setups, bytes."""
+"""Steps for Input: bad settings, jobs, queue configurations, bytes."""
 
 import copy
 import json
--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -1,4 +1,4 @@
-"""Steps for Jobs Api: jobs of a simulated fleet, whose workers are stand-ins that beat."""
+"""Steps for Jobs Api: jobs of a simulated fleet, whose workers are stand-ins that heartbeat."""
 
 import contextlib
 import io
--- a/features/steps/learners.py
+++ b/features/steps/learners.py
@@ -1,4 +1,4 @@
-"""Steps for Learners: newcomers of a simulated cohort that are lost before they have a seat."""
+"""Steps for Learners: newcomers of a simulated cluster that are lost before they have a seat."""
 
 from behave import given, then, when
 
--- a/features/steps/lease.py
+++ b/features/steps/lease.py
@@ -1,4 +1,4 @@
-"""Steps for Lease: one accord's consensus, stepped by hand."""
+"""Steps for Lease: one control daemon's consensus, stepped by hand."""
 
 import time
 from unittest import mock
--- a/features/steps/leased_job_trials.py
+++ b/features/steps/leased_job_trials.py
@@ -1,4 +1,4 @@
-"""Steps for Tenancy: seeded trials of jobs under holds, two at a time."""
+"""Steps for Leased job trials: seeded trials of jobs under leases, two at a time."""
 
 import os
 import subprocess
--- a/features/steps/leased_jobs.py
+++ b/features/steps/leased_jobs.py
@@ -1,4 +1,4 @@
-"""Steps for Board: operations by hand, and long random histories at several records."""
+"""Steps for Leased job state: operations by hand, and long random histories at several cluster states."""
 
 import random
 from unittest import mock
--- a/features/steps/log.py
+++ b/features/steps/log.py
@@ -1,5 +1,7 @@
-"""Steps for Log: large changes in a simulated cohort, packed operations, links."""
+"""Steps for Log: large changes in a simulated cluster, packed operations, links."""
 
+import os
+import sys
 import tempfile
 from unittest import mock
 
@@ -8,19 +10,27 @@
 from behave import given, then, when
 from curio.network import run_server, tcp_server_socket
 
-import platform_settings
 from pinepitch.common import constants, daemon_settings
 from pinepitch.common.limits import Limits
 from pinepitch.common.packed_operations import Packed, dumps, unpacked
 from pinepitch.consensus.log import measured
 from pinepitch.consensus.replica import Consensus
 from pinepitch.simulation import leased_job_trial
-from pinepitch.simulation.changes import BODY, ControlCluster, document_of, missed, planted
+from pinepitch.simulation.changes import BODY, ControlCluster, document_of, injected, missed
 from pinepitch.simulation.link_rates import LinkRates
 from pinepitch.simulation.steady import Day
 from pinepitch.transport import framing
 from pinepitch.transport.link import Lane, Link
 
+FOLDER = os.path.join(
+    os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))), "platform"
+)
+sys.path.insert(0, FOLDER)
+try:
+    import platform_settings
+finally:
+    sys.path.remove(FOLDER)
+
 MEGA = 1_000_000
 ENVELOPE = 1_000  # bytes; of a frame beside its entries
 KILO = 1_024
@@ -343,9 +353,7 @@
 
 @when("{count:d} frames of {size} bytes are put into it")
 def step_put(context, count, size):
-    context.frames = [
-        bytes([platform_settings]) * int(size.replace(",", "")) for platform_settings in range(count)
-    ]
+    context.frames = [bytes([number]) * int(size.replace(",", "")) for number in range(count)]
 
     async def put():
         for frame in context.frames:
@@ -450,7 +458,7 @@
 
 @given("the injected fault {injected_fault} among large changes")
 def step_injected(context, injected_fault):
-    fault = planted(injected_fault)
+    fault = injected(injected_fault)
     fault.__enter__()
     context.add_cleanup(fault.__exit__, None, None, None)
 
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -229,7 +229,7 @@
 
 def must_find(injected_fault, model):
     """Fails unless a model fails by what it checks, with a fault planted."""
-    with injected_faults.planted(injected_fault):
+    with injected_faults.injected(injected_fault):
         try:
             model()
         except AssertionError as found:
@@ -302,9 +302,9 @@
 
 @given("a cluster that takes orders")
 def step_cluster(context):
-    planted = injected_faults.planted(getattr(context, "injected_fault", ""))
-    planted.__enter__()
-    context.add_cleanup(planted.__exit__, None, None, None)
+    injected = injected_faults.injected(getattr(context, "injected_fault", ""))
+    injected.__enter__()
+    context.add_cleanup(injected.__exit__, None, None, None)
     context.fleet = order_fleet.OrderFleet(1)
     context.fleet.begin()
     context.fleet.run(1)
@@ -439,14 +439,14 @@
         if all(change.order != one.order for one in self.operators.changes):
             self.operators.give(change, self.fleet.names()[place])
 
-    @precondition(lambda self: self.operators.under_way() < IN_FLIGHT)
+    @precondition(lambda self: self.operators.pending() < IN_FLIGHT)
     @rule(
         step=strategies.integers(0, 2), text=strategies.sampled_from("xyz"), place=strategies.integers(0, 2)
     )
     def replace(self, step, text, place):
         self.give(order_rules.REPLACE, self.document(self.known_version() + step, text), place)
 
-    @precondition(lambda self: self.operators.under_way() < IN_FLIGHT)
+    @precondition(lambda self: self.operators.pending() < IN_FLIGHT)
     @rule(
         step=strategies.integers(0, 2), name=strategies.sampled_from("xyz"), place=strategies.integers(0, 2)
     )
@@ -458,7 +458,7 @@
         }
         self.give(order_rules.AMEND, change, place)
 
-    @precondition(lambda self: self.operators.changes and self.operators.under_way() < IN_FLIGHT)
+    @precondition(lambda self: self.operators.changes and self.operators.pending() < IN_FLIGHT)
     @rule(data=strategies.data(), place=strategies.integers(0, 2))
     def again(self, data, place):
         """A change whose answer was lost, sent again, also after others."""
@@ -563,7 +563,7 @@
         fleet.restore()
         fleet.answer_loss = fleet.loss = 0.0
         assert fleet.until(lambda: self.whole() and fleet.leader().core.epoch > 0, 60) is not None
-        settled = fleet.until(lambda: not self.operators.under_way() and not fleet.under_way(), 30)
+        settled = fleet.until(lambda: not self.operators.pending() and not fleet.pending(), 30)
         assert settled is not None, "orders are never answered"
         for operator in self.zones:
             assert operator.order == 0 or operator.standing is not None
@@ -585,7 +585,7 @@
         """Every change is sent once more, at a calm cohort."""
         for place, change in enumerate(self.operators.changes):
             self.operators.send(change, self.fleet.names()[place % 3])
-            assert self.fleet.until(lambda: not self.operators.under_way(), 20, 0.01) is not None
+            assert self.fleet.until(lambda: not self.operators.pending(), 20, 0.01) is not None
 
     def chain_kept(self):
         """The changes that were taken follow on one another, and the last is what is read."""
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -1,4 +1,4 @@
-"""Steps for Outage: seeded outages of the whole control plane, and accords stepped by hand."""
+"""Steps for Outage: seeded outages of the whole control plane, and control daemons stepped by hand."""
 
 import functools
 import os
--- a/features/steps/placing.py
+++ b/features/steps/placing.py
@@ -1,4 +1,4 @@
-"""Steps for Placing: the record and the placer on rooms in virtual time."""
+"""Steps for Placing: the cluster state and the placer on rooms in virtual time."""
 
 import random
 
--- a/features/steps/adapters.py
+++ b/features/steps/platform_adapters.py
@@ -1,4 +1,4 @@
-"""Steps for Doors: the platform's words, ports and settings, read by the folder `platform`."""
+"""Steps for Adapters (`platform/adapters.py`): the platform's words, ports and settings."""
 
 import copy
 import json
--- a/features/steps/pushed_job_trials.py
+++ b/features/steps/pushed_job_trials.py
@@ -1,4 +1,4 @@
-"""Steps for Trial: seeded trials on all cores."""
+"""Steps for Pushed job trials: seeded trials on all cores."""
 
 import os
 import subprocess
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet without daemons: rounds of the assigner over a board, workers and runs in virtual time."""
+"""A fleet without daemons: rounds of the assigner over leased jobs, workers and runs in virtual time."""
 
 from heartbeats import heartbeat
 
--- a/features/steps/rules.py
+++ b/features/steps/rules.py
@@ -84,7 +84,7 @@
 
 @given("a simulated fleet whose rules pause approvals while tasks are parked")
 def step_fleet(context):
-    context.simulator = Simulator(5, setup=QUEUE_CONFIGURATION)
+    context.simulator = Simulator(5, queue_configuration=QUEUE_CONFIGURATION)
     for node in context.simulator.nodes.values():
         if node.kind == "accord":
             node.core.rules = alert_rules.read(GOOD)[0]
--- a/features/steps/snapshot_incarnations.py
+++ b/features/steps/snapshot_incarnations.py
@@ -1,4 +1,4 @@
-"""Steps for Lives: a follower that is started again while a snapshot is sent to it."""
+"""Steps for Incarnations: a follower that is started again while a snapshot is sent to it."""
 
 from unittest import mock
 
--- a/features/steps/table.py
+++ b/features/steps/table.py
@@ -21,7 +21,7 @@
 
 @given("a simulated fleet that has seen a day of crowded traffic")
 def step_fleet(context):
-    context.simulator = Simulator(5, setup=QUEUE_CONFIGURATION)
+    context.simulator = Simulator(5, queue_configuration=QUEUE_CONFIGURATION)
     context.simulator.begin()
     context.simulator.caller("day", CROWD, fail=0.0)
     context.simulator.run(20)
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -1,4 +1,4 @@
-"""Steps for Versions: a made-up next version of the accord in a simulated fleet."""
+"""Steps for Versions: a made-up next version of the control daemon in a simulated fleet."""
 
 from behave import given, then, when
 
@@ -77,7 +77,7 @@
         caller.history,
         context.simulator.worker_history,
         documents,
-        context.simulator.setup["queues"],
+        context.simulator.queue_configuration["queues"],
         context.simulator.capacities,
     )
     faults += context.simulator.agreement()
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -1,5 +1,5 @@
 """Long histories of large configurations: hundreds of changes handed to the leader of a
-simulated cohort, and what its members hold, send and keep of them."""
+simulated cluster, and what its members hold, send and keep of them."""
 
 import contextlib
 import os
@@ -56,7 +56,7 @@
 
 
 class ControlCluster(Simulator):
-    """Accords alone, to whose leader changes are handed. Invariants: version is that of the newest
+    """Control daemons alone, to whose leader changes are handed. Invariants: version is that of the newest
     change handed over; acknowledged holds the versions that were answered 200."""
 
     def __init__(self, seed, control_daemons=("a", "b", "c"), limits=USUAL, size=BODY):
@@ -69,6 +69,7 @@
         self.appends = 0  # bytes of the largest frame
 
     def start(self, name):
+        """Starts the control daemon of that name with what its disk kept."""
         super().start(name)
         core = self.nodes[name].core
         core.limits = self.limits
@@ -76,6 +77,7 @@
             core.consensus.limits = self.limits
 
     def kill(self, name):
+        """Kills the control daemon of that name, and breaks its links."""
         super().kill(name)
         if self.link_rates is not None:
             self.link_rates.broken(name)
@@ -166,10 +168,10 @@
     """Sends the newest snapshot from its start whenever there is a newer one."""
     if follower.transfer is not None and follower.transfer.snapshot.index != self.base_index:
         follower.transfer = None
-    original_send_piece(self, identity, follower, now)
+    original_send_chunk(self, identity, follower, now)
 
 
-original_send_piece = Consensus._send_chunk
+original_send_chunk = Consensus._send_chunk
 
 
 def _taken_forgotten(self, document=None, taken=()):
@@ -194,7 +196,7 @@
 
 
 @contextlib.contextmanager
-def planted(name):
+def injected(name):
     """The fault of that name in place."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name]:
--- a/src/pinepitch/simulation/checks.py
+++ b/src/pinepitch/simulation/checks.py
@@ -1,11 +1,11 @@
 """History checks, written apart from the code that they check: they see only what
-callers were answered and what minions did. Each returns a list of faults in words."""
+callers were answered and what workers did. Each returns a list of faults in words."""
 
 from ..model.queue_settings import merged
 
 
 def starts_and_ends(worker_history):
-    """(starts by task, ends by (task, attempt)) of the minions' histories."""
+    """(starts by task, ends by (task, attempt)) of the workers' histories."""
     starts, ends = {}, {}
     for event in sorted(worker_history, key=lambda one: one[1]):
         if event[0] == "start":
@@ -32,7 +32,7 @@
 
 def never_twice(worker_history, repeating=()):
     """No task runs twice at once, none starts again after it has ended well. An end that
-    its minion took along when it died is excused for the tickets in `repeating` alone."""
+    its worker took along when it died is excused for the jobs in `repeating` alone."""
     starts, ends = starts_and_ends(worker_history)
     unsaid = {
         (event[4], event[5])
@@ -43,7 +43,7 @@
     for ref, runs in starts.items():
         seen = set()
         previous_end = previous = None
-        for when, _minion, _incarnation, attempt, _ in runs:
+        for when, _worker, _incarnation, attempt, _ in runs:
             if attempt in seen:
                 faults.append(f"{ref} attempt {attempt} started twice")
             seen.add(attempt)
@@ -74,9 +74,9 @@
     return faults
 
 
-def attempts_kept(worker_history, documents, rows, withdrawn=()):
+def attempts_kept(worker_history, documents, queue_settings, withdrawn=()):
     """No task but a feed starts again after as many failures as it may have: an end that
-    failed, a run over its time limit, or one lost with its minion, unless an operator gave
+    failed, a run over its time limit, or one lost with its worker, unless an operator gave
     his word that the machine is withdrawn."""
     starts, ends = starts_and_ends(worker_history)
     faults = []
@@ -85,7 +85,7 @@
             continue
         for task in document["tasks"]:
             ref = f"{pushed_job}/{task['name']}"
-            allowed = rows[document["queue"]].get("retries", 0) + 1
+            allowed = queue_settings[document["queue"]].get("retries", 0) + 1
             if task.get("attempts"):
                 allowed = min(allowed, task["attempts"])
             failed = 0
@@ -130,8 +130,8 @@
     return faults
 
 
-def room_kept(worker_history, capacities):
-    """No minion holds more than its room at any time."""
+def capacity_kept(worker_history, capacities):
+    """No worker holds more than its capacity at any time."""
     moments = []
     _, ends = starts_and_ends(worker_history)
     for event in worker_history:
@@ -150,7 +150,7 @@
 
 
 def never_forgotten(caller_history, within=3.0):
-    """No accepted ticket is unknown to a read more than `within` after acceptance, and a
+    """No accepted job is unknown to a read more than `within` after acceptance, and a
     final state never changes."""
     accepted, final, faults = {}, {}, []
     for event in caller_history:
@@ -169,7 +169,7 @@
 
 
 def finished_truly(caller_history, worker_history):
-    """A ticket shown finished has every task ended well on a minion, before it was shown."""
+    """A job shown finished has every task ended well on a worker, before it was shown."""
     _, ends = starts_and_ends(worker_history)
     well, faults = ended_well(ends), []
     for event in caller_history:
@@ -182,7 +182,7 @@
 
 def cancelled_truly(caller_history, worker_history, away=(), starts_within=3.0, runs_within=5.0):
     """After a cancel nothing starts for long, and nothing keeps running for long. Nothing
-    is owed of a minion while it was away, as (minion, from, to): cut off, frozen or down."""
+    is owed of a worker while it was away, as (worker, from, to): cut off, frozen or down."""
     starts, ends = starts_and_ends(worker_history)
     cancelled = {event[2]: event[1] for event in reversed(caller_history) if event[0] == "cancelled"}
     faults = []
@@ -221,8 +221,8 @@
 
 
 def closed_kept(worker_history, spans, zones):
-    """No closed minion gets new work 2 s after it was closed, no emptied area 5 s after.
-    Spans: (kind, subject, from, to or None); areas: minion -> area."""
+    """No closed worker gets new work 2 s after it was closed, no emptied zone 5 s after.
+    Spans: (kind, subject, from, to or None); zones: worker -> zone."""
     faults = []
     for kind, subject, begun, ended in spans:
         grace = 2.0 if kind == "minion" else 5.0
@@ -237,23 +237,23 @@
 
 
 def queue_configurations_kept(histories, documents, changes, refused):
-    """Every acknowledged change is in the history that each verge tells, holds just its own
-    change, and nothing of a refused one is there. Documents: version -> setup; changes:
+    """Every acknowledged change is in the history that each front daemon tells, holds just its own
+    change, and nothing of a refused one is there. Documents: version -> queue configuration; changes:
     (asked, acknowledged, version, manner, document, base or None, reason)."""
     faults = []
     if any(one != histories[0] for one in histories):
         faults.append("verges tell different histories")
-    held = {one["version"]: one for one in histories[0]["setups"]}
-    for version, one in held.items():
+    stored = {one["version"]: one for one in histories[0]["setups"]}
+    for version, one in stored.items():
         if one["why"] in refused:
             faults.append(f"version {version} is a change that was refused")
     seen = set()
     for _, _, version, manner, document, base, reason in changes:
         if (
-            version not in held
-            or held[version]["why"] != reason
+            version not in stored
+            or stored[version]["why"] != reason
             or base is not None
-            and held[version]["base"] != base
+            and stored[version]["base"] != base
         ):
             faults.append(f"acknowledged version {version} is missing at day's end")
             continue
@@ -264,25 +264,25 @@
         found = documents[version]["queues"]
         if found.keys() != wanted["queues"].keys() or any(
             found[queue][column] != value
-            for queue, row in wanted["queues"].items()
-            for column, value in row.items()
+            for queue, settings in wanted["queues"].items()
+            for column, value in settings.items()
         ):
             faults.append(f"version {version} does not hold just its own change")
     return faults
 
 
-def all_checks(caller_history, worker_history, documents, rows, capacities, away=(), withdrawn=()):
+def all_checks(caller_history, worker_history, documents, queue_settings, capacities, away=(), withdrawn=()):
     """Every check that needs no moment of its own; `rows` are those of the table."""
     repeating = {
         pushed_job
         for pushed_job, document in documents.items()
-        if rows[document["queue"]].get("repeats", False)
+        if queue_settings[document["queue"]].get("repeats", False)
     }
     return [
         *never_twice(worker_history, repeating),
         *in_order(worker_history, documents),
-        *attempts_kept(worker_history, documents, rows, withdrawn),
-        *room_kept(worker_history, capacities),
+        *attempts_kept(worker_history, documents, queue_settings, withdrawn),
+        *capacity_kept(worker_history, capacities),
         *never_forgotten(caller_history),
         *finished_truly(caller_history, worker_history),
         *cancelled_truly(caller_history, worker_history, away),
--- a/src/pinepitch/simulation/fault_scenarios/disks_and_clocks.py
+++ b/src/pinepitch/simulation/fault_scenarios/disks_and_clocks.py
@@ -17,7 +17,7 @@
 
 
 def disks(simulator, operator):
-    """Disks slow down, stall, and power goes just after a promise."""
+    """Disks slow down, stall, and power goes just after an acknowledgement."""
     for _ in range(5):
         name = leader_often(simulator, 0.6)
         disk = simulator.nodes[name].disk
@@ -50,7 +50,7 @@
 
 
 def clock_outage(simulator, operator):
-    """One clock is wrong by an hour while leaders change, accords restart, all lose power."""
+    """One clock is wrong by an hour while leaders change, control daemons restart, all lose power."""
     draw = simulator.draw
     for turn in range(3):
         wrong = draw.choice(daemon_names(simulator, "accord"))
--- a/src/pinepitch/simulation/fault_scenarios/load.py
+++ b/src/pinepitch/simulation/fault_scenarios/load.py
@@ -5,7 +5,7 @@
 
 
 def crowds(simulator, operator):
-    """Crowds, large and urgent tickets at once, impossible ones piling up."""
+    """Crowds, large and urgent jobs at once, impossible ones piling up."""
     for one in simulator.callers.values():
         one.rate = 6.0
     impossible = []
@@ -40,7 +40,7 @@
 
 
 def scattered(simulator, operator):
-    """Gangs while room is scattered: little is free, and never much in one place."""
+    """Gangs while capacity is scattered: little is free, and never much in one place."""
     for one in simulator.callers.values():
         one.traffic = (
             (
@@ -69,7 +69,7 @@
 
 
 def impossible(simulator, operator):
-    """Impossible tickets pile up until they are shed, each with its reason; good work goes on."""
+    """Impossible jobs pile up until they are shed, each with its reason; good work goes on."""
     rejected, made = 0, []
     for place in range(60):
         document = {
--- a/src/pinepitch/simulation/fault_scenarios/members.py
+++ b/src/pinepitch/simulation/fault_scenarios/members.py
@@ -6,7 +6,7 @@
 
 
 def wiped(simulator, operator):
-    """One accord loses its disk and comes back empty at its address, then another."""
+    """One control daemon loses its disk and comes back empty at its address, then another."""
     for _ in range(2):
         name = simulator.draw.choice(daemon_names(simulator, "accord"))
         simulator.kill(name)
@@ -19,7 +19,7 @@
 
 
 def replaced(simulator, operator):
-    """An accord dies for good; an empty one at a new address takes its place; twice.
+    """A control daemon dies for good; an empty one at a new address takes its place; twice.
     Seeds of later daemons name the new machines."""
     for turn in range(2):
         name = simulator.draw.choice(
@@ -46,7 +46,7 @@
 
 
 def forgotten(simulator, operator):
-    """One accord lags behind, one loses its disk, and the one that knows all is away."""
+    """One control daemon lags behind, one loses its disk, and the one that knows all is away."""
     leader = simulator.leader()
     followers = [one for one in daemon_names(simulator, "accord") if leader and one != leader.name]
     lagging, losing = simulator.draw.sample(followers, 2)
--- a/src/pinepitch/simulation/fault_scenarios/network.py
+++ b/src/pinepitch/simulation/fault_scenarios/network.py
@@ -28,7 +28,7 @@
 
 
 def zones_fall(simulator, operator):
-    """A whole area goes, the leader's among them, and comes back."""
+    """A whole zone goes, the leader's among them, and comes back."""
     for _ in range(3):
         leader = simulator.leader()
         zones = sorted({node.zone for node in simulator.nodes.values()})
--- a/src/pinepitch/simulation/fault_scenarios/operators.py
+++ b/src/pinepitch/simulation/fault_scenarios/operators.py
@@ -4,7 +4,7 @@
 
 
 def _cancel_running(simulator, operator):
-    """Cancels a ticket whose first task has long to run."""
+    """Cancels a job whose first task has long to run."""
     caller, key = simulator.callers["caller"], f"long-{simulator.now:.3f}"
     tasks = [{"name": "s0", "work": {"seconds": 10.0}}, {"name": "s1", "after": ["s0"]}]
     submit_long(caller, operator, key, tasks)
@@ -50,7 +50,9 @@
             settings = {"limit": 8 + draw.randrange(16), "share": draw.randrange(4, 8)}
             queue = draw.choice(("default", "urgent", "feeds"))
             if draw.random() < 0.2:
-                complete = {name: {**value} for name, value in simulator.setup["queues"].items()}
+                complete = {
+                    name: {**value} for name, value in simulator.queue_configuration["queues"].items()
+                }
                 complete[queue].update(settings)
                 changes.append(("whole", {"queues": complete}))
             else:
@@ -73,10 +75,10 @@
 
 
 def large_queue_configuration(simulator, operator):
-    """A setup of hundreds of rows comes and is changed by cells, races and a kill between."""
+    """A queue configuration of hundreds of rows comes and is changed by cells, races and a kill between."""
     draw = simulator.draw
     queue_settings = {
-        **simulator.setup["queues"],
+        **simulator.queue_configuration["queues"],
         **{f"q{one:04d}": {"share": 0, "limit": 10} for one in range(600)},
     }
     operator.change({"queues": queue_settings}, "whole")
--- a/src/pinepitch/simulation/fault_scenarios/processes.py
+++ b/src/pinepitch/simulation/fault_scenarios/processes.py
@@ -4,6 +4,7 @@
 
 
 def calm(simulator, operator):
+    """Nothing goes wrong."""
     simulator.run(15)
 
 
@@ -29,7 +30,7 @@
 
 
 def freezes(simulator, operator):
-    """Daemons and minions stop and go on later, none the wiser."""
+    """Daemons and workers stop and go on later, none the wiser."""
     for _ in range(6):
         leader = simulator.leader()
         names = daemon_names(simulator) + daemon_names(simulator, "minion")
@@ -41,7 +42,7 @@
 
 
 def fronts_restart(simulator, operator):
-    """All verges die at once; seeds are swapped."""
+    """All front daemons die at once; seeds are swapped."""
     for _ in range(3):
         simulator.run(simulator.draw.uniform(1, 3))
         for name in daemon_names(simulator, "verge"):
@@ -68,7 +69,7 @@
 
 
 def power(simulator, operator):
-    """Slow disks, and power goes everywhere just after promises were made."""
+    """Slow disks, and power goes everywhere just after changes were acknowledged."""
     for _ in range(3):
         for name in daemon_names(simulator, "accord"):
             simulator.nodes[name].disk.slow = simulator.draw.choice((20.0, 60.0))
--- a/src/pinepitch/simulation/fault_scenarios/registry.py
+++ b/src/pinepitch/simulation/fault_scenarios/registry.py
@@ -12,7 +12,7 @@
 from .processes import calm, freezes, fronts_restart, kills, leaders_fall, outage, power
 from .workers import cancel_during_partition, crashes, failing, withdrawn, workers_fail
 
-# The registry of weathers.
+# The registry of fault scenarios.
 FAULT_SCENARIOS = {
     "calm": calm,
     "kills": kills,
--- a/src/pinepitch/simulation/fault_scenarios/targets.py
+++ b/src/pinepitch/simulation/fault_scenarios/targets.py
@@ -2,6 +2,7 @@
 
 
 def daemon_names(simulator, kind=None):
+    """Names of the daemons of a kind, running or not; of all kinds when None."""
     return [
         name
         for name, node in simulator.nodes.items()
@@ -10,7 +11,7 @@
 
 
 def is_in_membership(node):
-    """Whether an accord is a member by its own knowledge."""
+    """Whether a control daemon is a member by its own knowledge."""
     consensus = node.core.consensus
     return consensus is not None and node.core.identity in consensus.membership.members()
 
@@ -21,7 +22,7 @@
 
 
 def check_served(simulator, operator, why, within=12.0):
-    """Asks at one verge after another until one answers through a leader."""
+    """Asks at one front daemon after another until one answers through a leader."""
     begun = simulator.now
     back = simulator.until(
         lambda: simulator.ask("GET", "/v1/setup", front=simulator.draw.randrange(9), seconds=3.0)[0] == 200,
--- a/src/pinepitch/simulation/fault_scenarios/workers.py
+++ b/src/pinepitch/simulation/fault_scenarios/workers.py
@@ -5,14 +5,14 @@
 
 
 def failing(simulator, operator):
-    """Many minions fail half of what they are given while they report themselves well."""
+    """Many workers fail half of what they are given while they report themselves well."""
     for name in simulator.draw.sample(daemon_names(simulator, "minion"), 4):
         simulator.nodes[name].core.fail_rate = 0.6
     simulator.run(12)
 
 
 def workers_fail(simulator, operator):
-    """Minions crash, are cut off and run on, slow down, stall, fail their work, come back."""
+    """Workers crash, are cut off and run on, slow down, stall, fail their work, come back."""
     for _ in range(8):
         name = simulator.draw.choice(daemon_names(simulator, "minion"))
         core = simulator.nodes[name].core
@@ -39,7 +39,7 @@
 
 
 def crashes(simulator, operator):
-    """Minions die all the time, some just after work ended and before a word of it left."""
+    """Workers die all the time, some just after work ended and before a word of it left."""
     for one in simulator.callers.values():
         one.traffic += (
             (
@@ -57,7 +57,7 @@
 
 
 def withdrawn(simulator, operator):
-    """Minions are withdrawn at short notice and die when it comes due."""
+    """Workers are withdrawn at short notice and die when it comes due."""
     for name in simulator.draw.sample(daemon_names(simulator, "minion"), 2):
         due = START + simulator.now + simulator.draw.uniform(0.5, 3)
         operator.withdraw(name, due)
@@ -67,7 +67,7 @@
 
 
 def cancel_during_partition(simulator, operator):
-    """Tickets are cancelled while the minions that run them are cut off, frozen or gone."""
+    """Jobs are cancelled while the workers that run them are cut off, frozen or gone."""
     draw = simulator.draw
     for turn in range(3):
         key, caller = f"long-{turn}", simulator.callers["caller"]
--- a/src/pinepitch/simulation/fleet/client_traffic.py
+++ b/src/pinepitch/simulation/fleet/client_traffic.py
@@ -23,7 +23,7 @@
         self.idle = {}
 
     async def run(self, seconds):
-        """Sends for some seconds, then waits until every ticket but feeds is final."""
+        """Sends for some seconds, then waits until every job but feeds is final."""
         end = time.time() + seconds
         while time.time() < end:
             await self._turn()
@@ -62,7 +62,7 @@
 
 
 def traffic(front="127.0.0.1:8080", seconds=30, rate=1.0):
-    """Sends stand-in tickets to one verge's queue `default` for some seconds."""
+    """Sends stand-in jobs to one front daemon's queue `default` for some seconds."""
 
     class Running(NamedTuple):
         """What Traffic needs of a fleet that runs already."""
--- a/src/pinepitch/simulation/fleet/faults.py
+++ b/src/pinepitch/simulation/fleet/faults.py
@@ -31,15 +31,17 @@
 
 
 async def kill_leader(fleet):
+    """The leader dies hard and comes back."""
     return await _kill_beside_leader(fleet, 0)
 
 
 async def kill_control_daemon(fleet):
+    """A control daemon other than the leader dies hard and comes back."""
     return await _kill_beside_leader(fleet, 1)
 
 
 async def _kill_beside_leader(fleet, step):
-    """An accord dies hard, `step` places after the leader, and comes back."""
+    """A control daemon dies hard, `step` places after the leader, and comes back."""
     place = (await _leader_place(fleet) + step) % len(fleet.control_daemons)
     fleet.kill(f"accord{place}")
     back = await _back_within(fleet)
@@ -49,7 +51,7 @@
 
 
 async def kill_zone(fleet):
-    """The leader's area: its accords and verges die and stay dead."""
+    """The leader's zone: its control daemons and front daemons die and stay dead."""
     zone = fleet.control_daemons[await _leader_place(fleet)][0]
     for place, one in enumerate(fleet.control_daemons):
         if one[0] == zone:
@@ -61,7 +63,7 @@
 
 
 async def wipe(fleet):
-    """One accord loses its disk and comes back empty at its address."""
+    """One control daemon loses its disk and comes back empty at its address."""
     place = await _leader_place(fleet)
     fleet.kill(f"accord{place}")
     shutil.rmtree(os.path.join(fleet.data, f"accord{place}"))
@@ -80,6 +82,7 @@
 
 
 async def restart_fronts(fleet):
+    """All front daemons die at once and start anew."""
     names = [name for name in fleet.processes if name.startswith("verge")]
     for name in names:
         fleet.kill(name)
@@ -107,11 +110,13 @@
 
 
 async def freeze_front(fleet):
+    """A front daemon stops and goes on later, none the wiser."""
     await _freeze(fleet, "verge0", FROZEN)
     return {"frozen": "verge0", "served_again_after": await _back_within(fleet)}
 
 
 async def freeze_worker(fleet):
+    """A worker stops and goes on later, none the wiser."""
     begun = time.time()
     await _freeze(fleet, "minions-alone", FROZEN)
     fleet.absences.append([fleet.workers[0][0], begun, time.time()])
@@ -119,7 +124,7 @@
 
 
 async def kill_worker(fleet):
-    """A minion dies with all that it ran and starts anew."""
+    """A worker dies with all that it ran and starts anew."""
     fleet.lose_worker()
     await curio.sleep(2)
     fleet.again("minions-alone")
@@ -128,7 +133,7 @@
 
 
 async def lose_worker(fleet):
-    """A minion dies and never comes back; an operator says so some seconds later."""
+    """A worker dies and never comes back; an operator says so some seconds later."""
     fleet.lose_worker()
     await curio.sleep(4)
     await fleet.operator.withdraw(fleet.workers[0][0], time.time())
@@ -144,7 +149,7 @@
 
 
 async def empty_zone(fleet):
-    """An area is emptied and taken back, a minion elsewhere drained and let in again."""
+    """A zone is emptied and taken back, a worker elsewhere drained and let in again."""
     zone = fleet.plan.zones[1]
     await fleet.operator.close("area", zone)
     await fleet.operator.close("minion", fleet.workers[0][0])
@@ -155,8 +160,8 @@
 
 
 async def replace_control_daemon(fleet):
-    """An accord is gone for good; an empty one at a new address takes its place, with other
-    seeds; then the verges start anew with seeds that name the new one."""
+    """A control daemon is gone for good; an empty one at a new address takes its place, with other
+    seeds; then the front daemons start anew with seeds that name the new one."""
     place = (await _leader_place(fleet) + 1) % len(fleet.control_daemons)
     zone = fleet.control_daemons[place][0]
     fleet.kill(f"accord{place}")
@@ -202,8 +207,8 @@
 async def race_operators(fleet):
     """Two changes on one version at once, again and again, whole and partial, then a burst."""
     operator, won = fleet.operator, []
-    queue = sorted(fleet.plan.setup["queues"])[0]
-    limit = fleet.plan.setup["queues"][queue]["limit"]
+    queue = sorted(fleet.plan.queue_configuration["queues"])[0]
+    limit = fleet.plan.queue_configuration["queues"][queue]["limit"]
     for turn in range(10):
         base = (await operator.persist("GET", "/v1/setup")).document["version"]
         group = [
--- a/src/pinepitch/simulation/fleet/fleet_operator.py
+++ b/src/pinepitch/simulation/fleet/fleet_operator.py
@@ -17,7 +17,7 @@
         self.count = 0
 
     async def persist(self, method, target, document=None, headers=(), seconds=30):
-        """Asks at one verge after another until answered other than 429 or 503."""
+        """Asks at one front daemon after another until answered other than 429 or 503."""
 
         async def answered():
             self.count += 1
@@ -49,11 +49,13 @@
         return status
 
     async def close(self, kind, subject):
+        """Drains a worker or empties a zone."""
         act = f"/v1/minions/{subject}/drain" if kind == "minion" else f"/v1/areas/{subject}/empty"
         if (await self.persist("POST", act)).status == 200:
             self.spans.append([kind, subject, time.time(), None])
 
     async def open(self, kind, subject):
+        """Lets a drained worker in again, or takes a zone back."""
         act = f"/v1/minions/{subject}/undrain" if kind == "minion" else f"/v1/areas/{subject}/take-back"
         begun = time.time()
         await self.persist("POST", act)
@@ -61,13 +63,14 @@
             if span[:2] == [kind, subject]:
                 span[3] = begun
 
-    async def withdraw(self, minion, due):
-        await self.persist("POST", f"/v1/minions/{minion}/withdraw", {"due": due})
-        self.spans.append(["minion", minion, time.time(), None])
-        self.withdrawn.add(minion)
+    async def withdraw(self, worker, due):
+        """Says that a worker's machine goes at `due`, in seconds since the epoch."""
+        await self.persist("POST", f"/v1/minions/{worker}/withdraw", {"due": due})
+        self.spans.append(["minion", worker, time.time(), None])
+        self.withdrawn.add(worker)
 
     async def check(self):
-        """Faults in what was acknowledged, as read at every verge."""
+        """Faults in what was acknowledged, as read at every front daemon."""
         histories, documents = [], {}
         for place in range(len(self.fleet.fronts)):
             answer = await self.fleet.call("GET", "/v1/setup/versions", front=place)
--- a/src/pinepitch/simulation/fleet/forecasts.py
+++ b/src/pinepitch/simulation/fleet/forecasts.py
@@ -19,7 +19,7 @@
 async def forecast(one, queue, before, after, seconds):
     """A draft from one limit to another is rehearsed and put in force by the emergency way;
     its forecast beside the waits that callers and workers then saw."""
-    one.plan.setup["queues"][queue].update(share=before, limit=before)
+    one.plan.queue_configuration["queues"][queue].update(share=before, limit=before)
     one.start_all()
     try:
         await one.set_up()
--- a/src/pinepitch/simulation/fleet/plans.py
+++ b/src/pinepitch/simulation/fleet/plans.py
@@ -6,14 +6,14 @@
 
 
 class Plan(NamedTuple):
-    """A deployment. Invariants: accords, verges and minions name areas of the plan."""
+    """A deployment. Invariants: control daemons, front daemons and workers name zones of the plan."""
 
-    control_daemons: tuple  # areas, one an accord
-    fronts: tuple  # areas, one a verge
-    workers: tuple  # (prefix, count, room, labels, guards)
+    control_daemons: tuple  # zones, one a control daemon
+    fronts: tuple  # zones, one a front daemon
+    workers: tuple  # (prefix, count, capacity, labels, guards)
     zones: tuple
     traffic: tuple
-    setup: dict
+    queue_configuration: dict
     founders: int
 
 
--- a/src/pinepitch/simulation/fleet/processes.py
+++ b/src/pinepitch/simulation/fleet/processes.py
@@ -38,7 +38,7 @@
         self.data = data or folder
         self.processes = {}
         self.commands = {}
-        self.absences = []  # [minion, from, to] of being frozen or gone
+        self.absences = []  # [worker, from, to] of being frozen or gone
         self.operator = FleetOperator(self)
         ports = iter(
             free_ports(
@@ -48,19 +48,20 @@
         self.control_daemons = [(zone, f"127.0.0.1:{next(ports)}") for zone in plan.control_daemons]
         self.own = [
             f"127.0.0.1:{next(ports)}" for _ in plan.control_daemons
-        ]  # the accords' ports for metrics
+        ]  # the control daemons' ports for metrics
         self.fronts = [(zone, f"127.0.0.1:{next(ports)}", f"127.0.0.1:{next(ports)}") for zone in plan.fronts]
         self.workers = []
-        for prefix, count, room, labels, guards in plan.workers:
+        for prefix, count, capacity, labels, guards in plan.workers:
             for place in range(count):
                 zone = plan.zones[place % len(plan.zones)]
                 self.workers.append(
-                    [f"{prefix}{place}", zone, f"127.0.0.1:{next(ports)}", room, list(labels), guards]
+                    [f"{prefix}{place}", zone, f"127.0.0.1:{next(ports)}", capacity, list(labels), guards]
                 )
         addresses = [one[1] for one in self.control_daemons] + [one[1] for one in self.fronts]
         self.seeds = ",".join(addresses[: constants.SEEDS])
 
     def start(self, name, *command):
+        """Starts a process by a Python command with arguments; its output goes to NAME.log."""
         self.commands[name] = command
         log = open(os.path.join(self.folder, name + ".log"), "ab")
         self.processes[name] = subprocess.Popen(
@@ -73,6 +74,7 @@
         self.start(name, *self.commands[name])
 
     def start_control_daemon(self, place):
+        """Starts the control daemon at that place of the list."""
         zone, address = self.control_daemons[place]
         self.start(
             f"accord{place}",
@@ -87,6 +89,7 @@
         )
 
     def start_front(self, place):
+        """Starts the front daemon at that place of the list."""
         zone, address, web = self.fronts[place]
         self.start(
             f"verge{place}",
@@ -99,6 +102,7 @@
         )
 
     def start_all(self):
+        """Starts all daemons and workers."""
         for place in range(len(self.control_daemons)):
             self.start_control_daemon(place)
         for place in range(len(self.fronts)):
@@ -106,7 +110,7 @@
         self.start_workers()
 
     def start_workers(self, groups=4):
-        """The first minion has a process of its own, so that it can be frozen or killed alone."""
+        """The first worker has a process of its own, so that it can be frozen or killed alone."""
         self._start_workers("minions-alone", self.workers[:1])
         for place in range(groups):
             self._start_workers(f"minions{place}", self.workers[1 + place :: groups])
@@ -125,7 +129,7 @@
             )
 
     def lose_worker(self):
-        """Kills the minion that is alone; what it ran is noted as gone for the checks."""
+        """Kills the worker that is alone; what it ran is noted as gone for the checks."""
         name, moment = self.workers[0][0], time.time()
         self.kill("minions-alone")
         events = [one for one in self.worker_history() if one[2] == name]
@@ -137,7 +141,7 @@
         self.absences.append([name, moment, 1e18])
 
     def add_control_daemon(self, zone, seeds):
-        """A further accord with an empty folder at a new address; its place."""
+        """A further control daemon with an empty folder at a new address; its place."""
         place = len(self.control_daemons)
         self.control_daemons.append((zone, f"127.0.0.1:{free_ports(1)[0]}"))
         self.seeds = ",".join(seeds)
@@ -153,6 +157,7 @@
             del self.processes[name]
 
     def stop(self):
+        """Asks all processes to end and kills those that have not within 5 s."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.terminate()
@@ -166,6 +171,7 @@
         self.processes = {}
 
     def worker_history(self):
+        """The events that all workers have written, as tuples."""
         events = []
         for name in sorted(os.listdir(self.folder)):
             if name.endswith(".history"):
@@ -175,6 +181,7 @@
 
     # --- talking to it ----------------------------------------------------------------
     async def call(self, method, target, document=None, headers=(), front=0):
+        """One HTTP call to a front daemon; its answer, or None after 5 s."""
         client = http.Client(*split(self.fronts[front % len(self.fronts)][2]))
         answer = await curio.ignore_after(5, client.call(method, target, document, headers))
         await client.close()
@@ -191,16 +198,16 @@
         raise TimeoutError(f"{what} did not come within {seconds} s")
 
     async def served(self):
-        """True once any verge reads through the leader."""
+        """True once any front daemon reads through the leader."""
         answer = await self.call("GET", "/v1/setup", front=time.time_ns())
         return isinstance(answer, http.Response) and answer.status == 200
 
     async def set_up(self):
-        """Puts the plan's setup in force."""
+        """Puts the plan's queue configuration in force."""
         await self.until(self.served, 60, "service")
 
         async def put():
-            answer = await self.call("PUT", "/v1/setup", self.plan.setup, (("If-Match", "*"),))
+            answer = await self.call("PUT", "/v1/setup", self.plan.queue_configuration, (("If-Match", "*"),))
             return isinstance(answer, http.Response) and answer.status == 200
 
         await self.until(put, 20, "the setup")
--- a/src/pinepitch/simulation/fleet/results.py
+++ b/src/pinepitch/simulation/fleet/results.py
@@ -50,7 +50,7 @@
         traffic.caller.history,
         fleet.worker_history(),
         documents,
-        fleet.plan.setup["queues"],
+        fleet.plan.queue_configuration["queues"],
         capacities,
         fleet.absences,
         fleet.operator.withdrawn,
--- a/src/pinepitch/simulation/fleet/runs.py
+++ b/src/pinepitch/simulation/fleet/runs.py
@@ -20,7 +20,7 @@
 
     Args:
         plan: small, nkansah or pinturas.
-        seconds: how long tickets come.
+        seconds: how long jobs come.
         rate: times the brief's traffic.
         fault: what to do half way; `pinepitch disturbances` runs all.
     """
@@ -67,7 +67,7 @@
     Args:
         plans: names of plans, parted by commas.
         only: names of faults, parted by commas; all when empty.
-        seconds: how long tickets come in each run.
+        seconds: how long jobs come in each run.
     """
     names = [one for one in (only.split(",") if isinstance(only, str) else only) if one] or list(FLEET_FAULTS)
     failed = 0
--- a/src/pinepitch/simulation/guarantees.py
+++ b/src/pinepitch/simulation/guarantees.py
@@ -1,4 +1,4 @@
-"""The registry behind docs/proof.md: each promise of the brief crossed with what it says
+"""The registry behind docs/proof.md: each guarantee of the brief crossed with what it says
 fails. `pinepitch proof` writes the page; a feature sees that it is whole and up to date."""
 
 from typing import NamedTuple
@@ -10,13 +10,13 @@
 
 
 class Guarantee(NamedTuple):
-    """One line of what must never happen. Invariant: each plant breaks just this promise's
+    """One line of what must never happen. Invariant: each injected fault breaks just this guarantee's
     ground, and a check of it finds it."""
 
     line: str
     checks: tuple
     injected_faults: tuple
-    owed: object = None  # the weathers under which it is owed; None for all
+    owed: object = None  # the fault scenarios under which it is owed; None for all
     why: str = ""  # why it is not owed under the others
 
 
@@ -53,7 +53,7 @@
         ("closed_kept",),
         ("closed-ignored",),
     ),
-    Guarantee("an unguarded minion is packed beyond its room", ("room_kept",), ("room-doubled",)),
+    Guarantee("an unguarded minion is packed beyond its room", ("capacity_kept",), ("room-doubled",)),
     Guarantee(
         "a gang member waits alone while all is healthy",
         ("gangs_together",),
@@ -94,7 +94,7 @@
         ("votes-twice",),
     ),
 )
-CONDITIONS = ("frequent-snapshots",)  # plants that are no faults
+CONDITIONS = ("frequent-snapshots",)  # injected faults that are no faults
 FAILURES = (
     ("nothing", ("calm",)),
     ("crowds of users, large jobs and urgent jobs at once", ("crowds", "crowds-ten", "scattered")),
@@ -131,7 +131,7 @@
 
     scenario: str
     fails: str
-    injected_fault: str = ""  # a planted fault that it was seen to find
+    injected_fault: str = ""  # an injected fault that it was seen to find
 
 
 CONTROL_FAULTS = (
@@ -160,7 +160,7 @@
 
 
 def missing():
-    """What stands in no row: weathers, fault scenarios and plants, named."""
+    """What stands in no row: fault scenarios of both kinds and injected faults, named."""
     shown = {fault_scenario for _, scenarios_listed in FAILURES for fault_scenario in scenarios_listed}
     injected = {
         injected_fault for guarantee in GUARANTEES for injected_fault in guarantee.injected_faults
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -1,5 +1,5 @@
-"""Planted faults: each breaks one promise in the code under trial, so that the checks can
-be seen to find it. A plant is a list of (owner, attribute, replacement)."""
+"""Injected faults: each breaks one guarantee in the code under trial, so that the checks can
+be seen to find it. An injected fault is a list of (owner, attribute, replacement)."""
 
 import contextlib
 from unittest import mock
@@ -21,16 +21,16 @@
 
 
 def _tasks(**changed):
-    def planted(plain, retries, feed):
+    def injected(plain, retries, feed):
         return {
             name: task._replace(**changed)
             for name, task in pushed_job.tasks_from(plain, retries, feed).items()
         }
 
-    return [(cluster_state, "tasks_from", planted)]
+    return [(cluster_state, "tasks_from", injected)]
 
 
-def _silent_report(self, report, listed):
+def _unresponsive_report(self, report, listed):
     """Takes one silent report for a proof, however early it was begun."""
     for ref in sorted(self.cluster_state.reserved.get(report.worker, {})):
         standing = self.cluster_state.find(ref)[2]
@@ -39,7 +39,7 @@
 
 
 def _unresponsive_workers(self, now):
-    """Places again what a silent minion ran."""
+    """Places again what a silent worker ran."""
     original_watch(self, now)
     for name, known in self.push_workers.items():
         if now - known.heard_at > constants.PUSH_WORKER_TIMEOUT:
@@ -132,16 +132,16 @@
     return ("missing",) if found is None else ("ok",)
 
 
-def _all_orders(self, verge, now):
-    """Tells every placement of a verge again and again, sent or not."""
+def _all_orders(self, front, now):
+    """Tells every placement of a front daemon again and again, sent or not."""
     orders_again = []
     for references in self.cluster_state.reserved.values():
         for ref in references:
             standing = self.cluster_state.find(ref)[2]
             known = self.push_workers.get(standing.worker)
-            if standing.front_daemon == verge and known is not None:
+            if standing.front_daemon == front and known is not None:
                 self._order(ref, now)
-                orders_again.append(self.outbox[verge][(ref, standing.attempt)])
+                orders_again.append(self.outbox[front][(ref, standing.attempt)])
     return tuple(orders_again)
 
 
@@ -180,7 +180,7 @@
 
 
 def _free_tries(self, pushed_job, task, standing, how):
-    """Does not count what was lost with its minion."""
+    """Does not count what was lost with its worker."""
     return original_end(self, pushed_job, task, standing, "never" if how == "lost" else how)
 
 
@@ -195,7 +195,7 @@
     "killed-once": [(constants, "KILL_AGAIN", 1e9), (daemon.ControlDaemon, "take_report", _no_strays)],
     "history-cut": [(configuration_history.ConfigurationHistory, "add", _short_history)],
     "lost-not-counted": [(ClusterState, "_end", _free_tries)],
-    "early-proof": [(daemon.ControlDaemon, "_absent", _silent_report)],
+    "early-proof": [(daemon.ControlDaemon, "_absent", _unresponsive_report)],
     "silence-is-an-end": [(daemon.ControlDaemon, "_watch", _unresponsive_workers)],
     "sent-again": [
         (FrontDaemon, "_on_updates", _repeated_updates),
@@ -238,7 +238,7 @@
 
 
 @contextlib.contextmanager
-def planted(name):
+def injected(name):
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
--- a/src/pinepitch/simulation/isolation/fleet.py
+++ b/src/pinepitch/simulation/isolation/fleet.py
@@ -21,6 +21,7 @@
         self.operators = None
 
     def accords(self):
+        """The machines of the control daemons."""
         return [node for node in self.nodes.values() if node.kind == "accord"]
 
     def ask_once(self, node, call, arguments, answered):
@@ -43,12 +44,14 @@
         super().carry_out(node, effect)
 
     def heal(self):
+        """Ends all partitions; what the links kept arrives, in order."""
         super().heal()
         kept, self.kept = self.kept, []
         for place, (name, incarnation, message) in enumerate(kept):
             self.at(self.latency() + place * 1e-5, "give", name, incarnation, message)
 
     def begin(self):
+        """Waits for service and lets the operators begin."""
         super().begin()
         documents = {change.version: change.document for change in self.operator_stand_in.changes}
         self.operators = Operators(self, documents)
--- a/src/pinepitch/simulation/isolation/injected_faults.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -1,4 +1,4 @@
-"""Planted faults that the trials must find: each takes one mechanism away."""
+"""Injected faults that the trials must find: each takes one mechanism away."""
 
 import contextlib
 from unittest import mock
@@ -49,7 +49,7 @@
 
 original_given_up = Forwarder._given_up
 UNCONFIRMED_ORDERS = (indexed_forwarder.IndexedForwarder, "begin", _carried_unconfirmed)
-# The registry of planted faults: name -> [(owner, attribute, replacement)].
+# The registry of injected faults: name -> [(owner, attribute, replacement)].
 INJECTED_FAULTS = {
     # What a late copy of an order for a zone would undo, its confirmed index keeps too: each of these
     # faults does harm only beside one that carries orders without that.
@@ -77,7 +77,7 @@
 
 
 @contextlib.contextmanager
-def planted(name):
+def injected(name):
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
--- a/src/pinepitch/simulation/isolation/orders.py
+++ b/src/pinepitch/simulation/isolation/orders.py
@@ -33,6 +33,7 @@
         self.newest_change = None  # (order, arguments) of the last change made
 
     def now(self):
+        """The simulator's time of day in seconds."""
         return START + self.simulator.now
 
     def tick(self):
@@ -48,6 +49,7 @@
         self.simulator.at(ORDER_EVERY, "later", self.tick)
 
     def change(self, node):
+        """Sends a change of the configuration to a daemon."""
         self.version += 1
         before = self.documents[self.known]
         route = {
@@ -69,14 +71,17 @@
             self._send(node, "configure", order.subject, arguments, base=order.base)
 
     def evacuate(self, node):
+        """Orders the evacuation of a zone that no other order speaks of."""
         self.zones += 1
         zone = f"zone{self.zones}"
         self._send(node, "evacuate", zone, (zone, True))
 
     def read(self, node, strict=False):
+        """Reads the configuration from a daemon."""
         return self._send(node, "configuration", None, (), strict=strict)
 
     def list_evacuations(self, node):
+        """Reads from a daemon which zones are evacuated."""
         return self._send(node, "evacuations", None, ())
 
     def _send(self, node, call, subject, arguments, **more):
--- a/src/pinepitch/simulation/isolation/scenarios.py
+++ b/src/pinepitch/simulation/isolation/scenarios.py
@@ -1,10 +1,10 @@
-"""What brings a control machine, an accord and the verge beside it, out of contact."""
+"""What brings a control machine, a control daemon and the front daemon beside it, out of contact."""
 
 ISOLATED = 20.0  # seconds; a machine is cut off or stopped this long
 
 
 def _machine(simulator):
-    """(the accord, the verge beside it) that lose contact: the leader's with every other seed."""
+    """(control daemon, front daemon) that lose contact: the leader's machine with every other seed."""
     leader = simulator.leader()
     others = [node for node in simulator.accords() if node is not leader]
     control_daemon = leader if simulator.seed % 2 == 0 else simulator.draw.choice(others)
@@ -68,7 +68,7 @@
 
 
 def _stopped_before(simulator, wanted, seconds):
-    """An accord is stopped just before it carries out an effect of one kind, three times."""
+    """A control daemon is stopped just before it carries out an effect of one kind, three times."""
     for _ in range(3):
         control_daemon, _ = _machine(simulator)
         control_daemon.stops_at = wanted
@@ -82,7 +82,7 @@
 
 
 def stopped_at_write(simulator):
-    """An accord has decided on an answer to a read and is stopped before it writes it."""
+    """A control daemon has decided on an answer to a read and is stopped before it writes it."""
 
     def wanted(effect):
         return effect[0] == "reply" and effect[2] == 200 and "routes" in effect[3]
@@ -91,7 +91,7 @@
 
 
 def stopped_at_send(simulator):
-    """An accord has taken a call to carry and is stopped before it sends it to the leader."""
+    """A control daemon has taken a call to carry and is stopped before it sends it to the leader."""
 
     def wanted(effect):
         return effect[0] == "send" and effect[2][0] == "ask" and effect[2][3] == "evacuate"
--- a/src/pinepitch/simulation/isolation/trials.py
+++ b/src/pinepitch/simulation/isolation/trials.py
@@ -8,13 +8,13 @@
 from ..jobs import checks as job_checks
 from . import checks
 from .fleet import Isolation
-from .injected_faults import planted
+from .injected_faults import injected
 from .scenarios import SCENARIOS
 
 
-def trial(scenario, seed, plant=""):
-    """(faults, simulator) of one trial, with a planted fault if one is named."""
-    with planted(plant):
+def trial(scenario, seed, injected_fault=""):
+    """(faults, simulator) of one trial, with an injected fault if one is named."""
+    with injected(injected_fault):
         return _trial(scenario, seed)
 
 
@@ -55,15 +55,17 @@
     return arguments, faults, simulator.now
 
 
-def replay(scenario, seed, plant=""):
+def replay(scenario, seed, injected_fault=""):
     """The command that runs one trial again."""
-    return f"python -m pinepitch.simulation.isolation {scenario} {seed} 1 {plant}".strip()
+    return f"python -m pinepitch.simulation.isolation {scenario} {seed} 1 {injected_fault}".strip()
 
 
-def main(scenario="all", first="0", seeds="4", plant=""):
+def main(scenario="all", first="0", seeds="4", injected_fault=""):
     """Runs trials over seeds and prints how to replay each that fails."""
     names = list(SCENARIOS) if scenario == "all" else scenario.split(",")
-    work = [(name, seed, plant) for name in names for seed in range(int(first), int(first) + int(seeds))]
+    work = [
+        (name, seed, injected_fault) for name in names for seed in range(int(first), int(first) + int(seeds))
+    ]
     begun, failed = time.monotonic(), 0
     for arguments, faults, _ in leased_job_trial.many(work, one):
         if faults:
--- a/src/pinepitch/simulation/jobs/__init__.py
+++ b/src/pinepitch/simulation/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The simulated fleet that runs jobs under holds: its parts, its fault scenarios, its checks."""
+"""The simulated fleet that runs jobs under leases: its parts, its fault scenarios, its checks."""
--- a/src/pinepitch/simulation/jobs/checks.py
+++ b/src/pinepitch/simulation/jobs/checks.py
@@ -1,11 +1,41 @@
-"""History checks of jobs under holds, written apart from the code that they check: they see only
+"""History checks of jobs under leases, written apart from the code that they check: they see only
 what callers were told and what tenants did. Each returns a list of faults in words."""
 
-from .limits import ATTEMPTS, EARLY, FINAL, IN_FLIGHT, ROOM
+from typing import NamedTuple
+
+from .limits import ATTEMPTS, CAPACITY, EARLY, FINAL, IN_FLIGHT
+
+
+class Run(NamedTuple):
+    """One run of a task at a worker, from its start to its end."""
+
+    began: float  # seconds
+    ended: float | None  # seconds; None while it runs
+    how: str | None  # done, failed, stopped, lost, alone or gone
+    worker: str
+    identity: str  # the worker's, new at each start of it
+    reference: str  # job.time.step.task
+    number: int
+    event: tuple  # that told its start
+
+    @property
+    def wave(self):
+        """(job, time, step) that its task belongs to."""
+        return tuple(self.reference.split(".")[:3])
+
+    @property
+    def task(self):
+        """The task's number in its step."""
+        return self.reference.split(".")[3]
+
+    @property
+    def job(self):
+        """The job's identity."""
+        return self.reference.split(".")[0]
 
 
 def runs_of(history):
-    """Every run: (began, ended or None, how, tenant, identity, reference, number, start event)."""
+    """Every run, by when it began."""
     ends = {}
     for event in history:
         if event[0] == "end":
@@ -16,13 +46,13 @@
     for event in history:
         if event[0] == "start":
             ended, how = ends.get((event[3], event[4], event[5]), (None, None))
-            runs.append((event[1], ended, how, event[2], event[3], event[4], event[5], event))
+            runs.append(Run(event[1], ended, how, event[2], event[3], event[4], event[5], event))
     return sorted(runs, key=lambda one: one[:1])
 
 
 def noted_ends(history):
     """reference -> [(when it ended, how, run)] of the ends that were taken note of with no
-    lapse of the hold in between."""
+    lapse of the lease in between."""
     listed, lapses, noted = {}, {}, {}
     for event in history:
         if event[0] == "end":
@@ -60,55 +90,78 @@
 
 def steps_kept(history, jobs):
     """Order, time, labels, places apart, text and checkpoints of every start are the job's."""
-    faults, done, texts, brought, here = [], {}, {}, {}, {}
     runs = runs_of(history)
-    for _, ended, how, _, _, reference, _, _ in runs:
-        job, time, number, index = reference.split(".")
-        if how == "done":
-            done.setdefault((job, time, number), {}).setdefault(index, ended)
-    for event in history:
-        if event[0] == "end" and event[8]:
-            texts.setdefault(event[8].rpartition(":")[0], set()).add(event[8])
-    for began, ended, _, worker, identity, reference, run, event in runs:
-        job, time, number, index = reference.split(".")
-        standing = jobs.get(job)
+    done = _first_done(runs)
+    faults, brought, beside = [], {}, {}
+    for run in runs:
+        standing = jobs.get(run.job)
         if standing is None:
-            faults.append(f"{reference} started, that no one handed in")
+            faults.append(f"{run.reference} started, that no one handed in")
             continue
-        step = standing["document"]["steps"][int(number)]
-        for other in step.get("after", ()):
-            before = standing["document"]["steps"][other]
-            over = done.get((job, time, str(other)), {})
-            members = [when for when in over.values() if when <= began]
-            if not members if before.get("gang") else len(members) < before["count"]:
-                faults.append(f"{reference} started at {began:.3f} before step {other} was done")
-        if standing["document"].get("times"):
-            due = (standing["document"]["first_ms"] + int(time) * standing["document"]["every_ms"]) / 1000
-            if began < due - EARLY:
-                faults.append(f"{reference} started {due - began:.3f} s early")
-        if event[9] != standing["document"]["spec"]:
-            faults.append(f"{reference} was started with another text")
-        place = int(worker[1:])
-        if step.get("needs") and step["needs"] != "ab"[place // 2 % 2]:
-            faults.append(f"{reference} started where its label is missing")
-        if standing["queue"] != ("bare" if place % 2 else "held"):
-            faults.append(f"{reference} started at another service")
-        if step.get("apart"):
-            beside = [
-                one for one in here.get((identity, job, time, number), ()) if one is None or one > began
-            ]
-            if len(beside) >= step["apart"]:
-                faults.append(f"{reference} started beside {len(beside)} of its step")
-            here.setdefault((identity, job, time, number), []).append(ended)
-        saved = event[8]
-        owner = f"{job}.{time}.{number}" if step.get("gang") else reference
-        if saved and saved.rpartition(":")[0] != owner:
-            faults.append(f"{reference} was started from what another saved: {saved}")
-        if step.get("gang") and brought.setdefault((job, time, number, run), saved) != saved:
-            faults.append(f"members of gang {owner} run {run} were started from different checkpoints")
+        step = standing["document"]["steps"][int(run.wave[2])]
+        faults.extend(_started_too_soon(run, step, standing["document"], done))
+        faults.extend(_started_in_wrong_place(run, step, standing))
+        faults.extend(_started_too_close(run, step, beside))
+        faults.extend(_started_from_wrong_checkpoint(run, step, brought))
     return faults
 
 
+def _first_done(runs):
+    """wave -> task -> when the first run of it that ended done did so."""
+    done = {}
+    for run in runs:
+        if run.how == "done":
+            done.setdefault(run.wave, {}).setdefault(run.task, run.ended)
+    return done
+
+
+def _started_too_soon(run, step, document, done):
+    """A run starts after the steps that it waits for, and not before its time."""
+    job, time, _ = run.wave
+    for other in step.get("after", ()):
+        before = document["steps"][other]
+        over = [when for when in done.get((job, time, str(other)), {}).values() if when <= run.began]
+        if not over if before.get("gang") else len(over) < before["count"]:
+            yield f"{run.reference} started at {run.began:.3f} before step {other} was done"
+    if document.get("times"):
+        due = (document["first_ms"] + int(time) * document["every_ms"]) / 1000
+        if run.began < due - EARLY:
+            yield f"{run.reference} started {due - run.began:.3f} s early"
+
+
+def _started_in_wrong_place(run, step, standing):
+    """A run starts with the job's text, at a worker of its queue that has the label it needs."""
+    if run.event[9] != standing["document"]["spec"]:
+        yield f"{run.reference} was started with another text"
+    place = int(run.worker[1:])
+    if step.get("needs") and step["needs"] != "ab"[place // 2 % 2]:
+        yield f"{run.reference} started where its label is missing"
+    if standing["queue"] != ("bare" if place % 2 else "held"):
+        yield f"{run.reference} started at another service"
+
+
+def _started_too_close(run, step, beside):
+    """No more runs of a step are at one worker than it allows; `beside` gathers them."""
+    if not step.get("apart"):
+        return
+    here = beside.setdefault((run.identity, *run.wave), [])
+    still = [ended for ended in here if ended is None or ended > run.began]
+    if len(still) >= step["apart"]:
+        yield f"{run.reference} started beside {len(still)} of its step"
+    here.append(run.ended)
+
+
+def _started_from_wrong_checkpoint(run, step, brought):
+    """A run starts from what it or its gang saved, all members of a gang from the same."""
+    saved = run.event[8]
+    gang = ".".join(run.wave)
+    owner = gang if step.get("gang") else run.reference
+    if saved and saved.rpartition(":")[0] != owner:
+        yield f"{run.reference} was started from what another saved: {saved}"
+    if step.get("gang") and brought.setdefault((*run.wave, run.number), saved) != saved:
+        yield f"members of gang {gang} run {run.number} were started from different checkpoints"
+
+
 def attempts_kept(history, jobs):
     """No task starts after as many failures, taken note of, as it may have."""
     faults, noted = [], noted_ends(history)
@@ -133,13 +186,13 @@
     return faults
 
 
-def room_kept(history):
-    """No start takes a tenant beyond its room, what is being stopped counted too."""
+def capacity_kept(history):
+    """No start takes a tenant beyond its capacity, what is being stopped counted too."""
     faults = []
     for event in history:
         if event[0] == "start":
             _, when, worker, _, reference, run, _, capacity, _, _, used = event
-            if any(used[place] + capacity[place] > ROOM[place] for place in range(3)):
+            if any(used[place] + capacity[place] > CAPACITY[place] for place in range(3)):
                 faults.append(
                     f"{reference} run {run} took {worker} beyond its room at {when:.3f}: "
                     f"{used} and {capacity}"
@@ -182,57 +235,73 @@
 
 def outcomes_true(history, client):
     """What callers are told of jobs agrees with what ran."""
-    faults, done, failed = list(client.faults), {}, {}
-    runs = runs_of(history)
-    for _, ended, how, _, _, reference, run, _ in runs:
-        job, time, number, index = reference.split(".")
-        if how == "done":
-            place = done.setdefault((job, time, number), {})
-            place[index] = min(ended, place.get(index, ended))
-        elif how == "failed":
-            failed.setdefault((job, time, number), []).append((index, run))
-    for _, _, _, _, _, reference, _, _ in runs:
-        standing = client.jobs.get(reference.split(".")[0])
+    faults, runs = list(client.faults), runs_of(history)
+    for run in runs:
+        standing = client.jobs.get(run.job)
         if standing is not None and standing["refused"] is not None:
-            faults.append(f"{reference} started, though its job was refused")
+            faults.append(f"{run.reference} started, though its job was refused")
     finals = {}
+    faults.extend(_wrong_answers(client, runs, finals))
+    for run in runs:
+        state, since = finals.get(run.job, ("", 1e18))
+        if state and run.began > since + IN_FLIGHT:
+            faults.append(
+                f"{run.reference} run {run.number} started {run.began - since:.2f} s "
+                f"after its job was told {state}"
+            )
+    return faults
+
+
+def _wrong_answers(client, runs, finals):
+    """Faults in the states that callers were told; `finals` gathers identity -> (state, when told)."""
+    done, failed = _earliest_done(runs), _failures(runs)
     for _, sent, answered, identity, status, state in sorted(client.history, key=lambda one: one[2]):
         standing = client.jobs[identity]
-        document = standing["document"]
         if status == 410:
-            faults.append(f"{identity} is unknown {sent - standing['accepted']:.2f} s after it was accepted")
+            yield f"{identity} is unknown {sent - standing['accepted']:.2f} s after it was accepted"
         if status != 200:
             continue
         if identity in finals and finals[identity][0] != state and sent > finals[identity][1]:
-            faults.append(f"{identity} was {finals[identity][0]}, then {state}")
+            yield f"{identity} was {finals[identity][0]}, then {state}"
         if state not in FINAL:
             continue
         first = identity not in finals
         finals.setdefault(identity, (state, answered))
         if state == "cancelled" and standing["cancel_sent"] is None:
-            faults.append(f"{identity} is told cancelled, but no one asked")
-        if state == "failed" and first:
-            if not _causes(identity, document, failed):
-                faults.append(f"{identity} is told failed without cause")
+            yield f"{identity} is told cancelled, but no one asked"
+        if state == "failed" and first and not _causes(identity, standing["document"], failed):
+            yield f"{identity} is told failed without cause"
         if state == "completed" and first:
-            for time in range(max(1, document.get("times", 0))):
-                for number, step in enumerate(document["steps"]):
-                    over = [
-                        one
-                        for one in done.get((identity, str(time), str(number)), {}).values()
-                        if one <= answered
-                    ]
-                    if not over if step.get("gang") else len(over) < step["count"]:
-                        faults.append(
-                            f"{identity} is told completed, but step {number} of time {time} is not done"
-                        )
-    for began, _, _, _, _, reference, run, _ in runs:
-        state, since = finals.get(reference.split(".")[0], ("", 1e18))
-        if state and began > since + IN_FLIGHT:
-            faults.append(
-                f"{reference} run {run} started {began - since:.2f} s after its job was told {state}"
-            )
-    return faults
+            yield from _not_done(identity, standing["document"], done, answered)
+
+
+def _earliest_done(runs):
+    """wave -> task -> when it first ended done."""
+    done = {}
+    for run in runs:
+        if run.how == "done":
+            ends = done.setdefault(run.wave, {})
+            ends[run.task] = min(run.ended, ends.get(run.task, run.ended))
+    return done
+
+
+def _failures(runs):
+    """wave -> [(task, run)] that failed."""
+    failed = {}
+    for run in runs:
+        if run.how == "failed":
+            failed.setdefault(run.wave, []).append((run.task, run.number))
+    return failed
+
+
+def _not_done(identity, document, done, answered):
+    """The steps of a job that were not done when it was told completed."""
+    for time in range(max(1, document.get("times", 0))):
+        for number, step in enumerate(document["steps"]):
+            ends = done.get((identity, str(time), str(number)), {}).values()
+            over = [one for one in ends if one <= answered]
+            if not over if step.get("gang") else len(over) < step["count"]:
+                yield f"{identity} is told completed, but step {number} of time {time} is not done"
 
 
 def _causes(identity, document, failed):
@@ -250,7 +319,7 @@
 
 
 def gangs_met(history, jobs):
-    """In calm weather no member of a gang waits in vain."""
+    """Without faults no member of a gang waits in vain."""
     return [
         f"{event[4]} run {event[5]} ended alone"
         for event in history
--- a/src/pinepitch/simulation/jobs/control_faults.py
+++ b/src/pinepitch/simulation/jobs/control_faults.py
@@ -17,6 +17,7 @@
 
 
 def front_names(simulator):
+    """Names of the front daemons, running or not."""
     return [name for name, node in simulator.nodes.items() if node.kind == "verge"]
 
 
@@ -39,6 +40,7 @@
 
 
 def start_if_down(simulator, name):
+    """Starts a daemon unless it runs or is gone for good."""
     node = simulator.nodes[name]
     if node.core is None and node.kind != "retired":
         simulator.start(name)
--- a/src/pinepitch/simulation/jobs/control_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/control_injected_faults.py
@@ -1,4 +1,4 @@
-"""Planted faults of the control daemons: each must be found by a fault scenario of theirs."""
+"""Injected faults of the control daemons: each must be found by a fault scenario of theirs."""
 
 from ...common import constants
 from ...consensus.cluster_clock import ClusterClock
@@ -38,7 +38,7 @@
 
 
 def _no_admission(self, identity, zone_name, members, *rest):
-    """Never lets a newcomer in once the cohort is whole."""
+    """Never lets a newcomer in once the cluster is whole."""
     return (
         None if len(members) >= self.voters else original_admission(self, identity, zone_name, members, *rest)
     )
--- a/src/pinepitch/simulation/jobs/control_scenarios/common.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/common.py
@@ -24,11 +24,13 @@
 
 
 def slow_some_disks(simulator):
+    """Makes the disks of some control daemons slow, by chance."""
     for name in faults.control_names(simulator):
         simulator.nodes[name].disk.slow = simulator.draw.choice((1.0, SLOW_DISK))
 
 
 def repair_disks(simulator):
+    """Ends all faults of disks."""
     for node in simulator.nodes.values():
         if node.disk is not None:
             node.disk.slow, node.disk.stalled, node.disk.full = 1.0, False, False
--- a/src/pinepitch/simulation/jobs/control_scenarios/losses.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/losses.py
@@ -53,7 +53,7 @@
 
 
 def herd_killed(simulator):
-    """All control daemons and fronts lose power at once, right after a promise or with slow disks,
+    """All control daemons and fronts lose power at once, right after an acknowledgement or with slow disks,
     and are started together; again before all is well."""
     for _ in range(3):
         slow_some_disks(simulator)
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -8,33 +8,33 @@
 from ..daemon_calls import send_call
 from ..simulator import START, Simulator
 from ..stand_in_lease_worker import StandInLeaseWorker
-from .limits import BEAT_PATIENCE, ENDS_WITHIN, FIVE, ROOM, SERVED_WITHIN, TENANTS, THREE
+from .limits import CAPACITY, ENDS_WITHIN, FIVE, HEARTBEAT_PATIENCE, SERVED_WITHIN, TENANTS, THREE
 from .operator_traffic import OperatorTraffic
 from .plans import FleetPlan
 from .stand_in_client import StandInClient
 from .stand_in_operator import StandInOperator
 
-ACKNOWLEDGED = ("job", "job-cancel", "configure", "amend", "evacuate")  # calls whose answer is a promise
+ACKNOWLEDGED = ("job", "job-cancel", "configure", "amend", "evacuate")  # calls whose answer must hold
 
 
 class Tenancy(Simulator):
-    """The simulator with tenants for minions. Invariants: tenants beat at accords, callers call
-    at verges; answers get lost or late by chance as answer_loss, answer_late and beat_late say."""
+    """The simulator with workers of leased jobs. Invariants: workers heartbeat at control daemons, callers
+    call at front daemons; answers get lost or late by chance as answer_loss and late_part say."""
 
     def __init__(self, seed, plan=None):
         self.plan = plan or FleetPlan(
             FIVE if seed % 3 == 0 else THREE, "static", constants.BOOTSTRAP_MEMBERS, 1
         )
         self.gangs = {}
-        self.answer_loss = self.late_part = 0.0  # parts; of answers lost, of beats and answers late
+        self.answer_loss = self.late_part = 0.0  # parts; of answers lost, of heartbeats and answers late
         self.late_most = 0.0  # seconds
-        self.under_way = {}  # tenant -> its beats that stay under way until a weather lets them arrive
+        self.delayed = {}  # worker -> its heartbeats, kept back until a fault scenario lets them arrive
         self.acknowledgement_loss = 0.0  # part; of answers to the operator lost, beside answer_loss
         self.acknowledgements = []  # (when it arrived, call, the daemon that answered)
         super().__init__(
             seed,
             self.plan.areas,
-            workers=(("w", TENANTS, ROOM, (), True),),
+            workers=(("w", TENANTS, CAPACITY, (), True),),
             founders=constants.BOOTSTRAP_MEMBERS if self.plan.mode == "single" else len(self.plan.areas),
             mode=self.plan.mode,
             kinds={"minion": self._tenant},
@@ -62,7 +62,7 @@
         )
 
     def start(self, name):
-        """Starts a daemon; only one of the first start may found the cohort."""
+        """Starts a daemon; only one of the first start may found the cluster."""
         super().start(name)
         node = self.nodes[name]
         if node.kind == "accord":
@@ -96,7 +96,7 @@
                     target,
                     "beat-leave",
                     (effect[2],),
-                    BEAT_PATIENCE,
+                    HEARTBEAT_PATIENCE,
                     lambda *answered: None,
                 )
                 node.down = True
@@ -104,8 +104,8 @@
                 self._mark_absent(node.name)
                 continue
             _, _, number, identity, document = effect
-            if node.name in self.under_way:
-                self.under_way[node.name].append((target, identity, json.loads(json.dumps(document))))
+            if node.name in self.delayed:
+                self.delayed[node.name].append((target, identity, json.loads(json.dumps(document))))
                 continue
             self.send_call(
                 node.name,
@@ -113,17 +113,19 @@
                 target,
                 "beat",
                 (identity, document),
-                BEAT_PATIENCE,
+                HEARTBEAT_PATIENCE,
                 self._heartbeat_answered(node, node.incarnation, number),
                 self._lateness(),
             )
 
     def arrive(self, target, identity, document):
-        """A beat that was under way for long, whose sender waits for no answer any more."""
-        self.send_call("late", 0, target, "beat", (identity, document), BEAT_PATIENCE, lambda *answered: None)
+        """A heartbeat that was under way for long, whose sender waits for no answer any more."""
+        self.send_call(
+            "late", 0, target, "beat", (identity, document), HEARTBEAT_PATIENCE, lambda *answered: None
+        )
 
     def _heartbeat_answered(self, node, incarnation, number):
-        """What brings a beat's answer back, late or never by chance."""
+        """What brings a heartbeat's answer back, late or never by chance."""
 
         def answered(status, document):
             if self.draw.random() >= self.answer_loss and (status or document is None):
@@ -178,6 +180,7 @@
 
     # --- the day ----------------------------------------------------------------------
     def begin(self):
+        """Waits until the cluster serves with all its members, and lets the stand-ins begin."""
         if (
             self.until(lambda: self.leader() is not None and self.leader().core.consensus.serving(), 30)
             is None
@@ -200,9 +203,11 @@
         )
 
     def quiet(self):
+        """Whether the client has seen the end of every job."""
         return self.client_stand_in.quiet()
 
     def finish(self, seconds=ENDS_WITHIN):
+        """Ends all faults and waits until every job has ended; False if that takes longer."""
         self.answer_loss = self.late_part = self.late_most = self.acknowledgement_loss = 0.0
         for span in self.operator_stand_in.spans:
             if span[2] is None:
@@ -227,8 +232,8 @@
             self.operator_stand_in.faults.append(f"no job was taken within {within:.0f} s {why}")
 
     def agreement(self):
-        """Beside the record, the boards: alike where as much is applied, and as their image says; and
-        the invariants of placing, which each accord checks itself."""
+        """Beside the cluster states, the leased job states: alike where as much is applied, and as
+        their image says; and the invariants of placing, which each control daemon checks itself."""
         faults, leased_jobs_of = super().agreement(), {}
         for node in self.nodes.values():
             if node.kind != "accord" or node.core is None or node.core.consensus is None:
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -1,4 +1,4 @@
-"""Planted faults: each must be found by a check of the simulated fleet that runs jobs."""
+"""Injected faults: each must be found by a check of the simulated fleet that runs jobs."""
 
 import contextlib
 import itertools
@@ -18,7 +18,7 @@
 
 
 def _absent_at_once(self, worker, now):
-    """Takes what is missing in a beat for a proof, whoever gave the start and however old the beat."""
+    """Takes what is missing in a heartbeat for a proof, whoever gave the start and however old it is."""
     for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
         if (reference, run) not in worker.running and (reference, run) not in worker.listed:
             if (
@@ -67,7 +67,7 @@
 
 
 def _always_ready(self, heartbeat, now):
-    """Reads no beat that says "draining"."""
+    """Reads no heartbeat that says "draining"."""
     return original_heartbeat(self, {**heartbeat, "state": "ready", "leaves_ms": None}, now)
 
 
@@ -76,7 +76,7 @@
 
 
 def _capacity_twice(leased_jobs, workers, now):
-    """Gives the room of runs that are to end away before they have ended."""
+    """Gives the capacity of runs that are to end away before they have ended."""
     seats = original_seats(leased_jobs, workers, now)
     for seat in itertools.chain(*seats.values()):
         for placement in leased_jobs.placements.get(seat.identity, {}).values():
@@ -138,7 +138,7 @@
 
 
 @contextlib.contextmanager
-def planted(name):
+def injected(name):
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
--- a/src/pinepitch/simulation/jobs/operator_traffic.py
+++ b/src/pinepitch/simulation/jobs/operator_traffic.py
@@ -29,11 +29,12 @@
         self.running = False
 
     def quiet(self):
+        """Whether every order is answered or given up."""
         return not self.running and not self.changes and self.span is None
 
     def _turn(self):
         draw, operator = self.simulator.draw, self.simulator.operator_stand_in
-        self.changes = [one for one in self.changes if one.under_way and not one.answers]
+        self.changes = [one for one in self.changes if one.pending and not one.answers]
         if self.running:
             if draw.random() < self.change_rate and len(self.changes) < IN_FLIGHT_MOST:
                 self.change()
--- a/src/pinepitch/simulation/jobs/replays.py
+++ b/src/pinepitch/simulation/jobs/replays.py
@@ -1,4 +1,4 @@
-"""Frames that come again, late, out of order, to another life of their receiver, or distorted.
+"""Frames that come again, late, out of order, to another incarnation of their receiver, or distorted.
 
 Links lose frames and never repeat them; this is harsher. What is meant to hold: no daemon stops,
 no caller gets another's answer, and nothing takes effect that was not asked for.
@@ -60,7 +60,7 @@
 
 
 def distorted(draw, message):
-    """A frame as some other cohort, life or version would have sent it."""
+    """A frame as some other cluster, incarnation or version would have sent it."""
     known = DISTORTIONS.get(message[0])
     if known is None or draw.random() >= DISTORTED:
         return message
@@ -79,7 +79,7 @@
 
 @contextlib.contextmanager
 def frames_again(simulator):
-    """While it lasts, a part of all frames comes again, to whatever life its receiver is in then."""
+    """While it lasts, a part of all frames comes again, to whatever incarnation its receiver is in then."""
     original, draw = simulators.EFFECTS["send"], simulator.draw
 
     def send(simulator, node, address, message):
--- a/src/pinepitch/simulation/jobs/scenarios.py
+++ b/src/pinepitch/simulation/jobs/scenarios.py
@@ -13,14 +13,17 @@
 
 
 def control_daemon_names(simulator):
+    """Names of the control daemons, running or not."""
     return [name for name, node in simulator.nodes.items() if node.kind == "accord"]
 
 
 def tenant_names(simulator):
+    """Names of the workers."""
     return [name for name, node in simulator.nodes.items() if node.kind == "minion" and not node.down]
 
 
 def accepted_count(simulator):
+    """How many jobs were accepted so far."""
     return sum(job["accepted"] is not None for job in simulator.client_stand_in.jobs.values())
 
 
@@ -41,6 +44,7 @@
 
 
 def calm(simulator):
+    """Nothing goes wrong."""
     simulator.run(14)
 
 
@@ -117,7 +121,7 @@
 
 
 def wiped(simulator):
-    """An accord loses its disk right after something was acknowledged, and joins anew."""
+    """A control daemon loses its disk right after something was acknowledged, and joins anew."""
     for turn in range(2):
         run_until_accepted(simulator)
         leader = simulator.leader()
@@ -132,7 +136,7 @@
 
 
 def all_killed(simulator):
-    """All accords lose power at once, right after something was acknowledged; one stays away."""
+    """All control daemons lose power at once, right after something was acknowledged; one stays away."""
     for _ in range(2):
         run_until_accepted(simulator)
         names = control_daemon_names(simulator)
@@ -191,7 +195,7 @@
 
 def workers_crash(simulator):
     """Tenants crash and come back under new identities at their addresses; some while a frozen
-    accord still holds beats of their former life."""
+    control daemon still holds heartbeats of their former incarnation."""
     for turn in range(12):
         names = simulator.draw.sample(tenant_names(simulator), 2)
         frozen = simulator.draw.choice(control_daemon_names(simulator)) if turn % 3 == 2 else None
@@ -210,7 +214,7 @@
 
 
 def workers_partitioned(simulator):
-    """Tenants are cut off from all, one way or both, and run on; some for longer than a hold."""
+    """Tenants are cut off from all, one way or both, and run on; some for longer than a lease."""
     for _ in range(4):
         names = simulator.draw.sample(tenant_names(simulator), simulator.draw.choice((1, 2, 4)))
         manner = simulator.draw.choice(("both", "both", "deaf", "dumb"))
@@ -242,7 +246,7 @@
 
 
 def answers_late(simulator):
-    """Beats and answers get lost or late, while tenants drain and zones are evacuated."""
+    """Heartbeats and answers get lost or late, while tenants drain and zones are evacuated."""
     simulator.answer_loss, simulator.late_part, simulator.late_most = 0.1, 0.3, 3.0
     for _ in range(3):
         span = simulator.operator_stand_in.evacuate(simulator.draw.choice(("a", "b", "c")))
@@ -253,7 +257,7 @@
 
 
 def heartbeats_stale(simulator):
-    """Beats come seconds late, some to a leader that has not yet heard of their tenant, while
+    """Heartbeats come seconds late, some to a leader that has not yet heard of their tenant, while
     tenants are cut off and run on, zones are evacuated and the leader dies."""
     for _ in range(3):
         simulator.late_part, simulator.late_most = 0.4, 9.0
@@ -275,14 +279,14 @@
 
 
 def incarnations_mixed(simulator):
-    """Tenants crash and come back while beats of their former lives are still under way; these
-    come when the new lives, that have work, are cut off and run on."""
+    """Tenants crash and come back while heartbeats of their former incarnations are still under way; these
+    come when the new incarnations, that have work, are cut off and run on."""
     draw = simulator.draw
     for _ in range(4):
         names = draw.sample(tenant_names(simulator), 4)
-        simulator.under_way = {name: [] for name in names}
+        simulator.delayed = {name: [] for name in names}
         simulator.run(draw.uniform(2, 4))
-        late, simulator.under_way = simulator.under_way, {}
+        late, simulator.delayed = simulator.delayed, {}
         for name in names:
             simulator.kill(name)
         simulator.run(draw.choice((0.05, 0.5)))
--- a/src/pinepitch/simulation/jobs/stand_in_client.py
+++ b/src/pinepitch/simulation/jobs/stand_in_client.py
@@ -19,9 +19,10 @@
         self.faults = []
         self.stopped = False
         self.rate = 1.0
-        self.open, self.retry, self.under_way = {}, [], {}
+        self.open, self.retry = {}, []
 
     def step(self, message, now):
+        """Takes a message, `tick` or `answered`, at a time in seconds; returns the calls to send."""
         kind, *rest = message
         return getattr(self, f"_on_{kind}")(*rest, now)
 
@@ -132,6 +133,7 @@
             self.faults.append(f"the cancel of {job['identity']} was answered {status}")
 
     def quiet(self):
+        """Whether every job has ended and nothing is to be sent again."""
         return all(
             job["refused"] is not None or job["final"] is not None and job["looks"] <= 0
             for job in self.jobs.values()
--- a/src/pinepitch/simulation/jobs/stand_in_operator.py
+++ b/src/pinepitch/simulation/jobs/stand_in_operator.py
@@ -27,13 +27,14 @@
         self.call, self.base, self.document, self.arguments = call, base, document, arguments
         self.version = document["version"]
         self.answers = []
-        self.under_way = 0
+        self.pending = 0
 
     def acknowledged(self):
         """When it was acknowledged first, or None."""
         return min((answered for _, answered, status in self.answers if status == 200), default=None)
 
     def was_refused(self):
+        """Whether some answer clearly refused it."""
         return any(status in REFUSED for _, _, status in self.answers)
 
 
@@ -60,6 +61,7 @@
         self.reads = []  # (sent, answered, document)
 
     def now(self):
+        """The simulator's time of day in seconds."""
         return START + self.simulator.now
 
     # --- changes ------------------------------------------------------------------------
@@ -97,10 +99,10 @@
     def _send(self, change):
         """Sends a change until it is clearly answered."""
         sent = self.now()
-        change.under_way += 1
+        change.pending += 1
 
         def decided(status, on_answer):
-            change.under_way -= 1
+            change.pending -= 1
             change.answers.append((sent, self.now(), status))
             if status == 200 and on_answer["version"] != change.version:
                 self.faults.append(f"version {change.version} was acknowledged as {on_answer['version']}")
@@ -109,7 +111,7 @@
 
         self.simulator.persist_call("accord", change.call, change.arguments, decided, LASTS)
 
-    def _whole(self, before, version, text):
+    def _complete(self, before, version, text):
         """A whole configuration with a route more."""
         document = {**before, "version": version, "routes": [*before["routes"], _route(before, text)]}
         return Change("configure", before["version"], document, (before["version"], document))
@@ -133,7 +135,7 @@
         self._race_on(before)
 
     def _race_on(self, before):
-        for make in (self._whole, self._by_name):
+        for make in (self._complete, self._by_name):
             version = self._next_version(before)
             self._give(make(before, version, f"extra{version}"))
 
@@ -143,7 +145,7 @@
 
     def _rush_on(self, before):
         version = self._next_version(before)
-        makes = (self._whole, self._by_name, self._whole)
+        makes = (self._complete, self._by_name, self._complete)
         given = [
             self._give(make(before, version, f"rush{version}{place}")) for place, make in enumerate(makes)
         ]
@@ -151,14 +153,14 @@
         self.version = version + 1
         for change in given[:2]:
             self._send(change)
-        older = [one for one in self.changes if one not in given and not one.under_way]
+        older = [one for one in self.changes if one not in given and not one.pending]
         for change in self.random.sample(older, min(len(older), IN_FLIGHT - len(given) - 2)):
             self._send(change)
 
     def send_all_again(self):
         """Every change once more, now that others may have been taken since."""
         for change in self.changes:
-            if not change.under_way:
+            if not change.pending:
                 self._send(change)
 
     # --- reads ----------------------------------------------------------------------------
--- a/src/pinepitch/simulation/leased_job_trial.py
+++ b/src/pinepitch/simulation/leased_job_trial.py
@@ -1,4 +1,4 @@
-"""Trials of jobs under holds: a simulated fleet under a fault scenario, then checks of what its
+"""Trials of jobs under leases: a simulated fleet under a fault scenario, then checks of what its
 callers, tenants and operator saw. A trial is replayed by its scenario and seed.
 """
 
@@ -12,7 +12,7 @@
 from .jobs.control_injected_faults import CONTROL_INJECTED_FAULTS
 from .jobs.control_scenarios.registry import CONTROL_SCENARIOS
 from .jobs.fleet import Tenancy
-from .jobs.injected_faults import planted
+from .jobs.injected_faults import injected
 from .jobs.limits import (
     CONTROL_RUSHES,
     ENDS_WITHIN,
@@ -29,8 +29,8 @@
 
 
 def trial(scenario, seed, injected_fault=""):
-    """(faults, simulator) of one trial, with a planted fault if one is named."""
-    with planted(injected_fault):
+    """(faults, simulator) of one trial, with an injected fault if one is named."""
+    with injected(injected_fault):
         return _trial(
             scenario, seed, FAILED_ENDS_WITHIN if injected_fault in CONTROL_INJECTED_FAULTS else ENDS_WITHIN
         )
@@ -81,7 +81,7 @@
         checks.never_twice(history),
         checks.steps_kept(history, patron.jobs),
         checks.attempts_kept(history, patron.jobs),
-        checks.room_kept(history),
+        checks.capacity_kept(history),
         checks.cancels_kept(history, patron.jobs, running_most),
         checks.closed_kept(history, simulator.operator_stand_in.spans, zones),
         checks.outcomes_true(history, patron),
--- a/src/pinepitch/simulation/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated cohort that only takes orders, and operators of zones whose answers get lost.
+"""A simulated cluster that only takes orders, and operators of zones whose answers get lost.
 
 An operator works as the platform's does: it sends an order to one daemon, goes on to another after
 a second of silence or a 5xx, and gives its next order for the zone once the last is acknowledged.
@@ -30,6 +30,7 @@
             raise AssertionError("no leader within 30 s")
 
     def names(self):
+        """Names of all daemons, running or not."""
         return list(self.nodes)
 
     def followers(self):
@@ -37,14 +38,14 @@
         leader = self.leader()
         return [name for name, node in self.nodes.items() if node.core is not None and node is not leader]
 
-    def send(self, name, call, arguments, told):
+    def send(self, name, call, arguments, answered):
         """One call to one daemon; told(status, document) comes back once, (0, None) after silence."""
         answers = []
 
         def once(status, document):
             if not answers:
                 answers.append(status)
-                told(status, document)
+                answered(status, document)
 
         def perhaps(status, document):
             if self.draw.random() >= self.answer_loss:
@@ -53,7 +54,7 @@
         send_call(self, "operator", 0, self.nodes[name], call, arguments, constants.CALL_PATIENCE, perhaps)
         self.at(RESPONSE_TIMEOUT, "later", lambda: once(0, None))
 
-    def under_way(self):
+    def pending(self):
         """Whether something waits to be answered or to be sent again."""
         return any(event[0] == "later" for _, _, event in self.events)
 
@@ -91,10 +92,10 @@
         if order != self.order or self.standing is not None:
             return
 
-        def told(status, document):
+        def answered(status, document):
             self._answered(order, name, status)
 
-        self.fleet.send(name, "evacuate", (self.zone, self.wanted), told)
+        self.fleet.send(name, "evacuate", (self.zone, self.wanted), answered)
 
     def _answered(self, order, name, status):
         if order != self.order or self.standing is not None:
@@ -131,18 +132,19 @@
     def __init__(self, order, call, arguments):
         self.order, self.call, self.arguments = order, call, arguments
         self.answers = []  # (sent, answered, status), 0 for silence
-        self.under_way = 0
+        self.pending = 0
 
     def version(self):
         """The number that it bears."""
         return json.loads(self.order.body)["configVersion"]
 
     def digest(self):
-        """What the record would remember it by."""
+        """What the cluster state would remember it by."""
         plain = json.loads(json.dumps(self.arguments))
         return requests.CALLS[self.call](None, "", plain, 0.0)[1][-1]
 
     def statuses(self):
+        """The statuses that it was answered with."""
         return {status for _, _, status in self.answers}
 
 
@@ -155,8 +157,9 @@
         self.changes = []
         self.reads = []  # (sent, answered, document)
 
-    def under_way(self):
-        return sum(change.under_way for change in self.changes)
+    def pending(self):
+        """How many attempts wait for an answer."""
+        return sum(change.pending for change in self.changes)
 
     def give(self, change, name):
         """Begins to send a change."""
@@ -165,27 +168,27 @@
 
     def send(self, change, name):
         """Sends a change to one daemon, and to others until it is clearly answered."""
-        change.under_way += 1
+        change.pending += 1
         sent = self.fleet.now
 
-        def told(status, document):
-            change.under_way -= 1
+        def answered(status, document):
+            change.pending -= 1
             change.answers.append((sent, self.fleet.now, status))
             if status in (0, 408, 429) or status >= 500:
                 others = [one for one in self.fleet.names() if one != name]
                 self.fleet.at(PAUSE, "later", lambda: self.send(change, self.fleet.draw.choice(others)))
 
-        self.fleet.send(name, change.call, change.arguments, told)
+        self.fleet.send(name, change.call, change.arguments, answered)
 
     def read(self, name):
         """Reads what is in force from one daemon."""
         sent = self.fleet.now
 
-        def told(status, document):
+        def answered(status, document):
             if status == 200:
                 self.reads.append((sent, self.fleet.now, document))
 
-        self.fleet.send(name, "configuration", (), told)
+        self.fleet.send(name, "configuration", (), answered)
 
     def taken_in_record(self):
         """The changes that the leader's record holds for taken."""
--- a/src/pinepitch/simulation/order_injected_faults.py
+++ b/src/pinepitch/simulation/order_injected_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted into orders, to see that the models and the simulator's operators find them."""
+"""Faults injected into orders, to see that the models and the simulator's operators find them."""
 
 import hashlib
 import json
@@ -10,20 +10,20 @@
 from ..scheduling.evacuation import Evacuations
 from ..transport.indexed_forwarder import IndexedForwarder
 
-original_settled = Configuration._earlier_outcome
+original_earlier_outcome = Configuration._earlier_outcome
 original_image = Configuration.image
 
 
 def _base_unheeded(self, base, version, digest):
     """Takes changes on whatever version is in force."""
-    return original_settled(self, self.version, version, digest)
+    return original_earlier_outcome(self, self.version, version, digest)
 
 
 def _number_is_enough(self, base, version, digest):
     """Acknowledges any change under a number that was taken."""
     if type(version) is int and version in self.taken:
         return ("configured", version)
-    return original_settled(self, base, version, digest)
+    return original_earlier_outcome(self, base, version, digest)
 
 
 def _taken_unheeded(self, base, version, digest):
@@ -57,9 +57,9 @@
 def _holding_orders_unnoted(self, index, now, zone, begun, confirmed):
     """Notes an order only if it changes something."""
     before = dict(self.newest)
-    held = (zone in self.since) == begun
+    kept = (zone in self.since) == begun
     outcome = original_take(self, index, now, zone, begun, confirmed)
-    if held:
+    if kept:
         self.newest = before
     return outcome
 
--- a/src/pinepitch/simulation/order_rules.py
+++ b/src/pinepitch/simulation/order_rules.py
@@ -26,7 +26,7 @@
     return Order(kind, base, json.dumps(document, sort_keys=True))
 
 
-def _whole(value):
+def _complete(value):
     return type(value) is int
 
 
@@ -42,7 +42,7 @@
 def is_valid(document, current):
     """Whether a whole configuration may come into force over version `current`."""
     version = document.get("configVersion")
-    if not _whole(version) or not current < version <= VERSION_MOST:
+    if not _complete(version) or not current < version <= VERSION_MOST:
         return False
     services = [service["name"] for service in document["services"]]
     names = [route["name"] for route in document["routes"]]
@@ -79,6 +79,7 @@
 
     @property
     def version(self):
+        """The number of the version in force."""
         return self.taken[-1][1] if self.taken else 0
 
     def _outcome(self, order):
@@ -86,7 +87,7 @@
         change = json.loads(order.body)
         if order.kind == REPLACE:
             return change if is_valid(change, self.version) else None
-        if self.document is None or not _whole(change["configVersion"]):
+        if self.document is None or not _complete(change["configVersion"]):
             return None
         result = amended(self.document, change)
         return result if is_valid(result, self.version) else None
@@ -111,7 +112,7 @@
         """Whether an order may have been taken so long ago that it needn't be recognised."""
         change = json.loads(order.body)
         version = change["configVersion"]
-        if len(self.taken) < self.remembered or not _whole(version):
+        if len(self.taken) < self.remembered or not _complete(version):
             return False
         if not base < version < self.taken[-self.remembered][1]:
             return False
@@ -123,7 +124,7 @@
         if order.kind == REPLACE:
             return is_valid(change, self.version)
         version = change["configVersion"]
-        return _whole(version) and self.version < version <= VERSION_MOST
+        return _complete(version) and self.version < version <= VERSION_MOST
 
     def answered(self, order, status):
         """Takes note of an answer; the fault in it, or None."""
--- a/src/pinepitch/simulation/outage.py
+++ b/src/pinepitch/simulation/outage.py
@@ -1,4 +1,4 @@
-"""How long an outage of the whole control plane lasts: every accord is killed right after a job
+"""How long an outage of the whole control plane lasts: every control daemon is killed right after a job
 was accepted and started again, and each step of the way back is timed from the last start.
 
 `python -m pinepitch.simulation.outage [SEEDS]` prints the spans over seeds.
@@ -20,13 +20,13 @@
 
 
 class Outage(NamedTuple):
-    """Seconds from the last start of an accord to each step; None for what never came."""
+    """Seconds from the last start of a control daemon to each step; None for what never came."""
 
     candidate: float | None
     leader: float | None
     duty: float | None
     accepted: float | None  # the first job that was handed in during the outage or later
-    started: float | None  # the first start of a task at a minion
+    started: float | None  # the first start of a task at a worker
     last_accepted: float | None  # the last of the jobs that were handed in before the leader was there
     handed_in: int  # jobs handed in from the kill until the leader was there
     refused: int  # of the tries sent until then, answered "not taken"
--- a/src/pinepitch/simulation/pushed_job_trial.py
+++ b/src/pinepitch/simulation/pushed_job_trial.py
@@ -1,5 +1,5 @@
-"""Trials: a weather of failures over a simulated fleet under traffic, then every check.
-A trial is replayed by its weather and seed.
+"""Trials: a fault scenario of failures over a simulated fleet under traffic, then every check.
+A trial is replayed by its fault scenario and seed.
 """
 
 import json
@@ -60,8 +60,8 @@
 
 
 def trial(fault_scenario, seed, fleet="three", mode="static", injected_fault=""):
-    """(faults, simulator) of one trial, with a planted fault if one is named."""
-    with injected_faults.planted(injected_fault):
+    """(faults, simulator) of one trial, with an injected fault if one is named."""
+    with injected_faults.injected(injected_fault):
         return _trial(fault_scenario, seed, fleet, mode)
 
 
@@ -70,51 +70,60 @@
     operator = Operator(simulator)
     faults = []
     try:
-        simulator.begin()
-        simulator.caller("caller", TRAFFIC, cancels=0.04)
-        simulator.run(2)
-        # so that every promise is at stake in every weather: changes that race, a closed minion
-        operator.race([{"queues": {"feeds": {"limit": 22 + one}}} for one in range(2)])
-        if seed % 3 == 2:
-            operator.close("minion", "m5")
-        FAULT_SCENARIOS[fault_scenario](simulator, operator)
-        operator.race([{"queues": {"feeds": {"limit": 24 + one}}} for one in range(2)])
-        if seed % 3 == 2:
-            operator.open("minion", "m5")
-        if not simulator.finish():
-            waiting = sorted({one for caller in simulator.callers.values() for one in caller.open})
-            faults.append(f"never quiet again; open: {waiting[:5]}")
-        simulator.run(3)
-        faults.extend(operator.check())
-        faults.extend(read_again(simulator))
+        _run_day(simulator, operator, fault_scenario, faults, closes=seed % 3 == 2)
     except Exception as broken:  # a trial reports whatever ends it, to be replayed
         place = traceback.extract_tb(broken.__traceback__)[-1]
         faults.append(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
+    faults.extend(_history_faults(simulator, operator))
+    faults.extend(simulator.agreement())
+    if not any(caller.accepted for caller in simulator.callers.values()):
+        faults.append("no ticket was accepted")
+    return faults, simulator
+
+
+def _run_day(simulator, operator, fault_scenario, faults, closes):
+    """Traffic under a fault scenario, to its end; adds what the operator and late reads find to `faults`.
+
+    So that every guarantee is at stake in every scenario, changes race and, if `closes`, a worker is drained.
+    """
+    simulator.begin()
+    simulator.caller("caller", TRAFFIC, cancels=0.04)
+    simulator.run(2)
+    operator.race([{"queues": {"feeds": {"limit": 22 + one}}} for one in range(2)])
+    if closes:
+        operator.close("minion", "m5")
+    FAULT_SCENARIOS[fault_scenario](simulator, operator)
+    operator.race([{"queues": {"feeds": {"limit": 24 + one}}} for one in range(2)])
+    if closes:
+        operator.open("minion", "m5")
+    if not simulator.finish():
+        waiting = sorted({one for caller in simulator.callers.values() for one in caller.open})
+        faults.append(f"never quiet again; open: {waiting[:5]}")
+    simulator.run(3)
+    faults.extend(operator.check())
+    faults.extend(read_again(simulator))
+
+
+def _history_faults(simulator, operator):
+    """What the history checks find in what callers were told and workers did."""
     documents, history = {}, []
     for caller in simulator.callers.values():
         documents.update({pushed_job: one[2] for pushed_job, one in caller.accepted.items()})
         history.extend(caller.history)
-    rows = simulator.setup["queues"]
-    faults.extend(
-        checks.all_checks(
-            history,
-            simulator.worker_history,
-            documents,
-            rows,
-            simulator.capacities,
-            simulator.absences,
-            operator.withdrawn,
-        )
+    faults = checks.all_checks(
+        history,
+        simulator.worker_history,
+        documents,
+        simulator.queue_configuration["queues"],
+        simulator.capacities,
+        simulator.absences,
+        operator.withdrawn,
     )
-    faults.extend(checks.limits_kept(simulator.worker_history, documents, operator.limits()))
-    faults.extend(simulator.agreement())
-    if not documents:
-        faults.append("no ticket was accepted")
-    return faults, simulator
+    return [*faults, *checks.limits_kept(simulator.worker_history, documents, operator.limits())]
 
 
 def read_again(simulator, most=30):
-    """Faults in tickets read long after they were final, at one verge after another."""
+    """Faults in jobs read long after they were final, at one front daemon after another."""
     faults = []
     for caller in simulator.callers.values():
         final = {event[2]: event[3] for event in caller.history if event[0] == "final"}
@@ -153,23 +162,16 @@
     """Runs trials over many seeds and prints how to replay each that fails.
 
     Args:
-        weather: a name, several parted by commas, or all.
+        fault_scenario: a name, several parted by commas, or all.
         seeds: how many seeds of each.
         first: the first seed.
         fleet: three, five, bare, nine (for dynamic mode) or all (the first three in turn).
         mode: quorum mode, static or dynamic.
-        plant: a planted fault, to see the checks find it.
+        injected_fault: a fault put into the code, to see the checks find it.
     """
-    names = (
-        list(FAULT_SCENARIOS)
-        if fault_scenario == "all"
-        else fault_scenario.split(",")
-        if isinstance(fault_scenario, str)
-        else list(fault_scenario)
-    )
     work = [
         (name, seed, IN_TURN[seed % len(IN_TURN)] if fleet == "all" else fleet, mode, injected_fault)
-        for name in names
+        for name in _names(fault_scenario)
         for seed in range(first, first + seeds)
     ]
     begun, failed, virtual = time.monotonic(), 0, 0.0
@@ -179,15 +181,17 @@
             failed += 1
             print(replay(name, seed, on, mode, injected_fault))
             print("   " + "\n   ".join(faults[:4]), flush=True)
-    print(
-        json.dumps(
-            {
-                "trials": len(work),
-                "failed": failed,
-                "virtual_seconds": round(virtual),
-                "seconds": round(time.monotonic() - begun, 1),
-            }
-        )
-    )
+    took = round(time.monotonic() - begun, 1)
+    figures = {"trials": len(work), "failed": failed, "virtual_seconds": round(virtual), "seconds": took}
+    print(json.dumps(figures))
     if failed:
         sys.exit(1)
+
+
+def _names(fault_scenario):
+    """The names of fault scenarios that the command line gives: all, a list, or parted by commas."""
+    if fault_scenario == "all":
+        return list(FAULT_SCENARIOS)
+    if isinstance(fault_scenario, str):
+        return fault_scenario.split(",")
+    return list(fault_scenario)
--- a/src/pinepitch/simulation/rates.py
+++ b/src/pinepitch/simulation/rates.py
@@ -57,7 +57,7 @@
 
 
 def blocks(seed, busy=False):
-    """Traffic in blocks as the sample tells it; `busy` fills the room now and then, so that
+    """Traffic in blocks as the sample tells it; `busy` fills the capacity now and then, so that
     urgency matters."""
     draw, made = random.Random(f"rates-{seed}"), []
     for _ in range(12):
--- a/src/pinepitch/simulation/scale/costs.py
+++ b/src/pinepitch/simulation/scale/costs.py
@@ -21,7 +21,7 @@
 
 
 class Alone:
-    """A cohort of one accord on a virtual clock, whose disk takes no time. Invariant: what it
+    """A cluster of one control daemon on a virtual clock, whose disk takes no time. Invariant: what it
     saves is durable at the end of the step that asked for it."""
 
     def __init__(self):
@@ -45,12 +45,14 @@
                 waiting.append(("saved", saved))
 
     def run(self, seconds):
+        """Lets some virtual seconds pass, tick by tick."""
         end = self.now + seconds
         while self.now < end:
             self.now += constants.TICK
             self.give(("tick",))
 
     def ask(self, call, *arguments):
+        """A call to the daemon, answered at once."""
         self.count += 1
         end = Reading(self.core.consensus.term, self.now + constants.CALL_PATIENCE)
         self.give(("ask", "127.0.0.1:2", f"t{self.count}", call, arguments, 1, end))
@@ -76,6 +78,7 @@
         return self
 
     def hand_in(self, count, cpu=100, queue="held", **more):
+        """Submits a job of one step with so many tasks."""
         results, what = kinds.step_of(count, 10.0, cpu, **more)
         self.ask(
             "job",
@@ -86,13 +89,14 @@
 
 
 class Herd:
-    """Workers of Alone that only beat. Invariant: each runs what its newest answers started."""
+    """Workers of Alone that only heartbeat. Invariant: each runs what its newest answers started."""
 
     def __init__(self, alone, count):
         self.alone, self.sequence = alone, 0
         self.running = {f"i-w{place}": {} for place in range(count)}
 
-    def beat(self, identity):
+    def heartbeat(self, identity):
+        """One heartbeat of a worker, and the starts in its answer."""
         self.sequence += 1
         place = int(identity[3:])
         self.alone.sent.clear()
@@ -109,7 +113,7 @@
                 "clock_ms": round(self.alone.now * 1000),
                 "leaves_ms": None,
                 "labels": ["ab"[place % 2], f"r{place // RACK}"],
-                "room": limits.ROOM,
+                "room": limits.CAPACITY,
                 "running": [[*key, "", round(self.alone.now * 0.5 % 99, 2)] for key in running],
                 "ended": [],
             },
@@ -120,11 +124,11 @@
                     running[(reference, run)] = True
 
     def round(self, seconds=0.1):
-        """Every worker beats once within so many seconds; the time that the steps took."""
+        """Every worker heartbeats once within so many seconds; the time that the steps took."""
         step, begun = seconds / len(self.running), time.perf_counter()
         for identity in list(self.running):
             self.alone.now += step
-            self.beat(identity)
+            self.heartbeat(identity)
         took = time.perf_counter() - begun
         self.alone.give(("tick",))
         return took
@@ -144,7 +148,12 @@
     for _ in range(5):
         herd.round(0.4)
     assert sum(map(len, alone.core.cluster_state.leased_jobs.placements.values())) == alike
-    return _best(lambda: alone.core.assignments._look_at_progress(alone.now))
+    assignments = alone.core.assignments
+    return _best(
+        lambda: assignments.progress.look(
+            assignments.workers, assignments.leased_jobs, assignments.stopping, alone.now
+        )
+    )
 
 
 def _best(act, times=3):
@@ -159,7 +168,7 @@
 
 
 def herd_of(workers, running=0):
-    """(accord, herd) with so many workers that run so many tasks."""
+    """(control daemon, herd) with so many workers that run so many tasks."""
     alone = Alone().begin()
     herd = Herd(alone, workers)
     for _ in range(4):
@@ -174,7 +183,7 @@
 
 
 def costs(sizes=(50, 200, 770), profiled=True):
-    """Seconds of single acts of a leader, in this process: beats, rounds, jobs, ends, images."""
+    """Seconds of single acts of a leader, in this process: heartbeats, rounds, jobs, ends, images."""
     results = {
         "beat": {},
         "round": {},
@@ -186,28 +195,7 @@
     }
     for workers in sizes:
         for running in sorted({0, int(workers * 4.4)}):
-            alone, herd = herd_of(workers, running)
-            assignments, leased_jobs = alone.core.assignments, alone.core.cluster_state.leased_jobs
-            results["beat"][f"{workers} workers, {running} running"] = (
-                min(herd.round() for _ in range(3)) / workers
-            )
-            results["watch"][f"{workers} workers, {running} running"] = _best(
-                lambda alone=alone, assignments=assignments: assignments._watch(alone.now)
-            )
-            for waves in (0, 1, 10, 100):
-                for _ in range(waves - len(leased_jobs.ready)):
-                    alone.hand_in(5, cpu=9000, queue="more")  # more than any worker has: they wait for ever
-                results["round"][f"{workers} workers, {running} running, {waves} waves wait"] = _best(
-                    lambda alone=alone, leased_jobs=leased_jobs, assignments=assignments: (
-                        assignments.assigner.round(
-                            leased_jobs,
-                            assignments.workers,
-                            assignments,
-                            alone.now,
-                            alone.core._now(alone.now),
-                        )
-                    )
-                )
+            _add_running_costs(results, workers, running)
         alone, herd = herd_of(workers)
         assignments, leased_jobs = alone.core.assignments, alone.core.cluster_state.leased_jobs
         results["gang"][f"{workers} workers"] = _gang_cost(alone, assignments, leased_jobs)
@@ -220,6 +208,23 @@
     return results
 
 
+def _add_running_costs(results, workers, running):
+    """Adds what heartbeats, looks and rounds cost with so many workers that run so many tasks."""
+    alone, herd = herd_of(workers, running)
+    assignments, leased_jobs = alone.core.assignments, alone.core.cluster_state.leased_jobs
+    size = f"{workers} workers, {running} running"
+    results["beat"][size] = min(herd.round() for _ in range(3)) / workers
+    results["watch"][size] = _best(lambda: assignments._watch(alone.now))
+    for waves in (0, 1, 10, 100):
+        for _ in range(waves - len(leased_jobs.ready)):
+            alone.hand_in(5, cpu=9000, queue="more")  # more than any worker has: they wait for ever
+        results["round"][f"{size}, {waves} waves wait"] = _best(
+            lambda: assignments.assigner.round(
+                leased_jobs, assignments.workers, assignments, alone.now, alone.core._now(alone.now)
+            )
+        )
+
+
 def _gang_cost(alone, assignments, leased_jobs):
     """A round that seats a gang of 64, one that seats 64 single tasks, and one at which some
     gangs wait that are one seat short."""
@@ -305,7 +310,7 @@
 
 
 def adapter_costs(count=500):
-    """Seconds that HTTP takes for one beat at a port, beside what the beat itself takes."""
+    """Seconds that HTTP takes for one heartbeat at a port, beside what the heartbeat itself takes."""
     body = json.dumps(
         {"running": [[f"{place:016x}.0.0.1", 1, "", 50] for place in range(4)], "room": [4000, 8192, 1]}
     ).encode()
@@ -336,7 +341,7 @@
 
 
 def top_costs(workers=200, running=880, rounds=10):
-    """What a leader's time goes into: [(function, part of the whole, calls a beat)]."""
+    """What a leader's time goes into: [(function, part of the whole, calls a heartbeat)]."""
     alone, herd = herd_of(workers, running)
     profile = cProfile.Profile()
     profile.enable()
--- a/src/pinepitch/simulation/scale/counted_fleet.py
+++ b/src/pinepitch/simulation/scale/counted_fleet.py
@@ -52,6 +52,7 @@
     """A fleet whose daemons count their frames."""
 
     def start(self, name, *command):
+        """Starts a process that counts its frames."""
         package = "control" if name.startswith("accord") else "front"
         code = COUNTING.format(package=package, path=os.path.join(self.folder, f"{name}.counts"))
         super().start(name, code, *command[1:])
@@ -84,7 +85,7 @@
         return counts
 
     async def metrics(self, place):
-        """An accord's own counters and gauges by name."""
+        """A control daemon's own counters and gauges by name."""
         client = http.Client(*split(self.own[place]))
         text = (await client.call("GET", "/v1/metrics")).document
         await client.close()
--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -51,7 +51,7 @@
             f"w{place}",
             "abc"[place % 3],
             f"10.0.{place // 250}.{place % 250}:1",
-            limits.ROOM,
+            limits.CAPACITY,
             ["ab"[place // 2 % 2], f"r{place // RACK}"],
             True,
             seed,
@@ -159,12 +159,12 @@
                     or now - worker.ticked >= (ADVANCE if worker.running else 1.0)
                 ):
                     for effect in worker.step(("tick",), now):
-                        await self._beat(worker, *effect[1:])
+                        await self._heartbeat(worker, *effect[1:])
             await curio.sleep(PASS)
             self.lags.append(time.monotonic() - before - PASS)
             before = time.monotonic()
 
-    async def _beat(self, worker, address, number, identity, document):
+    async def _heartbeat(self, worker, address, number, identity, document):
         sent = time.monotonic()
 
         def answered(status, answer):
@@ -195,7 +195,7 @@
         document = {"version": 1, "routes": routes, "services": [{"name": "held"}, {"name": "bare"}]}
         status, answer = await self.persist("configure", (0, document))
         assert status == 200, answer
-        self.refused.clear()  # a cohort just founded says 503 until it leads with its lease
+        self.refused.clear()  # a cluster just founded says 503 until it leads with its lease
 
     async def change(self):
         """One route changes, by name."""
@@ -246,7 +246,7 @@
         if self.load.waiting:  # each worker runs one task that takes all of it, and the rest wait
             for place in range(2):
                 await self.submit(("held", "bare")[place], (self.load.workers + 1 - place) // 2, LONG, 4000)
-            await self.settled(
+            await self.committed(
                 lambda: sum(len(one.running) for one in self.workers) >= self.load.workers, "full workers"
             )
         for place in range(self.load.waiting // JOB_TASKS):
@@ -257,7 +257,7 @@
                 await self.submit("held", 1, LONG, 9000) for _ in range(BATCH)
             ]  # more than any worker has
             for name in names:
-                await self.settled(
+                await self.committed(
                     lambda name=name: self.jobs[name]["accepted"] is not None, f"the answer to job {name}"
                 )
             over = []
@@ -267,11 +267,11 @@
                     (limits.HOST, f"/held/{name}"),
                     lambda status, answer, over=over: over.append(status),
                 )
-            await self.settled(
+            await self.committed(
                 lambda names=names, over=over: len(over) == len(names), "the answers to cancels"
             )
 
-    async def settled(self, wanted, what):
+    async def committed(self, wanted, what):
         """Waits for something that a fill can't do without."""
         end = time.monotonic() + PLACED_WITHIN
         while not wanted():
@@ -288,6 +288,7 @@
             await act()
 
     async def start_short(self):
+        """Submits a job of short tasks."""
         await self.submit(("held", "bare")[self.count % 2], JOB_TASKS, SHORT, 100)
 
     def start_waits(self, since):
@@ -306,5 +307,5 @@
             *checks.never_twice(self.history),
             *checks.steps_kept(self.history, self.jobs),
             *checks.attempts_kept(self.history, self.jobs),
-            *checks.room_kept(self.history),
+            *checks.capacity_kept(self.history),
         ]
--- a/src/pinepitch/simulation/scale/load.py
+++ b/src/pinepitch/simulation/scale/load.py
@@ -14,7 +14,7 @@
     starts: float = 0  # starts of short tasks
     changes: float = 0  # changes of configuration
     kept: int = 0  # jobs that are over and still readable
-    calls: float = 0  # calls of callers through a verge
+    calls: float = 0  # calls of callers through a front daemon
     waiting: int = 0  # tasks that wait behind full workers, of jobs of JOB_TASKS
     accords: int = 3
     verges: int = 1
--- a/src/pinepitch/simulation/scale/measuring.py
+++ b/src/pinepitch/simulation/scale/measuring.py
@@ -13,7 +13,8 @@
 from .load import JOB_TASKS
 from .statistics import part
 
-SETTLE = 3.0  # seconds; after a load is in place, before it is measured
+SETTLING_TIME = 3.0  # seconds; after a load is in place, before it is measured
+SPENT_COUNTERS = (("syncs", "pinepitch_syncs_total"), ("entries", "pinepitch_entries_applied_total"))
 # Where the data folders lie: a file system in memory leaves the disk out.
 DATA = os.environ.get("TMPDIR", "/tmp")
 
@@ -34,20 +35,7 @@
     fleet.start_all()
     try:
         async with hollow.tasks:
-            await hollow.tasks.spawn(curio.tcp_server, *split(hollow.address), hollow.serve)
-            await fleet.until(fleet.served, 30, "service")
-            await hollow.configure()
-            await hollow.tasks.spawn(hollow.work)
-            await curio.sleep(SETTLE / 2)
-            await hollow.fill()
-            for rate, act in (
-                (load.starts / JOB_TASKS, hollow.start_short),
-                (load.changes, hollow.change),
-                (load.calls, _caller(fleet, hollow)),
-            ):
-                if rate:
-                    await hollow.tasks.spawn(hollow.pace, rate, act)
-            await curio.sleep(SETTLE)
+            await _put_under_load(fleet, hollow, load)
             before = await _look(fleet, hollow, names)
             await curio.sleep(seconds)
             after = await _look(fleet, hollow, names)
@@ -60,6 +48,24 @@
     return found
 
 
+async def _put_under_load(fleet, hollow, load):
+    """Starts the hollow workers and the load, and waits until both are in place."""
+    await hollow.tasks.spawn(curio.tcp_server, *split(hollow.address), hollow.serve)
+    await fleet.until(fleet.served, 30, "service")
+    await hollow.configure()
+    await hollow.tasks.spawn(hollow.work)
+    await curio.sleep(SETTLING_TIME / 2)
+    await hollow.fill()
+    for rate, act in (
+        (load.starts / JOB_TASKS, hollow.start_short),
+        (load.changes, hollow.change),
+        (load.calls, _caller(fleet, hollow)),
+    ):
+        if rate:
+            await hollow.tasks.spawn(hollow.pace, rate, act)
+    await curio.sleep(SETTLING_TIME)
+
+
 def _caller(fleet, hollow):
     async def call():
         await curio.spawn(_called, fleet, hollow, daemon=True)
@@ -98,7 +104,7 @@
     lasted = after["at"] - before["at"]
     heartbeats, changes, lags = before["marks"]
     waits = hollow.start_waits(before["at"])
-    found = {
+    return {
         "load": load._asdict(),
         "seconds": round(lasted, 2),
         "hollow_core": round((after["own"] - before["own"]) / lasted, 3),
@@ -113,53 +119,67 @@
         "change_median": part(hollow.change_waits[changes:], 0.5),
         "change_99": part(hollow.change_waits[changes:], 0.99),
         "refused": {" ".join(map(str, key)): count for key, count in hollow.refused.items()},
-        "roles": {},
+        "roles": _roles(names, before, after, lasted),
+        "leaders_lost": _leaders_lost(names, before, after),
     }
-    followers = 0
-    found["leaders_lost"] = int(
+
+
+def _leaders_lost(names, before, after):
+    """By how many terms the control daemons went on in the window."""
+    term = "pinepitch_term"
+    return int(
         max(
-            after[name][2].get("pinepitch_term", 0) - before[name][2].get("pinepitch_term", 0)
+            after[name][2].get(term, 0) - before[name][2].get(term, 0)
             for name in names
             if name.startswith("accord")
         )
     )
+
+
+def _roles(names, before, after, lasted):
+    """role -> what the daemon in that role spent in the window, per second."""
+    roles, followers = {}, 0
     for name in names:
-        (core, _, written), frames, metrics = before[name]
-        (core_after, resident, written_after), frames_after, metrics_after = after[name]
         if name.startswith("verge"):
             role = name.replace("verge0", "verge")
-        elif metrics_after.get("pinepitch_leading"):
+        elif after[name][2].get("pinepitch_leading"):
             role = "leader"
         else:
             followers += 1
             role = f"follower{followers}"
-        one = {
-            "core": round((core_after - core) / lasted, 4),
-            "resident": resident,
-            "disk": round((written_after - written) / lasted),
-            "kinds": {},
-        }
-        for direction in ("in", "out"):
-            by_kind = {}
-            for kind, (count, size) in frames_after[direction].items():
-                count_before, size_before = frames[direction].get(kind, (0, 0))
-                by_kind[kind] = [
-                    round((count - count_before) / lasted, 1),
-                    round((size - size_before) / lasted),
-                ]
-            one[f"messages_{direction}"] = round(sum(count for count, _ in by_kind.values()), 1)
-            one[f"bytes_{direction}"] = sum(size for _, size in by_kind.values())
-            one["kinds"][direction] = {
-                kind: rate for kind, rate in sorted(by_kind.items(), key=lambda one: -one[1][1])[:6]
-            }
-        for figure, counter in (
-            ("syncs", "pinepitch_syncs_total"),
-            ("entries", "pinepitch_entries_applied_total"),
-        ):
-            if counter in metrics_after:
-                one[figure] = round((metrics_after[counter] - metrics[counter]) / lasted, 1)
-        found["roles"][role] = one
-    return found
+        roles[role] = _spent(before[name], after[name], lasted)
+    return roles
+
+
+def _spent(before, after, lasted):
+    """What one daemon spent between two looks, per second of the window."""
+    (core, _, written), frames, metrics = before
+    (core_after, resident, written_after), frames_after, metrics_after = after
+    spent = {
+        "core": round((core_after - core) / lasted, 4),
+        "resident": resident,
+        "disk": round((written_after - written) / lasted),
+        "kinds": {},
+    }
+    for direction in ("in", "out"):
+        by_kind = _frames_by_kind(frames[direction], frames_after[direction], lasted)
+        spent[f"messages_{direction}"] = round(sum(count for count, _ in by_kind.values()), 1)
+        spent[f"bytes_{direction}"] = sum(size for _, size in by_kind.values())
+        largest = sorted(by_kind.items(), key=lambda one: -one[1][1])[:6]
+        spent["kinds"][direction] = dict(largest)
+    for figure, counter in SPENT_COUNTERS:
+        if counter in metrics_after:
+            spent[figure] = round((metrics_after[counter] - metrics[counter]) / lasted, 1)
+    return spent
+
+
+def _frames_by_kind(before, after, lasted):
+    """kind -> [frames, bytes] per second of the window."""
+    by_kind = {}
+    for kind, (count, size) in after.items():
+        count_before, size_before = before.get(kind, (0, 0))
+        by_kind[kind] = [round((count - count_before) / lasted, 1), round((size - size_before) / lasted)]
+    return by_kind
 
 
 def measure(load, seconds=8.0, seed=0, folder=None):
--- a/src/pinepitch/simulation/scale/sweep.py
+++ b/src/pinepitch/simulation/scale/sweep.py
@@ -67,7 +67,7 @@
                 points.append(measure(load._replace(**{field: size}), seconds, seed))
                 print(json.dumps(points[-1]), flush=True)
         kept[name] = {"points": points, "slopes": slopes(field, points)}
-        if name == "workers":  # a worker that is answered late beats less often
+        if name == "workers":  # a worker that is answered late heartbeats less often
             kept[name]["by_beats"] = slopes("beats", points)
         print(
             json.dumps({"sweep": name, **{key: kept[name][key] for key in kept[name] if key != "points"}}),
--- a/src/pinepitch/simulation/second_loss/fleets.py
+++ b/src/pinepitch/simulation/second_loss/fleets.py
@@ -17,7 +17,7 @@
 
 
 def with_spare(seed, zone, control_daemons=("a", "b", "c"), mode="static"):
-    """(fleet, spare): such a fleet with a machine that follows the log in an area that has its voter."""
+    """(fleet, spare): such a fleet with a machine that follows the log in a zone that has its voter."""
     trial = begun(seed, control_daemons, mode=mode)
     spare = trial.fresh("spare", zone)
 
@@ -31,12 +31,13 @@
 
 
 def check_votes_within(trial, node, seconds):
-    """Notes a fault unless that machine's accord votes soon, by a list that is settled."""
+    """Notes a fault unless that machine's control daemon votes soon, by a list that is settled."""
     if not trial.votes(node) and trial.until(lambda: trial.votes(node), seconds, 0.005) is None:
         trial.fault(f"{node.name} does not vote {seconds:.0f} s on; the voters are {trial.voters()}")
 
 
 def followers(trial):
+    """The machines of the control daemons that run and do not lead."""
     return [node for node in trial.control_nodes() if node is not trial.leader() and node.core is not None]
 
 
--- a/src/pinepitch/simulation/second_loss/planned_stops.py
+++ b/src/pinepitch/simulation/second_loss/planned_stops.py
@@ -34,7 +34,7 @@
 
 
 def seat_handed_on(seed):
-    """A voter stops beside a spare of its area: the spare votes before the process ends, and the loss of
+    """A voter stops beside a spare of its zone: the spare votes before the process ends, and the loss of
     another voter right then stops nothing."""
     zone = "abc"[seed % 3]
     trial, spare = with_spare(seed, zone)
@@ -52,7 +52,7 @@
 
 def rolling_restart(seed):
     """Each machine in turn stops and comes back with its disk; without a spare that may have it, be it in
-    another area, no seat changes hands."""
+    another zone, no seat changes hands."""
     trial = begun(seed) if seed % 2 == 0 else with_spare(seed, "b", mode="single")[0]
     before, changes = trial.voters(), trial.event_count(JOINT)
     for node in [one for one in trial.control_nodes() if one.zone in "ac"]:
@@ -70,7 +70,7 @@
 
 
 def only_copy_leaves(seed):
-    """A leader that alone holds what it was told last stops beside a spare of its area: others are slow
+    """A leader that alone holds what it was told last stops beside a spare of its zone: others are slow
     or stalled, and no list counts as agreed on before all earlier entries lie on quorums of both."""
     trial, spare = with_spare(seed, "a")
     for node in trial.control_nodes():
--- a/src/pinepitch/simulation/second_loss/replacements.py
+++ b/src/pinepitch/simulation/second_loss/replacements.py
@@ -14,7 +14,7 @@
 )
 from .trial import RECOVERS_WITHIN
 
-OTHER_ZONES = (  # areas and mode of fleets that have no voter left in the area of a lost one, or one
+OTHER_ZONES = (  # zones and mode of fleets that have no voter left in the zone of a lost one, or one
     (("a", "b", "c"), "static"),
     (("a", "a", "b", "c", "c"), "static"),
     (("a", "b", "c"), "single"),
@@ -37,8 +37,8 @@
 
 
 def replaced_in_other_zone(seed):
-    """A machine is gone for good and its successor starts in another area, which has its voter: once it
-    has had its time, another loss stops nothing; a machine of the lost area then votes again."""
+    """A machine is gone for good and its successor starts in another zone, which has its voter: once it
+    has had its time, another loss stops nothing; a machine of the lost zone then votes again."""
     fleet, mode = OTHER_ZONES[seed % len(OTHER_ZONES)]
     trial = begun(seed, fleet, mode=mode)
     node = next(one for one in trial.control_nodes() if one.zone == "a")
@@ -102,7 +102,7 @@
 
 
 def zone_lost_beside(seed):
-    """An area is lost in the middle of a planned replacement in another: the others serve on."""
+    """A zone is lost in the middle of a planned replacement in another: the others serve on."""
     trial, _ = with_spare(seed, "a", ("a", "b", "c", "d"))
     node = next(one for one in trial.control_nodes() if one.zone == "a")
     lost = [one for one in trial.control_nodes() if one.zone == "b" and one is not trial.leader()] or [
--- a/src/pinepitch/simulation/second_loss/strikes.py
+++ b/src/pinepitch/simulation/second_loss/strikes.py
@@ -80,7 +80,7 @@
 
 
 def founding_struck(seed):
-    """In each step of a founding by three of four machines one that takes it loses power for a while."""
+    """In each step of a bootstrap by three of four machines one that takes it loses power for a while."""
     for step, count in ((CONSENT, 1), (CONSENT, 2), (CONSENT, 3), (LEADER, 1)):
         trial = LossTrial(seed, ("a", "b", "c", "d"), slow=True, founders=3)
         trial.on(step, lambda node, trial=trial: _lost_for_a_while(trial, node), count)
--- a/src/pinepitch/simulation/second_loss/trial.py
+++ b/src/pinepitch/simulation/second_loss/trial.py
@@ -1,4 +1,4 @@
-"""A fleet in the simulator whose losses are timed to the steps that accords tell by their events.
+"""A fleet in the simulator whose losses are timed to the steps that control daemons tell by their events.
 
 What was agreed on is read from the disks, not from the deciders' word, and leases are compared at every
 step. The other modules of this package hold what is tried with it.
@@ -15,8 +15,8 @@
 
 
 class LossTrial(Simulator):
-    """A fleet without minions. Invariants: faults is only added to; acknowledged holds every change of
-    the setup that was; a hook runs once, right after the step in which its event was told."""
+    """A fleet without workers. Invariants: faults is only added to; acknowledged holds every change of
+    the queue configuration that was; a hook runs once, right after the step in which its event was told."""
 
     def __init__(self, seed, control_daemons=("a", "b", "c"), slow=False, **more):
         self.faults, self.acknowledged, self.hooks = [], [], []
@@ -30,11 +30,11 @@
                 node.disk.slow = self.slow
 
     def control_nodes(self):
-        """The accords' machines that are not gone for good, up or down."""
+        """The control daemons' machines that are not gone for good, up or down."""
         return [node for node in self.nodes.values() if node.kind == "accord"]
 
     def machine(self, identity):
-        """The machine on which the accord of that identity runs now, or None."""
+        """The machine on which the control daemon of that identity runs now, or None."""
         found = [
             node for node in self.control_nodes() if node.core is not None and node.core.identity == identity
         ]
@@ -89,6 +89,7 @@
         act()
 
     def give(self, node, message):
+        """Hands a message to a daemon, then compares the leases."""
         super().give(node, message)
         if node.kind == "accord":
             if message[0] == "raft":
@@ -102,7 +103,7 @@
             self.faults.append(text)
 
     def _check_leases(self):
-        """While an accord may rely on its lease no other serves in a newer term."""
+        """While a control daemon may rely on its lease no other serves in a newer term."""
         leading = [
             node.core.consensus
             for node in self.control_nodes()
@@ -145,7 +146,7 @@
                 self.fault(f"list {index} is committed at {node.name} {found}")
 
     def change(self, within=RECOVERS_WITHIN):
-        """One change of the setup, tried until it is acknowledged."""
+        """One change of the queue configuration, tried until it is acknowledged."""
         self.changes += 1
         limit = 50 + self.changes
         patch = {"queues": {"default": {"limit": limit}}}
@@ -156,7 +157,7 @@
             self.fault(f"change {self.changes} was not taken within {within:.1f} s: {status}")
 
     def check_recovery(self):
-        """Heals all; then all acknowledged is kept, changes are taken, and the accords agree."""
+        """Heals all; then all acknowledged is kept, changes are taken, and the control daemons agree."""
         self.heal()
         for node in self.control_nodes():
             if node.core is None:
@@ -174,7 +175,7 @@
 
     # --- what is known ------------------------------------------------------------------
     def served(self, within, but=None):
-        """How long until an accord other than `but` leads and serves, or None."""
+        """How long until a control daemon other than `but` leads and serves, or None."""
 
         def serving():
             leader = self.leader()
@@ -190,7 +191,7 @@
         return set(leader.core.consensus.membership.members())
 
     def votes(self, *nodes):
-        """Whether all these machines' accords vote, by a list that is settled."""
+        """Whether all these machines' control daemons vote, by a list that is settled."""
         return all(node.core is not None and node.core.identity in self.voters() for node in nodes)
 
     def event_count(self, number):
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -5,6 +5,7 @@
 """
 
 import collections
+import copy
 import heapq
 import json
 import random
@@ -19,6 +20,8 @@
 from ..runtime.host import call_attempt
 from ..transport import framing
 from . import stand_in_client as callers
+from .agreement import agreement_faults
+from .machines import Disk, Node
 from .stand_in_worker import StandInWorker
 
 OF_THE_MACHINE = ("encoded", "rehearsed")  # what a daemon is given by its own machine, by no connection
@@ -26,65 +29,25 @@
 START = 1_000_000.0  # virtual seconds; any wall clock will do
 OFFSET = 1000.0  # seconds; from the simulator's time to the one that deciders are given
 GRACE = 6.0  # seconds; from SIGTERM to SIGKILL
-LOSS = 0.002  # of messages in calm weather; links are TCP but break
+LOSS = 0.002  # of messages while there are no faults; links are TCP but break
 REFUSED_AFTER = 0.002  # seconds; a machine whose process is down refuses a connection so soon
 ANSWER_TIMEOUT = 5.0  # seconds a stand-in caller waits
 
 
-def plain_image(record):
-    """A record's whole image as bytes that don't depend on the order of its maps."""
-    return cbor2.dumps(cbor2.loads(record.encode(record.image())), canonical=True)
-
-
-class Disk:
-    """An accord's data folder. Invariants: base and steps are what survives; jobs are not
-    durable until done; one job (a batch of saves) is under way at a time, and beside it at
-    most one base, which takes the place of the first `covers` steps. While full, nothing
-    becomes durable, but for what a folder's failed sync leaves to chance."""
-
-    def __init__(self):
-        self.base, self.steps, self.segments = None, [], {}
-        self.jobs = collections.deque()
-        self.in_progress = self.beside = None
-        self.covers = 0
-        self.slow = 1.0
-        self.stalled = self.full = self.failed = False
-        self.syncs = 0
-
-    def keep(self, job):
-        """Makes a job durable."""
-        self.syncs += 1
-        kind, content = job
-        if kind == "base":
-            self.base, self.steps = content, self.steps[self.covers :]
-        else:
-            self.steps.append(content)
-
-    def load(self):
-        base = None if self.base is None else cbor2.loads(self.base)
-        first, last = base[-1] if base else (1, 0)
-        segments = {number: self.segments[number] for number in range(first, last + 1)}
-        return base, [cbor2.loads(one) for one in self.steps], segments
-
-
-class Node:
-    """One simulated process. Invariants: a daemon's core is None while it is down, a
-    minion's stays (its history goes on) and down says so; held keeps what
-    came while it was frozen, in order; alive counts its lives, so that what was meant for
-    an earlier life is dropped; unwritten keeps what a step decided when the process was stopped
-    before it carried that out."""
-
-    def __init__(self, name, kind, zone, address):
-        self.name, self.kind, self.zone, self.address = name, kind, zone, address
-        self.core = None
-        self.make = None  # the kind of daemon, where it is not the fleet's
-        self.incarnation = 0
-        self.frozen = self.down = False
-        self.deferred_messages, self.unwritten = [], []
-        self.stops_at = None  # says of each effect whether the process is stopped just before it
-        self.stall_guard = stall_detector.StallGuard()
-        self.skew = 0.0
-        self.disk = Disk() if kind == "accord" else None
+QUEUE_CONFIGURATION = {
+    "queues": {
+        "default": {"share": 24, "limit": 48, "retries": 3, "urgency": 4, "repeats": True},
+        "urgent": {
+            "share": 12,
+            "limit": 48,
+            "retries": 3,
+            "urgency": 8,
+            "preempts": True,
+            "yields": False,
+        },
+        "feeds": {"share": 12, "limit": 24, "retries": 3, "urgency": 6, "yields": False},
+    }
+}
 
 
 class Simulator:
@@ -98,7 +61,7 @@
         fronts=("a", "b", "c"),
         workers=(("m", 6, 8, (), True),),
         zones=("a", "b", "c"),
-        setup=None,
+        queue_configuration=None,
         founders=3,
         mode="static",
         kinds=None,
@@ -109,10 +72,8 @@
         self.events, self.number = [], 0
         self.nodes, self.by_address = {}, {}
         self.partitions = set()  # (source, target) names
-        self.absences, self.absent_since = (
-            [],
-            {},
-        )  # (name, from, to) of being cut off, frozen or down; name -> since
+        self.absences = []  # (name, from, to) of being cut off, frozen or down
+        self.absent_since = {}  # name -> since when
         self.loss, self.delay, self.double = LOSS, 0.002, 0.0
         self.lag = {}  # name -> seconds that a slow machine takes longer for whatever it does
         self.link_rates = None  # a Ways where the bytes that a link carries are bounded
@@ -124,45 +85,51 @@
         self.counts = collections.Counter()
         self.leaders = {}  # term -> identity, for the check that there is one
         self.committed = {}  # index -> digest, for the check that all agree
-        self.setup = setup or {
-            "queues": {
-                "default": {"share": 24, "limit": 48, "retries": 3, "urgency": 4, "repeats": True},
-                "urgent": {
-                    "share": 12,
-                    "limit": 48,
-                    "retries": 3,
-                    "urgency": 8,
-                    "preempts": True,
-                    "yields": False,
-                },
-                "feeds": {"share": 12, "limit": 24, "retries": 3, "urgency": 6, "yields": False},
-            }
+        self.queue_configuration = queue_configuration or copy.deepcopy(QUEUE_CONFIGURATION)
+        self._add_daemons(control_daemons, fronts)
+        self.seeds = [one.address for one in list(self.nodes.values())[: constants.SEEDS]]
+        self._add_workers(workers, zones)
+        self.capacities = {
+            name: node.core.capacity for name, node in self.nodes.items() if node.kind == "minion"
         }
+        for node in list(self.nodes.values()):
+            if node.kind != "minion":
+                self.start(node.name)
+
+    def _add_daemons(self, control_daemons, fronts):
+        """Adds daemons in the given zones, none of them started."""
         for place, zone in enumerate(control_daemons):
             self.add(f"accord{place}", "accord", zone)
         for place, zone in enumerate(fronts):
             self.add(f"verge{place}", "verge", zone)
-        self.seeds = [one.address for one in list(self.nodes.values())[: constants.SEEDS]]
-        for prefix, count, room, labels, guards in workers:
+
+    def _add_workers(self, workers, zones):
+        """Adds and starts workers: (prefix, count, capacity, labels, whether they guard their capacity)."""
+        for prefix, count, capacity, labels, guards in workers:
             for place in range(count):
                 node = self.add(f"{prefix}{place}", "minion", zones[place % len(zones)])
                 node.core = self.kinds["minion"](
-                    node.name, node.zone, node.address, room, labels, guards, seed, self.worker_history
+                    node.name,
+                    node.zone,
+                    node.address,
+                    capacity,
+                    labels,
+                    guards,
+                    self.seed,
+                    self.worker_history,
                 )
                 self.at(self.draw.random() * 0.1, "tick", node.name, node.incarnation)
-        self.capacities = {name: node.core.room for name, node in self.nodes.items() if node.kind == "minion"}
-        for node in list(self.nodes.values()):
-            if node.kind != "minion":
-                self.start(node.name)
 
     # --- the world --------------------------------------------------------------------
     def add(self, name, kind, zone):
+        """Adds a machine for a daemon of a kind, or a worker, in a zone; it is not started."""
         address = f"10.0.0.{len(self.nodes) + 1}:7000"
         node = self.nodes[name] = Node(name, kind, zone, address)
         self.by_address[address] = node
         return node
 
     def at(self, delay, *event):
+        """Schedules an event in `delay` virtual seconds."""
         if self.lag and event[0] in LAGGED:
             delay += self.lag.get(event[1], 0.0)
         self.number += 1
@@ -173,6 +140,7 @@
         return self.now + OFFSET
 
     def clock(self, node):
+        """What a machine's clock of the time of day reads, in seconds."""
         return START + self.now + node.skew
 
     def start(self, name):
@@ -182,36 +150,7 @@
         node.frozen, node.down, node.deferred_messages, node.unwritten = False, False, [], []
         node.stall_guard = stall_detector.StallGuard()
         if node.kind == "accord":
-            base, steps, segments = node.disk.load()
-            identity = (
-                base[0]
-                if base
-                else next(
-                    (
-                        payload[1]
-                        for step in steps
-                        for kind, payload in step
-                        if kind == "note" and payload[0] == "identity"
-                    ),
-                    None,
-                )
-            )
-            if identity is None:
-                identity = f"{self.draw.randrange(16**6):06x}.{name}"
-                node.disk.keep(("step", cbor2.dumps([["note", ["identity", identity]]])))
-            node.core = (node.make or self.kinds["accord"])(
-                identity,
-                node.address,
-                node.zone,
-                self.seeds,
-                self.founders,
-                self.mode,
-                f"{self.seed}-{node.incarnation}",
-            )
-            node.core.restore(base, steps, segments)
-            node.disk.jobs.clear()
-            node.disk.in_progress = node.disk.beside = None
-            node.disk.failed = False
+            self._start_control_daemon(node)
         elif node.kind == "verge":
             node.core = self.kinds["verge"](
                 f"v{self.draw.randrange(16**6):06x}.{name}", node.address, node.zone, self.seeds
@@ -221,6 +160,26 @@
             self._mark_present(name)
         self.at(self.draw.random() * constants.TICK, "tick", name, node.incarnation)
 
+    def _start_control_daemon(self, node):
+        base, steps, segments = node.disk.load()
+        identity = base[0] if base else _noted_identity(steps)
+        if identity is None:
+            identity = f"{self.draw.randrange(16**6):06x}.{node.name}"
+            node.disk.keep(("step", cbor2.dumps([["note", ["identity", identity]]])))
+        node.core = (node.make or self.kinds["accord"])(
+            identity,
+            node.address,
+            node.zone,
+            self.seeds,
+            self.founders,
+            self.mode,
+            f"{self.seed}-{node.incarnation}",
+        )
+        node.core.restore(base, steps, segments)
+        node.disk.jobs.clear()
+        node.disk.in_progress = node.disk.beside = None
+        node.disk.failed = False
+
     def kill(self, name):
         """A hard kill or a power loss: what was not synced may or may not be there."""
         node = self.nodes[name]
@@ -241,7 +200,7 @@
             node.disk.in_progress = node.disk.beside = None
 
     def stop(self, name, grace=GRACE):
-        """SIGTERM to an accord: it ends once it says that it may, and is killed after the grace."""
+        """SIGTERM to a control daemon: it ends once it says that it may, and is killed after the grace."""
         node = self.nodes[name]
         node.core.leave_within = grace * constants.LEAVE_PART
         self.give(node, ("stop",))
@@ -258,6 +217,7 @@
         self.kill(name)
 
     def wipe(self, name):
+        """Takes all from the disk of a daemon that is down."""
         self.nodes[name].disk = Disk()
 
     def _mark_absent(self, name):
@@ -268,10 +228,12 @@
             self.absences.append((name, self.absent_since.pop(name), START + self.now))
 
     def freeze(self, name):
+        """Stops a process in the midst of what it does."""
         self.nodes[name].frozen = True
         self._mark_absent(name)
 
     def thaw(self, name):
+        """Lets a stopped process go on; what came meanwhile reaches it now."""
         node = self.nodes[name]
         node.frozen = False
         self._mark_present(name)
@@ -283,6 +245,7 @@
             self.at(0.0, "give", name, node.incarnation, message)
 
     def partition(self, sources, targets, both=True):
+        """Cuts the links from sources to targets, and back if `both`."""
         for one in sources:
             for other in targets:
                 if one != other:
@@ -293,6 +256,7 @@
                         self.partitions.add((other, one))
 
     def heal(self):
+        """Ends all partitions."""
         self.partitions.clear()
         for name in [
             one for one in self.absent_since if not self.nodes[one].frozen and not self.nodes[one].down
@@ -346,6 +310,7 @@
             self.give(node, message)
 
     def give(self, node, message):
+        """Hands a message to a process and carries out what it decides."""
         if node.down:
             return
         if node.frozen:
@@ -373,9 +338,11 @@
         EFFECTS[effect[0]](self, node, *effect[1:])
 
     def lost(self, source, target):
+        """Whether what is sent now is lost, by a partition or by chance."""
         return (source, target) in self.partitions or self.draw.random() < self.loss
 
     def latency(self):
+        """Seconds that a message is under way, drawn anew."""
         return 0.0003 + self.draw.random() * self.delay
 
     # --- effects of daemons -----------------------------------------------------------
@@ -523,7 +490,7 @@
         self.at(self.latency(), "give", target.name, target.incarnation, (kind, number, plain))
         self.at(constants.ORDER_TIMEOUT, "expire", number)
 
-    # --- minions and callers ----------------------------------------------------------
+    # --- workers and callers ----------------------------------------------------------
     def _worker_effects(self, node, effects, message):
         for effect in effects:
             if effect[0] == "answer":
@@ -552,7 +519,7 @@
     def call(
         self, source, incarnation, draw, method, target, document, tag, timeout=ANSWER_TIMEOUT, headers=None
     ):
-        """An HTTP call at some verge; its answer goes back by tag."""
+        """An HTTP call at some front daemon; its answer goes back by tag."""
         fronts = [node for node in self.nodes.values() if node.kind == "verge"]
         node = fronts[draw % len(fronts)]
         self.request_count += 1
@@ -620,7 +587,7 @@
         return got[0][1:] if got else (0, None)
 
     def persist(self, method, target, document=None, headers=None, seconds=30.0):
-        """An operator who tries again, at other verges, until answered other than 0 or 503."""
+        """An operator who tries again, at other front daemons, until answered other than 0 or 503."""
         begun, front = self.now, 0
         while self.now - begun < seconds:
             status, answer = self.ask(method, target, document, headers, front)
@@ -632,7 +599,7 @@
 
     # --- what is true now -------------------------------------------------------------
     def leader(self):
-        """The accord that leads the newest term, or None."""
+        """The control daemon that leads the newest term, or None."""
         leading = [
             node
             for node in self.nodes.values()
@@ -644,18 +611,18 @@
         return max(leading, key=lambda node: node.core.consensus.term, default=None)
 
     def begin(self):
-        """Waits for service and puts the setup in force."""
+        """Waits for service and puts the queue configuration in force."""
         if (
             self.until(lambda: self.leader() is not None and self.leader().core.consensus.serving(), 30)
             is None
         ):
             raise AssertionError("no leader within 30 s")
-        status, answer = self.persist("PUT", "/v1/setup", self.setup, {"if-match": "*"})
+        status, answer = self.persist("PUT", "/v1/setup", self.queue_configuration, {"if-match": "*"})
         if status != 200:
             raise AssertionError(f"the setup was not taken: {status} {answer}")
 
     def quiet(self):
-        """Whether every caller has seen the end of every ticket."""
+        """Whether every caller has seen the end of every job."""
         return all(
             not one.open
             and not one.retry
@@ -683,33 +650,17 @@
         return self.until(self.quiet, seconds, 0.5) is not None
 
     def agreement(self):
-        """Faults in what the accords hold: logs that differ where committed, records that
-        differ at one index, derived state that drifted."""
-        faults, entries = [], {}
-        records = {}
-        for node in self.nodes.values():
-            if node.kind != "accord" or node.core is None or node.core.consensus is None:
-                continue
-            consensus = node.core.consensus
-            for index in range(consensus.first, consensus.commit + 1):
-                entry = consensus.entry(index)
-                text = packed_operations.dumps((entry[0], entry[2]))
-                if entries.setdefault(index, text) != text:
-                    faults.append(f"entry {index} differs at {node.name}")
-            try:
-                node.core.cluster_state.audit()
-            except AssertionError as broken:
-                faults.append(f"{node.name}: {broken}")
-            record = node.core.cluster_state
-            plain = plain_image(record)
-            decoded = type(record).decode(record.encode(record.image()), record.archive.segments)
-            if plain_image(decoded) != plain:
-                faults.append(f"{node.name} would restart with another record than it holds")
-            image = (plain, record.archive.segments)
-            other = records.setdefault(record.index, (node.name, image))
-            if other[1] != image:
-                faults.append(f"{node.name} and {other[0]} differ at {record.index}")
-        return faults
+        """Faults in what the control daemons hold."""
+        return agreement_faults(self.nodes.values())
+
+
+def _noted_identity(steps):
+    """The identity that a control daemon noted on its disk, or None."""
+    for step in steps:
+        for kind, payload in step:
+            if kind == "note" and payload[0] == "identity":
+                return payload[1]
+    return None
 
 
 HANDLERS = {
--- a/src/pinepitch/simulation/stand_in_client.py
+++ b/src/pinepitch/simulation/stand_in_client.py
@@ -1,13 +1,13 @@
-"""A stand-in for callers: sends tickets at a rate and keeps a history of every answer.
+"""A stand-in for callers: sends jobs at a rate and keeps a history of every answer.
 
-A decider. Effects: ("call", call, verge, method, target, document).
+A decider. Effects: ("call", call, front daemon, method, target, document).
 """
 
 import random
 
 from ..common import constants
 
-# What each kind of caller sends, by the brief: rate a second and the shape of the ticket.
+# What each kind of caller sends, by the brief: rate a second and the shape of the job.
 NKANSAH = (
     (
         "fault-check",
@@ -60,12 +60,12 @@
     ),
     ("card", 1.0, {"queue": "lab", "urgency": 3, "count": 4, "shape": "fan", "units": 1, "seconds": 0.3}),
 )
-SOON = 0.02  # seconds; the first read of a ticket comes this soon after its acceptance
+SOON = 0.02  # seconds; the first read of a job comes this soon after its acceptance
 TRIES = 5  # times a caller that is told to come back does so
 
 
 def make(shape, now, fail):
-    """The document of one ticket."""
+    """The document of one job."""
     count, tasks = shape["count"], []
     for place in range(count):
         task = {
@@ -93,25 +93,26 @@
 
 
 class StandInClient:
-    """Invariants: a key is used for one body; accepted maps a ticket to (key, when,
+    """Invariants: a key is used for one body; accepted maps a job to (key, when,
     document); history is only added to."""
 
     def __init__(self, name, traffic, seed=0, rate=1.0, fail=0.03, poll=0.5, cancels=0.0):
         self.name, self.traffic, self.rate, self.fail, self.poll = name, traffic, rate, fail, poll
-        self.cancels = cancels  # part of the accepted tickets that are cancelled soon after
+        self.cancels = cancels  # part of the accepted jobs that are cancelled soon after
         self.random = random.Random(f"{name}-{seed}")
         self.history = []
         self.count = 0
-        self.pending_calls = {}  # call -> (kind, key or ticket, document, begun)
+        self.pending_calls = {}  # call -> (kind, key or job, document, begun)
         self.retry = []  # (when, key, document)
         self.accepted = {}
-        self.regrets = {}  # ticket -> when it is to be cancelled
+        self.regrets = {}  # job -> when it is to be cancelled
         self.tries = {}  # key -> how often it was shed
-        self.open = {}  # ticket -> when to ask next
+        self.open = {}  # job -> when to ask next
         self.next_at = {}
         self.stopped = False
 
     def step(self, message, now):
+        """Takes a message, `tick` or `answered`, at a time in seconds; returns the calls to send."""
         return getattr(self, f"_on_{message[0]}")(*message[1:], now)
 
     def _call(self, kind, subject, document, method, target, now):
@@ -144,6 +145,7 @@
         return calls
 
     def cancel(self, pushed_job, now):
+        """Cancels a job; returns the call to send."""
         return [self._call("cancel", pushed_job, None, "POST", f"/v1/tickets/{pushed_job}/cancel", now)]
 
     def _on_answered(self, call, status, document, now):
--- a/src/pinepitch/simulation/stand_in_lease_worker.py
+++ b/src/pinepitch/simulation/stand_in_lease_worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a minion whose tasks run under a hold: a decider that the simulator runs.
+"""A stand-in for a worker whose tasks run under a lease: a decider that the simulator runs.
 
 It keeps a history of what it started, how that ended and what was taken note of, for checks
 after the fact. Effects: ("beat", address, number, identity, document), ("leave", address,
@@ -10,8 +10,8 @@
 
 MAX_ANSWER_BYTES = 1.0  # own seconds; an answer later than this is dropped, and silence this long moves it on
 LEASE_MOST = 5.0  # own seconds; a longer hold is cut back to this
-HEARTBEAT_PERIOD = 1.0  # seconds; between beats where no answer says otherwise
-HEARTBEAT_SOON = 0.05  # seconds; a beat follows an end, or a failed beat, this soon
+HEARTBEAT_PERIOD = 1.0  # seconds; between heartbeats where no answer says otherwise
+HEARTBEAT_SOON = 0.05  # seconds; a heartbeat follows an end, or a failed heartbeat, this soon
 GANG_WAIT = 3.0  # seconds; a gang's member waits for the others this long
 STOP_GRACE = 0.6  # seconds; a stop takes at most this
 SAVE_EVERY = 0.5  # seconds of work; between two checkpoints
@@ -19,21 +19,21 @@
 DRAIN = 2.0  # seconds; it keeps serving this long once its draining was acknowledged
 DRAIN_BEYOND = 0.2  # seconds; and this much more
 DRAIN_UNHEARD = 4.0  # seconds; without an acknowledgement it ends after this
-ENDS_MOST = 500  # ends; told in one beat
+ENDS_MOST = 500  # ends; told in one heartbeat
 SLOWEST = 0.02  # part; by which its own steady clock may run slow
 
 
 class StandInLeaseWorker:
     """Invariants: running holds what it runs now, what is being stopped included; ended holds,
-    by number, every end that no answer has reached; at most one beat is out; the history is only
-    added to; nothing runs past hold_until on its own clock; fence never falls in one life.
+    by number, every end that no answer has reached; at most one heartbeat is out; the history is only
+    added to; nothing runs past hold_until on its own clock; fence never falls in one incarnation.
 
     `gangs` is shared by all: (job, time, step, run) -> the gang's standing."""
 
     def __init__(
-        self, name, zone, address, room, labels, guards, seed, history, service, control_daemons, gangs
+        self, name, zone, address, capacity, labels, guards, seed, history, service, control_daemons, gangs
     ):
-        self.name, self.zone, self.address, self.room = name, zone, address, tuple(room)
+        self.name, self.zone, self.address, self.capacity = name, zone, address, tuple(capacity)
         self.labels, self.guards, self.service = list(labels), guards, service
         self.control_daemons, self.gangs, self.history, self.seed = control_daemons, gangs, history, seed
         self.random = random.Random(f"tenant-{name}-{seed}")
@@ -45,7 +45,7 @@
         self.begin()
 
     def begin(self):
-        """A new life: what ran is gone, and so is what it knew."""
+        """A new incarnation: what ran is gone, and so is what it knew."""
         self.births += 1
         self.identity = f"i-{self.name}-{self.births}-{self.random.randrange(16**6):06x}"
         self.running = {}  # (reference, run) -> its standing, a dict
@@ -55,7 +55,7 @@
         self.end_count = self.sequence = self.fence = 0
         self.home = None
         self.turn = self.random.randrange(len(self.control_daemons))
-        self.out = None  # (number, address, own clock when sent, state told) of the beat that is out
+        self.out = None  # (number, address, own clock when sent, state told) of the heartbeat that is out
         self.next_at = -1e9
         self.urgent = False
         self.lease_until = None
@@ -79,6 +79,7 @@
             self.state, self.leaves_at, self.next_at = "draining", now + DRAIN_UNHEARD, now
 
     def step(self, message, now):
+        """Takes a message at a time in seconds of the simulator; returns effects."""
         kind, *rest = message
         return getattr(self, f"_on_{kind}")(*rest, now)
 
@@ -160,7 +161,7 @@
         if gang is not None and self.gangs[gang]["over"] is None:
             self.gangs[gang]["over"] = how
 
-    # --- beats ------------------------------------------------------------------------
+    # --- heartbeats ------------------------------------------------------------------------
     def _target(self):
         return (
             self.home
@@ -169,7 +170,7 @@
         )
 
     def _move_on(self, now):
-        """The beat that was out failed: the next goes elsewhere."""
+        """The heartbeat that was out failed: the next goes elsewhere."""
         self.out, self.home = None, None
         self.turn += 1
         self.next_at = now + HEARTBEAT_SOON
@@ -194,7 +195,7 @@
             "clock_ms": round(self.own(now) * 1000),
             "leaves_ms": None if leaves is None else round(leaves * 1000),
             "labels": self.labels,
-            "room": self.room,
+            "room": self.capacity,
             "running": [[*key, one["saved"], self._percent(one)] for key, one in self.running.items()],
             "ended": [[number, *end] for number, end in list(self.ended.items())[:ENDS_MOST]],
         }
@@ -203,7 +204,7 @@
         return 0 if not one["seconds"] else min(99, int(100 * one["progress"] / one["seconds"]))
 
     def _on_told(self, number, status, document, now):
-        """The answer to a beat."""
+        """The answer to a heartbeat."""
         if self.out is None or self.out[0] != number:
             return []
         _, _, sent, state = self.out
@@ -257,9 +258,9 @@
         except (ValueError, KeyError, IndexError, TypeError):
             self.history.append(("unreadable", now, self.name, self.identity, *key, spec))
             return
-        room = tuple(what["room"])
+        capacity = tuple(what["room"])
         used = [sum(one["room"][place] for one in self.running.values()) for place in range(3)]
-        full = any(used[place] + room[place] > self.room[place] for place in range(3))
+        full = any(used[place] + capacity[place] > self.capacity[place] for place in range(3))
         if run <= self.barred.get(reference, 0) or self.guards and full:
             self._list_end(key, "refused", "", now)
             return
@@ -272,15 +273,15 @@
                 reference,
                 run,
                 self.fence,
-                room,
+                capacity,
                 saved,
                 spec,
                 tuple(used),
             )
         )
-        self.running[key] = self._begun(key, what, room, saved, now)
+        self.running[key] = self._begun(key, what, capacity, saved, now)
 
-    def _begun(self, key, what, room, saved, now):
+    def _begun(self, key, what, capacity, saved, now):
         """The standing of a run that starts now."""
         reference, run = key
         job, time, number, index = reference.split(".")
@@ -299,7 +300,7 @@
             progress + draw.random() * (seconds - progress if seconds is not None else 8.0) if fails else None
         )
         return {
-            "room": room,
+            "room": capacity,
             "gang": gang,
             "owner": owner,
             "began": now,
--- a/src/pinepitch/simulation/stand_in_operator.py
+++ b/src/pinepitch/simulation/stand_in_operator.py
@@ -18,19 +18,22 @@
         self.withdrawn = set()
 
     def now(self):
+        """The simulator's time of day in seconds."""
         return START + self.simulator.now
 
     def act(self, target, document=None):
+        """A call sent until it is answered; whether it succeeded."""
         status, _ = self.simulator.persist("POST", target, document)
         return status == 200
 
     def close(self, kind, subject):
-        """Drains a minion or empties an area."""
+        """Drains a worker or empties a zone."""
         target = f"/v1/minions/{subject}/drain" if kind == "minion" else f"/v1/areas/{subject}/empty"
         if self.act(target):
             self.spans.append([kind, subject, self.now(), None])
 
     def open(self, kind, subject):
+        """Lets a drained worker in again, or takes a zone back."""
         target = f"/v1/minions/{subject}/undrain" if kind == "minion" else f"/v1/areas/{subject}/take-back"
         begun = self.now()
         if self.act(target):
@@ -39,11 +42,13 @@
                     span[3] = begun
 
     def withdraw(self, worker, due):
+        """Says that a worker's machine goes at `due`."""
         if self.act(f"/v1/minions/{worker}/withdraw", {"due": due}):
             self.spans.append(["minion", worker, self.now(), None])
             self.withdrawn.add(worker)
 
     def read_queue_configuration(self):
+        """The queue configuration in force, as some front daemon reads it."""
         status, document = self.simulator.persist("GET", "/v1/setup")
         if status == 200:
             newest = max([one[2] for one in self.changes], default=0)
@@ -102,7 +107,7 @@
         return [self._record_outcome(*one) for one in sent]
 
     def in_force(self, version, within=2.0):
-        """Whether every connected verge learns of an acknowledged change in time."""
+        """Whether every connected front daemon learns of an acknowledged change in time."""
         fronts = [node for node in self.simulator.nodes.values() if node.kind == "verge"]
         if self.simulator.partitions or any(node.core is None or node.frozen for node in fronts):
             return
@@ -121,7 +126,7 @@
             self.faults.append(f"version {version} was not in force at every verge within {within} s")
 
     def race(self, patches):
-        """Several changes on one version at once, at different verges."""
+        """Several changes on one version at once, at different front daemons."""
         status, before = self.read_queue_configuration()
         if status != 200:
             return
@@ -132,14 +137,14 @@
             self.faults.append(f"{won} changes built on version {before['version']} were accepted")
 
     def cancel_some(self):
-        """Cancels a ticket that some caller has open."""
+        """Cancels a job that some caller has open."""
         for name, caller in self.simulator.callers.items():
             if caller.open:
                 pushed_job = self.simulator.draw.choice(sorted(caller.open))
                 self.simulator._send_client_calls(name, caller.cancel(pushed_job, self.now()))
 
     def check(self):
-        """Faults in what was acknowledged: closed minions and areas, and setups."""
+        """Faults in what was acknowledged: closed workers and zones, and queue configurations."""
         zones = {name: node.zone for name, node in self.simulator.nodes.items()}
         return [
             *self.faults,
@@ -154,20 +159,24 @@
             for asked, acknowledged, version, _, document, _, _ in self.changes
         ]
         set_limits.sort(key=lambda one: one[2])
-        set_limits = [(0.0, 0.0, 0, self.simulator.setup), *set_limits]
+        set_limits = [(0.0, 0.0, 0, self.simulator.queue_configuration), *set_limits]
         set_limits += [(asked, None, 0, document) for asked, document in self.maybe]
         return [
             (
                 asked,
                 acknowledged,
-                {queue: row["limit"] for queue, row in document["queues"].items() if row and "limit" in row},
+                {
+                    queue: settings["limit"]
+                    for queue, settings in document["queues"].items()
+                    if settings and "limit" in settings
+                },
             )
             for asked, acknowledged, _, document in set_limits
         ]
 
     def check_queue_configurations(self):
         """Faults in what is read at day's end: every acknowledged change, its content, and
-        nothing of a refused one, the same at every verge."""
+        nothing of a refused one, the same at every front daemon."""
         histories = []
         for place in range(sum(node.kind == "verge" for node in self.simulator.nodes.values())):
             status, history = self.simulator.ask("GET", "/v1/setup/versions", front=place)
--- a/src/pinepitch/simulation/stand_in_worker.py
+++ b/src/pinepitch/simulation/stand_in_worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a minion: a decider the simulator and a process run alike.
+"""A stand-in for a worker: a decider the simulator and a process run alike.
 
 It keeps a history of what it started and how that ended, for checks after the fact.
 Effects: ("answer", request, status, document), ("report", document).
@@ -13,8 +13,8 @@
     """Invariants: running holds what it runs now; ended holds what no one acknowledged;
     the history is only added to. An unguarded one starts whatever it is told."""
 
-    def __init__(self, name, zone, address, room, labels=(), guards=True, seed=0, history=None):
-        self.name, self.zone, self.address, self.room = name, zone, address, room
+    def __init__(self, name, zone, address, capacity, labels=(), guards=True, seed=0, history=None):
+        self.name, self.zone, self.address, self.capacity = name, zone, address, capacity
         self.labels, self.guards = list(labels), guards
         self.random = random.Random(f"{name}-{seed}")
         self.history = [] if history is None else history
@@ -44,6 +44,7 @@
         self.running, self.ended = {}, {}
 
     def step(self, message, now):
+        """Takes a message at a time in seconds; returns effects."""
         kind, *rest = message
         return getattr(self, f"_on_{kind}")(*rest, now)
 
@@ -52,7 +53,7 @@
         if self.guards:
             used = sum(units for _, _, units in self.running.values())
             late = self.heard and order["send_by"] + constants.SEND_MARGIN < self.heard
-            if used + order["units"] > self.room or late or order["incarnation"] != self.incarnation:
+            if used + order["units"] > self.capacity or late or order["incarnation"] != self.incarnation:
                 return [("answer", request, 409, {"error": {"code": "refused"}})]
         work = order.get("work") or {}
         length = work.get("seconds", 0.2) * self.slow
@@ -91,11 +92,12 @@
         return []
 
     def report(self):
+        """What it tells the front daemons of itself, what it runs and what has ended."""
         return {
             "minion": self.name,
             "area": self.zone,
             "address": self.address,
-            "room": self.room,
+            "room": self.capacity,
             "labels": self.labels,
             "guards": self.guards,
             "incarnation": self.incarnation,
--- a/src/pinepitch/simulation/steady.py
+++ b/src/pinepitch/simulation/steady.py
@@ -83,6 +83,7 @@
         return core.identity in leader.core.consensus.membership.members()
 
     def faults(self):
+        """What the operators and the history checks find."""
         return [*super().faults(), *(f"{loss.name} never came back" for loss in self.never_back)]
 
 
--- a/src/pinepitch/simulation/worker_program.py
+++ b/src/pinepitch/simulation/worker_program.py
@@ -1,4 +1,4 @@
-"""A stand-in minion, or several, as one process with real sockets."""
+"""A stand-in worker, or several, as one process with real sockets."""
 
 import json
 import time
@@ -13,15 +13,16 @@
 
 
 class WorkerHost:
-    """Runs stand-in minions. Invariant: only its own tasks touch a minion, each to the end
+    """Runs stand-in workers. Invariant: only its own tasks touch a worker, each to the end
     of a step before another may."""
 
-    def __init__(self, minions, verges, history_path):
-        self.workers, self.fronts = minions, verges
+    def __init__(self, workers, fronts, history_path):
+        self.workers, self.fronts = workers, fronts
         self.file = open(history_path, "a", buffering=1) if history_path else None
         self.turn = 0
 
     async def run(self):
+        """Serves all workers until the process ends."""
         async with curio.TaskGroup() as group:
             for minion in self.workers:
                 host, port = split(minion.address)
@@ -76,7 +77,7 @@
 
 
 def run(minions, verges, history=None):
-    """Runs the minions of a JSON file: [[name, area, address, room, [labels], guards], ...]."""
+    """Runs the workers of a JSON file: [[name, zone, address, capacity, [labels], guards], ...]."""
     with open(minions) as file:
         minions = json.load(file)
     made = [
@@ -89,6 +90,7 @@
 
 
 def main():
+    """The command line."""
     fire.Fire(run)
 
 
