--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -13,6 +13,18 @@
 import cbor2
 
 from ..common import constants, packed_operations
+from ..common.effects import (
+    EncodeSnapshot,
+    Event,
+    PostOrder,
+    Rehearse,
+    Reply,
+    SaveChange,
+    Send,
+    WriteBase,
+    WriteNote,
+    WriteSegment,
+)
 from ..control.daemon import ControlDaemon
 from ..front.daemon import FrontDaemon
 from ..model import contract
@@ -335,7 +347,7 @@
 
     def carry_out(self, node, effect):
         """Does what a daemon decided."""
-        EFFECTS[effect[0]](self, node, *effect[1:])
+        EFFECTS[type(effect)](self, node, *effect)
 
     def lost(self, source, target):
         """Whether what is sent now is lost, by a partition or by chance."""
@@ -389,8 +401,7 @@
             ("encoded", index, node.core.cluster_state.encode(image)),
         )
 
-    def _rehearse(self, node, work):
-        epoch, draft, asked, *rest = work
+    def _rehearse(self, node, epoch, draft, asked, *rest):
         self.at(
             0.5,
             "give",
@@ -676,14 +687,14 @@
     "later": lambda simulator, function: function(),
 }
 EFFECTS = {
-    "send": Simulator._send,
-    "save": Simulator._save,
-    "base": Simulator._base,
-    "segment": Simulator._segment,
-    "note": Simulator._note,
-    "snapshot": Simulator._snapshot,
-    "rehearse": Simulator._rehearse,
-    "event": lambda simulator, *rest: simulator._event(*rest),  # kinds of simulators add to it
-    "reply": Simulator._reply,
-    "post": Simulator._post,
+    Send: Simulator._send,
+    SaveChange: Simulator._save,
+    WriteBase: Simulator._base,
+    WriteSegment: Simulator._segment,
+    WriteNote: Simulator._note,
+    EncodeSnapshot: Simulator._snapshot,
+    Rehearse: Simulator._rehearse,
+    Event: lambda simulator, *rest: simulator._event(*rest),  # kinds of simulators add to it
+    Reply: Simulator._reply,
+    PostOrder: Simulator._post,
 }
