--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -206,14 +206,14 @@
 @then("no try is held longer than {most:g} s, and on average none over {average:g} s")
 def step_deferred(context, most, average):
     for one in context.outages:
-        assert one.longest_held <= most, one
-        assert one.held <= average * (one.refused + one.unsure), one
+        assert one.longest_deferred <= most, one
+        assert one.deferred <= average * (one.refused + one.in_doubt), one
 
 
 @then("nine in ten are told that the call was not taken")
 def step_not_taken(context):
     for one in context.outages:
-        assert one.refused >= 0.9 * (one.refused + one.unsure) > 0, one
+        assert one.refused >= 0.9 * (one.refused + one.in_doubt) > 0, one
 
 
 FRONT, LEADER = "10.0.0.9:7000", "10.0.0.1:7000"
--- a/src/pinepitch/simulation/guarantees.py
+++ b/src/pinepitch/simulation/guarantees.py
@@ -49,11 +49,11 @@
         ("cancel-in-word", "killed-once"),
     ),
     Guarantee(
-        "a draining minion gets work after 2 s, an emptied zone after 5 s",
+        "a draining worker gets work after 2 s, an emptied zone after 5 s",
         ("closed_kept",),
         ("closed-ignored",),
     ),
-    Guarantee("an unguarded minion is packed beyond its room", ("capacity_kept",), ("room-doubled",)),
+    Guarantee("an unguarded worker is packed beyond its capacity", ("capacity_kept",), ("room-doubled",)),
     Guarantee(
         "a gang member waits alone while all is healthy",
         ("gangs_together",),
@@ -76,14 +76,14 @@
     ),
     Guarantee(
         "service is not back 12 s after a total outage",
-        ("the weather itself",),
+        ("the fault scenario itself",),
         ("slow-elections",),
         OUTAGES,
         "no total outage there; that service goes on is seen by every trial's end",
     ),
     Guarantee(
         "good work is shed, or crowds are not shed at once",
-        ("the weather itself",),
+        ("the fault scenario itself",),
         ("impossible-unseen", "bound-ignored"),
         ("impossible", "crowds", "crowds-ten"),
         "bounds are not reached there",
@@ -99,17 +99,17 @@
     ("nothing", ("calm",)),
     ("crowds of users, large jobs and urgent jobs at once", ("crowds", "crowds-ten", "scattered")),
     ("impossible jobs pile up", ("impossible", "crowds")),
-    ("minions crash or vanish", ("crashes", "minions-fail")),
+    ("workers crash or vanish", ("crashes", "minions-fail")),
     (
-        "minions slow down, stall, fail tasks while reporting themselves well",
+        "workers slow down, stall, fail tasks while reporting themselves well",
         ("minions-fail", "failing", "freezes"),
     ),
-    ("minions cut off that run on", ("minions-fail", "cuts", "cancel-cut")),
-    ("minions withdrawn at short notice", ("withdrawn",)),
+    ("workers cut off that run on", ("minions-fail", "cuts", "cancel-cut")),
+    ("workers withdrawn at short notice", ("withdrawn",)),
     ("daemons killed", ("kills", "leaders-fall", "verges-restart", "storm")),
     ("daemons frozen", ("freezes", "storm")),
-    ("power lost just after a promise; total outage", ("power", "outage", "final")),
-    ("disk lost just after a promise", ("wiped", "forgotten", "outage")),
+    ("power lost just after an acknowledgement; total outage", ("power", "outage", "final")),
+    ("disk lost just after an acknowledgement", ("wiped", "forgotten", "outage")),
     ("disks slow, stalled, full", ("disks", "full")),
     ("clocks jump", ("clocks", "clock-outage")),
     ("core split or cut off, single machines isolated, links foul", ("cuts", "foul")),
@@ -177,7 +177,7 @@
 
 def matrix():
     """The tables of docs/proof.md, in Markdown."""
-    lines = ["| | must never happen | checks | planted faults that they find |", "| --- | --- | --- | --- |"]
+    lines = ["| | must never happen | checks | injected faults that they find |", "| --- | --- | --- | --- |"]
     for place, guarantee in enumerate(GUARANTEES, 1):
         checks = ", ".join(f"`{one}`" for one in guarantee.checks)
         found_faults = ", ".join(f"`{one}`" for one in guarantee.injected_faults)
@@ -197,7 +197,7 @@
     lines += [
         f"({chr(97 + place)}) {guarantee.why}." for place, guarantee in enumerate(GUARANTEES) if guarantee.why
     ]
-    lines += ["", "| fault scenario of control daemons | what fails | a planted fault that it finds |"]
+    lines += ["", "| fault scenario of control daemons | what fails | an injected fault that it finds |"]
     lines.append("| --- | --- | --- |")
     for fault in CONTROL_FAULTS:
         injected_fault = f"`{fault.injected_fault}`" if fault.injected_fault else ""
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -209,7 +209,7 @@
     "own-clock": [(cluster_clock.ClusterClock, "read", _own_clock)],
     "cancel-in-word": [(ClusterState, "_cancel", _cancel_in_word)],
     "closed-ignored": [
-        (ClusterState, "closed", lambda self, name, area: ""),
+        (ClusterState, "closed", lambda self, name, zone: ""),
         (FrontDaemon, "_closed", lambda self, order: False),
     ],
     "room-doubled": [(push_worker, "checked", _double_capacity)],
--- a/src/pinepitch/simulation/isolation/fleet.py
+++ b/src/pinepitch/simulation/isolation/fleet.py
@@ -21,7 +21,7 @@
         self.client_stand_in.rate = 0.5  # jobs are not what these trials are about
         self.operators = None
 
-    def accords(self):
+    def control_nodes(self):
         """The machines of the control daemons."""
         return [node for node in self.nodes.values() if node.kind == "accord"]
 
--- a/src/pinepitch/simulation/isolation/orders.py
+++ b/src/pinepitch/simulation/isolation/orders.py
@@ -45,7 +45,7 @@
             (self.change, self.evacuate, self.read, self.list_evacuations, self.change_again),
             (3, 3, 3, 1, 1),
         )[0]
-        act(draw.choice(self.simulator.accords()))
+        act(draw.choice(self.simulator.control_nodes()))
         self.simulator.at(ORDER_EVERY, "later", self.tick)
 
     def change(self, node):
@@ -102,7 +102,7 @@
     def look(self):
         """A read and a list of evacuations that were answered now, at the end; None if they weren't."""
         for _ in range(40):
-            node = self.simulator.draw.choice(self.simulator.accords())
+            node = self.simulator.draw.choice(self.simulator.control_nodes())
             orders = self.read(node), self.list_evacuations(node)
             self.simulator.run(0.5)
             if all(order.status == 200 for order in orders):
--- a/src/pinepitch/simulation/isolation/scenarios.py
+++ b/src/pinepitch/simulation/isolation/scenarios.py
@@ -8,7 +8,7 @@
 def _machine(simulator):
     """(control daemon, front daemon) that lose contact: the leader's machine with every other seed."""
     leader = simulator.leader()
-    others = [node for node in simulator.accords() if node is not leader]
+    others = [node for node in simulator.control_nodes() if node is not leader]
     control_daemon = leader if simulator.seed % 2 == 0 else simulator.draw.choice(others)
     return control_daemon, simulator.nodes[f"verge{simulator.seed % 3}"]
 
@@ -50,7 +50,7 @@
     control_daemon, front = _machine(simulator)
     seeds = {
         True: (control_daemon.address, "10.9.9.9:7000"),
-        False: (control_daemon.address, simulator.accords()[0].address),
+        False: (control_daemon.address, simulator.control_nodes()[0].address),
     }
     for node in simulator.nodes.values():
         if node.kind in ("accord", "verge"):
--- a/src/pinepitch/simulation/leased_job_trial.py
+++ b/src/pinepitch/simulation/leased_job_trial.py
@@ -74,23 +74,23 @@
     except Exception as broken:  # a trial reports whatever ends it, to be replayed
         place = traceback.extract_tb(broken.__traceback__)[-1]
         faults.append(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
-    history, patron = simulator.worker_history, simulator.client_stand_in
+    history, client = simulator.worker_history, simulator.client_stand_in
     zones = {name: node.zone for name, node in simulator.nodes.items()}
     running_most = STOP_GRACE + 1.5 if scenario == "calm" else IN_FLIGHT + LEASE_LONGEST + STOP_GRACE
     for found in (
         checks.never_twice(history),
-        checks.steps_kept(history, patron.jobs),
-        checks.attempts_kept(history, patron.jobs),
+        checks.steps_kept(history, client.jobs),
+        checks.attempts_kept(history, client.jobs),
         checks.capacity_kept(history),
-        checks.cancels_kept(history, patron.jobs, running_most),
+        checks.cancels_kept(history, client.jobs, running_most),
         checks.closed_kept(history, simulator.operator_stand_in.spans, zones),
-        checks.outcomes_true(history, patron),
-        checks.gangs_met(history, patron.jobs) if scenario == "calm" else [],
+        checks.outcomes_true(history, client),
+        checks.gangs_met(history, client.jobs) if scenario == "calm" else [],
         checks.refused_without_rival(simulator.operator_stand_in.changes),
         simulator.agreement(),
     ):
         faults.extend(found)
-    if not any(job["final"] and job["final"][0] == "completed" for job in patron.jobs.values()):
+    if not any(job["final"] and job["final"][0] == "completed" for job in client.jobs.values()):
         faults.append("no job was completed")
     return faults, simulator
 
--- a/src/pinepitch/simulation/outage.py
+++ b/src/pinepitch/simulation/outage.py
@@ -24,15 +24,15 @@
 
     candidate: float | None
     leader: float | None
-    duty: float | None
+    singleton_role: float | None
     accepted: float | None  # the first job that was handed in during the outage or later
     started: float | None  # the first start of a task at a worker
     last_accepted: float | None  # the last of the jobs that were handed in before the leader was there
     handed_in: int  # jobs handed in from the kill until the leader was there
     refused: int  # of the tries sent until then, answered "not taken"
-    unsure: int  # of those, answered "may have been taken", or not at all
-    held: float  # seconds that all the tries were held that were answered, but not with success
-    longest_held: float  # the longest of them
+    in_doubt: int  # of those, answered "may have been taken", or not at all
+    deferred: float  # seconds that all the tries were held that were answered, but not with success
+    longest_deferred: float  # the longest of them
 
 
 def measure(seed, watched=WATCHED, down=DOWN):
@@ -80,7 +80,9 @@
     """The Outage that a simulated run went through."""
 
     def event(number):
-        return _first(at - last for at, _, told, _ in simulator.trace if told == number and at > killed)
+        return _first(
+            at - last for at, _, told_number, _ in simulator.trace if told_number == number and at > killed
+        )
 
     leader = event(LEADER)
     until = simulator.now - last if leader is None else leader
@@ -89,7 +91,7 @@
     ]
     accepted = [job["accepted"] - START - last for job in jobs if job["accepted"] is not None]
     early = [one for one in answers if killed < one[0] < last + until]
-    held = [answered - sent for sent, answered, status in early if status not in (0, 200)]
+    deferred = [answered - sent for sent, answered, status in early if status not in (0, 200)]
     return Outage(
         event(CANDIDATE),
         leader,
@@ -104,8 +106,8 @@
         len(jobs),
         sum(status in (429, 503) for _, _, status in early),
         sum(status in (0, 504) for _, _, status in early),
-        sum(held),
-        max(held, default=0.0),
+        sum(deferred),
+        max(deferred, default=0.0),
     )
 
 
@@ -120,12 +122,12 @@
         outages = [measure(seed, down=down) for seed in range(int(seeds))]
         for field in Outage._fields[:6]:
             found = [getattr(one, field) for one in outages if getattr(one, field) is not None]
-            told = f"median {statistics.median(found):6.3f}  most {max(found):6.3f}" if found else "never"
-            print(f"{field:14} {told}  seen {len(found)}")
+            figures = f"median {statistics.median(found):6.3f}  most {max(found):6.3f}" if found else "never"
+            print(f"{field:14} {figures}  seen {len(found)}")
         for field in Outage._fields[6:9]:
             print(f"{field:14} {sum(getattr(one, field) for one in outages)}")
-        held = sum(one.held for one in outages), max(one.longest_held for one in outages)
-        print(f"held, in vain   {held[0]:6.1f} s in all, longest {held[1]:.2f} s")
+        deferred = sum(one.deferred for one in outages), max(one.longest_deferred for one in outages)
+        print(f"held, in vain   {deferred[0]:6.1f} s in all, longest {deferred[1]:.2f} s")
 
 
 if __name__ == "__main__":
--- a/src/pinepitch/simulation/second_loss/injected_faults.py
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -50,11 +50,11 @@
     return None
 
 
-def _counts_at_once(self, sender, term, success, index, beat, now):
+def _counts_at_once(self, sender, term, success, index, heartbeat, now):
     """Takes an append that was sent for one that is held."""
     follower = self.followers.get(sender)
     if self.role == "leader" and term == self.term and follower is not None:
-        original_appended(self, sender, term, True, self.last_index(), beat, now)
+        original_appended(self, sender, term, True, self.last_index(), heartbeat, now)
 
 
 def _founds_at_sight(self, now):
--- a/src/pinepitch/simulation/second_loss/trial.py
+++ b/src/pinepitch/simulation/second_loss/trial.py
@@ -124,11 +124,13 @@
         for node in self.control_nodes():
             base, steps, _ = node.disk.load()
             changes = [one for step in steps for kind, one in step if kind == "raft"]
-            notes = [one for step in steps for kind, one in step if kind == "note" and one[0] == "identity"]
+            identities = [
+                one for step in steps for kind, one in step if kind == "note" and one[0] == "identity"
+            ]
             kept = Consensus("", 0)
             kept.restore(base[2] if base else None, changes)
             if kept.base_index >= index or kept.term_at(index) == term:
-                holding.add(base[0] if base else notes[0][1])
+                holding.add(base[0] if base else identities[0][1])
         return holding
 
     def _check_joint(self, node):
--- a/src/pinepitch/simulation/worker_program.py
+++ b/src/pinepitch/simulation/worker_program.py
@@ -24,12 +24,12 @@
     async def run(self):
         """Serves all workers until the process ends."""
         async with curio.TaskGroup() as group:
-            for minion in self.workers:
-                host, port = split(minion.address)
-                await group.spawn(self._server, host, port, minion)
-                await group.spawn(self._life, minion)
+            for worker in self.workers:
+                host, port = split(worker.address)
+                await group.spawn(self._server, host, port, worker)
+                await group.spawn(self._serve_incarnation, worker)
 
-    async def _server(self, host, port, minion):
+    async def _server(self, host, port, worker):
         async def serve(socket, address):
             server = http.Server(socket)
             while True:
@@ -40,25 +40,25 @@
                 if kind is None:
                     await server.answer(http.refusal(404, "unknown", "no such way"))
                     continue
-                effects = minion.step((kind, 0, json.loads(request.body)), time.time())
-                self._flush(minion)
+                effects = worker.step((kind, 0, json.loads(request.body)), time.time())
+                self._flush(worker)
                 for _, _, status, document in effects:
                     if not await server.answer(http.Response(status, document)):
                         return
 
         await curio.tcp_server(host, port, serve)
 
-    def _flush(self, minion):
-        for event in minion.history:
+    def _flush(self, worker):
+        for event in worker.history:
             if self.file:
                 self.file.write(json.dumps(event) + "\n")
-        minion.history.clear()
+        worker.history.clear()
 
-    async def _life(self, minion):
+    async def _serve_incarnation(self, worker):
         client = None
         while True:
-            effects = minion.step(("tick",), time.time())
-            self._flush(minion)
+            effects = worker.step(("tick",), time.time())
+            self._flush(worker)
             for _, document in effects:
                 if client is None:
                     self.turn += 1
@@ -67,9 +67,9 @@
                     constants.FORWARD_TIMEOUT + 0.5, client.call("POST", "/v1/reports", document)
                 )
                 if isinstance(answer, http.Response):
-                    minion.step(("reported", answer.status, answer.document), time.time())
+                    worker.step(("reported", answer.status, answer.document), time.time())
                 if not isinstance(answer, http.Response) or answer.status >= 500:
-                    minion.step(("reported", 0, None), time.time())
+                    worker.step(("reported", 0, None), time.time())
                     await client.close()
                     client = None
                     await curio.sleep(constants.TICK)
@@ -81,8 +81,8 @@
     with open(minions) as file:
         minions = json.load(file)
     made = [
-        StandInWorker(name, area, address, room, labels, guards, seed=time.time_ns())
-        for name, area, address, room, labels, guards in minions
+        StandInWorker(name, zone, address, capacity, labels, guards, seed=time.time_ns())
+        for name, zone, address, capacity, labels, guards in minions
     ]
     if isinstance(verges, str):
         verges = verges.split(",")
