--- a/src/pinepitch/simulation/fault_scenarios/disks_and_clocks.py
+++ b/src/pinepitch/simulation/fault_scenarios/disks_and_clocks.py
@@ -1,10 +1,11 @@
 """Fault scenarios of disks that are slow, stalled or full, and of clocks that are wrong."""
 
-from ..simulator import START
+from ..simulator import START, Simulator
+from ..stand_in_operator import Operator
 from .targets import check_served, daemon_names, leader_often
 
 
-def clocks(simulator, operator):
+def clocks(simulator: Simulator, operator: Operator) -> None:
     """Clocks jump either way, on one machine and on several."""
     for _ in range(6):
         count = simulator.draw.choice((1, 1, 2))
@@ -16,7 +17,7 @@
         simulator.run(simulator.draw.uniform(0.5, 2))
 
 
-def disks(simulator, operator):
+def disks(simulator: Simulator, operator: Operator) -> None:
     """Disks slow down, stall, and power goes just after an acknowledgement."""
     for _ in range(5):
         name = leader_often(simulator, 0.6)
@@ -35,7 +36,7 @@
         simulator.run(simulator.draw.uniform(0.5, 3))
 
 
-def full(simulator, operator):
+def full(simulator: Simulator, operator: Operator) -> None:
     """Disks turn full and are given space again, the leader's among them."""
     for _ in range(4):
         name = leader_often(simulator, 0.7)
@@ -49,7 +50,7 @@
         simulator.run(simulator.draw.uniform(0.5, 3))
 
 
-def clock_outage(simulator, operator):
+def clock_outage(simulator: Simulator, operator: Operator) -> None:
     """One clock is wrong by an hour while leaders change, control daemons restart, all lose power."""
     draw = simulator.draw
     for turn in range(3):
--- a/src/pinepitch/simulation/fault_scenarios/load.py
+++ b/src/pinepitch/simulation/fault_scenarios/load.py
@@ -1,10 +1,13 @@
 """Fault scenarios of load: many, large and unplaceable jobs, gangs while little capacity is free."""
 
+from typing import Any
+
 from .. import checks
-from ..simulator import LOSS, START
+from ..simulator import LOSS, START, Simulator
+from ..stand_in_operator import Operator
 
 
-def crowds(simulator, operator):
+def crowds(simulator: Simulator, operator: Operator) -> None:
     """Crowds, large and urgent jobs at once, impossible ones piling up."""
     for one in simulator.callers.values():
         one.rate = 6.0
@@ -22,7 +25,7 @@
         )
         if status in (200, 201):
             impossible.append(answer["ticket"])
-    got = []
+    got: list[tuple[float, int, Any]] = []
     large = {
         "queue": "default",
         "urgency": 1,
@@ -39,7 +42,7 @@
             operator.faults.append(f"impossible {pushed_job} could not be cancelled")
 
 
-def scattered(simulator, operator):
+def scattered(simulator: Simulator, operator: Operator) -> None:
     """Gangs while capacity is scattered: little is free, and never much in one place."""
     for one in simulator.callers.values():
         one.traffic = (
@@ -68,7 +71,7 @@
     operator.faults.extend(checks.gangs_together(simulator.worker_history, documents))
 
 
-def impossible(simulator, operator):
+def impossible(simulator: Simulator, operator: Operator) -> None:
     """Impossible jobs pile up until they are shed, each with its reason; good work goes on."""
     rejected, made = 0, []
     for place in range(60):
@@ -97,7 +100,7 @@
         simulator.persist("POST", f"/v1/tickets/{pushed_job}/cancel")
 
 
-def crowds_ten(simulator, operator):
+def crowds_ten(simulator: Simulator, operator: Operator) -> None:
     """Ten times the traffic against a small bound: shed at once, come back, nothing lost,
     urgent work hardly later."""
     operator.change({"queues": {"default": {"pending": 60}}})
@@ -112,7 +115,7 @@
     if any(one[3] > 1.0 for one in rejected):
         operator.faults.append(f"a ticket was shed only after {max(one[3] for one in rejected):.1f} s")
     simulator.run(6)
-    first = {}
+    first: dict[str, float] = {}
     for event in simulator.worker_history:
         if event[0] == "start":
             first.setdefault(event[4].partition("/")[0], event[1])
--- a/src/pinepitch/simulation/fault_scenarios/members.py
+++ b/src/pinepitch/simulation/fault_scenarios/members.py
@@ -2,10 +2,12 @@
 
 import functools
 
+from ..simulator import Simulator
+from ..stand_in_operator import Operator
 from .targets import check_served, daemon_names, is_in_membership, is_member
 
 
-def wiped(simulator, operator):
+def wiped(simulator: Simulator, operator: Operator) -> None:
     """One control daemon loses its disk and comes back empty at its address, then another."""
     for _ in range(2):
         name = simulator.draw.choice(daemon_names(simulator, "accord"))
@@ -18,7 +20,7 @@
         simulator.run(4)
 
 
-def replaced(simulator, operator):
+def replaced(simulator: Simulator, operator: Operator) -> None:
     """A control daemon dies for good; an empty one at a new address takes its place; twice.
     Seeds of later daemons name the new machines."""
     for turn in range(2):
@@ -45,7 +47,7 @@
         simulator.run(5)
 
 
-def forgotten(simulator, operator):
+def forgotten(simulator: Simulator, operator: Operator) -> None:
     """One control daemon lags behind, one loses its disk, and the one that knows all is away."""
     leader = simulator.leader()
     followers = [one for one in daemon_names(simulator, "accord") if leader and one != leader.name]
@@ -62,7 +64,7 @@
     simulator.run(5)
 
 
-def final(simulator, operator):
+def final(simulator: Simulator, operator: Operator) -> None:
     """A day of changes ends with a fault; then only a restart, and everything is read back."""
     for turn in range(3):
         operator.change({"queues": {"default": {"limit": 40 + turn}}})
--- a/src/pinepitch/simulation/fault_scenarios/mixed.py
+++ b/src/pinepitch/simulation/fault_scenarios/mixed.py
@@ -1,5 +1,7 @@
 """A fault scenario made of others, one after another."""
 
+from ..simulator import Simulator
+from ..stand_in_operator import Operator
 from .disks_and_clocks import clocks, disks
 from .network import partitions
 from .operators import operators
@@ -7,7 +9,7 @@
 from .workers import workers_fail
 
 
-def storm(simulator, operator):
+def storm(simulator: Simulator, operator: Operator) -> None:
     """One thing after another, on fouler links, while operators work."""
     simulator.loss, simulator.double = 0.01, 0.02
     for _ in range(2):
--- a/src/pinepitch/simulation/fault_scenarios/network.py
+++ b/src/pinepitch/simulation/fault_scenarios/network.py
@@ -1,9 +1,11 @@
 """Fault scenarios of the network: partitions, zones that are lost, bad links."""
 
+from ..simulator import Simulator
+from ..stand_in_operator import Operator
 from .targets import check_served, daemon_names
 
 
-def partitions(simulator, operator):
+def partitions(simulator: Simulator, operator: Operator) -> None:
     """Partitions: halves, single machines, one-way, around the leader."""
     for _ in range(6):
         daemons = daemon_names(simulator)
@@ -27,7 +29,7 @@
         simulator.run(simulator.draw.uniform(0.2, 3))
 
 
-def zones_fall(simulator, operator):
+def zones_fall(simulator: Simulator, operator: Operator) -> None:
     """A whole zone goes, the leader's among them, and comes back."""
     for _ in range(3):
         leader = simulator.leader()
@@ -49,7 +51,7 @@
         simulator.run(4)
 
 
-def foul(simulator, operator):
+def foul(simulator: Simulator, operator: Operator) -> None:
     """Loss, delay, doubling and reordering on every link."""
     simulator.loss, simulator.delay, simulator.double = 0.05, 0.06, 0.1
     simulator.run(15)
--- a/src/pinepitch/simulation/fault_scenarios/operators.py
+++ b/src/pinepitch/simulation/fault_scenarios/operators.py
@@ -1,12 +1,17 @@
 """Fault scenarios of operators: changes of the queue configuration that race, drains, cancels."""
 
+from ..simulator import Simulator
+from ..stand_in_operator import Operator
 from .targets import daemon_names, submit_long
 
 
-def _cancel_running(simulator, operator):
+def _cancel_running(simulator: Simulator, operator: Operator) -> None:
     """Cancels a job whose first task has long to run."""
     caller, key = simulator.callers["caller"], f"long-{simulator.now:.3f}"
-    tasks = [{"name": "s0", "work": {"seconds": 10.0}}, {"name": "s1", "after": ["s0"]}]
+    tasks: list[dict[str, object]] = [
+        {"name": "s0", "work": {"seconds": 10.0}},
+        {"name": "s1", "after": ["s0"]},
+    ]
     submit_long(caller, operator, key, tasks)
     simulator.run(1.5)
     for pushed_job, one in caller.accepted.items():
@@ -14,7 +19,7 @@
             simulator._send_client_calls("caller", caller.cancel(pushed_job, operator.now()))
 
 
-def operators(simulator, operator):
+def operators(simulator: Simulator, operator: Operator) -> None:
     """Operators race: changes on one version, drains against placing, cancels."""
     draw = simulator.draw
     _cancel_running(simulator, operator)
@@ -40,7 +45,7 @@
         simulator.run(draw.uniform(0.1, 2))
 
 
-def queue_configuration_storm(simulator, operator):
+def queue_configuration_storm(simulator: Simulator, operator: Operator) -> None:
     """Fifty changes a second, whole and partial, while a leader dies and links are cut."""
     draw = simulator.draw
     simulator.callers["caller"].rate = 3.0  # so that limits bind
@@ -74,7 +79,7 @@
     simulator.run(2)
 
 
-def large_queue_configuration(simulator, operator):
+def large_queue_configuration(simulator: Simulator, operator: Operator) -> None:
     """A queue configuration of hundreds of rows comes and is changed by cells, races and a kill between."""
     draw = simulator.draw
     queue_settings = {
--- a/src/pinepitch/simulation/fault_scenarios/processes.py
+++ b/src/pinepitch/simulation/fault_scenarios/processes.py
@@ -1,14 +1,16 @@
 """Fault scenarios of daemon processes: killed, frozen, without power, restarted."""
 
+from ..simulator import Simulator
+from ..stand_in_operator import Operator
 from .targets import check_served, daemon_names
 
 
-def calm(simulator, operator):
+def calm(simulator: Simulator, operator: Operator) -> None:
     """Nothing goes wrong."""
     simulator.run(15)
 
 
-def kills(simulator, operator):
+def kills(simulator: Simulator, operator: Operator) -> None:
     """Daemons die hard and come back, one at a time."""
     for _ in range(6):
         name = simulator.draw.choice(daemon_names(simulator))
@@ -18,7 +20,7 @@
         simulator.run(simulator.draw.uniform(0.2, 3))
 
 
-def leaders_fall(simulator, operator):
+def leaders_fall(simulator: Simulator, operator: Operator) -> None:
     """The leader dies, again and again, some time after promising."""
     for _ in range(5):
         leader = simulator.leader()
@@ -29,7 +31,7 @@
         simulator.run(simulator.draw.uniform(0.5, 3))
 
 
-def freezes(simulator, operator):
+def freezes(simulator: Simulator, operator: Operator) -> None:
     """Daemons and workers stop and go on later, none the wiser."""
     for _ in range(6):
         leader = simulator.leader()
@@ -41,7 +43,7 @@
         simulator.run(simulator.draw.uniform(0.2, 3))
 
 
-def fronts_restart(simulator, operator):
+def fronts_restart(simulator: Simulator, operator: Operator) -> None:
     """All front daemons die at once; seeds are swapped."""
     for _ in range(3):
         simulator.run(simulator.draw.uniform(1, 3))
@@ -54,7 +56,7 @@
             simulator.start(name)
 
 
-def outage(simulator, operator):
+def outage(simulator: Simulator, operator: Operator) -> None:
     """Everything loses power at once, and one disk is lost in it."""
     simulator.run(simulator.draw.uniform(2, 5))
     for name in daemon_names(simulator):
@@ -68,7 +70,7 @@
     simulator.run(6)
 
 
-def power(simulator, operator):
+def power(simulator: Simulator, operator: Operator) -> None:
     """Slow disks, and power goes everywhere just after changes were acknowledged."""
     for _ in range(3):
         for name in daemon_names(simulator, "accord"):
--- a/src/pinepitch/simulation/fault_scenarios/workers.py
+++ b/src/pinepitch/simulation/fault_scenarios/workers.py
@@ -1,17 +1,18 @@
 """Fault scenarios of workers: they crash, fail, are withdrawn, or are cut off while jobs are cancelled."""
 
-from ..simulator import START
+from ..simulator import START, Simulator
+from ..stand_in_operator import Operator
 from .targets import daemon_names, submit_long
 
 
-def failing(simulator, operator):
+def failing(simulator: Simulator, operator: Operator) -> None:
     """Many workers fail half of what they are given while they report themselves well."""
     for name in simulator.draw.sample(daemon_names(simulator, "minion"), 4):
         simulator.nodes[name].core.fail_rate = 0.6
     simulator.run(12)
 
 
-def workers_fail(simulator, operator):
+def workers_fail(simulator: Simulator, operator: Operator) -> None:
     """Workers crash, are cut off and run on, slow down, stall, fail their work, come back."""
     for _ in range(8):
         name = simulator.draw.choice(daemon_names(simulator, "minion"))
@@ -38,7 +39,7 @@
         simulator.run(simulator.draw.uniform(0.2, 2))
 
 
-def crashes(simulator, operator):
+def crashes(simulator: Simulator, operator: Operator) -> None:
     """Workers die all the time, some just after work ended and before a word of it left."""
     for one in simulator.callers.values():
         one.traffic += (
@@ -56,7 +57,7 @@
         simulator.run(simulator.draw.uniform(0.05, 0.3))
 
 
-def withdrawn(simulator, operator):
+def withdrawn(simulator: Simulator, operator: Operator) -> None:
     """Workers are withdrawn at short notice and die when it comes due."""
     for name in simulator.draw.sample(daemon_names(simulator, "minion"), 2):
         due = START + simulator.now + simulator.draw.uniform(0.5, 3)
@@ -66,7 +67,7 @@
         simulator.run(simulator.draw.uniform(2, 6))
 
 
-def cancel_during_partition(simulator, operator):
+def cancel_during_partition(simulator: Simulator, operator: Operator) -> None:
     """Jobs are cancelled while the workers that run them are cut off, frozen or gone."""
     draw = simulator.draw
     for turn in range(3):
--- a/src/pinepitch/simulation/jobs/control_scenarios/losses.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/losses.py
@@ -1,14 +1,15 @@
 """Fault scenarios of daemons that are lost right after an acknowledgement."""
 
 from .. import control_faults as faults
+from ..fleet import Tenancy
 from ..plans import tolerated
-from .common import expect_complete, repair_disks, slow_some_disks
+from .common import Strike, expect_complete, repair_disks, slow_some_disks
 
 CLIENT_CALLS = ("job",)
 ORDER_CALLS = ("configure", "amend", "evacuate")
 
 
-def _strike_after_acknowledgement(simulator, strike):
+def _strike_after_acknowledgement(simulator: Tenancy, strike: Strike) -> list[str]:
     """Strikes right after an acknowledgement, or some time after an order was sent."""
     if simulator.draw.random() < 0.3:
         simulator.orders.change()
@@ -25,7 +26,7 @@
     return names
 
 
-def killed_after_acknowledgement(simulator):
+def killed_after_acknowledgement(simulator: Tenancy) -> None:
     """Those that have just acknowledged something lose power, as many as may be lost; all are back
     within some seconds."""
     for _ in range(3):
@@ -35,7 +36,7 @@
         simulator.run(faults.CATCH_UP)
 
 
-def wiped_after_acknowledgement(simulator):
+def wiped_after_acknowledgement(simulator: Tenancy) -> None:
     """Those that have just acknowledged something lose their disks, as many as may be lost, while
     at times all others, whose disks may be slow, lose power too."""
     for turn in range(2):
@@ -52,7 +53,7 @@
         simulator.run(faults.CATCH_UP)
 
 
-def herd_killed(simulator):
+def herd_killed(simulator: Tenancy) -> None:
     """All control daemons and fronts lose power at once, right after an acknowledgement or with slow disks,
     and are started together; again before all is well."""
     for _ in range(3):
@@ -69,7 +70,7 @@
         simulator.run(simulator.draw.uniform(0, 3))
 
 
-def zone_lost(simulator):
+def zone_lost(simulator: Tenancy) -> None:
     """A zone is without power: daemons, fronts and tenants; they come back within 1.5 s of each other."""
     for _ in range(2):
         zone = simulator.draw.choice(sorted(set(simulator.plan.areas)))
--- a/src/pinepitch/simulation/jobs/control_scenarios/lost_answers.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/lost_answers.py
@@ -1,9 +1,10 @@
 """Fault scenarios of answers and connections that are lost."""
 
 from .. import control_faults as faults
+from ..fleet import Tenancy
 
 
-def acknowledgements_lost(simulator):
+def acknowledgements_lost(simulator: Tenancy) -> None:
     """Most answers to the operator are lost, so that it sends the same again to other daemons."""
     simulator.acknowledgement_loss = 0.7
     simulator.run(simulator.draw.uniform(2, 4))
@@ -16,7 +17,7 @@
     simulator.run(1)
 
 
-def connections_reset(simulator):
+def connections_reset(simulator: Tenancy) -> None:
     """Connections of daemons are reset, again and again, often while an order is under way."""
     names = [*faults.control_names(simulator), *faults.front_names(simulator)]
     for _ in range(60):
@@ -30,7 +31,7 @@
         simulator.run(simulator.draw.uniform(0.05, 0.25))
 
 
-def _daemon_of_order(simulator):
+def _daemon_of_order(simulator: Tenancy) -> str | None:
     """The daemon that an order of the operator is under way to, or None."""
     for waiting in simulator.requests.values():
         if waiting[0] == "call" and waiting[1] == "operator":
--- a/src/pinepitch/simulation/jobs/control_scenarios/machines.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/machines.py
@@ -1,13 +1,14 @@
 """Fault scenarios of machines that serve badly: disks, processors, clocks, settings."""
 
 from .. import control_faults as faults
+from ..fleet import Tenancy
 from ..plans import tolerated
 from .common import SLOW_DISK, repair_disks
 
 SLOW_MACHINE = (0.02, 0.15)  # seconds; that a slow machine takes longer for whatever it does
 
 
-def disks_bad(simulator):
+def disks_bad(simulator: Tenancy) -> None:
     """Disks turn slow, stand still or take no byte more, as many as may be lost, the leader's often."""
     for _ in range(4):
         names = tolerated(simulator.plan, simulator)
@@ -26,7 +27,7 @@
         simulator.run(faults.CATCH_UP)
 
 
-def machines_slow(simulator):
+def machines_slow(simulator: Tenancy) -> None:
     """Machines take longer for whatever they do, the leader's often, one front's too."""
     for _ in range(3):
         names = tolerated(simulator.plan, simulator)
@@ -37,7 +38,7 @@
         simulator.run(simulator.draw.uniform(1, 3))
 
 
-def control_frozen(simulator):
+def control_frozen(simulator: Tenancy) -> None:
     """Control daemons and fronts stop in the midst of orders and go on later, none the wiser."""
     for _ in range(3):
         names = tolerated(simulator.plan, simulator)
@@ -50,7 +51,7 @@
         simulator.run(simulator.draw.uniform(1, faults.CATCH_UP))
 
 
-def clocks_stepped(simulator):
+def clocks_stepped(simulator: Tenancy) -> None:
     """The time of day jumps on a share of the machines and back, while daemons restart."""
     for _ in range(3):
         names = [name for name, node in simulator.nodes.items() if node.kind in ("accord", "verge")]
@@ -71,7 +72,7 @@
         simulator.run(faults.CATCH_UP)
 
 
-def settings_changed(simulator):
+def settings_changed(simulator: Tenancy) -> None:
     """The settings name other contact points, machines read them again or restart with them."""
     for _ in range(4):
         names = [name for name, node in simulator.nodes.items() if node.kind in ("accord", "verge")]
--- a/src/pinepitch/simulation/jobs/control_scenarios/repairs.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/repairs.py
@@ -1,6 +1,8 @@
 """Fault scenarios that strike while a lost or replaced control daemon is made good."""
 
+from ...machines import Node
 from .. import control_faults as faults
+from ..fleet import Tenancy
 from ..scenarios import JOINS_WITHIN, is_member
 from .common import expect_complete
 
@@ -8,25 +10,25 @@
 CHANGE_EVERY = 0.06  # seconds; between two of them
 
 
-def _asked_to_join(simulator, node):
+def _asked_to_join(simulator: Tenancy, node: Node) -> bool:
     leader = simulator.leader()
     return (
         leader is not None and node.core is not None and node.core.identity in leader.core.consensus.learners
     )
 
 
-def _snapshot_in_transit(simulator, node):
+def _snapshot_in_transit(simulator: Tenancy, node: Node) -> bool:
     leader = simulator.leader()
     follower = leader.core.consensus.followers.get(node.core.identity) if leader and node.core else None
     return follower is not None and follower.transfer is not None and follower.transfer.payload is not None
 
 
-def _change_begun(simulator, node):
+def _change_begun(simulator: Tenancy, node: Node) -> bool:
     leader = simulator.leader()
     return leader is not None and leader.core.consensus.membership.coming is not None
 
 
-def _change_committed(simulator, node):
+def _change_committed(simulator: Tenancy, node: Node) -> bool:
     """The joint list is committed, its end not yet."""
     leader = simulator.leader()
     if leader is None:
@@ -35,7 +37,7 @@
     return consensus.membership.coming is None and consensus.membership_index > consensus.commit
 
 
-def _admitted(simulator, node):
+def _admitted(simulator: Tenancy, node: Node) -> bool:
     return node.core is not None and is_member(node)
 
 
@@ -49,7 +51,7 @@
 STEP_SOUGHT = 8.0  # seconds; until a step of a repair comes
 
 
-def _lose_second(simulator, step, node):
+def _lose_second(simulator: Tenancy, step: str, node: Node) -> None:
     """One more is lost at a step of a repair: the newcomer, the leader or another, which is back soon;
     where two may be lost, its disk may be lost too."""
     sought = REPAIR_STEPS[step]
@@ -72,7 +74,7 @@
     faults.start_soon(simulator, [name])
 
 
-def loss_during_repair(simulator):
+def loss_during_repair(simulator: Tenancy) -> None:
     """A daemon is wiped or replaced; a second one is lost at a step of the repair."""
     for _ in range(2):
         step = simulator.draw.choice(list(REPAIR_STEPS))
@@ -90,7 +92,7 @@
         simulator.run(faults.CATCH_UP)
 
 
-def replacement_chain(simulator):
+def replacement_chain(simulator: Tenancy) -> None:
     """One daemon after another is gone for good, the replacements too, each as soon as the one
     before no more counts as lost."""
     last = None
@@ -105,7 +107,7 @@
     expect_complete(simulator, "after six replacements")
 
 
-def replacement_planned(simulator):
+def replacement_planned(simulator: Tenancy) -> None:
     """Daemons are replaced as planned, the new one first; another loses power or its disk as soon as
     the successor no more counts as lost."""
     for _ in range(3):
@@ -118,7 +120,7 @@
         simulator.run(faults.CATCH_UP)
 
 
-def wiped_in_turn(simulator):
+def wiped_in_turn(simulator: Tenancy) -> None:
     """One disk after another is lost, each as soon as the one before no more counts as lost."""
     names = faults.control_names(simulator)
     simulator.draw.shuffle(names)
@@ -130,7 +132,7 @@
     simulator.served("after one disk after another was lost")
 
 
-def many_changes(simulator):
+def many_changes(simulator: Tenancy) -> None:
     """Hundreds of changes, some large, some acknowledgements lost; then a restart, a lost disk and a
     replacement among them."""
     draw, operator = simulator.draw, simulator.orders
--- a/src/pinepitch/simulation/machines.py
+++ b/src/pinepitch/simulation/machines.py
@@ -1,6 +1,7 @@
 """The simulated machines: what a process is there, and a disk that outlives it."""
 
 import collections
+from typing import Any
 
 import cbor2
 
@@ -48,7 +49,7 @@
 
     def __init__(self, name, kind, zone, address):
         self.name, self.kind, self.zone, self.address = name, kind, zone, address
-        self.core = None
+        self.core: Any = None  # the decider: a daemon of its kind or a stand-in worker
         self.make = None  # the kind of daemon, where it is not the fleet's
         self.incarnation = 0
         self.frozen = self.down = False
@@ -56,4 +57,4 @@
         self.stops_at = None  # says of each effect whether the process is stopped just before it
         self.stall_guard = stall_detector.StallGuard()
         self.skew = 0.0
-        self.disk = Disk() if kind == "accord" else None
+        self.disk: Any = Disk() if kind == "accord" else None  # a Disk, where it is of a control daemon
--- a/src/pinepitch/simulation/second_loss/__main__.py
+++ b/src/pinepitch/simulation/second_loss/__main__.py
@@ -5,7 +5,7 @@
 from .registry import TRIALS, run
 
 
-def main(names="all", first="0", seeds="5", injected_fault=""):
+def main(names: str = "all", first: str = "0", seeds: str = "5", injected_fault: str = "") -> int:
     """Runs trials over seeds; prints the faults of each that fails."""
     failed = 0
     for name in TRIALS if names == "all" else names.split(","):
--- a/src/pinepitch/simulation/second_loss/injected_faults.py
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -1,6 +1,8 @@
 """Injected faults that the trials of second losses must find."""
 
 import contextlib
+from collections.abc import Iterator
+from typing import Any
 from unittest import mock
 
 from ...common.effects import SaveChange, WriteBase
@@ -11,9 +13,10 @@
 from ...control.bootstrap import Bootstrap, cluster_identity
 from ...control.daemon import ControlDaemon
 from .. import injected_faults, simulator
+from ..machines import Node
 
 
-def _serves_on(self, now):
+def _serves_on(self: Any, now: float) -> None:
     """Names a successor and goes on serving under its lease."""
     follower = self.followers.get(self.handover.target)
     if follower is not None and follower.match >= self.last_index() <= self.commit:
@@ -21,19 +24,19 @@
         self.handover = None
 
 
-def _stands_down(self, candidates, now):
+def _stands_down(self: Any, candidates: Any, now: float) -> Any:
     """Gives leadership up without a successor."""
     if self.role == "leader":
         self._follow(self.term, now, "stopping")
     return self._done(now)
 
 
-def _old_list_alone(self, identities, leader):
+def _old_list_alone(self: Any, identities: Any, leader: Any) -> Any:
     """Takes the old list's word for both."""
     return self.now.commits(identities, leader)
 
 
-def _shrinks(self, members, live, now):
+def _shrinks(self: Any, members: dict[str, str], live: Any, now: float) -> Any:
     """Takes a stopping voter off the list, spare or no spare."""
     for leaver in self.leaving:
         if leaver in members:
@@ -41,23 +44,25 @@
     return original_wanted(self, members, live, now)
 
 
-def _any_heir(quorum, leaver, spares, live):
+def _any_heir(quorum: Any, leaver: Any, spares: Any, live: Any) -> Any:
     """Gives a stopping voter's seat to whatever spare there is."""
     return min(spares, default=None)
 
 
-def _no_heir(quorum, leaver, spares, live):
+def _no_heir(quorum: Any, leaver: Any, spares: Any, live: Any) -> None:
     return None
 
 
-def _counts_at_once(self, sender, term, success, index, heartbeat, now):
+def _counts_at_once(
+    self: Any, sender: str, term: int, success: bool, index: int, heartbeat: Any, now: float
+) -> None:
     """Takes an append that was sent for one that is held."""
     follower = self.followers.get(sender)
     if self.role == "leader" and term == self.term and follower is not None:
         original_appended(self, sender, term, True, self.last_index(), heartbeat, now)
 
 
-def _founds_at_sight(self, now):
+def _founds_at_sight(self: Any, now: float) -> Any:
     """Consents to whatever list it sees first, whatever the others see."""
     view = self.view(now)
     if len(view) < self.bootstrap_size or self.veto(now):
@@ -66,7 +71,7 @@
     return cluster_identity(members), members
 
 
-def _early_base(self, node, sequence, payload):
+def _early_base(self: Any, node: Node, sequence: int | None, payload: Any) -> None:
     """Tells a snapshot that came durable before it is."""
     original_base(self, node, sequence, payload)
     if sequence is not None:
@@ -76,7 +81,7 @@
 original_base = simulator.Simulator._base
 original_wanted = ControlDaemon._wanted_members
 original_appended = Consensus._on_appended
-INJECTED_FAULTS = {
+INJECTED_FAULTS: dict[str, list[tuple[Any, str, Any]]] = {
     "serves-on": [(Consensus, "_try_handover", _serves_on)],
     "no-successor": [(Consensus, "transfer_leadership", _stands_down)],
     "old-list-alone": [(Membership, "commits", _old_list_alone)],
@@ -94,7 +99,7 @@
 
 
 @contextlib.contextmanager
-def injected(name):
+def injected(name: str) -> Iterator[None]:
     """The fault of that name in place; '' for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
--- a/src/pinepitch/simulation/second_loss/planned_stops.py
+++ b/src/pinepitch/simulation/second_loss/planned_stops.py
@@ -1,14 +1,16 @@
 """Second losses around planned stops of voters."""
 
+from typing import Any
+
 from ..simulator import GRACE
 from .fleets import JOINT, SERVED_ON, begun, followers, with_spare
-from .trial import RECOVERS_WITHIN
+from .trial import RECOVERS_WITHIN, LossTrial
 
 HANDED_WITHIN = 0.1  # seconds; without a leader while one hands over, on the slowest disk
 STOPPED_WITHIN = 0.5  # seconds; until a process without an heir for its seat has ended
 
 
-def leader_stops(seed):
+def leader_stops(seed: int) -> LossTrial:
     """A leader stops: soon a successor serves, and the old one's lease is over before that."""
     trial = begun(seed)
     leader = trial.leader()
@@ -21,7 +23,7 @@
     return trial
 
 
-def leader_stops_partitioned(seed):
+def leader_stops_partitioned(seed: int) -> LossTrial:
     """A leader stops and is cut off just as it hands over: it must not go on beside its successor."""
     trial = begun(seed)
     leader = trial.leader()
@@ -33,7 +35,7 @@
     return trial
 
 
-def seat_handed_on(seed):
+def seat_handed_on(seed: int) -> LossTrial:
     """A voter stops beside a spare of its zone: the spare votes before the process ends, and the loss of
     another voter right then stops nothing."""
     zone = "abc"[seed % 3]
@@ -50,7 +52,7 @@
     return trial
 
 
-def rolling_restart(seed):
+def rolling_restart(seed: int) -> LossTrial:
     """Each machine in turn stops and comes back with its disk; without a spare that may have it, be it in
     another zone, no seat changes hands."""
     trial = begun(seed) if seed % 2 == 0 else with_spare(seed, "b", mode="single")[0]
@@ -69,7 +71,7 @@
     return trial
 
 
-def only_copy_leaves(seed):
+def only_copy_leaves(seed: int) -> LossTrial:
     """A leader that alone holds what it was told last stops beside a spare of its zone: others are slow
     or stalled, and no list counts as agreed on before all earlier entries lie on quorums of both."""
     trial, spare = with_spare(seed, "a")
@@ -78,7 +80,7 @@
             node.disk.slow = trial.draw.choice((20.0, 60.0, 120.0))
     stalled = trial.draw.choice(followers(trial))
     stalled.disk.stalled = True
-    got = []
+    got: list[tuple[float, int, Any]] = []
     for limit in range(5):
         patch = {"queues": {"default": {"limit": 1060 + limit}}}
         trial.call(
--- a/src/pinepitch/simulation/second_loss/registry.py
+++ b/src/pinepitch/simulation/second_loss/registry.py
@@ -42,7 +42,7 @@
 }
 
 
-def run(name, seed, injected_fault=""):
+def run(name: str, seed: int, injected_fault: str = "") -> list[str]:
     """The faults of one trial, with an injected fault if one is named."""
     with injected(injected_fault):
         try:
--- a/src/pinepitch/simulation/second_loss/replacements.py
+++ b/src/pinepitch/simulation/second_loss/replacements.py
@@ -1,6 +1,7 @@
 """Second losses around replacements of voters that are lost for good."""
 
 from ...common import constants
+from ..machines import Node
 from .fleets import (
     COMMITTED,
     DONE,
@@ -12,7 +13,7 @@
     replace,
     with_spare,
 )
-from .trial import RECOVERS_WITHIN
+from .trial import RECOVERS_WITHIN, LossTrial
 
 OTHER_ZONES = (  # zones and mode of fleets that have no voter left in the zone of a lost one, or one
     (("a", "b", "c"), "static"),
@@ -21,7 +22,7 @@
 )
 
 
-def replaced_in_time(seed):
+def replaced_in_time(seed: int) -> LossTrial:
     """A machine is gone for good and its successor starts at once: once it has had its time to catch up,
     another loss stops nothing."""
     trial = begun(seed)
@@ -36,7 +37,7 @@
     return trial
 
 
-def replaced_in_other_zone(seed):
+def replaced_in_other_zone(seed: int) -> LossTrial:
     """A machine is gone for good and its successor starts in another zone, which has its voter: once it
     has had its time, another loss stops nothing; a machine of the lost zone then votes again."""
     fleet, mode = OTHER_ZONES[seed % len(OTHER_ZONES)]
@@ -57,7 +58,7 @@
     return trial
 
 
-def replacement_replaced(seed):
+def replacement_replaced(seed: int) -> LossTrial:
     """A successor is gone for good as soon as it votes, and so is its own."""
     trial = begun(seed)
     fresh = replace(trial, followers(trial)[0].name, "fresh0")
@@ -72,7 +73,7 @@
     return trial
 
 
-def newcomer_partitioned(seed):
+def newcomer_partitioned(seed: int) -> LossTrial:
     """A newcomer is cut off as soon as it votes: the others serve on."""
     trial = begun(seed)
     rest = list(trial.nodes)
@@ -86,7 +87,7 @@
     return trial
 
 
-def spare_lost_too(seed):
+def spare_lost_too(seed: int) -> LossTrial:
     """A voter and the spare that was to replace it are lost at once; the others serve on, and one that
     comes back empty votes again."""
     trial, spare = with_spare(seed, "b")
@@ -101,7 +102,7 @@
     return trial
 
 
-def zone_lost_beside(seed):
+def zone_lost_beside(seed: int) -> LossTrial:
     """A zone is lost in the middle of a planned replacement in another: the others serve on."""
     trial, _ = with_spare(seed, "a", ("a", "b", "c", "d"))
     node = next(one for one in trial.control_nodes() if one.zone == "a")
@@ -115,12 +116,12 @@
     return trial
 
 
-def wiped_twice(seed):
+def wiped_twice(seed: int) -> LossTrial:
     """A machine loses its disk, and loses it again in each step of its own return."""
     trial = begun(seed)
     node = followers(trial)[0]
 
-    def wipe(_=None):
+    def wipe(_: Node | None = None) -> None:
         trial.kill(node.name)
         trial.wipe(node.name)
         trial.again(node.name, 0.1)
--- a/src/pinepitch/simulation/second_loss/strikes.py
+++ b/src/pinepitch/simulation/second_loss/strikes.py
@@ -1,21 +1,25 @@
 """One loss too many, in each step of a change of members, a snapshot, a bootstrap."""
 
+import functools
 import itertools
+from collections.abc import Callable, Iterable
+from typing import Any
 from unittest import mock
 
 from ...common import constants
+from ..machines import Node
 from .fleets import COMMITTED, DONE, JOINT, begun, check_votes_within, followers, replace
 from .trial import RECOVERS_WITHIN, LossTrial
 
 WHILE = 1.5  # seconds; that a second loss lasts where it is one too many
 CONSENT, LEADER, INSTALLED = 111, 122, 127
-SNAPSHOTS_SOON = {"SNAPSHOT_ENTRIES": 20, "SNAPSHOT_TAIL": 5, "SNAPSHOT_CHUNK": 300}
+SNAPSHOTS_SOON: dict[str, Any] = {"SNAPSHOT_ENTRIES": 20, "SNAPSHOT_TAIL": 5, "SNAPSHOT_CHUNK": 300}
 CHANGES = 20  # changes before a replacement, so that a newcomer is sent a snapshot by then
 STRUCK = ("leader", "newcomer", "other")
 SNAPSHOT_STEPS = (("piece", 1), ("piece", 2), ("piece", 4), (INSTALLED, 1))  # what comes, how often
 
 
-def _victim(trial, kind, newcomer):
+def _victim(trial: LossTrial, kind: str, newcomer: Node) -> Node:
     leader = trial.leader()
     if kind == "leader":
         return leader
@@ -26,17 +30,17 @@
     )
 
 
-def _lost_for_a_while(trial, node):
+def _lost_for_a_while(trial: LossTrial, node: Node) -> None:
     trial.lose_power(node.name)
     trial.again(node.name, WHILE)
 
 
-def _striker(trial, kind, newcomer):
+def _striker(trial: LossTrial, kind: str, newcomer: Node) -> Callable[[Node], None]:
     """What takes the power from one machine for a while once it is called."""
     return lambda _: _lost_for_a_while(trial, _victim(trial, kind, newcomer))
 
 
-def _replacement_struck(seed, step, count, kind, changes):
+def _replacement_struck(seed: int, step: Any, count: int, kind: str, changes: int) -> LossTrial:
     """A replacement in which one machine loses power for a while as the step comes the count-th time."""
     trial = begun(seed)
     for _ in range(changes):
@@ -56,7 +60,7 @@
     return trial
 
 
-def _first_faulty(trials):
+def _first_faulty(trials: Iterable[LossTrial]) -> LossTrial:
     """The first of some trials that finds a fault, else the last."""
     for trial in trials:
         if trial.faults:
@@ -64,14 +68,14 @@
     return trial
 
 
-def change_struck(seed):
+def change_struck(seed: int) -> LossTrial:
     """In each step of a change of members the leader, the newcomer or another voter loses power for a
     while: one too many. Nothing acknowledged is lost, and the change ends."""
     steps = itertools.product((JOINT, COMMITTED, DONE), STRUCK)
     return _first_faulty(_replacement_struck(seed, step, 1, kind, 0) for step, kind in steps)
 
 
-def snapshot_struck(seed):
+def snapshot_struck(seed: int) -> LossTrial:
     """While a snapshot is sent and as it is installed, its sender, its receiver or another voter loses
     power for a while: one too many."""
     with mock.patch.multiple(constants, **SNAPSHOTS_SOON):
@@ -79,11 +83,11 @@
         return _first_faulty(_replacement_struck(seed, *step, kind, CHANGES) for step, kind in steps)
 
 
-def founding_struck(seed):
+def founding_struck(seed: int) -> LossTrial:
     """In each step of a bootstrap by three of four machines one that takes it loses power for a while."""
     for step, count in ((CONSENT, 1), (CONSENT, 2), (CONSENT, 3), (LEADER, 1)):
         trial = LossTrial(seed, ("a", "b", "c", "d"), slow=True, founders=3)
-        trial.on(step, lambda node, trial=trial: _lost_for_a_while(trial, node), count)
+        trial.on(step, functools.partial(_lost_for_a_while, trial), count)
         trial.begin()
         trial.run(WHILE)
         clusters = {node.core.cluster for node in trial.control_nodes() if node.core is not None}
