--- a/src/pinepitch/simulation/fault_scenarios/operators.py
+++ b/src/pinepitch/simulation/fault_scenarios/operators.py
@@ -1,12 +1,17 @@
 """Fault scenarios of operators: changes of the queue configuration that race, drains, cancels."""
 
+from ..simulator import Simulator
+from ..stand_in_operator import Operator
 from .targets import daemon_names, submit_long
 
 
-def _cancel_running(simulator, operator):
-    """Cancels a ticket whose first task has long to run."""
+def _cancel_running(simulator: Simulator, operator: Operator) -> None:
+    """Cancels a job whose first task has long to run."""
     caller, key = simulator.callers["caller"], f"long-{simulator.now:.3f}"
-    tasks = [{"name": "s0", "work": {"seconds": 10.0}}, {"name": "s1", "after": ["s0"]}]
+    tasks: list[dict[str, object]] = [
+        {"name": "s0", "work": {"seconds": 10.0}},
+        {"name": "s1", "after": ["s0"]},
+    ]
     submit_long(caller, operator, key, tasks)
     simulator.run(1.5)
     for pushed_job, one in caller.accepted.items():
@@ -14,7 +19,7 @@
             simulator._send_client_calls("caller", caller.cancel(pushed_job, operator.now()))
 
 
-def operators(simulator, operator):
+def operators(simulator: Simulator, operator: Operator) -> None:
     """Operators race: changes on one version, drains against placing, cancels."""
     draw = simulator.draw
     _cancel_running(simulator, operator)
@@ -40,7 +45,7 @@
         simulator.run(draw.uniform(0.1, 2))
 
 
-def queue_configuration_storm(simulator, operator):
+def queue_configuration_storm(simulator: Simulator, operator: Operator) -> None:
     """Fifty changes a second, whole and partial, while a leader dies and links are cut."""
     draw = simulator.draw
     simulator.callers["caller"].rate = 3.0  # so that limits bind
@@ -50,7 +55,9 @@
             settings = {"limit": 8 + draw.randrange(16), "share": draw.randrange(4, 8)}
             queue = draw.choice(("default", "urgent", "feeds"))
             if draw.random() < 0.2:
-                complete = {name: {**value} for name, value in simulator.setup["queues"].items()}
+                complete = {
+                    name: {**value} for name, value in simulator.queue_configuration["queues"].items()
+                }
                 complete[queue].update(settings)
                 changes.append(("whole", {"queues": complete}))
             else:
@@ -72,11 +79,11 @@
     simulator.run(2)
 
 
-def large_queue_configuration(simulator, operator):
-    """A setup of hundreds of rows comes and is changed by cells, races and a kill between."""
+def large_queue_configuration(simulator: Simulator, operator: Operator) -> None:
+    """A queue configuration of hundreds of rows comes and is changed by cells, races and a kill between."""
     draw = simulator.draw
     queue_settings = {
-        **simulator.setup["queues"],
+        **simulator.queue_configuration["queues"],
         **{f"q{one:04d}": {"share": 0, "limit": 10} for one in range(600)},
     }
     operator.change({"queues": queue_settings}, "whole")
--- a/src/pinepitch/simulation/isolation/fleet.py
+++ b/src/pinepitch/simulation/isolation/fleet.py
@@ -21,7 +21,8 @@
         self.client_stand_in.rate = 0.5  # jobs are not what these trials are about
         self.operators = None
 
-    def accords(self):
+    def control_nodes(self):
+        """The machines of the control daemons."""
         return [node for node in self.nodes.values() if node.kind == "accord"]
 
     def ask_once(self, node, call, arguments, answered):
@@ -44,12 +45,14 @@
         super().carry_out(node, effect)
 
     def heal(self):
+        """Ends all partitions; what the links kept arrives, in order."""
         super().heal()
         kept, self.kept = self.kept, []
         for place, (name, incarnation, message) in enumerate(kept):
             self.at(self.latency() + place * 1e-5, "give", name, incarnation, message)
 
     def begin(self):
+        """Waits for service and lets the operators begin."""
         super().begin()
         documents = {change.version: change.document for change in self.operator_stand_in.changes}
         self.operators = Operators(self, documents)
--- a/src/pinepitch/simulation/isolation/orders.py
+++ b/src/pinepitch/simulation/isolation/orders.py
@@ -33,6 +33,7 @@
         self.newest_change = None  # (order, arguments) of the last change made
 
     def now(self):
+        """The simulator's time of day in seconds."""
         return START + self.simulator.now
 
     def tick(self):
@@ -44,10 +45,11 @@
             (self.change, self.evacuate, self.read, self.list_evacuations, self.change_again),
             (3, 3, 3, 1, 1),
         )[0]
-        act(draw.choice(self.simulator.accords()))
+        act(draw.choice(self.simulator.control_nodes()))
         self.simulator.at(ORDER_EVERY, "later", self.tick)
 
     def change(self, node):
+        """Sends a change of the configuration to a daemon."""
         self.version += 1
         before = self.documents[self.known]
         route = {
@@ -69,14 +71,17 @@
             self._send(node, "configure", order.subject, arguments, base=order.base)
 
     def evacuate(self, node):
+        """Orders the evacuation of a zone that no other order speaks of."""
         self.zones += 1
         zone = f"zone{self.zones}"
         self._send(node, "evacuate", zone, (zone, True))
 
     def read(self, node, strict=False):
+        """Reads the configuration from a daemon."""
         return self._send(node, "configuration", None, (), strict=strict)
 
     def list_evacuations(self, node):
+        """Reads from a daemon which zones are evacuated."""
         return self._send(node, "evacuations", None, ())
 
     def _send(self, node, call, subject, arguments, **more):
@@ -97,7 +102,7 @@
     def look(self):
         """A read and a list of evacuations that were answered now, at the end; None if they weren't."""
         for _ in range(40):
-            node = self.simulator.draw.choice(self.simulator.accords())
+            node = self.simulator.draw.choice(self.simulator.control_nodes())
             orders = self.read(node), self.list_evacuations(node)
             self.simulator.run(0.5)
             if all(order.status == 200 for order in orders):
--- a/src/pinepitch/simulation/isolation/scenarios.py
+++ b/src/pinepitch/simulation/isolation/scenarios.py
@@ -1,4 +1,4 @@
-"""What brings a control machine, an accord and the verge beside it, out of contact."""
+"""What brings a control machine, a control daemon and the front daemon beside it, out of contact."""
 
 from ...common.effects import Reply, Send
 
@@ -6,9 +6,9 @@
 
 
 def _machine(simulator):
-    """(the accord, the verge beside it) that lose contact: the leader's with every other seed."""
+    """(control daemon, front daemon) that lose contact: the leader's machine with every other seed."""
     leader = simulator.leader()
-    others = [node for node in simulator.accords() if node is not leader]
+    others = [node for node in simulator.control_nodes() if node is not leader]
     control_daemon = leader if simulator.seed % 2 == 0 else simulator.draw.choice(others)
     return control_daemon, simulator.nodes[f"verge{simulator.seed % 3}"]
 
@@ -50,7 +50,7 @@
     control_daemon, front = _machine(simulator)
     seeds = {
         True: (control_daemon.address, "10.9.9.9:7000"),
-        False: (control_daemon.address, simulator.accords()[0].address),
+        False: (control_daemon.address, simulator.control_nodes()[0].address),
     }
     for node in simulator.nodes.values():
         if node.kind in ("accord", "verge"):
@@ -70,7 +70,7 @@
 
 
 def _stopped_before(simulator, wanted, seconds):
-    """An accord is stopped just before it carries out an effect of one kind, three times."""
+    """A control daemon is stopped just before it carries out an effect of one kind, three times."""
     for _ in range(3):
         control_daemon, _ = _machine(simulator)
         control_daemon.stops_at = wanted
@@ -84,7 +84,7 @@
 
 
 def stopped_at_write(simulator):
-    """An accord has decided on an answer to a read and is stopped before it writes it."""
+    """A control daemon has decided on an answer to a read and is stopped before it writes it."""
 
     def wanted(effect):
         return isinstance(effect, Reply) and effect.status == 200 and "routes" in effect.document
@@ -93,7 +93,7 @@
 
 
 def stopped_at_send(simulator):
-    """An accord has taken a call to carry and is stopped before it sends it to the leader."""
+    """A control daemon has taken a call to carry and is stopped before it sends it to the leader."""
 
     def wanted(effect):
         return isinstance(effect, Send) and effect.message[0] == "ask" and effect.message[3] == "evacuate"
--- a/src/pinepitch/simulation/leased_job_trial.py
+++ b/src/pinepitch/simulation/leased_job_trial.py
@@ -1,4 +1,4 @@
-"""Trials of jobs under holds: a simulated fleet under a fault scenario, then checks of what its
+"""Trials of jobs under leases: a simulated fleet under a fault scenario, then checks of what its
 callers, tenants and operator saw. A trial is replayed by its scenario and seed.
 """
 
@@ -12,7 +12,7 @@
 from .jobs.control_injected_faults import CONTROL_INJECTED_FAULTS
 from .jobs.control_scenarios.registry import CONTROL_SCENARIOS
 from .jobs.fleet import Tenancy
-from .jobs.injected_faults import planted
+from .jobs.injected_faults import injected
 from .jobs.limits import (
     CONTROL_RUSHES,
     ENDS_WITHIN,
@@ -29,8 +29,8 @@
 
 
 def trial(scenario, seed, injected_fault=""):
-    """(faults, simulator) of one trial, with a planted fault if one is named."""
-    with planted(injected_fault):
+    """(faults, simulator) of one trial, with an injected fault if one is named."""
+    with injected(injected_fault):
         return _trial(
             scenario, seed, FAILED_ENDS_WITHIN if injected_fault in CONTROL_INJECTED_FAULTS else ENDS_WITHIN
         )
@@ -74,23 +74,23 @@
     except Exception as broken:  # a trial reports whatever ends it, to be replayed
         place = traceback.extract_tb(broken.__traceback__)[-1]
         faults.append(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
-    history, patron = simulator.worker_history, simulator.client_stand_in
+    history, client = simulator.worker_history, simulator.client_stand_in
     zones = {name: node.zone for name, node in simulator.nodes.items()}
     running_most = STOP_GRACE + 1.5 if scenario == "calm" else IN_FLIGHT + LEASE_LONGEST + STOP_GRACE
     for found in (
         checks.never_twice(history),
-        checks.steps_kept(history, patron.jobs),
-        checks.attempts_kept(history, patron.jobs),
-        checks.room_kept(history),
-        checks.cancels_kept(history, patron.jobs, running_most),
+        checks.steps_kept(history, client.jobs),
+        checks.attempts_kept(history, client.jobs),
+        checks.capacity_kept(history),
+        checks.cancels_kept(history, client.jobs, running_most),
         checks.closed_kept(history, simulator.operator_stand_in.spans, zones),
-        checks.outcomes_true(history, patron),
-        checks.gangs_met(history, patron.jobs) if scenario == "calm" else [],
+        checks.outcomes_true(history, client),
+        checks.gangs_met(history, client.jobs) if scenario == "calm" else [],
         checks.refused_without_rival(simulator.operator_stand_in.changes),
         simulator.agreement(),
     ):
         faults.extend(found)
-    if not any(job["final"] and job["final"][0] == "completed" for job in patron.jobs.values()):
+    if not any(job["final"] and job["final"][0] == "completed" for job in client.jobs.values()):
         faults.append("no job was completed")
     return faults, simulator
 
