--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -22,7 +22,8 @@
 from pinepitch.model import contract
 from pinepitch.simulation import simulator as simulators
 from pinepitch.state.archive import Archive
-from pinepitch.state.cluster_state import ACTIONS, ClusterState
+from pinepitch.state.cluster_state import ClusterState
+from pinepitch.state.registry import ACTIONS
 from pinepitch.storage.store import Damaged, Store
 from pinepitch.transport import framing, http
 
--- a/features/steps/versions.py
+++ b/features/steps/versions.py
@@ -1,5 +1,7 @@
 """Steps for Versions: a made-up next version of the accord in a simulated fleet."""
 
+from typing import NamedTuple
+
 from behave import given, then, when
 
 from pinepitch.common import constants
@@ -7,18 +9,26 @@
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.simulation import checks, pushed_job_trial
 from pinepitch.simulation.simulator import Simulator
-from pinepitch.state.cluster_state import ACTIONS, OK, ClusterState
+from pinepitch.state.cluster_state import ClusterState
+from pinepitch.state.outcomes import OK
+from pinepitch.state.registry import Action
+
+
+class Remark(NamedTuple):
+    """An operation of a next version."""
+
+    text: str
 
 
-def _remark(record, text):
-    record.remarks = (*getattr(record, "remarks", ()), (record.index, text))
+def _remark(record, operation):
+    record.remarks = (*getattr(record, "remarks", ()), (record.index, operation.text))
     return OK
 
 
 class NextRecord(ClusterState):
     """A record that knows one operation more."""
 
-    actions = {**ACTIONS, "remark": _remark}
+    actions = {**ClusterState.actions, "remark": Action(Remark, _remark)}
     levels = {**ClusterState.levels, "remark": constants.RECORD_LEVEL + 1}
 
 
--- a/src/pinepitch/model/queue_settings.py
+++ b/src/pinepitch/model/queue_settings.py
@@ -89,6 +89,11 @@
 }
 
 
+def first():
+    """The checked configuration that every cluster begins with."""
+    return checked(FIRST)[0]
+
+
 def checked(document, known=None):
     """(whole setup, ()) or (None, faults), every fault named by its path. Rows that are
     those of the setup `known`, checked before, are not checked again."""
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -16,7 +16,13 @@
 from ..model import push_worker, pushed_job
 from ..model import queue_settings as rows
 from ..model.queue_settings import QueueSettings
-from ..state import cluster_state, configuration_history
+from ..state import (
+    configuration_history,
+    configuration_operations,
+    ending_operations,
+    pushed_job_operations,
+    registry,
+)
 from ..state.cluster_state import ClusterState
 from . import simulator
 
@@ -28,7 +34,7 @@
             for name, task in pushed_job.tasks_from(plain, retries, feed).items()
         }
 
-    return [(cluster_state, "tasks_from", planted)]
+    return [(pushed_job_operations, "tasks_from", planted)]
 
 
 def _silent_report(self, report, listed):
@@ -85,21 +91,21 @@
 
 
 original_updates = FrontDaemon._on_updates
-original_change = ClusterState._change
-original_end = ClusterState._end
+original_change = configuration_operations.apply_change
+original_end = ending_operations.settle_end
 original_checked = push_worker.checked
 
 
-def _no_base(self, base, manner, document, who, why):
-    return original_change(self, None, manner, document, who, why)
+def _no_base(state, operation):
+    return original_change(state, operation._replace(base=None))
 
 
-def _as_if_done(self, found, task, standing, how):
-    return original_end(self, found, task, standing, "done" if how == "failed" else how)
+def _as_if_done(state, job, task, standing, how):
+    return original_end(state, job, task, standing, "done" if how == "failed" else how)
 
 
-def _repeats_lost(self, found, task, standing, how):
-    return original_end(self, found, task, standing, "failed" if how == "lost" else how)
+def _repeats_lost(state, job, task, standing, how):
+    return original_end(state, job, task, standing, "failed" if how == "lost" else how)
 
 
 def _double_capacity(document):
@@ -107,15 +113,15 @@
     return (report and report._replace(capacity=2 * report.capacity)), faults
 
 
-def _forgetful(self, document, who, why, base):
+def _forgetful(state, document, who, why):
     """Acknowledges a change that it does not keep."""
-    return ("setup", self.version + 1)
+    return ("setup", state.version + 1)
 
 
-def _takes_refused(self, base, manner, document, who, why):
-    outcome = original_change(self, base, manner, document, who, why)
+def _takes_refused(state, operation):
+    outcome = original_change(state, operation)
     if outcome[0] == "conflict":
-        original_change(self, None, manner, document, who, why)
+        original_change(state, operation._replace(base=None))
     return outcome
 
 
@@ -128,8 +134,8 @@
 original_vote = election.on_vote
 
 
-def _cancel_in_word(self, identity):
-    found = self.pushed_jobs.get(identity)
+def _cancel_in_word(state, operation):
+    found = state.pushed_jobs.get(operation.identity)
     return ("missing",) if found is None else ("ok",)
 
 
@@ -180,9 +186,9 @@
 original_add = configuration_history.ConfigurationHistory.add
 
 
-def _free_tries(self, pushed_job, task, standing, how):
+def _free_tries(state, job, task, standing, how):
     """Does not count what was lost with its minion."""
-    return original_end(self, pushed_job, task, standing, "never" if how == "lost" else how)
+    return original_end(state, job, task, standing, "never" if how == "lost" else how)
 
 
 INJECTED_FAULTS = {
@@ -195,7 +201,7 @@
     ],
     "killed-once": [(constants, "KILL_AGAIN", 1e9), (daemon.ControlDaemon, "take_report", _no_strays)],
     "history-cut": [(configuration_history.ConfigurationHistory, "add", _short_history)],
-    "lost-not-counted": [(ClusterState, "_end", _free_tries)],
+    "lost-not-counted": [(ending_operations, "settle_end", _free_tries)],
     "early-proof": [(daemon.ControlDaemon, "_absent", _silent_report)],
     "silence-is-an-end": [(daemon.ControlDaemon, "_watch", _unresponsive_workers)],
     "sent-again": [
@@ -207,19 +213,19 @@
     "not-before-ignored": _tasks(not_before=0.0),
     "attempts-unbounded": _tasks(attempts=100),
     "own-clock": [(cluster_clock.ClusterClock, "read", _own_clock)],
-    "cancel-in-word": [(ClusterState, "_cancel", _cancel_in_word)],
+    "cancel-in-word": [(pushed_job_operations, "cancel_job", _cancel_in_word)],
     "closed-ignored": [
         (ClusterState, "closed", lambda self, name, area: ""),
         (FrontDaemon, "_closed", lambda self, order: False),
     ],
     "room-doubled": [(push_worker, "checked", _double_capacity)],
     "gangs-apart": _tasks(gang=""),
-    "base-ignored": [(ClusterState, "_change", _no_base)],
-    "refused-takes-effect": [(ClusterState, "_change", _takes_refused)],
-    "change-not-kept": [(ClusterState, "_apply_queue_configuration", _forgetful)],
+    "base-ignored": [(configuration_operations, "apply_change", _no_base)],
+    "refused-takes-effect": [(configuration_operations, "apply_change", _takes_refused)],
+    "change-not-kept": [(configuration_operations, "put_in_force", _forgetful)],
     "news-kept-back": [(daemon.ControlDaemon, "_update_version", lambda self: (self.consensus.term, 0))],
-    "failed-counts-as-done": [(ClusterState, "_end", _as_if_done)],
-    "lost-is-tried-again": [(ClusterState, "_end", _repeats_lost)],
+    "failed-counts-as-done": [(ending_operations, "settle_end", _as_if_done)],
+    "lost-is-tried-again": [(ending_operations, "settle_end", _repeats_lost)],
     "slow-elections": [
         (constants, "ELECTION_TIMEOUT", 15.0),
         (constants, "CHECK_QUORUM", 15.0),
@@ -245,14 +251,15 @@
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         if name:
+            cancel = registry.ACTIONS["cancel"]._replace(apply=pushed_job_operations.cancel_job)
             registries = [
                 (simulator.EFFECTS, SaveChange, simulator.Simulator._save),
-                (cluster_state.ACTIONS, "cancel", ClusterState._cancel),
+                (registry.ACTIONS, "cancel", cancel),
             ]
             registries += [
                 (handlers.HANDLERS, messages.VoteRequest, election.on_vote),
                 (verge_core.INPUTS, "told", FrontDaemon._on_updates),
             ]
-            for registry, key, value in registries:
-                stack.enter_context(mock.patch.dict(registry, {key: value}))
+            for entries, key, value in registries:
+                stack.enter_context(mock.patch.dict(entries, {key: value}))
         yield
--- /dev/null
+++ b/src/pinepitch/state/leased_job_operations.py
@@ -0,0 +1,64 @@
+"""Operations on leased jobs: handed to scheduling's part of the state, with the agreed time."""
+
+from typing import TYPE_CHECKING
+
+from .operations import (
+    AcceptLeasedJob,
+    AmendRoutes,
+    AssignRuns,
+    CancelLeasedJob,
+    ConfigureRoutes,
+    EndRuns,
+    EvacuateZone,
+    StopRuns,
+)
+from .outcomes import STALE_EPOCH, Outcome
+
+if TYPE_CHECKING:
+    from .cluster_state import ClusterState
+
+
+def accept_leased_job(state: "ClusterState", operation: AcceptLeasedJob) -> Outcome:
+    """Takes in a leased job."""
+    return state.leased_jobs.accept(state.time, operation.identity, operation.queue, operation.document)
+
+
+def cancel_leased_job(state: "ClusterState", operation: CancelLeasedJob) -> Outcome:
+    """Cancels a leased job."""
+    return state.leased_jobs.cancel(state.time, operation.identity)
+
+
+def assign_runs(state: "ClusterState", operation: AssignRuns) -> Outcome:
+    """Assigns runs, if whoever decided it still holds the placing role."""
+    if operation.epoch != state.epoch("placing"):
+        return STALE_EPOCH
+    return ("assigned", state.leased_jobs.assign(state.time, operation.epoch, operation.items))
+
+
+def stop_runs(state: "ClusterState", operation: StopRuns) -> Outcome:
+    """Marks runs that are to end, if whoever decided it still holds the placing role."""
+    if operation.epoch != state.epoch("placing"):
+        return STALE_EPOCH
+    return state.leased_jobs.stop(state.time, operation.items)
+
+
+def end_runs(state: "ClusterState", operation: EndRuns) -> Outcome:
+    """Takes proven ends of runs."""
+    return state.leased_jobs.end(state.time, operation.items)
+
+
+def configure_routes(state: "ClusterState", operation: ConfigureRoutes) -> Outcome:
+    """Takes a whole configuration of the routes."""
+    return state.leased_jobs.configure(state.time, operation.base, operation.document, operation.digest)
+
+
+def amend_routes(state: "ClusterState", operation: AmendRoutes) -> Outcome:
+    """Changes single routes."""
+    return state.leased_jobs.amend(state.time, *operation)
+
+
+def evacuate_zone(state: "ClusterState", operation: EvacuateZone) -> Outcome:
+    """Begins or ends the evacuation of a zone, as the order at this index of the log."""
+    return state.leased_jobs.evacuate(
+        state.time, operation.zone, operation.begun, state.index, operation.confirmed
+    )
--- /dev/null
+++ b/src/pinepitch/state/registry.py
@@ -0,0 +1,79 @@
+"""The registry of operations: their names on the wire and on disk, types, functions and levels.
+
+A new operation is an entry here, of a level above those that are out: it is proposed only once
+all members know it.
+"""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from . import (
+    closing_operations,
+    cluster_operations,
+    configuration_operations,
+    draft_operations,
+    ending_operations,
+    leased_job_operations,
+    operations,
+    placing_operations,
+    pushed_job_operations,
+    yielding_operations,
+)
+from .outcomes import Outcome
+
+
+class Action(NamedTuple):
+    """What an entry of the log does."""
+
+    decode: Callable[..., Any]  # makes the typed operation of the fields that follow the name
+    apply: Callable[..., Outcome]  # (state, typed operation) -> outcome
+
+
+def _consensus_entry(*content: Any) -> operations.ConsensusEntry:
+    return operations.ConsensusEntry(content)
+
+
+ACTIONS = {
+    "noop": Action(_consensus_entry, cluster_operations.ignore),
+    "members": Action(_consensus_entry, cluster_operations.ignore),
+    "ticket": Action(operations.AcceptJob, pushed_job_operations.accept_job),
+    "cancel": Action(operations.CancelJob, pushed_job_operations.cancel_job),
+    "duty": Action(operations.TakeRole, cluster_operations.take_role),
+    "place": Action(operations.PlaceTasks, placing_operations.place_tasks),
+    "ended": Action(operations.EndAttempts, ending_operations.end_attempts),
+    "yield": Action(operations.YieldTasks, yielding_operations.yield_tasks),
+    "drain": Action(operations.DrainWorker, closing_operations.drain_worker),
+    "area": Action(operations.EmptyZone, closing_operations.empty_zone),
+    "withdraw": Action(operations.WithdrawWorker, closing_operations.withdraw_worker),
+    "gone": Action(operations.WorkerGone, closing_operations.worker_gone),
+    "setup": Action(operations.ChangeConfiguration, configuration_operations.change_configuration),
+    "draft": Action(operations.CreateDraft, draft_operations.create_draft),
+    "rehearse": Action(operations.RehearseDraft, draft_operations.rehearse_draft),
+    "measure": Action(operations.RecordMeasurement, draft_operations.record_measurement),
+    "approve": Action(operations.ApproveDraft, draft_operations.approve_draft),
+    "drop": Action(operations.DropDraft, draft_operations.drop_draft),
+    "hold": Action(operations.PauseApprovals, cluster_operations.pause_approvals),
+    "level": Action(operations.RaiseLevel, cluster_operations.raise_level),
+    "job": Action(operations.AcceptLeasedJob, leased_job_operations.accept_leased_job),
+    "job-cancel": Action(operations.CancelLeasedJob, leased_job_operations.cancel_leased_job),
+    "job-assign": Action(operations.AssignRuns, leased_job_operations.assign_runs),
+    "job-stop": Action(operations.StopRuns, leased_job_operations.stop_runs),
+    "job-ended": Action(operations.EndRuns, leased_job_operations.end_runs),
+    "configure": Action(operations.ConfigureRoutes, leased_job_operations.configure_routes),
+    "amend": Action(operations.AmendRoutes, leased_job_operations.amend_routes),
+    "evacuate": Action(operations.EvacuateZone, leased_job_operations.evacuate_zone),
+    "evacuation": Action(operations.EvacuateZone, leased_job_operations.evacuate_zone),
+}
+# The level that knows an operation, for those above level 1.
+LEVELS = {
+    "level": 2,
+    "job": 2,
+    "job-cancel": 2,
+    "job-assign": 2,
+    "job-stop": 2,
+    "job-ended": 2,
+    "configure": 2,
+    "amend": 2,
+    "evacuate": 2,
+    "evacuation": 3,
+}
