--- a/src/pinepitch/control/alert_rules.py
+++ b/src/pinepitch/control/alert_rules.py
@@ -8,7 +8,7 @@
 import voluptuous
 import yaml
 
-from ..model.pushed_job import name, shaped
+from ..model.validation import name, shaped
 from .alert_watch import Rule
 
 EXPRESSION = re.compile(
--- a/src/pinepitch/model/contract.py
+++ b/src/pinepitch/model/contract.py
@@ -4,7 +4,7 @@
 (an array of any length), MAYBE(pattern), PAIRS(key, value) for a map, or ANY.
 """
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from ..common import daemon_settings
 
@@ -12,14 +12,14 @@
 class Maybe(NamedTuple):
     """None, or what the pattern says."""
 
-    pattern: object
+    pattern: Any
 
 
 class Pairs(NamedTuple):
     """A map. Invariant: every key and every value fits."""
 
-    key: object
-    value: object
+    key: Any
+    value: Any
 
 
 ANY = object()
@@ -37,14 +37,14 @@
     """A list that begins with the operation's name."""
 
 
-def fits(value, pattern):
+def fits(value: Any, pattern: Any) -> bool:
     """Whether a decoded value is what a contract says."""
     if pattern is ANY:
         return True
     if pattern is Number:
         return isinstance(value, (int, float)) and not isinstance(value, bool) and value == value
     if pattern is Address:
-        return isinstance(value, str) and daemon_settings.is_address(value)
+        return isinstance(value, str) and bool(daemon_settings.is_address(value))
     if pattern is Operation:
         return isinstance(value, (list, tuple)) and bool(value) and isinstance(value[0], str)
     if isinstance(pattern, Maybe):
@@ -62,7 +62,7 @@
     return isinstance(value, pattern) and not (pattern is int and isinstance(value, bool))
 
 
-CONTROL_DAEMON = (str, str, Address)  # identity, area, address
+CONTROL_DAEMON = (str, str, Address)  # identity, zone, address
 HISTORY = Pairs(int, str)
 MEMBERSHIP = [(Pairs(str, str), str)]
 ENTRY = (int, Number, Operation)
@@ -70,7 +70,8 @@
 READING = (int, Number)  # a term, and what the steady clock of its leader has passed
 GREETING = (str, str, str, Address, Maybe(str), [str], Number, [CONTROL_DAEMON], [str], int)
 
-RAFT = {
+# What follows the name of a message of consensus.
+RAFT: dict[str, tuple[Any, ...]] = {
     "prevote": (int, int, int),
     "prevoted": (int, bool, Maybe(str), int, HISTORY),
     "vote": (int, int, int),
@@ -85,7 +86,7 @@
     "pieced": (int, int, int, int, int),
 }
 # The registry of contracts: message kind -> pattern of what follows it.
-CONTRACTS = {
+CONTRACTS: dict[str, tuple[Any, ...]] = {
     "greet": GREETING,
     "greeted": (*GREETING, Maybe(Address), Maybe(Number), Maybe(READING)),
     "tell": (str, [(str, str, str, Address)]),
@@ -113,8 +114,8 @@
         Maybe(str),
     ),
 }
-# What a carried call's arguments must look like, by call.
-ARGUMENTS = {
+# What a forwarded request's arguments must look like, by the request's name.
+ARGUMENTS: dict[str, tuple[Any, ...]] = {
     "submit": (str, str, dict),
     "ticket": (str,),
     "tickets": (int, int, str, str, str),
@@ -148,7 +149,7 @@
 }
 
 
-def keeps_contract(message):
+def keeps_contract(message: Any) -> bool:
     """Whether a message from another process keeps its contract."""
     kind, *rest = message
     if not isinstance(kind, str) or kind not in CONTRACTS or not fits(rest, CONTRACTS[kind]):
--- a/src/pinepitch/model/queue_settings.py
+++ b/src/pinepitch/model/queue_settings.py
@@ -1,34 +1,39 @@
-"""A row of the operators' table: one queue, and the setup it stands in."""
+"""Settings of queues: one queue's, and the configuration of all that operators change.
 
-from typing import NamedTuple
+On the wire a configuration is a setup, and its settings are the rows of a table.
+"""
+
+from typing import Any, NamedTuple
 
 import voluptuous
 
 from ..common import constants
-from .pushed_job import _number, _whole_number, name, shaped
+from .validation import Faults, name, number, shaped, whole_number
 
 
 class QueueSettings(NamedTuple):
-    """Invariants: 0 <= share <= limit; a running task holds its units in credits, lent
+    """The settings of one queue.
+
+    Invariants: 0 <= share <= limit; a running task holds its units in credits, lent
     by its own queue first; units running never pass limit."""
 
-    share: int  # units of room the queue may count on
-    urgency: int  # of its tickets that name none
+    share: int  # units of capacity the queue may count on
+    urgency: int  # of its jobs that name none
     retries: int  # failures after which a task is tried again
     limit: int  # units running at most
     pending: int  # tasks waiting at most
     lends: bool  # whether idle credits go to other queues
     preempts: bool  # whether its urgent work may make others yield
     yields: bool  # whether its work may be made to yield
-    repeats: bool  # whether finishing twice is harmless, so that what died with its minion is tried again
+    repeats: bool  # whether finishing twice is harmless: what died with its worker is tried again
 
 
 COLUMNS = {
-    "share": _whole_number(0, constants.MAX_UNITS),
-    "urgency": _whole_number(0, constants.MAX_URGENCY),
-    "retries": _whole_number(0, constants.MAX_ATTEMPTS - 1),
-    "limit": _whole_number(1, constants.MAX_UNITS),
-    "pending": _whole_number(1, 10 * constants.MAX_PENDING_TASKS),
+    "share": whole_number(0, constants.MAX_UNITS),
+    "urgency": whole_number(0, constants.MAX_URGENCY),
+    "retries": whole_number(0, constants.MAX_ATTEMPTS - 1),
+    "limit": whole_number(1, constants.MAX_UNITS),
+    "pending": whole_number(1, 10 * constants.MAX_PENDING_TASKS),
     "lends": bool,
     "preempts": bool,
     "yields": bool,
@@ -45,7 +50,7 @@
     "yields": True,
     "repeats": False,
 }
-WEIGHTS = {  # of one second's wait, of one unit second, of all of a queue's tickets
+WEIGHTS = {  # of one second's wait, of one unit second, of all of a queue's jobs
     "wait_median": 1.0,
     "wait_99": 1.0,
     "dues_missed": 100.0,
@@ -54,14 +59,14 @@
     "room_used": 0.0,
     "preemptions": 1.0,
 }
-GUARD = {"factor": 1.25, "seconds": 0.25, "part": 0.01}  # a wait may grow by; a part of tickets by
+GUARD = {"factor": 1.25, "seconds": 0.25, "part": 0.01}  # a wait may grow by; a part of jobs by
 OBJECTIVE = {
-    **{voluptuous.Optional(figure, default=weight): _number(0, 1e6) for figure, weight in WEIGHTS.items()},
-    voluptuous.Optional("queues", default=dict): {name: _number(0, 1e6)},
+    **{voluptuous.Optional(figure, default=weight): number(0, 1e6) for figure, weight in WEIGHTS.items()},
+    voluptuous.Optional("queues", default=dict): {name: number(0, 1e6)},
     voluptuous.Optional("guard", default=dict): {
-        voluptuous.Optional("factor", default=GUARD["factor"]): _number(1, 1e6),
-        voluptuous.Optional("seconds", default=GUARD["seconds"]): _number(0, 1e6),
-        voluptuous.Optional("part", default=GUARD["part"]): _number(0, 1),
+        voluptuous.Optional("factor", default=GUARD["factor"]): number(1, 1e6),
+        voluptuous.Optional("seconds", default=GUARD["seconds"]): number(0, 1e6),
+        voluptuous.Optional("part", default=GUARD["part"]): number(0, 1),
     },
 }
 SHAPE = voluptuous.Schema(
@@ -74,7 +79,7 @@
                 }
             }
         ),
-        voluptuous.Optional("room", default=0): _whole_number(0, constants.MAX_UNITS),
+        voluptuous.Optional("room", default=0): whole_number(0, constants.MAX_UNITS),
         voluptuous.Optional("silence", default=dict): {name: voluptuous.In(("hold",))},
         voluptuous.Optional("objective", default=dict): OBJECTIVE,
         voluptuous.Optional("notes", default=dict): dict,
@@ -89,70 +94,78 @@
 }
 
 
-def first():
+def first() -> dict[str, Any]:
     """The checked configuration that every cluster begins with."""
-    return checked(FIRST)[0]
-
-
-def checked(document, known=None):
-    """(whole setup, ()) or (None, faults), every fault named by its path. Rows that are
-    those of the setup `known`, checked before, are not checked again."""
-    same = {}
-    if known is not None and isinstance(document, dict) and isinstance(document.get("queues"), dict):
-        same = {
-            queue: queue_settings
-            for queue, queue_settings in document["queues"].items()
-            if known["queues"].get(queue) is queue_settings
-        }
-    part = (
-        {
-            **document,
-            "queues": {
-                queue: queue_settings
-                for queue, queue_settings in document["queues"].items()
-                if queue not in same
-            },
-        }
-        if same
-        else document
-    )
-    plain, faults = shaped(SHAPE, part)
-    if faults:
-        return None, faults
+    configuration, faults = checked(FIRST)
+    if configuration is None:
+        raise AssertionError(f"the first configuration is wrong: {faults}")
+    return configuration
+
+
+def checked(document: Any, known: dict[str, Any] | None = None) -> tuple[dict[str, Any] | None, Faults]:
+    """(whole configuration, ()) or (None, faults), every fault named by its path. Settings that
+    are those of the configuration `known`, checked before, are not checked again."""
+    same = _same_settings(document, known)
+    plain, shape_faults = shaped(SHAPE, _without_queues(document, same))
+    if shape_faults:
+        return None, shape_faults
     if same:
         plain["queues"] = {
             queue: same[queue] if queue in same else plain["queues"][queue] for queue in document["queues"]
         }
     if not 0 < len(plain["queues"]) <= constants.MAX_QUEUES:
         return None, (("queues", f"expected 1 to {constants.MAX_QUEUES} queues"),)
+    faults = _share_faults(plain)
+    return (None, faults) if faults else (plain, ())
+
+
+def _same_settings(document: Any, known: dict[str, Any] | None) -> dict[str, Any]:
+    """The settings in a document that are the very objects of a checked configuration."""
+    if known is None or not isinstance(document, dict) or not isinstance(document.get("queues"), dict):
+        return {}
+    return {
+        queue: queue_settings
+        for queue, queue_settings in document["queues"].items()
+        if known["queues"].get(queue) is queue_settings
+    }
+
+
+def _without_queues(document: Any, same: dict[str, Any]) -> Any:
+    """A document without the settings of the queues in `same`."""
+    if not same:
+        return document
+    rest = {
+        queue: queue_settings for queue, queue_settings in document["queues"].items() if queue not in same
+    }
+    return {**document, "queues": rest}
+
+
+def _share_faults(plain: dict[str, Any]) -> Faults:
+    """Shares over their queue's limit, and shares that together are over the capacity."""
     faults = []
     total = 0
     for queue, queue_settings in plain["queues"].items():
-        total += queue_settings["share"]
-        if queue_settings["share"] > queue_settings["limit"]:
-            faults.append(
-                (
-                    f"queues.{queue}.share",
-                    f"share {queue_settings['share']} is over the limit {queue_settings['limit']}",
-                )
-            )
+        share, limit = queue_settings["share"], queue_settings["limit"]
+        total += share
+        if share > limit:
+            faults.append((f"queues.{queue}.share", f"share {share} is over the limit {limit}"))
     if plain["room"] and total > plain["room"]:
         faults.append(("queues", f"shares add up to {total}, over the room of {plain['room']}"))
-    return (None, tuple(faults)) if faults else (plain, ())
+    return tuple(faults)
 
 
-def objective_of(document):
-    """The whole objective of a setup, with what it leaves out."""
+def objective_of(document: dict[str, Any]) -> dict[str, Any]:
+    """The whole objective of a configuration, with what it leaves out."""
     given = document.get("objective", {})
     return {**WEIGHTS, "queues": {}, **given, "guard": {**GUARD, **given.get("guard", {})}}
 
 
-def queue_settings_of(document):
-    """The Row of a checked one."""
+def queue_settings_of(document: dict[str, Any]) -> QueueSettings:
+    """The settings of a queue, from its part of a checked configuration."""
     return QueueSettings(**document)
 
 
-def merged(document, patch):
+def merged(document: Any, patch: Any) -> Any:
     """JSON merge patch (RFC 7396): null removes, objects merge, all else replaces."""
     if not isinstance(patch, dict):
         return patch
@@ -165,17 +178,18 @@
     return result
 
 
-def cells(document):
-    """The table of a setup: a dict a row, in the order of the columns."""
+def cells(document: dict[str, Any]) -> list[dict[str, Any]]:
+    """The table of a configuration: a dict a queue, its settings in the order of COLUMNS."""
     return [
         {"queue": queue, **{column: queue_settings[column] for column in COLUMNS}}
         for queue, queue_settings in sorted(document["queues"].items())
     ]
 
 
-def patch_of(changes):
+def patch_of(changes: dict[str, Any]) -> tuple[dict[str, Any] | None, Faults]:
     """(merge patch, ()) of {"QUEUE.COLUMN": value}, or (None, faults)."""
-    patch, faults = {}, []
+    patch: dict[str, Any] = {}
+    faults = []
     for cell, value in changes.items():
         queue, _, column = str(cell).rpartition(".")
         if not queue or column not in COLUMNS:
--- a/src/pinepitch/scheduling/configuration.py
+++ b/src/pinepitch/scheduling/configuration.py
@@ -7,7 +7,9 @@
 import voluptuous
 
 from ..common import constants
-from ..model.pushed_job import _number, _whole_number, shaped
+from ..model.validation import number as _number
+from ..model.validation import shaped
+from ..model.validation import whole_number as _whole_number
 
 _NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_NAME_LENGTH))
 _PREFIX = voluptuous.All(
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -180,7 +180,7 @@
     """Forgets all but the newest versions."""
     original_add(self, *line)
     if len(self.lines) > 4:
-        self.lines[2] = (*self.lines[2][:2], "forgotten", *self.lines[2][3:])
+        self.lines[2] = self.lines[2]._replace(why="forgotten")
 
 
 original_add = configuration_history.ConfigurationHistory.add
--- a/src/pinepitch/state/ending_operations.py
+++ b/src/pinepitch/state/ending_operations.py
@@ -70,7 +70,8 @@
 def _retry_wait(how: str, failures: int, counts: bool) -> float:
     """Seconds until a task may start again; it doubles with each failure."""
     if counts:
-        return min(constants.RETRY_WAIT * 2 ** min(failures - 1, 10), constants.MAX_RETRY_WAIT)
+        wait: float = min(constants.RETRY_WAIT * 2 ** min(failures - 1, 10), constants.MAX_RETRY_WAIT)
+        return wait
     return constants.RETRY_WAIT if how == "refused" else 0.0
 
 
--- a/src/pinepitch/state/traffic_sample.py
+++ b/src/pinepitch/state/traffic_sample.py
@@ -1,43 +1,53 @@
-"""The sample: a bounded part of the traffic of a day, kept in the record for rehearsals.
+"""The sample: a bounded part of the traffic of a day, kept in the cluster state for rehearsals.
 
 Traffic is kept in whole blocks of time, so that waves and crowds stay as they were. All
-accords keep the same: which block stays is drawn by a hash of its number.
+control daemons keep the same: which block stays is drawn by a hash of its number.
 """
 
 import hashlib
-from typing import NamedTuple
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any, NamedTuple
 
 import immutables
 
 from ..common import constants
+from ..model.pushed_job import PushedJob
 
 
 class Block(NamedTuple):
-    """Invariants: arrivals maps the numbers of the tickets that came from start to end, to
+    """The traffic of a stretch of time. The order of the fields is that of stored data.
+
+    Invariants: arrivals maps the numbers of the jobs that came from start to end, to
     what a replay needs of each once it is final, and to None before; end is the
-    block's length unless more tickets came than are kept: then it was cut when full;
+    block's length unless more jobs came than are kept: then it was cut when full;
     running counts what ran at its start, as (queue, kind, units, labels, count)."""
 
     start: float
     end: float
-    running: tuple
-    arrivals: object
+    running: tuple[Any, ...]
+    arrivals: Any  # immutables.Map: number -> arrival() or None
 
 
 class Sample:
-    """Invariants: blocks lie within the window; the newest SAMPLE_NEWEST are all kept, of
+    """The blocks that are kept.
+
+    Invariants: blocks lie within the window; the newest SAMPLE_NEWEST are all kept, of
     older ones SAMPLE_EACH a stratum, those of the lowest rank."""
 
-    def __init__(self, blocks=()):
-        self.blocks = immutables.Map(
-            {number: Block(*block[:3], immutables.Map(block[3])) for number, block in blocks}
+    def __init__(self, blocks: Iterable[Any] = ()) -> None:
+        self.blocks: immutables.Map[int, Block] = immutables.Map(
+            {
+                number: Block(block[0], block[1], block[2], immutables.Map(block[3]))
+                for number, block in blocks
+            }
         )
 
-    def image(self):
+    def image(self) -> tuple[tuple[int, Block], ...]:
+        """A value that later changes leave alone."""
         return tuple(sorted(self.blocks.items()))
 
-    def accepted(self, job, running):
-        """A ticket came; `running` tells what runs now, asked when a block begins."""
+    def accepted(self, job: PushedJob, running: Callable[[], tuple[Any, ...]]) -> None:
+        """A job came; `running` tells what runs now, asked when a block begins."""
         number = int(job.accepted // constants.SAMPLE_BLOCK)
         block = self.blocks.get(number)
         if block is None:
@@ -52,21 +62,22 @@
             block = block._replace(arrivals=block.arrivals.set(int(job.identity[1:]), None))
         self.blocks = self.blocks.set(number, block)
 
-    def final(self, job):
-        """A ticket became final: what a replay needs of it stays."""
+    def final(self, job: PushedJob) -> None:
+        """A job became final: what a replay needs of it stays."""
         number, block = self._block(job)
         if block is not None:
             block = block._replace(arrivals=block.arrivals.set(int(job.identity[1:]), arrival(job)))
             self.blocks = self.blocks.set(number, block)
 
-    def _block(self, job):
+    def _block(self, job: PushedJob) -> tuple[int, Block | None]:
+        """(number of the block a job came in, the block if the job is kept in it, or None)."""
         number = int(job.accepted // constants.SAMPLE_BLOCK)
         block = self.blocks.get(number)
         return number, block if block is not None and int(job.identity[1:]) in block.arrivals else None
 
-    def _prune(self, newest):
+    def _prune(self, newest: int) -> None:
         """Drops what the bound leaves no place for."""
-        strata = {}
+        strata: dict[int, list[int]] = {}
         for number in self.blocks:
             if number <= newest - constants.SAMPLE_NEWEST:
                 stratum = int(number * constants.SAMPLE_BLOCK // constants.SAMPLE_STRATUM)
@@ -77,7 +88,9 @@
             for number in numbers if stratum < oldest else numbers[constants.SAMPLE_EACH :]:
                 self.blocks = self.blocks.delete(number)
 
-    def traffic(self, jobs):
+    def traffic(
+        self, jobs: Mapping[str, PushedJob]
+    ) -> tuple[tuple[float, tuple[Any, ...], tuple[Any, ...]], ...]:
         """The blocks as a rehearsal takes them: (length, running, arrivals), oldest first."""
         traffic_blocks = []
         for _, block in sorted(self.blocks.items()):
@@ -92,12 +105,13 @@
         return tuple(traffic_blocks)
 
 
-def _rank(number):
+def _rank(number: int) -> bytes:
+    """Draws which of the older blocks stay: those of the lowest rank."""
     return hashlib.sha256(str(number).encode()).digest()
 
 
-def arrival(job):
-    """(accepted, queue, kind, urgency or -1, seconds to due or 0, tasks) of a ticket; a task
+def arrival(job: PushedJob) -> tuple[Any, ...]:
+    """(accepted, queue, kind, urgency or -1, seconds to due or 0, tasks) of a job; a task
     is (name, units, labels, after, seconds to its time, gang, attempts asked, limit,
     seconds it took or None, failures, seconds lost by them)."""
     tasks = []
