--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -92,7 +92,7 @@
 
 original_updates = FrontDaemon._on_updates
 original_change = configuration_operations.apply_change
-original_end = ending_operations.settle_end
+original_end = ending_operations.conclude_attempt
 original_checked = push_worker.checked
 
 
@@ -201,7 +201,7 @@
     ],
     "killed-once": [(constants, "KILL_AGAIN", 1e9), (daemon.ControlDaemon, "take_report", _no_strays)],
     "history-cut": [(configuration_history.ConfigurationHistory, "add", _short_history)],
-    "lost-not-counted": [(ending_operations, "settle_end", _free_tries)],
+    "lost-not-counted": [(ending_operations, "conclude_attempt", _free_tries)],
     "early-proof": [(daemon.ControlDaemon, "_absent", _silent_report)],
     "silence-is-an-end": [(daemon.ControlDaemon, "_watch", _unresponsive_workers)],
     "sent-again": [
@@ -224,8 +224,8 @@
     "refused-takes-effect": [(configuration_operations, "apply_change", _takes_refused)],
     "change-not-kept": [(configuration_operations, "put_in_force", _forgetful)],
     "news-kept-back": [(daemon.ControlDaemon, "_update_version", lambda self: (self.consensus.term, 0))],
-    "failed-counts-as-done": [(ending_operations, "settle_end", _as_if_done)],
-    "lost-is-tried-again": [(ending_operations, "settle_end", _repeats_lost)],
+    "failed-counts-as-done": [(ending_operations, "conclude_attempt", _as_if_done)],
+    "lost-is-tried-again": [(ending_operations, "conclude_attempt", _repeats_lost)],
     "slow-elections": [
         (constants, "ELECTION_TIMEOUT", 15.0),
         (constants, "CHECK_QUORUM", 15.0),
--- a/src/pinepitch/state/ending_operations.py
+++ b/src/pinepitch/state/ending_operations.py
@@ -38,12 +38,12 @@
         took=state.time - standing.since,
         past=(*standing.past, run)[-constants.ATTEMPTS_EXPLAINED :],
     )
-    outcome = settle_end(state, job, task, standing, how)
+    outcome = conclude_attempt(state, job, task, standing, how)
     close_job(state, job.identity)
     return outcome
 
 
-def settle_end(state: "ClusterState", job: PushedJob, task: Task, standing: Standing, how: str) -> str:
+def conclude_attempt(state: "ClusterState", job: PushedJob, task: Task, standing: Standing, how: str) -> str:
     """What an attempt's end means for its task: final, or to be tried again."""
     if how == "done":
         finish_task(state, job, task.name, standing, "done")
