--- a/features/steps/connections.py
+++ b/features/steps/connections.py
@@ -129,7 +129,7 @@
 
     async def _serve(self, client, address):
         async with client:
-            await self.host._serve_http(client, address)
+            await self.host.http_port.serve(client, address)
 
     async def _decide(self):
         while True:
@@ -260,7 +260,7 @@
 def step_complete(context):
     assert context.numbers == [context.expected], context.numbers
     assert all(one[4] == b"{}" for one in context.port.decider.requests)
-    assert context.port.host.requests == {}, context.port.host.requests
+    assert context.port.host.exchange.waiting == {}, context.port.host.exchange.waiting
 
 
 @when("a caller sends ten times the largest body before it reads")
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -10,7 +10,9 @@
 from pinepitch.common import constants, events
 from pinepitch.common.effects import Reply, Send
 from pinepitch.consensus.leader_clock import LeaderClock, Reading
-from pinepitch.runtime import host, stall_detector
+from pinepitch.runtime import clocks, stall_detector
+from pinepitch.runtime.host import Host
+from pinepitch.runtime.http_port import timely_response
 from pinepitch.simulation import leased_job_trial
 from pinepitch.simulation.isolation import trials
 from pinepitch.simulation.scale import costs
@@ -258,9 +260,9 @@
 def step_host(context):
     context.clock, context.core = Clock(), Recorder()
     context.log = mock.Mock()
-    context.host = host.Host(context.core, CALLER, context.log)
-    context.before, host.time = host.time, context.clock
-    context.add_cleanup(setattr, host, "time", context.before)
+    context.host = Host(context.core, CALLER, context.log)
+    context.before, clocks.time = clocks.time, context.clock
+    context.add_cleanup(setattr, clocks, "time", context.before)
     tick(context, 0.2)
 
 
@@ -275,9 +277,9 @@
 
     async def serve():
         answers = curio.Queue()
-        context.host.requests[message[1]] = answers
+        context.host.exchange.waiting[message[1]] = answers
         await context.host._step(message)
-        return await host._timely_response(answers)
+        return await timely_response(answers)
 
     return curio.run(serve)
 
@@ -330,10 +332,10 @@
 def step_written(context):
     async def write(until):
         answers = curio.Queue()
-        context.host.requests[1] = answers
-        await context.host._reply(1, 200, {"version": 3}, (), until)
+        context.host.exchange.waiting[1] = answers
+        await context.host._reply(Reply(1, 200, {"version": 3}, (), until))
         context.clock.now += 5.0
-        return await host._timely_response(answers)
+        return await timely_response(answers)
 
     context.responses = [curio.run(write, context.clock.now + most) for most in (4.9, 5.1)]
 
--- a/features/steps/frames.py
+++ b/features/steps/frames.py
@@ -88,7 +88,7 @@
             client = await curio.open_connection(*self.listener.getsockname())
             accepted, address = await server.accept()
             await client.sendall(chunk)
-            serving = await curio.spawn(self.host._serve_frames, accepted, address)
+            serving = await curio.spawn(self.host.frame_port.serve, accepted, address)
             await self._until_read(accepted, serving)
             client.setsockopt(sockets.SOL_SOCKET, sockets.SO_LINGER, struct.pack("ii", 1, 0))
             await client.close()
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -18,7 +18,7 @@
 from pinepitch.common.effects import Reply, Send
 from pinepitch.front.daemon import FrontDaemon
 from pinepitch.model import contract, push_worker, pushed_job, queue_settings
-from pinepitch.runtime.host import Host
+from pinepitch.runtime import order_post
 from pinepitch.simulation.fleet import PLANS, Fleet
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.state.cluster_state import ClusterState
@@ -453,11 +453,11 @@
                     pass
 
         side = await curio.spawn(worker_side)
-        host = Host(None, "127.0.0.1:1", None)
+        inbox = curio.Queue()
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        await host._post_one(("t1/s", 1), address, "/v1/orders", {"task": "t1/s"})
+        await order_post.post(inbox, ("t1/s", 1), address, "/v1/orders", {"task": "t1/s"})
         await side.cancel()
-        return await host.inbox.get()
+        return await inbox.get()
 
     context.posted = curio.run(answered)
 
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -18,9 +18,9 @@
 from pinepitch.consensus.replica import Consensus
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.front.daemon import FrontDaemon
-from pinepitch.runtime.host import Link
 from pinepitch.simulation import outage
 from pinepitch.storage.folder_lock import FolderLock
+from pinepitch.transport.link import Link
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
 WATCHED = 3.0  # seconds from the last start
--- a/src/pinepitch/common/constants.py
+++ b/src/pinepitch/common/constants.py
@@ -147,6 +147,7 @@
 LINK_BACKOFF = 0.1  # seconds; between two attempts to connect
 MAX_FRAME_BYTES = 16_000_000  # bytes; of one frame between our processes
 STOP_WITHIN = 2.0  # seconds; from SIGTERM to exit
+STOP_PART = 0.6  # of that time, in which answers and writes under way are waited for
 SETTINGS_EVERY = 1.0  # seconds; between two looks whether the settings changed
 
 # --- rehearsal -----------------------------------------------------------------------
--- a/src/pinepitch/runtime/__init__.py
+++ b/src/pinepitch/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Runs a daemon: sockets, disks, clocks and signals around a core that does no I/O."""
+"""Runs a daemon: sockets, disks, clocks and signals around a decider that does no I/O."""
--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -8,8 +8,8 @@
 
 from ...common import constants
 from ...consensus.leader_clock import LeaderClock
-from ...runtime.host import Link
 from ...transport import framing
+from ...transport.link import Link
 from ..fleet import free_ports
 from ..jobs import checks, kinds, limits
 from ..stand_in_lease_worker import StandInLeaseWorker
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -28,7 +28,7 @@
 from ..front.daemon import FrontDaemon
 from ..model import contract
 from ..runtime import stall_detector
-from ..runtime.host import call_attempt
+from ..runtime.links import call_attempt
 from ..transport import framing
 from . import stand_in_client as callers
 from .stand_in_worker import StandInWorker
--- a/src/pinepitch/storage/folder_lock.py
+++ b/src/pinepitch/storage/folder_lock.py
@@ -24,4 +24,4 @@
         except OSError:
             os.close(self.descriptor)
             raise
-        self.since = time.clock_gettime(time.CLOCK_BOOTTIME)  # as host.steady_clock(), which is loaded later
+        self.since = time.clock_gettime(time.CLOCK_BOOTTIME)  # as runtime.clocks.steady_clock() tells
--- a/src/pinepitch/transport/http.py
+++ b/src/pinepitch/transport/http.py
@@ -169,6 +169,13 @@
         self.connection: Any = None  # the h11.Connection over the socket
         self.reached = False  # whether a byte of the last call may have left
 
+    async def __aenter__(self) -> "Client":
+        return self
+
+    async def __aexit__(self, *fault: object) -> None:
+        """Drops the socket and what it has not yet delivered."""
+        await self.abort()
+
     async def connect(self) -> None:
         """Opens the socket if there is none; OSError says that nothing was sent."""
         if self.socket is not None and self._spoiled():
