--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -18,7 +18,7 @@
 from pinepitch.consensus.log import measured
 from pinepitch.control import requests
 from pinepitch.control.daemon import ControlDaemon
-from pinepitch.front import filters
+from pinepitch.front import routes
 from pinepitch.model import contract
 from pinepitch.simulation import simulator as simulators
 from pinepitch.state.archive import Archive
@@ -55,7 +55,7 @@
         },
         "operations": set(ACTIONS),
         "answers": {
-            *(f"product {method} {pattern}" for method, pattern, _ in filters.ROUTES),
+            *(f"product {method} {pattern}" for method, pattern, _ in routes.ROUTES),
             *(f"platform {method} {path}" for method, path in PLATFORM_WAYS),
         },
     }
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -4,26 +4,16 @@
 Inputs go through step(message, now, clock); effects of `common.effects` come back.
 """
 
-from typing import NamedTuple
-
 from ..common import constants
 from ..common.effects import Event, PostOrder, Reply, Send
 from ..consensus.leader_clock import LeaderClock
 from ..transport.forwarder import Forwarder
 from ..transport.indexed_forwarder import IndexedForwarder
-from ..transport.request_key import key_of
+from .cluster_time import ClusterTime
 from .filters import FILTERS
-
-
-class ForwardedCall(NamedTuple):
-    """A call on its way to the leader. Invariant: the same token every time it is sent."""
-
-    request: int
-    call: str
-    arguments: tuple
-    begun: float
-    sent: float
-    to: str
+from .http_request import Answer, HttpRequest
+from .orders import Orders
+from .product_requests import ProductRequests
 
 
 class FrontDaemon:
@@ -38,11 +28,7 @@
         self.leader = None
         self.turn = 0
         self.count = 0
-        self.forwarded_calls = {}
-        self.taken = {}  # (reference, attempt) -> send-by
-        self.waiting_orders = {}
-        self.outcomes = []  # (reference, attempt, outcome)
-        self.outcomes_sent = 0
+        self.orders = Orders(self._event, self._post)
         self.updates_token = None
         self.updates_requested_at = -1e9
         self.version = (0, 0)
@@ -50,12 +36,10 @@
         self.updated_at = None
         self.begun_at = None  # the first step
         self.stale = True
-        self.asked = {}  # token of a question for news -> when it was asked
-        self.bounds = None  # (earliest, latest) cohort time less own time, and when learnt
+        self.cluster_time = ClusterTime()
         self.greet_at = self.look_at = -1e9
         self.effects = []
         self.stopping = False
-        self.kills = {}
         self.forwarder = Forwarder(
             identity, address, self._event
         )  # calls about jobs; each life has its identity
@@ -64,6 +48,9 @@
         self.configured = False  # whether a configuration was ever heard to be in force
         self.event_counts = {}
         self.counts = {"calls": 0, "carried": 0, "answered": 0, "unanswered": 0, "orders": 0, "shed": 0}
+        self.product_requests = ProductRequests(
+            address, self.leader_clock, self._send, self._reply, self._event, self.counts
+        )
 
     def step(self, message, now, clock):
         """Takes one message; returns the effects."""
@@ -82,31 +69,15 @@
         if address is not None:
             self.effects.append(Send(address, message))
 
+    def _post(self, key, address, path, document):
+        if key is not None:
+            self.counts["orders"] += 1
+        self.effects.append(PostOrder(key, address, path, document))
+
     def _event(self, number, **fields):
         self.event_counts[number] = self.event_counts.get(number, 0) + 1
         self.effects.append(Event(number, fields))
 
-    def earliest(self, now):
-        """The least that cohort time can be now: what may start only later is held."""
-        return None if self.bounds is None else now + self.bounds[0]
-
-    def latest(self, now):
-        """The most that cohort time can be now: what is late by it is not sent."""
-        return None if self.bounds is None else now + self.bounds[1]
-
-    def _learn_time(self, token, time, deferred_for, now):
-        """An answer told `time` after holding the question for `held`: that moment lies
-        between question and answer on the own clock, however long either lay unread."""
-        asked = self.asked.pop(token, None)
-        if asked is None:
-            return
-        bounds = (time - now, time - asked - deferred_for)
-        if self.bounds is not None:
-            width, age = self.bounds[1] - self.bounds[0], now - self.bounds[2]
-            if bounds[1] - bounds[0] > width + 2 * constants.SLEW * age:
-                return
-        self.bounds = (*bounds, now)
-
     # --- sessions ---------------------------------------------------------------------
     def _greeting(self):
         control_daemons = tuple(
@@ -135,12 +106,7 @@
         self.effects.extend(effects)
         for token in due:
             self._forward_call(token, now)
-        for token, forwarded_call in list(self.forwarded_calls.items()):
-            if now - forwarded_call.begun >= constants.FORWARD_TIMEOUT:
-                del self.forwarded_calls[token]
-                self._give_up(forwarded_call)
-            elif now - forwarded_call.sent >= constants.FORWARD_RETRY:
-                self._forward(token, forwarded_call, self._next_address(forwarded_call.to), now)
+        self.product_requests.tick(self._next_address, now)
         stale = self.updated_at is None or now - self.updated_at > constants.STALE_AFTER
         if stale != self.stale:
             self.stale = stale
@@ -212,27 +178,12 @@
 
     def forward(self, request, call, arguments, now):
         """Begins to carry a call for the HTTP request `request`."""
-        self.count += 1
-        self.counts["carried"] += 1
-        token = f"{self.identity}-{self.count}"
-        self._forward(
-            token, ForwardedCall(request, call, arguments, now, now, ""), self._next_address(""), now
-        )
+        self.product_requests.begin(self._next_token(), request, call, arguments, self._next_address(""), now)
 
-    def _forward(self, token, forwarded_call, address, now):
-        self.forwarded_calls[token] = forwarded_call._replace(sent=now, to=address or "")
-        if address is not None:
-            end = self.leader_clock.end(forwarded_call.begun + constants.FORWARD_TIMEOUT, now)
-            self._send(
-                address, ("ask", self.address, token, forwarded_call.call, forwarded_call.arguments, 0, end)
-            )
-
-    def _give_up(self, forwarded_call):
-        """No answer came while the call was to be carried."""
-        self.counts["unanswered"] += 1
-        message = "no leader answered in time; the call may have been taken"
-        problem = {"error": {"code": "no_leader", "message": message}}
-        self._reply(forwarded_call.request, 503, problem, constants.RETRY_AFTER)
+    def _next_token(self):
+        """A token that this daemon never used."""
+        self.count += 1
+        return f"{self.identity}-{self.count}"
 
     def _on_call(self, request, call, arguments, patience, now):
         """A call about jobs, carried to whoever leads; or whether this verge is ready."""
@@ -264,24 +215,10 @@
         self.forwarder.in_doubt(token)
 
     def _on_answer(self, token, answer, key, now):
-        forwarded_call = self.forwarded_calls.get(token)
-        if forwarded_call is None:
+        if token in self.product_requests.calls:
+            self.product_requests.answered(token, answer, key, now)
+        else:
             self.effects.extend(self.indexed_forwarder.answered(token, answer, key, now))
-            return
-        if key_of(forwarded_call.call, forwarded_call.arguments) != tuple(key):
-            self._event(145, token=token, call=forwarded_call.call, told=list(key))
-            return
-        del self.forwarded_calls[token]
-        if now - forwarded_call.begun >= constants.FORWARD_TIMEOUT:  # read after a stall
-            self._give_up(forwarded_call)
-            return
-        status, document, retry = answer
-        self.counts["answered"] += 1
-        self.counts["shed"] += status == 429
-        headers = ()
-        if forwarded_call.call in ("setup", "change", "back") and status == 200:
-            headers = (("ETag", f'"{document["version"]}"'),)
-        self._reply(forwarded_call.request, status, document, retry, headers)
 
     def _on_not_taken(self, token, leader, sending, reading, now):
         """An accord that doesn't take a call says who leads, and what the leader's clock has passed."""
@@ -303,13 +240,13 @@
             elif leader is None and self.leader == call.to:
                 self.leader = None
             return
-        forwarded_call = self.forwarded_calls.get(token)
-        if forwarded_call is None:
+        found = self.product_requests.calls.get(token)
+        if found is None:
             return
-        if leader is not None and leader != forwarded_call.to:
+        if leader is not None and leader != found.to:
             self.leader = leader
-            self._forward(token, forwarded_call, leader, now)
-        elif leader is None and self.leader == forwarded_call.to:
+            self.product_requests.forward(token, found, leader, now)
+        elif leader is None and self.leader == found.to:
             self.leader = None
 
     def _on_undelivered(self, token, sending, now):
@@ -331,18 +268,12 @@
     def _on_http(self, request, method, target, headers, body, now):
         """A request passes the chain of filters; the first answer counts."""
         self.counts["calls"] += 1
-        http_request = {
-            "request": request,
-            "method": method,
-            "target": target,
-            "headers": headers,
-            "body": body,
-        }
+        http_request = HttpRequest(request, method, target, headers, body)
         for one in FILTERS:
-            answer = one(self, http_request, now)
-            if answer is not None:
-                if answer != "carried":
-                    self._reply(request, *answer)
+            outcome = one(self, http_request, now)
+            if isinstance(outcome, Answer):
+                self._reply(request, *outcome)
+            if outcome is not None:
                 return
 
     def health(self, now):
@@ -355,15 +286,15 @@
             "stale": self.stale,
             "setup_version": (self.body or {}).get("setup_version"),
             "accords": sorted(one[1] for one in self.control_daemons.values()),
-            "time": self.earliest(now),
-            "orders_under_way": len(self.waiting_orders),
+            "time": self.cluster_time.earliest(now),
+            "orders_under_way": len(self.orders.waiting),
         }
 
     # --- news and orders --------------------------------------------------------------
     def _request_updates(self, now):
         patience = constants.UPDATES_DEFERRAL + constants.FORWARD_RETRY
         waiting = self.updates_token is not None
-        fresh = len(self.outcomes) > self.outcomes_sent
+        fresh = self.orders.unsent_outcomes()
         if waiting and now - self.updates_requested_at < (constants.TICK if fresh else patience):
             return
         address = self.leader
@@ -371,16 +302,12 @@
             address = self._next_address(self.leader or "")
         if address is None or self.stopping:
             return
-        self.count += 1
-        self.updates_token = f"{self.identity}-{self.count}"
-        self.updates_requested_at = self.asked[self.updates_token] = now
-        for old in list(self.asked)[: -constants.ASKED_KEPT]:
-            del self.asked[old]
-        self.outcomes_sent = len(self.outcomes)
-        self._send(
-            address,
-            ("news", self.identity, self.address, self.updates_token, self.version, tuple(self.outcomes)),
-        )
+        self.updates_token = self._next_token()
+        self.updates_requested_at = now
+        self.cluster_time.ask(self.updates_token, now)
+        outcomes = self.orders.tell_outcomes()
+        message = ("news", self.identity, self.address, self.updates_token, self.version, outcomes)
+        self._send(address, message)
 
     def _request_updates_later(self, token, now):
         """Nobody answers this question: it is asked again after a while, of another."""
@@ -394,10 +321,9 @@
     ):
         if token == self.updates_token:
             self.updates_token = None
-            del self.outcomes[: self.outcomes_sent]
-            self.outcomes_sent = 0
+            self.orders.acknowledged()
         version = tuple(version)
-        asked = self.asked.get(token)
+        asked = self.cluster_time.asked.get(token)
         if version >= self.version:
             if body is not None:
                 self.version, self.body = version, body
@@ -406,68 +332,27 @@
                 self.updated_at = max(
                     asked + deferred_for, asked if self.updated_at is None else self.updated_at
                 )
-            self._learn_time(token, time, deferred_for, now)
+            self.cluster_time.learn(token, time, deferred_for, now)
             self.cluster = self.cluster or cluster
         for one, zone, address in control_daemons:
             known = self.control_daemons.get(one)
             self.control_daemons[one] = (zone, address, known[2] if known else -1e9)
-        for ref, attempt, address in kills:
-            self.kills[(ref, attempt)] = now
-            if (ref, attempt) in self.waiting_orders:
-                del self.waiting_orders[(ref, attempt)]
-                self.outcomes.append((ref, attempt, "withheld"))
-            self.effects.append(PostOrder(None, address, "/v1/kills", {"task": ref, "attempt": attempt}))
-        for order in orders:
-            key = (order["task"], order["attempt"])
-            if key not in self.taken:
-                self.taken[key] = order["send_by"]
-                self.waiting_orders[key] = order
-                self.outcomes.append((*key, "taken"))
+        for reference, attempt, address in kills:
+            self.orders.kill(reference, attempt, address)
+        self.orders.take(orders)
         self._send_waiting(now)
         self._request_updates(now)
 
     def _send_waiting(self, now):
-        """Sends each order whose time has come, once, unless news has overtaken it."""
-        earliest, latest = self.earliest(now), self.latest(now)
-        if latest is None:
-            return
-        for key, order in list(self.waiting_orders.items()):
-            if latest > order["send_by"]:
-                self._event(154, task=key[0], attempt=key[1])
-                outcome = "late"
-            elif self._closed(order):
-                outcome = "withheld"
-            elif earliest < order["not_before"]:
-                continue
-            else:
-                del self.waiting_orders[key]
-                self.counts["orders"] += 1
-                self._event(152, task=key[0], attempt=key[1], minion=order["minion"])
-                self.effects.append(PostOrder(key, order["address"], "/v1/orders", order))
-                continue
-            del self.waiting_orders[key]
-            self.outcomes.append((*key, outcome))
-        if len(self.taken) > constants.TAKEN_KEPT:
-            self.taken = {
-                key: send_by
-                for key, send_by in self.taken.items()
-                if send_by + constants.TAKEN_LASTS > earliest
-            }
-
-    def _closed(self, order):
-        body = self.body or {}
-        return (
-            order["minion"] in body.get("drained", ())
-            or order["minion"] in body.get("withdrawn", ())
-            or order["area"] in body.get("emptied", ())
-        )
+        """Sends each order whose time has come."""
+        earliest, latest = self.cluster_time.earliest(now), self.cluster_time.latest(now)
+        if earliest is not None and latest is not None:
+            self.orders.send_due(earliest, latest, self.body or {})
 
     def _on_posted(self, key, outcome, now):
         """How an order went: sent, refused, unsent or unknown."""
         if key is not None:
-            if outcome == "unknown":
-                self._event(153, task=key[0], attempt=key[1])
-            self.outcomes.append((*key, outcome))
+            self.orders.posted(key, outcome)
             self._request_updates(now)
 
     def _on_stop(self, now):
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -13,6 +13,7 @@
 from ..control import daemon, requests
 from ..front import daemon as verge_core
 from ..front.daemon import FrontDaemon
+from ..front.orders import Orders
 from ..model import push_worker, pushed_job
 from ..model import queue_settings as rows
 from ..model.queue_settings import QueueSettings
@@ -80,7 +81,7 @@
 
 def _repeated_updates(self, *arguments):
     """Forgets what it has taken, and so sends again what is told again."""
-    self.taken.clear()
+    self.orders.taken.clear()
     original_updates(self, *arguments)
 
 
@@ -210,7 +211,7 @@
     "cancel-in-word": [(ClusterState, "_cancel", _cancel_in_word)],
     "closed-ignored": [
         (ClusterState, "closed", lambda self, name, area: ""),
-        (FrontDaemon, "_closed", lambda self, order: False),
+        (Orders, "_closed", lambda self, order, body: False),
     ],
     "room-doubled": [(push_worker, "checked", _double_capacity)],
     "gangs-apart": _tasks(gang=""),
