--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -333,7 +333,7 @@
     async def write(until):
         answers = curio.Queue()
         context.host.exchange.waiting[1] = answers
-        await context.host._reply(1, 200, {"version": 3}, (), until)
+        await context.host._reply(Reply(1, 200, {"version": 3}, (), until))
         context.clock.now += 5.0
         return await timely_response(answers)
 
--- a/src/pinepitch/runtime/disk_task.py
+++ b/src/pinepitch/runtime/disk_task.py
@@ -7,54 +7,18 @@
 import curio
 
 from ..common import constants
+from ..common.effects import EncodeSnapshot, SaveChange, WriteBase, WriteSegment
 from ..storage.store import Store
 
 
-class Save(NamedTuple):
-    """A change of a replica's state; the decider hears by its sequence that it is durable."""
-
-    sequence: int
-    change: Any
-
-    def step(self) -> list[Any]:
-        """What is written."""
-        return ["raft", self.change]
-
-
 class Note(NamedTuple):
-    """What a daemon must not forget; `done` is set once it is durable."""
+    """A note to be written; `done` is set once it is durable."""
 
     done: Any  # a curio.Event
     payload: Any
 
-    def step(self) -> list[Any]:
-        """What is written."""
-        return ["note", self.payload]
-
-
-class Snapshot(NamedTuple):
-    """An image of the cluster state, to be encoded; the decider hears of it by the index of
-    the newest entry in it."""
-
-    log_index: int
-    image: Any
-
-
-class Segment(NamedTuple):
-    """A sealed segment of the archive."""
 
-    number: int
-    data: Any
-
-
-class Base(NamedTuple):
-    """A snapshot base; the decider hears that it is durable if it gave a sequence."""
-
-    sequence: int | None
-    payload: Any
-
-
-Job = Save | Note | Snapshot | Segment | Base
+Job = SaveChange | WriteBase | WriteSegment | EncodeSnapshot | Note
 
 
 class DiskTask:
@@ -95,33 +59,33 @@
             await self._durable(write, *arguments)
             await self.beside.task_done()
 
-    async def _snapshot(self, job: Snapshot) -> None:
+    async def _snapshot(self, job: EncodeSnapshot) -> None:
         await curio.spawn(self._encode, job, daemon=True)
 
-    async def _encode(self, job: Snapshot) -> None:
+    async def _encode(self, job: EncodeSnapshot) -> None:
         data = await curio.run_in_thread(self.encode, job.image)
-        await self.inbox.put(("encoded", job.log_index, data))
+        await self.inbox.put(("encoded", job.index, data))
 
-    async def _segment(self, job: Segment) -> None:
+    async def _segment(self, job: WriteSegment) -> None:
         assert self.store is not None
         await self.beside.put((self.store.write_segment, job.number, job.data))
 
-    async def _base(self, job: Base) -> None:
+    async def _base(self, job: WriteBase) -> None:
         assert self.store is not None
         await self.beside.put((self.store.write_base, job.payload, self.store.version))
         if job.sequence is not None:
             await self.beside.join()
             await self.inbox.put(("saved", job.sequence))
 
-    async def _steps(self, first: Save | Note) -> None:
+    async def _steps(self, first: SaveChange | Note) -> None:
         """Writes a save or note, with all that follow it, as one file."""
         assert self.store is not None
         batch = [first]
-        while self.jobs and isinstance(following := self.jobs[0], (Save, Note)):
+        while self.jobs and isinstance(following := self.jobs[0], (SaveChange, Note)):
             self.jobs.popleft()
             batch.append(following)
-        await self._durable(self.store.write_step, [job.step() for job in batch])
-        sequences = [job.sequence for job in batch if isinstance(job, Save)]
+        await self._durable(self.store.write_step, [_written(job) for job in batch])
+        sequences = [job.sequence for job in batch if isinstance(job, SaveChange)]
         if sequences:
             await self.inbox.put(("saved", max(sequences)))
         for job in batch:
@@ -144,11 +108,16 @@
             await self.inbox.put(("disk", None))
 
 
+def _written(job: SaveChange | Note) -> list[Any]:
+    """What a file holds of a save or note."""
+    return ["note", job.payload] if isinstance(job, Note) else ["raft", job.change]
+
+
 # The registry of jobs: type -> how it is done.
 DO: dict[type, Callable[..., Any]] = {
-    Save: DiskTask._steps,
+    SaveChange: DiskTask._steps,
     Note: DiskTask._steps,
-    Snapshot: DiskTask._snapshot,
-    Segment: DiskTask._segment,
-    Base: DiskTask._base,
+    EncodeSnapshot: DiskTask._snapshot,
+    WriteSegment: DiskTask._segment,
+    WriteBase: DiskTask._base,
 }
--- a/src/pinepitch/runtime/host.py
+++ b/src/pinepitch/runtime/host.py
@@ -101,59 +101,43 @@
         if stalled:
             events.emit(self.log, 108, seconds=round(stalled, 3))
         if self.stall_guard.refuses(message, now):
-            await self._reply(message[1], *stall_detector.PAUSED)
+            await self.exchange.reply(Reply(message[1], *stall_detector.PAUSED))
             return
         for effect in self.core.step(message, now, wall_clock()):
-            await EFFECTS[type(effect)](self, *effect)
+            await EFFECTS[type(effect)](self, effect)
 
     # --- effects ----------------------------------------------------------------------
-    async def _send(self, address: str, message: Sequence[Any]) -> None:
-        await self.links.send(address, message)
+    async def _send(self, effect: Send) -> None:
+        await self.links.send(effect.address, effect.message)
 
-    async def _event(self, number: int, fields: dict[str, Any]) -> None:
-        events.emit(self.log, number, **fields)
+    async def _event(self, effect: Event) -> None:
+        events.emit(self.log, effect.number, **effect.fields)
 
-    async def _save(self, sequence: int, change: Any) -> None:
-        await self.disk.add(disk_task.Save(sequence, change))
+    async def _store(self, effect: SaveChange | WriteBase | WriteSegment | EncodeSnapshot) -> None:
+        await self.disk.add(effect)
 
-    async def _base(self, sequence: int | None, payload: Any) -> None:
-        await self.disk.add(disk_task.Base(sequence, payload))
-
-    async def _segment(self, number: int, data: Any) -> None:
-        await self.disk.add(disk_task.Segment(number, data))
-
-    async def _snapshot(self, index: int, image: Any) -> None:
-        await self.disk.add(disk_task.Snapshot(index, image))
+    async def _write_note(self, effect: WriteNote) -> None:
+        done = curio.Event()
+        await self.disk.add(disk_task.Note(done, effect.payload))
+        await done.wait()
 
     def _encoded(self, image: Any) -> Any:
         """The encoded form of an image, in whatever way the decider's state has it."""
         return type(self.core.cluster_state).encode(image)
 
-    async def _rehearse(self, *work: Any) -> None:
-        await curio.spawn(self._rehearse_apart, *work, daemon=True)
+    async def _rehearse(self, effect: Rehearse) -> None:
+        await curio.spawn(self._rehearse_apart, *effect, daemon=True)
 
-    async def _rehearse_apart(self, epoch: int, draft: str, asked: int, *rest: Any) -> None:
+    async def _rehearse_apart(self, epoch: int, draft: str, asked: int, *measured: Any) -> None:
         """Measures in a thread of its own, so that nothing here waits for it."""
-        measure = await curio.run_in_thread(self.core.measure, *rest, Pauser())
+        measure = await curio.run_in_thread(self.core.measure, *measured, Pauser())
         await self.inbox.put(("rehearsed", epoch, draft, asked, measure))
 
-    async def _write_note(self, payload: Any) -> None:
-        done = curio.Event()
-        await self.disk.add(disk_task.Note(done, payload))
-        await done.wait()
-
-    async def _reply(
-        self,
-        request: int,
-        status: int,
-        document: Any,
-        headers: Iterable[tuple[str, str]] = (),
-        until: float | None = None,
-    ) -> None:
-        await self.exchange.reply(request, (status, document, tuple(headers)), until)
+    async def _reply(self, effect: Reply) -> None:
+        await self.exchange.reply(effect)
 
-    async def _post(self, key: object, address: str, path: str, document: object) -> None:
-        await curio.spawn(order_post.post, self.inbox, key, address, path, document, daemon=True)
+    async def _post(self, effect: PostOrder) -> None:
+        await curio.spawn(order_post.post, self.inbox, *effect, daemon=True)
 
     # --- tasks ------------------------------------------------------------------------
     async def _clock(self) -> None:
@@ -210,11 +194,11 @@
 EFFECTS: dict[type, Callable[..., Any]] = {
     Send: Host._send,
     Event: Host._event,
-    SaveChange: Host._save,
-    WriteBase: Host._base,
-    WriteSegment: Host._segment,
+    SaveChange: Host._store,
+    WriteBase: Host._store,
+    WriteSegment: Host._store,
+    EncodeSnapshot: Host._store,
     WriteNote: Host._write_note,
-    EncodeSnapshot: Host._snapshot,
     Rehearse: Host._rehearse,
     Reply: Host._reply,
     PostOrder: Host._post,
--- a/src/pinepitch/runtime/http_port.py
+++ b/src/pinepitch/runtime/http_port.py
@@ -8,6 +8,7 @@
 import curio.socket
 
 from ..common import constants
+from ..common.effects import Reply
 from ..transport import http
 from . import stall_detector
 from .clocks import steady_clock
@@ -40,14 +41,12 @@
         await self.inbox.put((kind, self.count, *fields))
         return await timely_response(answers)
 
-    async def reply(
-        self, number: int, reply: tuple[int, object, tuple[Any, ...]], until: float | None
-    ) -> None:
-        """Hands a (status, document, headers) to the connection that waits for it, to be written
-        until `until` on the steady clock."""
-        answers = self.waiting.pop(number, None)
+    async def reply(self, effect: Reply) -> None:
+        """Hands a reply to the connection that waits for it, if one does."""
+        answers = self.waiting.pop(effect.request, None)
         if answers is not None:
-            await answers.put((reply, until))
+            reply = (effect.status, effect.document, tuple(effect.headers))
+            await answers.put((reply, effect.until))
 
 
 async def timely_response(answers: Any) -> http.Response:
