--- a/features/steps/stored_folders.py
+++ b/features/steps/stored_folders.py
@@ -108,7 +108,7 @@
                     self.store.write_segment(effect.number, effect.data)
                 elif isinstance(effect, EncodeSnapshot):
                     encoded = type(self.core.cluster_state).encode(effect.image)
-                    waiting.append(("encoded", effect.index, encoded))
+                    waiting.append(("encoded", effect.applied_index, encoded))
                 elif isinstance(effect, WriteBase):
                     self.store.write_base(effect.payload, self.store.version)
                     saved = effect.sequence if effect.sequence is not None else saved
--- a/src/pinepitch/common/effects.py
+++ b/src/pinepitch/common/effects.py
@@ -66,7 +66,7 @@
     """An image of the cluster state, to be encoded beside the decider, which is then told
     ("encoded", index, bytes)."""
 
-    index: int  # of the last entry that the image holds
+    applied_index: int  # of the last entry that the image holds
     image: Any
 
 
--- /dev/null
+++ b/src/pinepitch/control/agreement.py
@@ -0,0 +1,157 @@
+"""Between consensus and the daemon: what consensus decided is carried out, what is committed applied."""
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
+
+from ..common import constants
+from ..common.effects import EncodeSnapshot, SaveChange, WriteBase, WriteSegment
+from ..common.packed_operations import unpacked
+from ..consensus import messages as consensus_messages
+from ..consensus.effects import (
+    BecomeLeader,
+    CommitEntries,
+    InstallSnapshot,
+    LogEvent,
+    ReadConfirmed,
+    SaveBase,
+    SendMessage,
+    StepDown,
+)
+from .requests import OUTCOME_ANSWERS
+
+if TYPE_CHECKING:
+    from .daemon import ControlDaemon
+
+
+class Agreement:
+    """Invariant: the cluster state holds just the entries up to those applied; one snapshot is made at
+    a time."""
+
+    def __init__(self, core: "ControlDaemon") -> None:
+        self.core = core
+        self.snapshotting = False
+        self.since_base = 0  # bytes of entries applied since the newest snapshot was begun
+        self.snapshot_segments = (1, 0)  # of the archive, that the snapshot under way stands on
+
+    def on_raft(self, cluster: str | None, sender: str, receiver: str, message: tuple, now: float) -> None:
+        """A message of another member's consensus."""
+        core = self.core
+        if core.consensus is None or cluster != core.cluster or receiver != core.identity:
+            core._event(147, kind="raft", cohort=cluster, receiver=receiver)
+            return
+        self.run(core.consensus.step(sender, consensus_messages.decode(message), now), now)
+
+    def on_saved(self, sequence: int, now: float) -> None:
+        """All saves up to that one are durable."""
+        self.core.counts["syncs"] += 1
+        if self.core.consensus.saving:
+            self.core.sync_histogram.add(now - self.core.consensus.saving[0].begun_at)
+        self.run(self.core.consensus.saved(sequence, now), now)
+
+    def on_disk(self, why: str, now: float) -> None:
+        """The disk refused to write, or (why is None) writes again."""
+        if why is None:
+            self.core._event(107)
+            return
+        self.core._event(106, why=why)
+        if self.core.consensus is not None:
+            self.run(self.core.consensus.disk_failed(now), now)
+
+    def on_encoded(self, index: int, data: bytes, now: float) -> None:
+        """A snapshot is encoded: the log is compacted up to it, unless it is out of date."""
+        core, self.snapshotting = self.core, False
+        if index > core.consensus.base_index and core.consensus.term_at(index) is not None:
+            payload = core.consensus.compact(index, data, self.snapshot_segments)
+            core.cluster_state.archive.retired.clear()
+            core.effects.append(WriteBase(None, core.base(payload)))
+            core._event(126, index=index, bytes=len(data))
+
+    def run(self, effects: Iterable[Any], now: float) -> None:
+        """Carries out what consensus decided."""
+        core = self.core
+        for effect in effects:
+            match effect:
+                case SendMessage(receiver, message):
+                    address, wire = core.sessions.address(receiver), consensus_messages.encode(message)
+                    core.send(address, ("raft", core.cluster, core.identity, receiver, wire))
+                case SaveChange():
+                    core.effects.append(effect)
+                case LogEvent(number, fields):
+                    core._event(number, **fields)
+                case SaveBase(sequence, payload):
+                    core.effects.append(WriteBase(sequence, core.base(payload)))
+                case CommitEntries(first, entries):
+                    self._apply(first, entries, now)
+                case InstallSnapshot(_, image, segments):
+                    self._install(image, segments)
+                case BecomeLeader():
+                    core.clear_leadership(now)
+                    core.leadership.leader_since = now
+                case StepDown():
+                    self._step_down(now)
+                case ReadConfirmed(token, _):
+                    core.forwarded_requests.answer_read(token, now)
+
+    def _install(self, image: Any, segments: dict[int, bytes]) -> None:
+        """Takes the cluster state from a snapshot of the leader's, with segments that came beside it."""
+        self.since_base = 0
+        archive = self.core.cluster_state.archive
+        self.core.take_cluster_state(image, {**archive.retired, **archive.segments, **segments})
+        for number, data in sorted(segments.items()):
+            self.core.effects.append(WriteSegment(number, data))
+
+    def _step_down(self, now: float) -> None:
+        """Leads no more: all who wait are told so."""
+        waiting = [one for several in self.core.proposals.awaiting.values() for one in several]
+        waiting += self.core.worker_reports.ends_waiting
+        self.core.forwarded_requests.step_down(waiting, now)
+        self.core.clear_leadership(now)
+
+    def _apply(self, start: int, entries: list[tuple], now: float) -> None:
+        """Applies committed entries, the first of which has the index `start`."""
+        core, consensus = self.core, self.core.consensus
+        for place, (term, time, operation) in enumerate(entries):
+            index = start + place
+            operation = unpacked(operation)
+            outcome = core.cluster_state.apply(index, time, operation)
+            core.counts["applied"] += 1
+            # of what older leaders proposed only the outcome counts: nobody waits for it here
+            if consensus.role == "leader" and consensus.commit >= index and term == consensus.term:
+                core.applied_entries.react(operation, outcome, now)
+                for address, token, shape, extra in core.proposals.awaiting.pop(index, ()):
+                    self._tell(address, token, shape, extra, outcome, now)
+        for number, data in core.cluster_state.sealed:
+            core.effects.append(WriteSegment(number, data))
+        core.cluster_state.sealed.clear()
+        if entries:
+            self.since_base += consensus.log.bytes_between(start, start + len(entries) - 1)
+        if not self.snapshotting and self._snapshot_due():
+            self._begin_snapshot()
+
+    def _begin_snapshot(self) -> None:
+        """Has an image of the cluster state encoded."""
+        state = self.core.cluster_state
+        self.snapshotting = True
+        self.since_base = 0
+        self.snapshot_segments = state.archive.range()
+        self.core.effects.append(EncodeSnapshot(state.index, state.image()))
+
+    def _snapshot_due(self) -> bool:
+        """Whether so many entries, or so many bytes of them, were applied since the last base. A
+        large image is made more rarely, so that writing it costs no more than the entries did."""
+        consensus = self.core.consensus
+        if self.core.cluster_state.index - consensus.base_index >= constants.SNAPSHOT_ENTRIES:
+            return True
+        least = min(
+            max(self.core.limits.since_base, len(consensus.base_image or b"")), self.core.limits.log // 2
+        )
+        return self.since_base >= least
+
+    def _tell(
+        self, address: str | None, token: str, shape: str, extra: Any, outcome: tuple, now: float
+    ) -> None:
+        """Tells one who waits the outcome."""
+        if token is not None:
+            self.core.forwarded_requests.answer(
+                address, token, OUTCOME_ANSWERS[shape](self.core, outcome, extra, now)
+            )
--- /dev/null
+++ b/src/pinepitch/control/front_updates.py
@@ -0,0 +1,170 @@
+"""What the leader tells front daemons: updates of what is in force, orders to start tasks, kills."""
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
+
+from ..common import constants
+
+if TYPE_CHECKING:
+    from .daemon import ControlDaemon
+
+
+class FrontUpdates:
+    """Invariant: what it gathers is empty unless this daemon leads."""
+
+    def __init__(self, core: "ControlDaemon") -> None:
+        self.core = core
+        self.clear()
+
+    def clear(self) -> None:
+        """Forgets all, as a term begins or ends."""
+        self.update_requests: dict[
+            str, tuple
+        ] = {}  # front daemon -> (address, token, version seen, asked at)
+        self.outbox: dict[
+            str, dict[tuple[str, int], dict]
+        ] = {}  # front daemon -> {(reference, attempt): order}
+        self.kills: dict[str, float] = {}  # reference -> when last ordered
+        self.update_serial = 0  # how often what is in force has changed in this term
+
+    def send_all(self, now: float) -> None:
+        """Answers each request for updates that is due."""
+        for front in list(self.update_requests):
+            if front in self.update_requests:
+                self.send(front, now)
+
+    def on_update_request(
+        self, front: str, address: str | None, token: str, seen: tuple, outcomes: Iterable[tuple], now: float
+    ) -> None:
+        """A front daemon asks for updates and says how its orders went."""
+        consensus = self.core.consensus
+        if consensus is None or consensus.role != "leader" or not consensus.serving():
+            self.core.forwarded_requests.refuse(address, token, self.core._leader_address(), 0, now)
+            return
+        session = self.core.sessions.by_identity.get(front)
+        self.core.sessions.greeted(front, "verge", session.zone if session else "", address, now)
+        ends = []
+        for ref, attempt, outcome in outcomes:
+            self.outbox.get(front, {}).pop((ref, attempt), None)
+            how = self._proven_end(ref, attempt, outcome)
+            if how is not None:
+                ends.append((ref, attempt, how))
+        self.core.worker_reports.propose_ends(ends, None, now)
+        self.update_requests[front] = (address, token, tuple(seen), now)
+        self.send(front, now)
+
+    def _proven_end(self, ref: str, attempt: int, outcome: str) -> str | None:
+        """How an attempt ended by the outcome of its order, if that proves it; judges its worker."""
+        found = self.core.cluster_state.find(ref)
+        if found is None or found[2].state != "placed" or found[2].attempt != attempt:
+            return None
+        worker = self.core.worker_reports.push_workers.get(found[2].worker)
+        if worker and outcome in ("unsent", "unknown"):
+            worker.judge(False)
+        if outcome in ("unsent", "late", "withheld"):
+            return "never"
+        return "refused" if outcome == "refused" else None
+
+    def _update_version(self) -> tuple[int, int]:
+        """Grows with each change of what front daemons are told, also from term to term."""
+        return (self.core.consensus.term, self.update_serial)
+
+    def send(self, front: str, now: float) -> None:
+        """Answers a front daemon's request if there are updates or it has waited long enough."""
+        address, token, seen, asked = self.update_requests[front]
+        version = self._update_version()
+        orders = self._due_orders(front, now)
+        kills = self._due_kills(now)
+        if seen == version and not orders and not kills and now - asked < constants.UPDATES_DEFERRAL:
+            return
+        del self.update_requests[front]
+        body = self._in_force() if seen != version else None
+        message = (
+            "told",
+            token,
+            version,
+            body,
+            orders,
+            kills,
+            self.core._now(now),
+            now - asked,
+            self.core.sessions.known_control_daemons(),
+            self.core.cluster,
+        )
+        self.core.send(address, message)
+
+    def _in_force(self) -> dict[str, Any]:
+        """What a front daemon knows of the cluster state."""
+        state = self.core.cluster_state
+        return {
+            "setup_version": state.version,
+            "configuration": state.leased_jobs.configuration.version,
+            "drained": sorted(state.drained),
+            "emptied": sorted(state.emptied),
+            "withdrawn": sorted(state.withdrawn),
+        }
+
+    def _due_orders(self, front: str, now: float) -> tuple[dict[str, Any], ...]:
+        """Orders a front daemon has not yet taken; what was called off meanwhile is dropped."""
+        box, time = self.outbox.get(front, {}), self.core._now(now)
+        for (ref, attempt), order in list(box.items()):
+            found = self.core.cluster_state.find(ref)
+            standing = found[2] if found else None
+            if (
+                standing is None
+                or standing.state != "placed"
+                or standing.attempt != attempt
+                or standing.yields_to
+                or time > order["send_by"]
+            ):
+                del box[(ref, attempt)]
+        return tuple(box.values())
+
+    def _due_kills(self, now: float) -> tuple[tuple, ...]:
+        """(reference, attempt, worker's address) of runs that are to end and weren't told so just now."""
+        state, kills = self.core.cluster_state, []
+        for ref, attempt in list(state.yielding.items()):
+            if now - self.kills.get(ref, -1e9) >= constants.KILL_AGAIN:
+                worker = self.core.worker_reports.push_workers.get(state.find(ref)[2].worker)
+                if worker is not None:
+                    self.kills[ref] = now
+                    kills.append((ref, attempt, worker.report.address))
+        return tuple(kills)
+
+    def order(self, ref: str, now: float) -> None:
+        """Puts a committed placement into the outbox of the front daemon that is to send it."""
+        job, task, standing = self.core.cluster_state.find(ref)
+        worker = self.core.worker_reports.push_workers.get(standing.worker)
+        if worker is None or standing.yields_to:
+            return
+        if worker.poor():
+            worker.trial_at = now
+        order = {
+            "task": ref,
+            "attempt": standing.attempt,
+            "minion": standing.worker,
+            "area": worker.report.zone,
+            "incarnation": standing.incarnation,
+            "address": worker.report.address,
+            "units": task.units,
+            "work": task.work,
+            "kind": job.kind,
+            "queue": job.queue,
+            "urgency": job.urgency,
+            "gang": task.gang,
+            "not_before": task.not_before,
+            "send_by": standing.send_by,
+            "limit": task.limit,
+            "epoch": self.core.leadership.epoch,
+            "setup_version": self.core.cluster_state.version,
+        }
+        self.outbox.setdefault(standing.front_daemon, {})[(ref, standing.attempt)] = order
+
+    def resend_orders(self, now: float) -> None:
+        """A new leader tells again what may still be sent; front daemons send each only once."""
+        time = self.core._now(now)
+        for current in list(self.core.cluster_state.reserved.values()):
+            for ref in current:
+                standing = self.core.cluster_state.find(ref)[2]
+                if time < standing.send_by:
+                    self.order(ref, now)
--- /dev/null
+++ b/src/pinepitch/control/worker_reports.py
@@ -0,0 +1,104 @@
+"""Reports of workers that take orders: who runs what, and which attempts have provably ended."""
+
+from collections.abc import Iterable, Iterator
+from typing import TYPE_CHECKING, Any
+
+from ..common import constants
+from ..model.push_worker import PushWorker, Report
+
+if TYPE_CHECKING:
+    from .daemon import ControlDaemon
+
+
+class WorkerReports:
+    """Invariants: what it gathers is empty unless this daemon leads; an end is proposed once in a term
+    until it is agreed on."""
+
+    def __init__(self, core: "ControlDaemon") -> None:
+        self.core = core
+        self.clear()
+
+    def clear(self) -> None:
+        """Forgets all, as a term begins or ends."""
+        self.push_workers: dict[str, PushWorker] = {}
+        self.proposed_ends: set[tuple[str, int]] = set()  # (reference, attempt)
+        self.ends: list[tuple] = []  # (reference, attempt, how) to be proposed together
+        self.ends_waiting: list[tuple] = []  # who is told once they are agreed on
+
+    def take_report(self, report: Report, now: float) -> tuple[list, list, list]:
+        """Gathers a worker's report; (ends to agree on, ends that are known, strays: runs that nobody
+        wants)."""
+        newest = self._keep_newest(report, now)
+        ends, acknowledged = [], []
+        for ref, attempt, how in report.ended:
+            if self._runs(ref, attempt) is not None:
+                ends.append((ref, attempt, how))
+            else:
+                acknowledged.append((ref, attempt))
+        if newest:
+            listed = {(ref, attempt) for ref, attempt in report.running}
+            listed.update((ref, attempt) for ref, attempt, _ in report.ended)
+            ends.extend(self._absent(report, listed))
+        strays = []
+        for ref, attempt in report.running:
+            standing = self._runs(ref, attempt)
+            if standing is None or standing.yields_to:
+                strays.append((ref, attempt))
+        return ends, acknowledged, strays
+
+    def _runs(self, ref: str, attempt: int) -> Any:
+        """The standing of a task if that attempt of it is placed, else None."""
+        found = self.core.cluster_state.find(ref)
+        if found is None or found[2].state != "placed" or found[2].attempt != attempt:
+            return None
+        return found[2]
+
+    def _keep_newest(self, report: Report, now: float) -> bool:
+        """Keeps a report if it is its worker's newest; whether it is."""
+        known = self.push_workers.get(report.worker)
+        newest = True
+        if known is None:
+            self.push_workers[report.worker] = known = PushWorker(report, now)
+        elif report.incarnation == known.report.incarnation:
+            newest = report.counter > known.report.counter
+        elif report.address != known.report.address and not known.unresponsive(now):
+            newest = False  # another machine under a name that is taken
+            self.core._event(158, minion=report.worker, address=report.address, known=known.report.address)
+        else:
+            newest = report.heard >= known.report.heard or known.unresponsive(now)
+            if newest:
+                known.failing = 0.0
+        if newest:
+            known.report, known.heard_at = report, now
+        return newest
+
+    def _absent(self, report: Report, listed: set[tuple[str, int]]) -> Iterator[tuple]:
+        """Proof by absence: a report begun after send-by and a margin lists all that
+        runs, so what it lacks has ended or never begun. A new start at another address
+        may be another machine: it proves nothing of what the name's last one runs."""
+        for ref in sorted(self.core.cluster_state.reserved.get(report.worker, {})):
+            standing = self.core.cluster_state.find(ref)[2]
+            if (ref, standing.attempt) in listed:
+                continue
+            if report.heard >= standing.send_by + constants.SEND_MARGIN:
+                same = standing.incarnation == report.incarnation
+                if not same and standing.address != report.address:
+                    continue
+                yield (ref, standing.attempt, "never" if same else "lost")
+
+    def propose_ends(self, items: Iterable[tuple], waiting: tuple | None, now: float) -> list[tuple]:
+        """Gathers proven ends; those of one tick become one entry and so one sync."""
+        fresh = [one for one in items if one[:2] not in self.proposed_ends]
+        self.proposed_ends.update(one[:2] for one in fresh)
+        self.ends.extend(fresh)
+        if waiting is not None and fresh:
+            self.ends_waiting.append(waiting)
+        return fresh
+
+    def propose_gathered(self, now: float) -> None:
+        """One entry for all ends gathered, its outcome told to all who wait."""
+        if self.ends:
+            ends, waiting = tuple(self.ends), self.ends_waiting
+            self.ends, self.ends_waiting = [], []
+            self.core.proposals.awaiting.setdefault(self.core.consensus.last_index() + 1, []).extend(waiting)
+            self.core.proposals.propose(("ended", ends), None, now)
--- a/src/pinepitch/model/decisions.py
+++ b/src/pinepitch/model/decisions.py
@@ -1,7 +1,7 @@
 """What the handler of a forwarded request decides: an answer, or what is agreed on before there is one.
 
 The handlers stand in `scheduling/requests.py` and `control/requests/`; the leader carries their decisions
-out (`control/leader.py`).
+out (`control/forwarded_requests.py`).
 """
 
 from collections.abc import Iterable
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -9,8 +9,10 @@
 from ..common import constants
 from ..common.effects import SaveChange
 from ..consensus import cluster_clock, election, handlers, messages
-from ..control import daemon
+from ..control.front_updates import FrontUpdates
+from ..control.leader import Leadership
 from ..control.requests import pushed_jobs
+from ..control.worker_reports import WorkerReports
 from ..front import daemon as verge_core
 from ..front.daemon import FrontDaemon
 from ..model import push_worker, pushed_job
@@ -39,8 +41,8 @@
 
 def _unresponsive_report(self, report, listed):
     """Takes one silent report for a proof, however early it was begun."""
-    for ref in sorted(self.cluster_state.reserved.get(report.worker, {})):
-        standing = self.cluster_state.find(ref)[2]
+    for ref in sorted(self.core.cluster_state.reserved.get(report.worker, {})):
+        standing = self.core.cluster_state.find(ref)[2]
         if (ref, standing.attempt) not in listed:
             yield (ref, standing.attempt, "never")
 
@@ -48,19 +50,19 @@
 def _unresponsive_workers(self, now):
     """Places again what a silent worker ran."""
     original_watch(self, now)
-    for name, known in self.push_workers.items():
+    for name, known in self.core.push_workers.items():
         if now - known.heard_at > constants.PUSH_WORKER_TIMEOUT:
-            self._propose_ends(
+            self.core.worker_reports.propose_ends(
                 [
-                    (ref, self.cluster_state.find(ref)[2].attempt, "never")
-                    for ref in self.cluster_state.reserved.get(name, {})
+                    (ref, self.core.cluster_state.find(ref)[2].attempt, "never")
+                    for ref in self.core.cluster_state.reserved.get(name, {})
                 ],
                 None,
                 now,
             )
 
 
-original_watch = daemon.ControlDaemon._watch
+original_watch = Leadership._watch
 
 
 def _early_saved(self, node, sequence, change):
@@ -142,12 +144,12 @@
 def _all_orders(self, front, now):
     """Tells every placement of a front daemon again and again, sent or not."""
     orders_again = []
-    for references in self.cluster_state.reserved.values():
+    for references in self.core.cluster_state.reserved.values():
         for ref in references:
-            standing = self.cluster_state.find(ref)[2]
-            known = self.push_workers.get(standing.worker)
+            standing = self.core.cluster_state.find(ref)[2]
+            known = self.core.push_workers.get(standing.worker)
             if standing.front_daemon == front and known is not None:
-                self._order(ref, now)
+                self.order(ref, now)
                 orders_again.append(self.outbox[front][(ref, standing.attempt)])
     return tuple(orders_again)
 
@@ -173,7 +175,7 @@
     return ends, acknowledged, []
 
 
-original_report = daemon.ControlDaemon.take_report
+original_report = WorkerReports.take_report
 
 
 def _short_history(self, *line):
@@ -199,14 +201,14 @@
     "limit-ignored": [
         (rows, "queue_settings_of", lambda document: QueueSettings(**{**document, "limit": 1000}))
     ],
-    "killed-once": [(constants, "KILL_AGAIN", 1e9), (daemon.ControlDaemon, "take_report", _no_strays)],
+    "killed-once": [(constants, "KILL_AGAIN", 1e9), (WorkerReports, "take_report", _no_strays)],
     "history-cut": [(configuration_history.ConfigurationHistory, "add", _short_history)],
     "lost-not-counted": [(ending_operations, "conclude_attempt", _free_tries)],
-    "early-proof": [(daemon.ControlDaemon, "_absent", _unresponsive_report)],
-    "silence-is-an-end": [(daemon.ControlDaemon, "_watch", _unresponsive_workers)],
+    "early-proof": [(WorkerReports, "_absent", _unresponsive_report)],
+    "silence-is-an-end": [(Leadership, "_watch", _unresponsive_workers)],
     "sent-again": [
         (FrontDaemon, "_on_updates", _repeated_updates),
-        (daemon.ControlDaemon, "_due_orders", _all_orders),
+        (FrontUpdates, "_due_orders", _all_orders),
     ],
     "saved-too-soon": [(simulator.Simulator, "_save", _early_saved)],
     "forerunners-ignored": _tasks(after=()),
@@ -223,7 +225,7 @@
     "base-ignored": [(configuration_operations, "apply_change", _no_base)],
     "refused-takes-effect": [(configuration_operations, "apply_change", _takes_refused)],
     "change-not-kept": [(configuration_operations, "put_in_force", _forgetful)],
-    "news-kept-back": [(daemon.ControlDaemon, "_update_version", lambda self: (self.consensus.term, 0))],
+    "news-kept-back": [(FrontUpdates, "_update_version", lambda self: (self.core.consensus.term, 0))],
     "failed-counts-as-done": [(ending_operations, "conclude_attempt", _as_if_done)],
     "lost-is-tried-again": [(ending_operations, "conclude_attempt", _repeats_lost)],
     "slow-elections": [
--- a/src/pinepitch/simulation/isolation/injected_faults.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -6,7 +6,7 @@
 from ...common import constants
 from ...consensus.leader_clock import LeaderClock, Reading
 from ...consensus.replica import Consensus
-from ...control.leader import LeaderRole
+from ...control.forwarded_requests import ForwardedRequests
 from ...runtime import stall_detector
 from ...scheduling.configuration import Configuration
 from ...transport import indexed_forwarder
@@ -54,7 +54,7 @@
     # What a late copy of an order for a zone would undo, its confirmed index keeps too: each of these
     # faults does harm only beside one that carries orders without that.
     "asks-without-end": [
-        (LeaderRole, "_in_time", lambda self, end, now: True),
+        (ForwardedRequests, "_in_time", lambda self, end, now: True),
         UNCONFIRMED_ORDERS,
     ],
     "ends-on-own-clock": [
--- a/src/pinepitch/simulation/jobs/control_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/control_injected_faults.py
@@ -3,7 +3,7 @@
 from ...common import constants
 from ...consensus.cluster_clock import ClusterClock
 from ...consensus.quorum import Membership
-from ...control.daemon import ControlDaemon
+from ...control.membership_changes import MembershipChanges
 from ...scheduling.configuration import Configuration
 from ...scheduling.leased_job_state import LeasedJobState
 from ..simulator import Simulator
@@ -40,7 +40,9 @@
 def _no_admission(self, identity, zone_name, members, *rest):
     """Never lets a newcomer in once the cluster is whole."""
     return (
-        None if len(members) >= self.voters else original_admission(self, identity, zone_name, members, *rest)
+        None
+        if len(members) >= self.core.voters
+        else original_admission(self, identity, zone_name, members, *rest)
     )
 
 
@@ -51,7 +53,7 @@
 
 original_save, original_durable = Simulator._save, Simulator._durable
 original_take, original_amend = Configuration.take, Configuration.amend
-original_admission, original_evacuate = ControlDaemon._admission, LeasedJobState.evacuate
+original_admission, original_evacuate = MembershipChanges._admission, LeasedJobState.evacuate
 CONTROL_INJECTED_FAULTS = {
     "committed-alone": [(Membership, "commits", lambda self, identities, leader: leader in identities)],
     "saved-early": [(Simulator, "_save", _saved_early)],
@@ -61,7 +63,7 @@
         (Configuration, "amend", _amended_again_unknown),
     ],
     "clock-of-its-own": [(ClusterClock, "read", _own_clock)],
-    "never-admitted": [(ControlDaemon, "_admission", _no_admission)],
+    "never-admitted": [(MembershipChanges, "_admission", _no_admission)],
     "elections-slow": [(constants, "ELECTION_TIMEOUT", 15.0), (constants, "CHECK_QUORUM", 15.0)],
     "evacuation-endless": [(LeasedJobState, "evacuate", _begun_again)],
 }
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -7,7 +7,8 @@
 from ...common import constants
 from ...common.effects import SaveChange
 from ...consensus.replica import Consensus
-from ...control.leader import LeaderRole
+from ...control.forwarded_requests import ForwardedRequests
+from ...control.proposals import Proposals
 from ...scheduling import assigner
 from ...scheduling.assignment_manager import AssignmentManager
 from ...scheduling.leased_job_state import LeasedJobState
@@ -73,7 +74,8 @@
 
 
 def _notified_levels_alone(self):
-    return min((self.advertised_levels.get(one, 1) for one in self.consensus.membership.members()), default=1)
+    told, members = self.core.advertised_levels, self.core.consensus.membership.members()
+    return min((told.get(one, 1) for one in members), default=1)
 
 
 def _capacity_twice(leased_jobs, workers, now):
@@ -106,7 +108,7 @@
     # An old heartbeat is stopped by the end that its carried copy bears, too: without both it proves.
     "absence-at-once": [
         (AssignmentManager, "_take_absences", _absent_at_once),
-        (LeaderRole, "_in_time", lambda self, end, now: True),
+        (ForwardedRequests, "_in_time", lambda self, end, now: True),
     ],
     "hold-not-waited-out": [(constants, "LAPSE_MARGIN", -3.5)],
     "lease-ignored": [
@@ -119,7 +121,7 @@
         (AssignmentManager, "_orders", _orders_early),
     ],
     "ends-noted-early": [(Worker, "acknowledged", lambda self: self.seen)],
-    "levels-forgotten": [(LeaderRole, "common_level", _notified_levels_alone)],
+    "levels-forgotten": [(Proposals, "common_level", _notified_levels_alone)],
     "evacuation-in-word": [(LeasedJobState, "evacuate", lambda self, *order: ("ok",))],
     "failures-forgotten": [(LeasedJobState, "_ended", _failures_forgotten)],
     "room-given-early": [(assigner, "candidate_workers", _capacity_twice)],
--- a/src/pinepitch/simulation/order_injected_faults.py
+++ b/src/pinepitch/simulation/order_injected_faults.py
@@ -4,7 +4,7 @@
 import json
 
 from ..common import constants
-from ..control.leader import LeaderRole
+from ..control.forwarded_requests import ForwardedRequests
 from ..scheduling import configuration
 from ..scheduling.configuration import Configuration
 from ..scheduling.evacuation import Evacuations
@@ -81,7 +81,7 @@
     # A late order is stopped by the end that its carried copy bears, too: without both it is taken.
     "late-orders-taken": [
         *LATE_ORDERS,
-        (LeaderRole, "_in_time", lambda self, end, now: True),
+        (ForwardedRequests, "_in_time", lambda self, end, now: True),
     ],
     "holding-orders-unnoted": [(Evacuations, "take", _holding_orders_unnoted)],
     "pauses-unseen": [(IndexedForwarder, "_unread", _pauses_unseen)],
--- a/src/pinepitch/simulation/second_loss/injected_faults.py
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -11,7 +11,7 @@
 from ...consensus.replica import Consensus
 from ...control import membership
 from ...control.bootstrap import Bootstrap, cluster_identity
-from ...control.daemon import ControlDaemon
+from ...control.membership_changes import MembershipChanges
 from .. import injected_faults, simulator
 from ..machines import Node
 
@@ -79,16 +79,16 @@
 
 
 original_base = simulator.Simulator._base
-original_wanted = ControlDaemon._wanted_members
+original_wanted = MembershipChanges._wanted_members
 original_append_reply = acknowledgements.on_append_reply
 INJECTED_FAULTS: dict[str, list[tuple[Any, str, Any]]] = {
     "serves-on": [(leadership_transfer, "try_handover", _serves_on)],
     "no-successor": [(Consensus, "transfer_leadership", _stands_down)],
     "old-list-alone": [(Membership, "commits", _old_list_alone)],
     "no-heir": [(membership, "successor", _no_heir)],
-    "seat-dropped": [(ControlDaemon, "_wanted_members", _shrinks)],
+    "seat-dropped": [(MembershipChanges, "_wanted_members", _shrinks)],
     "any-heir": [(membership, "successor", _any_heir)],
-    "never-spread": [(ControlDaemon, "_spread_zones", lambda *_: None)],
+    "never-spread": [(MembershipChanges, "_spread_zones", lambda *_: None)],
     "area-alone": [(membership, "gains", lambda *_: False)],
     "slow-replacement": [(membership.Budget, "replace_after", lambda self: 4.5)],
     "snapshot-too-soon": [(simulator.Simulator, "_base", _early_base)],
