--- a/src/pinepitch/control/agreement.py
+++ b/src/pinepitch/control/agreement.py
@@ -17,6 +17,7 @@
     SendMessage,
     StepDown,
 )
+from .proposals import Waiting
 from .requests import OUTCOME_ANSWERS
 
 if TYPE_CHECKING:
@@ -33,7 +34,9 @@
         self.since_base = 0  # bytes of entries applied since the newest snapshot was begun
         self.snapshot_segments = (1, 0)  # of the archive, that the snapshot under way stands on
 
-    def on_raft(self, cluster: str | None, sender: str, receiver: str, message: tuple, now: float) -> None:
+    def on_raft(
+        self, cluster: str | None, sender: str, receiver: str, message: tuple[Any, ...], now: float
+    ) -> None:
         """A message of another member's consensus."""
         core = self.core
         if core.consensus is None or cluster != core.cluster or receiver != core.identity:
@@ -48,7 +51,7 @@
             self.core.sync_histogram.add(now - self.core.consensus.saving[0].begun_at)
         self.run(self.core.consensus.saved(sequence, now), now)
 
-    def on_disk(self, why: str, now: float) -> None:
+    def on_disk(self, why: str | None, now: float) -> None:
         """The disk refused to write, or (why is None) writes again."""
         if why is None:
             self.core._event(107)
@@ -107,7 +110,7 @@
         self.core.forwarded_requests.step_down(waiting, now)
         self.core.clear_leadership(now)
 
-    def _apply(self, start: int, entries: list[tuple], now: float) -> None:
+    def _apply(self, start: int, entries: list[tuple[Any, ...]], now: float) -> None:
         """Applies committed entries, the first of which has the index `start`."""
         core, consensus = self.core, self.core.consensus
         for place, (term, time, operation) in enumerate(entries):
@@ -118,8 +121,8 @@
             # of what older leaders proposed only the outcome counts: nobody waits for it here
             if consensus.role == "leader" and consensus.commit >= index and term == consensus.term:
                 core.applied_entries.react(operation, outcome, now)
-                for address, token, shape, extra in core.proposals.awaiting.pop(index, ()):
-                    self._tell(address, token, shape, extra, outcome, now)
+                for waiting in core.proposals.awaiting.pop(index, ()):
+                    self._tell(waiting, outcome, now)
         for number, data in core.cluster_state.sealed:
             core.effects.append(WriteSegment(number, data))
         core.cluster_state.sealed.clear()
@@ -147,11 +150,7 @@
         )
         return self.since_base >= least
 
-    def _tell(
-        self, address: str | None, token: str, shape: str, extra: Any, outcome: tuple, now: float
-    ) -> None:
+    def _tell(self, waiting: Waiting, outcome: tuple[Any, ...], now: float) -> None:
         """Tells one who waits the outcome."""
-        if token is not None:
-            self.core.forwarded_requests.answer(
-                address, token, OUTCOME_ANSWERS[shape](self.core, outcome, extra, now)
-            )
+        answer = OUTCOME_ANSWERS[waiting.shape](self.core, outcome, waiting.extra, now)
+        self.core.forwarded_requests.answer(waiting.address, waiting.token, answer)
--- a/src/pinepitch/control/applied_entries.py
+++ b/src/pinepitch/control/applied_entries.py
@@ -15,14 +15,14 @@
     def __init__(self, core: "ControlDaemon") -> None:
         self.core = core
 
-    def react(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def react(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """Takes one operation and its outcome."""
         self.core.leadership.place_due = True
         reaction = REACTIONS.get(operation[0])
         if reaction is not None:
             reaction(self, operation, outcome, now)
 
-    def _role_claimed(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _role_claimed(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """A role has a holder; if it is this leader's placing role, it may place from now on."""
         leadership = self.core.leadership
         if self.core.cluster_state.index != leadership.role_index:
@@ -33,7 +33,7 @@
         self.core._event(150, epoch=leadership.epoch)
         self.core.front_updates.resend_orders(now)
 
-    def _place(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _place(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """A round of placements was taken or refused."""
         leadership = self.core.leadership
         leadership.placing_busy = max(0, leadership.placing_busy - 1)
@@ -49,7 +49,7 @@
             self._refused(outcome[1])
         self.core.front_updates.send_all(now)
 
-    def _ended(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _ended(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """Attempts have ended."""
         for (ref, attempt, how), result in zip(operation[1], outcome[1], strict=False):
             self.core.worker_reports.proposed_ends.discard((ref, attempt))
@@ -63,7 +63,7 @@
                 if worker.poor():
                     self.core._event(157, minion=found[2].worker)
 
-    def _leased_job_assigned(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _leased_job_assigned(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """Runs were placed under leases."""
         self.core.assignments.applied_assign(operation[2])
         if outcome[0] == "refused":
@@ -74,11 +74,11 @@
                     188, task=placement.reference(), run=placement.run, minion=placement.worker_id
                 )
 
-    def _leased_job_ended(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _leased_job_ended(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """Runs under leases have ended."""
         self.core.assignments.ended(self.core.cluster_state.index, operation[1], outcome[1])
 
-    def _assignments_due(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _assignments_due(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """What is asked of the assignments of leased jobs has changed."""
         self.core.assignments.due = True
         if outcome[0] == "accepted":
@@ -87,7 +87,9 @@
             self.core._event(181, version=outcome[1])
             self._in_force_changed(now)
 
-    def _queues_or_workers_changed(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _queues_or_workers_changed(
+        self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float
+    ) -> None:
         """The queue configuration, or which workers and zones are open, has changed."""
         if outcome[0] == "setup":
             self.core._event(160, version=outcome[1])
@@ -103,7 +105,7 @@
         self.core.front_updates.update_serial += 1
         self.core.front_updates.send_all(now)
 
-    def _runs_to_end(self, operation: tuple, outcome: tuple, now: float) -> None:
+    def _runs_to_end(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """Runs are to end: front daemons are told at once."""
         self.core.front_updates.send_all(now)
 
@@ -114,14 +116,14 @@
 
     def _waited(self, ref: str) -> None:
         """Notes how long a task just placed was ready."""
-        job, task, standing = self.core.cluster_state.find(ref)
+        job, task, standing = self.core.cluster_state.find_known(ref)
         if standing.attempt == 1:
             histogram = self.core.wait_histograms.setdefault(job.queue, metrics.Histogram())
             histogram.add(max(0.0, standing.since - job.ready_since(task)))
 
 
 # The registry of reactions: operation -> what is done about it once it is applied.
-REACTIONS: dict[str, Callable[[AppliedEntries, tuple, tuple, float], None]] = {
+REACTIONS: dict[str, Callable[[AppliedEntries, tuple[Any, ...], tuple[Any, ...], float], None]] = {
     "duty": AppliedEntries._role_claimed,
     "place": AppliedEntries._place,
     "ended": AppliedEntries._ended,
--- a/src/pinepitch/control/cluster_entry.py
+++ b/src/pinepitch/control/cluster_entry.py
@@ -1,5 +1,6 @@
 """How a daemon comes into a cluster: founds one with others, or joins one that there is."""
 
+from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
 from ..common import constants
@@ -28,7 +29,7 @@
         )
         if ready is not None:
             cluster, members = ready
-            self.consent(cluster, members, now, None)
+            self.consent(cluster, members, now)
         elif self.core.bootstrap.veto(now):
             self.ask_to_join(now)
 
@@ -43,19 +44,24 @@
                 greeting.identity, greeting.kind, greeting.zone, greeting.cluster, greeting.view, now
             )
         if greeting.cluster and self.core.identity in greeting.bootstrap_members:
-            members: Members = dict.fromkeys(greeting.bootstrap_members)
-            self.consent(greeting.cluster, members, now, greeting.identity)
+            members = self._with_zones(greeting.bootstrap_members)
+            if members is not None:
+                self.consent(greeting.cluster, members, now)
 
-    def consent(self, cluster: str, members: Members, now: float, teller: str | None) -> None:
+    def _with_zones(self, identities: Iterable[str]) -> Members | None:
+        """The members of a founding that another tells, with their zones; None while one is unknown."""
+        members = {}
+        for one in identities:
+            zone = self.core.bootstrap.empty_daemons.get(one, (None,))[0] or self._zone_of(one)
+            if one == self.core.identity:
+                zone = self.core.zone
+            if zone is None:
+                return None
+            members[one] = zone
+        return members
+
+    def consent(self, cluster: str, members: Members, now: float) -> None:
         """Consents to a founding, its own or one that names this daemon."""
-        if teller is not None:
-            members = {
-                one: self.core.bootstrap.empty_daemons.get(one, (None,))[0] or self._zone_of(one)
-                for one in members
-            }
-            members[self.core.identity] = self.core.zone
-            if None in members.values():
-                return
         if (
             self.core.cluster is not None
             or self.core.bootstrap.veto(now, cluster)
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -12,6 +12,7 @@
 from ..consensus.cluster_clock import ClusterClock
 from ..consensus.leader_clock import LeaderClock, Reading
 from ..consensus.replica import Consensus
+from ..model.decisions import Answer
 from ..model.push_worker import PushWorker, Report
 from ..scheduling.assignment_manager import AssignmentManager
 from ..state.cluster_state import ClusterState
@@ -29,7 +30,7 @@
 from .membership_changes import Members, MembershipChanges
 from .outside_requests import OutsideRequests
 from .placement import Placer
-from .proposals import Proposals
+from .proposals import Proposals, Waiting
 from .rehearsal_role import RehearsalRole
 from .sessions import Sessions
 from .worker_reports import WorkerReports
@@ -37,8 +38,7 @@
 
 class ControlDaemon:
     """Invariants: with no cluster there is no consensus, and the other way round; the cluster state holds
-    just the entries up to those applied; what exists only while leading is as new unless this daemon
-    leads."""
+    just the entries up to those applied; what exists only while leading is as new unless it leads."""
 
     level = constants.RECORD_LEVEL
     cluster_state_class = ClusterState
@@ -164,19 +164,19 @@
         """When this daemon began to lead, in seconds of the steady clock; None unless it leads."""
         return self.leadership.leader_since
 
-    def take_report(self, report: Report, now: float) -> tuple[list, list, list]:
+    def take_report(self, report: Report, now: float) -> tuple[list[Any], list[Any], list[Any]]:
         """A worker's report: (ends to agree on, ends that are known, strays)."""
         return self.worker_reports.take_report(report, now)
 
-    def answer(self, address: str, token: str, answer: tuple, until: float | None = None) -> None:
+    def answer(self, address: str, token: str, answer: Answer, until: float | None = None) -> None:
         """Answers a pending request, until `until` at the latest."""
         self.forwarded_requests.answer(address, token, answer, until)
 
-    def propose(self, operation: tuple, waiting: tuple | None, now: float) -> None:
+    def propose(self, operation: tuple[Any, ...], waiting: Waiting | None, now: float) -> None:
         """Puts one operation into the log; `waiting` is told the outcome."""
         self.proposals.propose(operation, waiting, now)
 
-    def propose_at(self, operation: tuple, now: float) -> int | None:
+    def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
         """Proposes, and says at which index; None when it is held back."""
         return self.proposals.propose_at(operation, now)
 
@@ -198,13 +198,13 @@
         self.event_counts[number] = self.event_counts.get(number, 0) + 1
         self.effects.append(Event(number, fields))
 
-    def send(self, address: str | None, message: tuple) -> None:
+    def send(self, address: str | None, message: tuple[Any, ...]) -> None:
         """Sends a message to another daemon; to nobody if the address is unknown or its own."""
         if address is not None and address != self.address:
             self.counts["sent"] += 1
             self.effects.append(Send(address, message))
 
-    def to_leader(self, message: tuple, now: float) -> None:
+    def to_leader(self, message: tuple[Any, ...], now: float) -> None:
         """Hands a message to whoever leads, perhaps this daemon."""
         if self.consensus.role == "leader":
             self.inputs[message[0]](*message[1:], now)
@@ -232,7 +232,7 @@
 
     # --- durable state ----------------------------------------------------------------
     def restore(
-        self, base: list | None, steps: Iterable[list], segments: dict[int, bytes] | None = None
+        self, base: list[Any] | None, steps: Iterable[list[Any]], segments: dict[int, bytes] | None = None
     ) -> None:
         """Takes what the store held; the identity was read from it already."""
         changes, raft_base = [], None
@@ -266,7 +266,7 @@
         self.cluster_state = self.cluster_state_class.decode(image, segments)
         self.consensus.archive = self.cluster_state.archive
 
-    def base(self, raft_base: Any) -> list:
+    def base(self, raft_base: Any) -> list[Any]:
         """The payload of a base file; the store keeps the segments that its last part names."""
         return [self.identity, self.cluster, raft_base, list(self.consensus.base_segments)]
 
@@ -301,7 +301,7 @@
             "stop": self._on_stop,
         }
 
-    def step(self, message: tuple, now: float, clock: float) -> list[Any]:
+    def step(self, message: tuple[Any, ...], now: float, clock: float) -> list[Any]:
         """Takes one message; returns the effects. `now` is the steady clock's, `clock` the wall clock's
         time, both in seconds."""
         self.time.hear(self.identity, clock, now)
--- a/src/pinepitch/control/forwarded_requests.py
+++ b/src/pinepitch/control/forwarded_requests.py
@@ -1,11 +1,13 @@
 """Requests that daemons forward to the leader: taken, answered, refused or left in doubt."""
 
+from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..consensus.leader_clock import Reading
 from ..model.decisions import Answer, DeferHeartbeat, ProposeEnds, problem
 from ..scheduling import requests as job_calls
 from ..transport.request_key import subject_of
+from .proposals import Waiting
 from .requests import REQUESTS
 
 if TYPE_CHECKING:
@@ -28,6 +30,15 @@
         return self[:2]
 
 
+class PendingRead(NamedTuple):
+    """A forwarded request that waits until all is applied that was committed when it came."""
+
+    address: str  # of the daemon that forwarded it
+    token: str
+    handler: Any  # of requests.REQUESTS
+    arguments: Sequence[Any]
+
+
 class ForwardedRequests:
     """Invariants: what it gathers is empty unless this daemon leads; a request is pending until it is
     answered, and answered as the request that it was taken as."""
@@ -38,27 +49,26 @@
 
     def clear(self) -> None:
         """Forgets all, as a term begins or ends."""
-        self.reading: dict[int, tuple] = {}  # number of a read -> (address, token, handler, arguments)
+        self.reading: dict[int, PendingRead] = {}  # by the number that consensus knows the read by
         self.read_count = 0
         self.pending_requests: dict[str, PendingRequest] = {}  # by token
 
-    def step_down(self, waiting: list[tuple], now: float) -> None:
-        """Tells all who wait that this daemon leads no more. What was proposed for those in `waiting`,
-        (address, token, shape, extra), may still be agreed on; whatever else was asked is not taken."""
-        for address, token, _, _ in waiting:
-            if token is not None:
-                self.in_doubt(address, token)
-        for address, token, _, _ in self.reading.values():
-            self.not_taken(address, token, None, now)
+    def step_down(self, waiting: list[Waiting], now: float) -> None:
+        """Tells all who wait that this daemon leads no more. What was proposed for those in `waiting`
+        may still be agreed on; whatever else was asked is not taken."""
+        for one in waiting:
+            self.in_doubt(one.address, one.token)
+        for read in self.reading.values():
+            self.not_taken(read.address, read.token, None, now)
         for address, token, _ in self.core.assignments.deferred_heartbeats.values():
             self.not_taken(address, token, None, now)
 
     def on_request(
         self,
-        address: str | None,
+        address: str,
         token: str,
         call: str,
-        arguments: tuple,
+        arguments: Sequence[Any],
         attempt: int,
         end: Reading | None,
         now: float,
@@ -85,7 +95,7 @@
             self.answer(address, token, problem(400, "unknown_call", message))
         elif handler.reads:
             self.read_count += 1
-            self.reading[self.read_count] = (address, token, handler, arguments)
+            self.reading[self.read_count] = PendingRead(address, token, handler, arguments)
             self.core.agreement.run(consensus.read(self.read_count, now), now)
         elif self._may_decide(call, now):
             self._decide(address, token, handler, arguments, now)
@@ -102,7 +112,7 @@
         """Whether a forwarded request may be taken; one without an end may not."""
         return end is not None and end[0] == self.core.consensus.term and now <= end[1]
 
-    def _decide(self, address: str | None, token: str, handler: Any, arguments: tuple, now: float) -> None:
+    def _decide(self, address: str, token: str, handler: Any, arguments: Sequence[Any], now: float) -> None:
         """Asks a handler for an answer at once or an operation to agree on."""
         decision = handler.make(self.core, token, arguments, now)
         if isinstance(decision, DeferHeartbeat):
@@ -113,19 +123,21 @@
             else:  # what stands in the state here may be old
                 self.not_taken(address, token, None, now)
         elif isinstance(decision, ProposeEnds):
-            waiting = (address, token, "report", decision.context)
+            waiting = Waiting(address, token, "report", decision.context)
             self.core.worker_reports.propose_ends(decision.ends, waiting, now)
         else:
             operation, outcome_answer, context = decision
-            self.core.proposals.propose(operation, (address, token, outcome_answer, context), now)
+            waiting = Waiting(address, token, outcome_answer, context)
+            self.core.proposals.propose(operation, waiting, now)
 
     def answer_read(self, read: int, now: float) -> None:
         """What was read up to is applied now: the request is answered, if it is still pending."""
-        address, token, handler, arguments = self.reading.pop(read, (None, None, None, None))
-        if handler is not None:
-            self.answer(address, token, handler.make(self.core, token, arguments, now))
+        pending = self.reading.pop(read, None)
+        if pending is not None:
+            answer = pending.handler.make(self.core, pending.token, pending.arguments, now)
+            self.answer(pending.address, pending.token, answer)
 
-    def answer(self, address: str | None, token: str, answer: Answer, until: float | None = None) -> None:
+    def answer(self, address: str, token: str, answer: Answer, until: float | None = None) -> None:
         """The answer to a pending request, perhaps to one that this daemon forwarded itself; what was
         only read, and not agreed on, is written until `until` at the latest."""
         current = self.pending_requests.pop(token, None)
@@ -138,20 +150,20 @@
             # as a plain tuple, which is encoded without a search for its type
             self.core.send(address, ("answer", token, tuple(answer), current.key))
 
-    def not_taken(self, address: str | None, token: str, leader: str | None, now: float) -> None:
+    def not_taken(self, address: str, token: str, leader: str | None, now: float) -> None:
         """A pending request that this daemon does not take after all."""
         current = self.pending_requests.pop(token, None)
         if current is not None:
             self.refuse(address, token, leader, current.attempt, now)
 
-    def refuse(self, address: str | None, token: str, leader: str | None, attempt: int, now: float) -> None:
+    def refuse(self, address: str, token: str, leader: str | None, attempt: int, now: float) -> None:
         """Says that one attempt of a request was not taken here, and never will be."""
         if address == self.core.address:
             self.core.forwarder.not_taken(token, attempt)
         else:
             self.core.send(address, ("elsewhere", token, leader, attempt, self.core._leader_reading(now)))
 
-    def in_doubt(self, address: str | None, token: str) -> None:
+    def in_doubt(self, address: str, token: str) -> None:
         """A call that may have been taken, though this daemon can't say."""
         self.pending_requests.pop(token, None)
         if address == self.core.address:
--- a/src/pinepitch/control/front_updates.py
+++ b/src/pinepitch/control/front_updates.py
@@ -1,7 +1,7 @@
 """What the leader tells front daemons: updates of what is in force, orders to start tasks, kills."""
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..common import constants
 
@@ -9,6 +9,18 @@
     from .daemon import ControlDaemon
 
 
+Order = dict[str, Any]  # the document that a worker is posted
+
+
+class UpdateRequest(NamedTuple):
+    """A front daemon's request for updates that is not answered yet."""
+
+    address: str  # of the front daemon
+    token: str
+    seen: tuple[Any, ...]  # the version that it knows
+    asked_at: float  # seconds of the steady clock
+
+
 class FrontUpdates:
     """Invariant: what it gathers is empty unless this daemon leads."""
 
@@ -18,12 +30,8 @@
 
     def clear(self) -> None:
         """Forgets all, as a term begins or ends."""
-        self.update_requests: dict[
-            str, tuple
-        ] = {}  # front daemon -> (address, token, version seen, asked at)
-        self.outbox: dict[
-            str, dict[tuple[str, int], dict]
-        ] = {}  # front daemon -> {(reference, attempt): order}
+        self.update_requests: dict[str, UpdateRequest] = {}  # by front daemon
+        self.outbox: dict[str, dict[tuple[str, int], Order]] = {}  # by front daemon; (reference, attempt)
         self.kills: dict[str, float] = {}  # reference -> when last ordered
         self.update_serial = 0  # how often what is in force has changed in this term
 
@@ -34,7 +42,13 @@
                 self.send(front, now)
 
     def on_update_request(
-        self, front: str, address: str | None, token: str, seen: tuple, outcomes: Iterable[tuple], now: float
+        self,
+        front: str,
+        address: str,
+        token: str,
+        seen: tuple[Any, ...],
+        outcomes: Iterable[tuple[Any, ...]],
+        now: float,
     ) -> None:
         """A front daemon asks for updates and says how its orders went."""
         consensus = self.core.consensus
@@ -50,7 +64,7 @@
             if how is not None:
                 ends.append((ref, attempt, how))
         self.core.worker_reports.propose_ends(ends, None, now)
-        self.update_requests[front] = (address, token, tuple(seen), now)
+        self.update_requests[front] = UpdateRequest(address, token, tuple(seen), now)
         self.send(front, now)
 
     def _proven_end(self, ref: str, attempt: int, outcome: str) -> str | None:
@@ -71,27 +85,28 @@
 
     def send(self, front: str, now: float) -> None:
         """Answers a front daemon's request if there are updates or it has waited long enough."""
-        address, token, seen, asked = self.update_requests[front]
+        request = self.update_requests[front]
         version = self._update_version()
         orders = self._due_orders(front, now)
         kills = self._due_kills(now)
-        if seen == version and not orders and not kills and now - asked < constants.UPDATES_DEFERRAL:
+        waited = now - request.asked_at
+        if request.seen == version and not orders and not kills and waited < constants.UPDATES_DEFERRAL:
             return
         del self.update_requests[front]
-        body = self._in_force() if seen != version else None
+        body = self._in_force() if request.seen != version else None
         message = (
             "told",
-            token,
+            request.token,
             version,
             body,
             orders,
             kills,
             self.core._now(now),
-            now - asked,
+            waited,
             self.core.sessions.known_control_daemons(),
             self.core.cluster,
         )
-        self.core.send(address, message)
+        self.core.send(request.address, message)
 
     def _in_force(self) -> dict[str, Any]:
         """What a front daemon knows of the cluster state."""
@@ -104,7 +119,7 @@
             "withdrawn": sorted(state.withdrawn),
         }
 
-    def _due_orders(self, front: str, now: float) -> tuple[dict[str, Any], ...]:
+    def _due_orders(self, front: str, now: float) -> tuple[Order, ...]:
         """Orders a front daemon has not yet taken; what was called off meanwhile is dropped."""
         box, time = self.outbox.get(front, {}), self.core._now(now)
         for (ref, attempt), order in list(box.items()):
@@ -120,12 +135,12 @@
                 del box[(ref, attempt)]
         return tuple(box.values())
 
-    def _due_kills(self, now: float) -> tuple[tuple, ...]:
+    def _due_kills(self, now: float) -> tuple[tuple[Any, ...], ...]:
         """(reference, attempt, worker's address) of runs that are to end and weren't told so just now."""
         state, kills = self.core.cluster_state, []
         for ref, attempt in list(state.yielding.items()):
             if now - self.kills.get(ref, -1e9) >= constants.KILL_AGAIN:
-                worker = self.core.worker_reports.push_workers.get(state.find(ref)[2].worker)
+                worker = self.core.worker_reports.push_workers.get(state.find_known(ref)[2].worker)
                 if worker is not None:
                     self.kills[ref] = now
                     kills.append((ref, attempt, worker.report.address))
@@ -133,13 +148,13 @@
 
     def order(self, ref: str, now: float) -> None:
         """Puts a committed placement into the outbox of the front daemon that is to send it."""
-        job, task, standing = self.core.cluster_state.find(ref)
+        job, task, standing = self.core.cluster_state.find_known(ref)
         worker = self.core.worker_reports.push_workers.get(standing.worker)
         if worker is None or standing.yields_to:
             return
         if worker.poor():
             worker.trial_at = now
-        order = {
+        order: Order = {
             "task": ref,
             "attempt": standing.attempt,
             "minion": standing.worker,
@@ -165,6 +180,6 @@
         time = self.core._now(now)
         for current in list(self.core.cluster_state.reserved.values()):
             for ref in current:
-                standing = self.core.cluster_state.find(ref)[2]
+                standing = self.core.cluster_state.find_known(ref)[2]
                 if time < standing.send_by:
                     self.order(ref, now)
--- a/src/pinepitch/control/greetings.py
+++ b/src/pinepitch/control/greetings.py
@@ -76,6 +76,6 @@
         self.core.leader_clock.hear(reading, now)
         self._hear(Greeting(*fields), now)
 
-    def on_tell(self, teller: str | None, sessions: Any, now: float) -> None:
+    def on_tell(self, teller: str, sessions: Any, now: float) -> None:
         """A control daemon tells which sessions it has itself."""
         self.core.sessions.relayed(teller, sessions, now)
--- a/src/pinepitch/control/leader.py
+++ b/src/pinepitch/control/leader.py
@@ -111,7 +111,7 @@
             seen = self.core.worker_reports.push_workers.get(worker)
             closed = cluster_state.closed(worker, seen.report.zone if seen else "")
             for ref in current:
-                job, task, standing = cluster_state.find(ref)
+                job, task, standing = cluster_state.find_known(ref)
                 if standing.yields_to or (ref, standing.attempt) in self.moving:
                     continue
                 if task.limit and time > standing.since + task.limit:
--- a/src/pinepitch/control/membership_changes.py
+++ b/src/pinepitch/control/membership_changes.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from .daemon import ControlDaemon
 
-Members = dict[str, str | None]  # identity -> zone
+Members = dict[str, str]  # identity -> zone
 
 
 class MembershipChanges:
@@ -66,7 +66,7 @@
 
     def _unheard(self, identity: str, now: float) -> float:
         """How long a member that is out of session was not heard, as far as this daemon can tell."""
-        return now - max(self.core.sessions.heard(identity), self.core.first_tick_at)
+        return now - max(self.core.sessions.heard(identity), self.core.first_tick_at or 0.0)
 
     def _time_change(self, now: float) -> None:
         """Measures how long the joint change that this daemon leads takes."""
@@ -133,7 +133,7 @@
             self.change_begun = now
             self.core.agreement.run(result[1], now)
 
-    def on_join(self, identity: str, zone: str, address: str | None, now: float) -> None:
+    def on_join(self, identity: str, zone: str, address: str, now: float) -> None:
         """A daemon asks to join: it follows the log as a learner from now on, where there is a place."""
         consensus = self.core.consensus
         if consensus is None or consensus.role != "leader" or not consensus.serving():
--- a/src/pinepitch/control/outside_requests.py
+++ b/src/pinepitch/control/outside_requests.py
@@ -18,7 +18,9 @@
         self.core = core
         self.hinted: dict[str, float] = {}  # worker -> when it was last told where the leader is
 
-    def on_request(self, request: Any, call: str, arguments: tuple, patience: float, now: float) -> None:
+    def on_request(
+        self, request: Any, call: str, arguments: tuple[Any, ...], patience: float, now: float
+    ) -> None:
         """A call at this daemon's own ports: decided here, or forwarded to the leader."""
         if call == "ready":
             self.core.effects.append(Reply(request, 200 if self.core.consensus is not None else 503, {}))
@@ -30,6 +32,7 @@
         """Sends a request to whoever leads, perhaps this daemon."""
         core = self.core
         call = core.forwarder.calls[token]
+        end: Reading | None
         if core.consensus is not None and core.consensus.role == "leader":
             end = Reading(core.consensus.term, call.until)
             attempt = core.forwarder.sent(token, core.address, now, end)
@@ -50,7 +53,7 @@
             if token in self.core.forwarder.calls:
                 self._forward(token, now)
 
-    def on_answer(self, token: str, answer: tuple, key: tuple, now: float) -> None:
+    def on_answer(self, token: str, answer: tuple[Any, ...], key: tuple[Any, ...], now: float) -> None:
         """The leader answers a request."""
         call = self.core.forwarder.waiting(token, key)
         if call is None:
--- a/src/pinepitch/control/proposals.py
+++ b/src/pinepitch/control/proposals.py
@@ -1,11 +1,20 @@
 """Operations on their way into the log: which may be proposed, and who is told their outcome."""
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 if TYPE_CHECKING:
     from .daemon import ControlDaemon
 
 
+class Waiting(NamedTuple):
+    """Who is told the outcome of an operation, and what the answer is made of."""
+
+    address: str  # of the daemon that forwarded the request
+    token: str  # of the request
+    shape: str  # of the answer: a key of requests.OUTCOME_ANSWERS
+    extra: Any  # what the shape needs beside the outcome
+
+
 class Proposals:
     """Invariants: nobody waits unless this daemon leads; no operation is proposed that a member, by the
     level it told last, does not know."""
@@ -16,10 +25,9 @@
 
     def clear(self) -> None:
         """Forgets all, as a term begins or ends."""
-        # index -> [(address, token, shape of the answer, what else it is made of)] to be told the outcome
-        self.awaiting: dict[int, list[tuple]] = {}
+        self.awaiting: dict[int, list[Waiting]] = {}  # index of an entry -> who is told its outcome
 
-    def propose_at(self, operation: tuple, now: float) -> int | None:
+    def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
         """Proposes, and says at which index; None when it is held back."""
         if self.core.cluster_state.levels.get(operation[0], 1) > self.common_level():
             return None
@@ -36,17 +44,17 @@
         )
         return max(self.core.cluster_state.level, advertised)
 
-    def propose(self, operation: tuple, waiting: tuple | None, now: float) -> None:
+    def propose(self, operation: tuple[Any, ...], waiting: Waiting | None, now: float) -> None:
         """Puts one operation into the log; `waiting` is told the outcome. One that a member
         does not know yet is held back."""
         if self.core.cluster_state.levels.get(operation[0], 1) > self.common_level():
             self.core._event(133, operation=operation[0], level=self.common_level())
             if waiting is not None:
-                self.core.forwarded_requests.not_taken(waiting[0], waiting[1], None, now)
+                self.core.forwarded_requests.not_taken(waiting.address, waiting.token, None, now)
             return
         if waiting is not None and self.core.consensus.log.size > self.core.limits.log:
             self.core._event(134, operation=operation[0], bytes=self.core.consensus.log.size)
-            self.core.forwarded_requests.not_taken(waiting[0], waiting[1], None, now)
+            self.core.forwarded_requests.not_taken(waiting.address, waiting.token, None, now)
             return
         start = self.core.consensus.last_index() + 1
         if waiting is not None:
--- a/src/pinepitch/control/worker_reports.py
+++ b/src/pinepitch/control/worker_reports.py
@@ -5,6 +5,7 @@
 
 from ..common import constants
 from ..model.push_worker import PushWorker, Report
+from .proposals import Waiting
 
 if TYPE_CHECKING:
     from .daemon import ControlDaemon
@@ -22,10 +23,10 @@
         """Forgets all, as a term begins or ends."""
         self.push_workers: dict[str, PushWorker] = {}
         self.proposed_ends: set[tuple[str, int]] = set()  # (reference, attempt)
-        self.ends: list[tuple] = []  # (reference, attempt, how) to be proposed together
-        self.ends_waiting: list[tuple] = []  # who is told once they are agreed on
+        self.ends: list[tuple[Any, ...]] = []  # (reference, attempt, how) to be proposed together
+        self.ends_waiting: list[Waiting] = []  # who is told once they are agreed on
 
-    def take_report(self, report: Report, now: float) -> tuple[list, list, list]:
+    def take_report(self, report: Report, now: float) -> tuple[list[Any], list[Any], list[Any]]:
         """Gathers a worker's report; (ends to agree on, ends that are known, strays: runs that nobody
         wants)."""
         newest = self._keep_newest(report, now)
@@ -72,12 +73,12 @@
             known.report, known.heard_at = report, now
         return newest
 
-    def _absent(self, report: Report, listed: set[tuple[str, int]]) -> Iterator[tuple]:
+    def _absent(self, report: Report, listed: set[tuple[str, int]]) -> Iterator[tuple[Any, ...]]:
         """Proof by absence: a report begun after send-by and a margin lists all that
         runs, so what it lacks has ended or never begun. A new start at another address
         may be another machine: it proves nothing of what the name's last one runs."""
         for ref in sorted(self.core.cluster_state.reserved.get(report.worker, {})):
-            standing = self.core.cluster_state.find(ref)[2]
+            standing = self.core.cluster_state.find_known(ref)[2]
             if (ref, standing.attempt) in listed:
                 continue
             if report.heard >= standing.send_by + constants.SEND_MARGIN:
@@ -86,7 +87,9 @@
                     continue
                 yield (ref, standing.attempt, "never" if same else "lost")
 
-    def propose_ends(self, items: Iterable[tuple], waiting: tuple | None, now: float) -> list[tuple]:
+    def propose_ends(
+        self, items: Iterable[tuple[Any, ...]], waiting: Waiting | None, now: float
+    ) -> list[tuple[Any, ...]]:
         """Gathers proven ends; those of one tick become one entry and so one sync."""
         fresh = [one for one in items if one[:2] not in self.proposed_ends]
         self.proposed_ends.update(one[:2] for one in fresh)
