--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -1,26 +1,30 @@
-"""Calls about jobs, beats and the configuration, for the registry of accord/calls.py.
+"""Calls about jobs, heartbeats and the configuration, for the registry in control/requests.py.
 
 Each is answered by a leader whose lease stands, so that what it reads is the newest.
 """
 
+from typing import Any
+
 from ..common import constants
 from . import configuration, explain
 from . import leased_job as jobs
 from . import worker as workers
+from .daemon_interface import Daemon
+from .plain_types import Answer, Arguments, Decision, Document
 
 UNFINISHED = ("queued", "running")  # states of a job
 
 
-def problem(status, code, message, retry=None, **more):
+def problem(status: int, code: str, message: str, retry: float | None = None, **more: Any) -> Answer:
     """An answer that says no."""
     return (status, {"error": {"code": code, "message": message, **more}}, retry)
 
 
-def _answer(*rest):
+def _answer(*rest: Any) -> Decision:
     return ("answer", rest)
 
 
-def _unready(core):
+def _unready(core: Daemon) -> Decision | None:
     if not core.cluster_state.leased_jobs.configuration.version:
         return (
             "answer",
@@ -29,12 +33,13 @@
     return None
 
 
-def _route(core, host, path):
-    """(route, rest of the path), or the answer that there is none."""
+def _route(core: Daemon, host: str, path: str) -> tuple[Document, str] | None:
+    """(route, rest of the path), or None where no route fits."""
     return core.cluster_state.leased_jobs.configuration.find(host, path)
 
 
-def submit(core, token, arguments, now):
+def submit(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """Hands a job in at the queue whose route fits; one that is known already is answered with its state."""
     host, path, document = arguments
     found = _route(core, host, path)
     if found is None:
@@ -61,12 +66,13 @@
     return ("agree", ("job", identity, route["name"], plain), "job", None)
 
 
-def jobs_name(identity):
+def jobs_name(identity: str) -> bool:
     """Whether a text may name a job."""
     return len(identity) == 16 and all(one in "0123456789abcdefABCDEF" for one in identity)
 
 
-def submitted(core, outcome, extra, now):
+def submitted(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to a call whose operation had this outcome: LeasedJobState.accept."""
     if outcome[0] in ("accepted", "known"):
         return (200, {"state": core.cluster_state.leased_jobs.state(outcome[1]) or "completed"}, None)
     if outcome[0] == "missing":
@@ -74,7 +80,7 @@
     return problem(429, "full", "too many jobs are open", constants.RETRY_AFTER)
 
 
-def read(core, token, arguments, now):
+def read(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
     """The state of a job, or with an empty name how many wait at the queue."""
     host, path = arguments
     found = _route(core, host, path)
@@ -92,7 +98,8 @@
     return _answer(200, {"state": state}, None)
 
 
-def cancel(core, token, arguments, now):
+def cancel(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """Cancels a job; one that is over is answered with its state."""
     host, path = arguments
     found = _route(core, host, path)
     if found is None:
@@ -106,25 +113,29 @@
     return ("agree", ("job-cancel", identity), "job-cancel", None)
 
 
-def cancelled(core, outcome, extra, now):
+def cancelled(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to a call whose operation had this outcome: LeasedJobState.cancel."""
     if outcome[0] == "missing":
         return problem(410, "no_job", "no such job")
     return (200, {"state": "cancelled" if outcome[0] == "cancelled" else outcome[1]}, None)
 
 
-def heartbeat(core, token, arguments, now):
+def heartbeat(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """A worker's heartbeat: checked here, taken by the assignment manager."""
     identity, document = arguments
     if not workers.checked(document):
         return ("answer", problem(400, "beat", "the beat can't be read"))
     return ("beat", identity, document)
 
 
-def leave(core, token, arguments, now):
+def leave(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """A worker says that it ends now."""
     core.assignments.leave(arguments[0], now)
     return _answer(200, {}, None)
 
 
-def configure(core, token, arguments, now):
+def configure(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """Brings a whole configuration into force."""
     base, document = arguments
     if not isinstance(document, dict):
         return ("answer", problem(400, "invalid", "expected an object"))
@@ -136,13 +147,15 @@
     )
 
 
-def amend(core, token, arguments, now):
+def amend(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """Changes named items of the configuration."""
     base, version, upserts, removes = arguments
     digest = configuration.digest_of([base, version, upserts, removes])
     return ("agree", ("amend", base, version, upserts, removes, digest), "configured", None)
 
 
-def configured(core, outcome, extra, now):
+def configured(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to a call whose operation had this outcome: Configuration.take."""
     if outcome[0] == "configured":
         return (200, {"version": outcome[1]}, None)
     if outcome[0] == "stale":
@@ -157,11 +170,12 @@
     )
 
 
-def configuration_read(core, token, arguments, now):
+def configuration_read(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """The configuration in force."""
     return _unready(core) or _answer(200, core.cluster_state.leased_jobs.configuration.document, None)
 
 
-def evacuate(core, token, arguments, now):
+def evacuate(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
     """An order for a zone, with the index of the log that was confirmed as it came."""
     zone, begun, confirmed = arguments
     if not 0 < len(zone) <= constants.MAX_NAME_LENGTH:
@@ -169,13 +183,14 @@
             "answer",
             problem(400, "zone", f"a zone has a name of 1 to {constants.MAX_NAME_LENGTH} characters"),
         )
-    operation = ("evacuation", zone, begun, confirmed)
+    operation: tuple[Any, ...] = ("evacuation", zone, begun, confirmed)
     if core.cluster_state.levels["evacuation"] > core.common_level():
         operation = ("evacuate", zone, begun)
     return ("agree", operation, "evacuated", None)
 
 
-def evacuated(core, outcome, extra, now):
+def evacuated(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to a call whose operation had this outcome: Evacuations.take."""
     if outcome[0] == "superseded":
         why = "another order for the zone came first; this one was not taken, send it again"
         return problem(503, "superseded", why, constants.RETRY_AFTER)
@@ -184,7 +199,7 @@
     return (200, {}, None)
 
 
-# name -> how it is made; each is read by accord/calls.py
+# name of a call -> how it is answered; read by control/requests.py
 CALLS = {
     "job": submit,
     "job-read": read,
