--- a/src/pinepitch/front/program.py
+++ b/src/pinepitch/front/program.py
@@ -5,7 +5,7 @@
 import fire
 
 from ..common import events
-from ..runtime.process import checked_settings, serve
+from ..runtime.daemon_process import checked_settings, serve
 from .daemon import FrontDaemon
 
 
