--- a/src/pinepitch/simulation/fleet/client_traffic.py
+++ b/src/pinepitch/simulation/fleet/client_traffic.py
@@ -1,7 +1,7 @@
 """A stand-in client that submits jobs to a fleet over real sockets."""
 
 import time
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import curio
 
@@ -15,14 +15,22 @@
 class Traffic:
     """A caller stand-in with real sockets. Invariant: at most one answer a call."""
 
-    def __init__(self, fleet, seed=0, rate=1.0, fail=0.02, name="caller", cancels=0.02):
+    def __init__(
+        self,
+        fleet: Any,
+        seed: int = 0,
+        rate: float = 1.0,
+        fail: float = 0.02,
+        name: str = "caller",
+        cancels: float = 0.02,
+    ) -> None:
         self.fleet = fleet
         self.caller = stand_in_client.StandInClient(
             name, fleet.plan.traffic, seed, rate, fail, cancels=cancels
         )
-        self.idle = {}
+        self.idle: dict[str, list[http.Client]] = {}  # address -> clients that wait for no answer
 
-    async def run(self, seconds):
+    async def run(self, seconds: float) -> list[Any]:
         """Sends for some seconds, then waits until every job but feeds is final."""
         end = time.time() + seconds
         while time.time() < end:
@@ -36,19 +44,19 @@
                 await client.close()
         return self._unfinished()
 
-    def _unfinished(self):
+    def _unfinished(self) -> list[Any]:
         return (
             [pushed_job for pushed_job in self.caller.open]
             + [one[1] for one in self.caller.retry]
             + [one[1] for one in self.caller.pending_calls.values() if one[0] == "submit"]
         )
 
-    async def _turn(self):
+    async def _turn(self) -> None:
         for effect in self.caller.step(("tick",), time.time()):
             await curio.spawn(self._call, *effect[1:], daemon=True)
         await curio.sleep(constants.TICK)
 
-    async def _call(self, call, draw, method, target, document):
+    async def _call(self, call: int, draw: int, method: str, target: str, document: Any) -> None:
         web = self.fleet.fronts[draw % len(self.fleet.fronts)][2]
         clients = self.idle.setdefault(web, [])
         client = clients.pop() if clients else http.Client(*split(web))
@@ -61,14 +69,14 @@
             self.caller.step(("answered", call, 0, None), time.time())
 
 
-def traffic(front="127.0.0.1:8080", seconds=30, rate=1.0):
+def traffic(front: str = "127.0.0.1:8080", seconds: float = 30, rate: float = 1.0) -> None:
     """Sends stand-in jobs to one front daemon's queue `default` for some seconds."""
 
     class Running(NamedTuple):
         """What Traffic needs of a fleet that runs already."""
 
         plan: Plan
-        fronts: tuple
+        fronts: tuple[tuple[str, str, str], ...]
 
     shape = {"queue": "default", "urgency": 4, "count": 3, "shape": "fan", "units": 1, "seconds": 0.6}
     plan = PLANS["small"]._replace(traffic=(("job", 2.0, shape),))
--- a/src/pinepitch/simulation/fleet/faults.py
+++ b/src/pinepitch/simulation/fleet/faults.py
@@ -5,15 +5,17 @@
 import shutil
 import signal
 import time
+from typing import Any
 
 import curio
 
 from ...common import constants
 from ...transport import http
+from .processes import Fleet
 
 
-async def _leader_place(fleet):
-    async def found():
+async def _leader_place(fleet: Fleet) -> int:
+    async def found() -> Any:
         answer = await fleet.call("GET", "/v1/cohort", front=time.time_ns())
         return isinstance(answer, http.Response) and answer.status == 200 and answer.document
 
@@ -24,23 +26,23 @@
     return 0
 
 
-async def _back_within(fleet):
+async def _back_within(fleet: Fleet) -> float:
     begun = time.monotonic()
     await fleet.until(fleet.served, 60, "service")
     return round(time.monotonic() - begun, 2)
 
 
-async def kill_leader(fleet):
+async def kill_leader(fleet: Fleet) -> dict[str, Any]:
     """The leader dies hard and comes back."""
     return await _kill_beside_leader(fleet, 0)
 
 
-async def kill_control_daemon(fleet):
+async def kill_control_daemon(fleet: Fleet) -> dict[str, Any]:
     """A control daemon other than the leader dies hard and comes back."""
     return await _kill_beside_leader(fleet, 1)
 
 
-async def _kill_beside_leader(fleet, step):
+async def _kill_beside_leader(fleet: Fleet, step: int) -> dict[str, Any]:
     """A control daemon dies hard, `step` places after the leader, and comes back."""
     place = (await _leader_place(fleet) + step) % len(fleet.control_daemons)
     fleet.kill(f"accord{place}")
@@ -50,19 +52,19 @@
     return {"killed": place, "served_again_after": back}
 
 
-async def kill_zone(fleet):
+async def kill_zone(fleet: Fleet) -> dict[str, Any]:
     """The leader's zone: its control daemons and front daemons die and stay dead."""
     zone = fleet.control_daemons[await _leader_place(fleet)][0]
     for place, one in enumerate(fleet.control_daemons):
         if one[0] == zone:
             fleet.kill(f"accord{place}")
-    for place, one in enumerate(fleet.fronts):
-        if one[0] == zone:
+    for place, front in enumerate(fleet.fronts):
+        if front[0] == zone:
             fleet.kill(f"verge{place}")
     return {"area": zone, "served_again_after": await _back_within(fleet)}
 
 
-async def wipe(fleet):
+async def wipe(fleet: Fleet) -> dict[str, Any]:
     """One control daemon loses its disk and comes back empty at its address."""
     place = await _leader_place(fleet)
     fleet.kill(f"accord{place}")
@@ -71,7 +73,7 @@
     return {"wiped": place, "served_again_after": await _back_within(fleet)}
 
 
-async def outage(fleet):
+async def outage(fleet: Fleet) -> dict[str, Any]:
     """Every daemon dies at once; disks stay."""
     names = [name for name in fleet.processes if not name.startswith("minions")]
     for name in names:
@@ -81,7 +83,7 @@
     return {"killed": len(names), "served_again_after": await _back_within(fleet)}
 
 
-async def restart_fronts(fleet):
+async def restart_fronts(fleet: Fleet) -> dict[str, Any]:
     """All front daemons die at once and start anew."""
     names = [name for name in fleet.processes if name.startswith("verge")]
     for name in names:
@@ -91,7 +93,7 @@
     return {"killed": len(names), "served_again_after": await _back_within(fleet)}
 
 
-async def _freeze(fleet, name, seconds):
+async def _freeze(fleet: Fleet, name: str, seconds: float) -> None:
     fleet.kill(name, signal.SIGSTOP)
     await curio.sleep(seconds)
     fleet.kill(name, signal.SIGCONT)
@@ -102,20 +104,20 @@
 )  # seconds; longer than any order may be under way
 
 
-async def freeze_leader(fleet):
+async def freeze_leader(fleet: Fleet) -> dict[str, Any]:
     """The leader stops and goes on later, none the wiser."""
     name = f"accord{await _leader_place(fleet)}"
     await _freeze(fleet, name, FROZEN)
     return {"frozen": name, "served_again_after": await _back_within(fleet)}
 
 
-async def freeze_front(fleet):
+async def freeze_front(fleet: Fleet) -> dict[str, Any]:
     """A front daemon stops and goes on later, none the wiser."""
     await _freeze(fleet, "verge0", FROZEN)
     return {"frozen": "verge0", "served_again_after": await _back_within(fleet)}
 
 
-async def freeze_worker(fleet):
+async def freeze_worker(fleet: Fleet) -> dict[str, Any]:
     """A worker stops and goes on later, none the wiser."""
     begun = time.time()
     await _freeze(fleet, "minions-alone", FROZEN)
@@ -123,7 +125,7 @@
     return {"frozen": fleet.workers[0][0]}
 
 
-async def kill_worker(fleet):
+async def kill_worker(fleet: Fleet) -> dict[str, Any]:
     """A worker dies with all that it ran and starts anew."""
     fleet.lose_worker()
     await curio.sleep(2)
@@ -132,7 +134,7 @@
     return {"killed": fleet.workers[0][0]}
 
 
-async def lose_worker(fleet):
+async def lose_worker(fleet: Fleet) -> dict[str, Any]:
     """A worker dies and never comes back; an operator says so some seconds later."""
     fleet.lose_worker()
     await curio.sleep(4)
@@ -140,7 +142,7 @@
     return {"lost": fleet.workers[0][0]}
 
 
-async def withdraw_worker(fleet):
+async def withdraw_worker(fleet: Fleet) -> dict[str, Any]:
     """A machine is withdrawn at two seconds' notice."""
     await fleet.operator.withdraw(fleet.workers[0][0], time.time() + 2)
     await curio.sleep(1.9)
@@ -148,7 +150,7 @@
     return {"withdrawn": fleet.workers[0][0]}
 
 
-async def empty_zone(fleet):
+async def empty_zone(fleet: Fleet) -> dict[str, Any]:
     """A zone is emptied and taken back, a worker elsewhere drained and let in again."""
     zone = fleet.plan.zones[1]
     await fleet.operator.close("area", zone)
@@ -159,7 +161,7 @@
     return {"emptied": zone, "drained": fleet.workers[0][0]}
 
 
-async def replace_control_daemon(fleet):
+async def replace_control_daemon(fleet: Fleet) -> dict[str, Any]:
     """A control daemon is gone for good; an empty one at a new address takes its place, with other
     seeds; then the front daemons start anew with seeds that name the new one."""
     place = (await _leader_place(fleet) + 1) % len(fleet.control_daemons)
@@ -169,13 +171,14 @@
     fresh = fleet.add_control_daemon(zone, [live[0], fleet.fronts[0][1], fleet.fronts[-1][1]])
     address = fleet.control_daemons[fresh][1]
 
-    async def member():
-        cluster = await fleet.call("GET", "/v1/cohort", front=time.time_ns())
+    async def member() -> bool:
+        answer = await fleet.call("GET", "/v1/cohort", front=time.time_ns())
+        cluster: Any = getattr(answer, "document", None)
         return (
-            isinstance(cluster, http.Response)
-            and cluster.status == 200
-            and not cluster.document["changing"]
-            and any(one["address"] == address for one in cluster.document["members"])
+            isinstance(answer, http.Response)
+            and answer.status == 200
+            and not cluster["changing"]
+            and any(one["address"] == address for one in cluster["members"])
         )
 
     begun = time.monotonic()
@@ -188,7 +191,7 @@
     return {"gone": place, "member_after": took, "served_again_after": await _back_within(fleet)}
 
 
-async def rolling_restart(fleet):
+async def rolling_restart(fleet: Fleet) -> dict[str, Any]:
     """Every daemon is asked to stop, killed some seconds later if it has not, started anew."""
     killed = 0
     for name in [one for one in fleet.processes if not one.startswith("minions")]:
@@ -204,7 +207,7 @@
     return {"killed_after_warning": killed, "served_again_after": await _back_within(fleet)}
 
 
-async def race_operators(fleet):
+async def race_operators(fleet: Fleet) -> dict[str, Any]:
     """Two changes on one version at once, again and again, whole and partial, then a burst."""
     operator, won = fleet.operator, []
     queue = sorted(fleet.plan.queue_configuration["queues"])[0]
@@ -224,7 +227,7 @@
     return {"races": len(won), "won": sum(won), "burst": [await one.join() for one in burst].count(200)}
 
 
-async def fill_disk(fleet):
+async def fill_disk(fleet: Fleet) -> dict[str, Any]:
     """The leader's process may write no byte to any file for some seconds: as on a full disk."""
     place = await _leader_place(fleet)
     process = fleet.processes[f"accord{place}"]
--- a/src/pinepitch/simulation/fleet/fleet_operator.py
+++ b/src/pinepitch/simulation/fleet/fleet_operator.py
@@ -1,32 +1,42 @@
 """A stand-in operator of a fleet of processes."""
 
 import time
+from typing import TYPE_CHECKING, Any
 
 from ...transport import http
 from .. import checks
+from .plans import Headers
+
+if TYPE_CHECKING:
+    from .processes import Fleet
 
 
 class FleetOperator:
     """A stand-in operator of a fleet. Invariants: as of Operator: what is acknowledged is
     kept, with when it was, for the checks that both share."""
 
-    def __init__(self, fleet):
+    def __init__(self, fleet: "Fleet") -> None:
         self.fleet = fleet
-        self.changes, self.refused, self.maybe, self.spans = [], [], [], []
-        self.withdrawn = set()
+        self.changes: list[tuple[Any, ...]] = []  # as checks.queue_configurations_kept takes them
+        self.refused: list[str] = []  # reasons of changes that were refused
+        self.maybe: list[tuple[float, Any]] = []  # (asked, document) of changes without a clear answer
+        self.spans: list[list[Any]] = []  # [kind, subject, from, to or None]
+        self.withdrawn: set[str] = set()
         self.count = 0
 
-    async def persist(self, method, target, document=None, headers=(), seconds=30):
+    async def persist(
+        self, method: str, target: str, document: Any = None, headers: Headers = (), seconds: float = 30
+    ) -> Any:
         """Asks at one front daemon after another until answered other than 429 or 503."""
 
-        async def answered():
+        async def answered() -> Any:
             self.count += 1
             answer = await self.fleet.call(method, target, document, headers, front=self.count)
             return isinstance(answer, http.Response) and answer.status not in (429, 503) and answer
 
         return await self.fleet.until(answered, seconds, f"an answer to {method} {target}")
 
-    async def change(self, document, base=None, manner="merge"):
+    async def change(self, document: Any, base: int | None = None, manner: str = "merge") -> int:
         """One change, sent once; its status."""
         self.count += 1
         reason, asked = f"change {self.count}", time.time()
@@ -48,13 +58,13 @@
             self.maybe.append((asked, document))
         return status
 
-    async def close(self, kind, subject):
+    async def close(self, kind: str, subject: str) -> None:
         """Drains a worker or empties a zone."""
         act = f"/v1/minions/{subject}/drain" if kind == "minion" else f"/v1/areas/{subject}/empty"
         if (await self.persist("POST", act)).status == 200:
             self.spans.append([kind, subject, time.time(), None])
 
-    async def open(self, kind, subject):
+    async def open(self, kind: str, subject: str) -> None:
         """Lets a drained worker in again, or takes a zone back."""
         act = f"/v1/minions/{subject}/undrain" if kind == "minion" else f"/v1/areas/{subject}/take-back"
         begun = time.time()
@@ -63,13 +73,13 @@
             if span[:2] == [kind, subject]:
                 span[3] = begun
 
-    async def withdraw(self, worker, due):
+    async def withdraw(self, worker: str, due: float) -> None:
         """Says that a worker's machine goes at `due`, in seconds since the epoch."""
         await self.persist("POST", f"/v1/minions/{worker}/withdraw", {"due": due})
         self.spans.append(["minion", worker, time.time(), None])
         self.withdrawn.add(worker)
 
-    async def check(self):
+    async def check(self) -> list[str]:
         """Faults in what was acknowledged, as read at every front daemon."""
         histories, documents = [], {}
         for place in range(len(self.fleet.fronts)):
--- a/src/pinepitch/simulation/fleet/forecasts.py
+++ b/src/pinepitch/simulation/fleet/forecasts.py
@@ -4,11 +4,12 @@
 import json
 import tempfile
 import time
+from typing import Any
 
 import curio
 
 from .client_traffic import Traffic
-from .plans import PLANS
+from .plans import PLANS, History
 from .processes import Fleet
 from .results import first_starts
 
@@ -16,7 +17,7 @@
 FORECASTS = (("nkansah", "imaging", 2, 16), ("pinturas", "lab", 1, 16))
 
 
-async def forecast(one, queue, before, after, seconds):
+async def forecast(one: Fleet, queue: str, before: int, after: int, seconds: float) -> dict[str, Any]:
     """A draft from one limit to another is rehearsed and put in force by the emergency way;
     its forecast beside the waits that callers and workers then saw."""
     one.plan.queue_configuration["queues"][queue].update(share=before, limit=before)
@@ -39,23 +40,23 @@
         one.stop()
 
 
-async def _rehearsed(one, version, patch):
+async def _rehearsed(one: Fleet, version: int, patch: dict[str, Any]) -> dict[str, Any]:
     """The measurement of a draft that patches a version."""
     answer = await one.operator.persist("POST", "/v1/drafts", {"base": version, "patch": patch})
     draft = answer.document["draft"]
     await one.operator.persist("POST", f"/v1/drafts/{draft}/rehearse")
 
-    async def measured():
+    async def measured() -> Any:
         answer = await one.operator.persist("GET", f"/v1/drafts/{draft}")
         return answer.document["state"] == "measured" and answer.document["measure"]
 
     return await one.until(measured, 90, "the measurement")
 
 
-def _waits(traffic, worker_history, queue, changed):
+def _waits(traffic: Traffic, worker_history: History, queue: str, changed: float) -> dict[str, list[float]]:
     """Seconds from the acceptance of each job of a queue to its first start, before and after a change."""
     first = first_starts(worker_history)
-    waits = {"before": [], "after": []}
+    waits: dict[str, list[float]] = {"before": [], "after": []}
     for pushed_job, (_, accepted, document) in traffic.caller.accepted.items():
         if document["queue"] == queue:
             waits["before" if accepted < changed else "after"].append(
@@ -64,7 +65,7 @@
     return waits
 
 
-def _comparison(measure, queue, waits):
+def _comparison(measure: dict[str, Any], queue: str, waits: dict[str, list[float]]) -> dict[str, Any]:
     """What was forecast beside what was seen, as printed."""
     line = next(line for line in measure["queues"] if line["queue"] == queue)
     seen = {
@@ -79,7 +80,7 @@
     }
 
 
-def forecasts(seconds=20):
+def forecasts(seconds: float = 20) -> None:
     """Prints, for each deployment, what rehearsal forecast of a good and of a bad draft and
     what was then seen."""
     for plan, queue, narrow, wide in FORECASTS:
--- a/src/pinepitch/simulation/fleet/plans.py
+++ b/src/pinepitch/simulation/fleet/plans.py
@@ -1,6 +1,7 @@
 """Deployments that a fleet of processes is started by."""
 
-from typing import NamedTuple
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 from .. import stand_in_client
 
@@ -8,19 +9,23 @@
 class Plan(NamedTuple):
     """A deployment. Invariants: control daemons, front daemons and workers name zones of the plan."""
 
-    control_daemons: tuple  # zones, one a control daemon
-    fronts: tuple  # zones, one a front daemon
-    workers: tuple  # (prefix, count, capacity, labels, guards)
-    zones: tuple
-    traffic: tuple
-    queue_configuration: dict
+    control_daemons: tuple[str, ...]  # zones, one a control daemon
+    fronts: tuple[str, ...]  # zones, one a front daemon
+    workers: tuple[
+        tuple[str, int, int, tuple[str, ...], bool], ...
+    ]  # (prefix, count, capacity, labels, guards)
+    zones: tuple[str, ...]
+    traffic: tuple[Any, ...]  # as a stand-in client takes it
+    queue_configuration: dict[str, Any]
     founders: int
 
 
-def _queue_settings(share, limit, **more):
+def _queue_settings(share: int, limit: int, **more: Any) -> dict[str, Any]:
     return {"share": share, "limit": limit, **more}
 
 
+Headers = Iterable[tuple[str, str]]
+History = Iterable[tuple[Any, ...]]  # events, each with its kind in the first place
 PLANS = {
     "small": Plan(
         ("a", "b", "c"),
--- a/src/pinepitch/simulation/fleet/processes.py
+++ b/src/pinepitch/simulation/fleet/processes.py
@@ -7,6 +7,8 @@
 import subprocess
 import sys
 import time
+from collections.abc import Awaitable, Callable, Iterable
+from typing import Any
 
 import curio
 
@@ -14,9 +16,10 @@
 from ...common.daemon_settings import split
 from ...transport import http
 from .fleet_operator import FleetOperator
+from .plans import Headers, Plan
 
 
-def free_ports(count):
+def free_ports(count: int) -> list[int]:
     """Ports nobody listens on now."""
     sockets = []
     for _ in range(count):
@@ -33,12 +36,12 @@
     """Invariants: processes holds every process started and not yet reaped, by name; each
     is stopped by its own number."""
 
-    def __init__(self, plan, folder, level="warning", data=None):
+    def __init__(self, plan: Plan, folder: str, level: str = "warning", data: str | None = None) -> None:
         self.plan, self.folder, self.level = plan, folder, level
         self.data = data or folder
-        self.processes = {}
-        self.commands = {}
-        self.absences = []  # [worker, from, to] of being frozen or gone
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.commands: dict[str, tuple[str, ...]] = {}
+        self.absences: list[list[Any]] = []  # [worker, from, to] of being frozen or gone
         self.operator = FleetOperator(self)
         ports = iter(
             free_ports(
@@ -50,7 +53,7 @@
             f"127.0.0.1:{next(ports)}" for _ in plan.control_daemons
         ]  # the control daemons' ports for metrics
         self.fronts = [(zone, f"127.0.0.1:{next(ports)}", f"127.0.0.1:{next(ports)}") for zone in plan.fronts]
-        self.workers = []
+        self.workers: list[list[Any]] = []  # [name, zone, address, capacity, labels, guards]
         for prefix, count, capacity, labels, guards in plan.workers:
             for place in range(count):
                 zone = plan.zones[place % len(plan.zones)]
@@ -60,7 +63,7 @@
         addresses = [one[1] for one in self.control_daemons] + [one[1] for one in self.fronts]
         self.seeds = ",".join(addresses[: constants.SEEDS])
 
-    def start(self, name, *command):
+    def start(self, name: str, *command: str) -> None:
         """Starts a process by a Python command with arguments; its output goes to NAME.log."""
         self.commands[name] = command
         log = open(os.path.join(self.folder, name + ".log"), "ab")
@@ -69,11 +72,11 @@
         )
         log.close()
 
-    def again(self, name):
+    def again(self, name: str) -> None:
         """Starts a process anew with the command it had."""
         self.start(name, *self.commands[name])
 
-    def start_control_daemon(self, place):
+    def start_control_daemon(self, place: int) -> None:
         """Starts the control daemon at that place of the list."""
         zone, address = self.control_daemons[place]
         self.start(
@@ -88,7 +91,7 @@
             *([f"--http={self.own[place]}"] if place < len(self.own) else []),
         )
 
-    def start_front(self, place):
+    def start_front(self, place: int) -> None:
         """Starts the front daemon at that place of the list."""
         zone, address, web = self.fronts[place]
         self.start(
@@ -101,7 +104,7 @@
             f"--level={self.level}",
         )
 
-    def start_all(self):
+    def start_all(self) -> None:
         """Starts all daemons and workers."""
         for place in range(len(self.control_daemons)):
             self.start_control_daemon(place)
@@ -109,13 +112,13 @@
             self.start_front(place)
         self.start_workers()
 
-    def start_workers(self, groups=4):
+    def start_workers(self, groups: int = 4) -> None:
         """The first worker has a process of its own, so that it can be frozen or killed alone."""
         self._start_workers("minions-alone", self.workers[:1])
         for place in range(groups):
             self._start_workers(f"minions{place}", self.workers[1 + place :: groups])
 
-    def _start_workers(self, name, own):
+    def _start_workers(self, name: str, own: list[list[Any]]) -> None:
         if own:
             path = os.path.join(self.folder, f"{name}.json")
             with open(path, "w") as file:
@@ -128,7 +131,7 @@
                 f"--history={os.path.join(self.folder, f'{name}.history')}",
             )
 
-    def lose_worker(self):
+    def lose_worker(self) -> None:
         """Kills the worker that is alone; what it ran is noted as gone for the checks."""
         name, moment = self.workers[0][0], time.time()
         self.kill("minions-alone")
@@ -140,7 +143,7 @@
                     file.write(json.dumps(["gone", moment, name, one[3], one[4], one[5]]) + "\n")
         self.absences.append([name, moment, 1e18])
 
-    def add_control_daemon(self, zone, seeds):
+    def add_control_daemon(self, zone: str, seeds: Iterable[str]) -> int:
         """A further control daemon with an empty folder at a new address; its place."""
         place = len(self.control_daemons)
         self.control_daemons.append((zone, f"127.0.0.1:{free_ports(1)[0]}"))
@@ -148,7 +151,7 @@
         self.start_control_daemon(place)
         return place
 
-    def kill(self, name, number=signal.SIGKILL):
+    def kill(self, name: str, number: int = signal.SIGKILL) -> None:
         """Signals one process by its number; a killed one is reaped."""
         process = self.processes[name]
         process.send_signal(number)
@@ -156,7 +159,7 @@
             process.wait()
             del self.processes[name]
 
-    def stop(self):
+    def stop(self) -> None:
         """Asks all processes to end and kills those that have not within 5 s."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
@@ -170,9 +173,9 @@
                 process.wait()
         self.processes = {}
 
-    def worker_history(self):
+    def worker_history(self) -> list[tuple[Any, ...]]:
         """The events that all workers have written, as tuples."""
-        events = []
+        events: list[tuple[Any, ...]] = []
         for name in sorted(os.listdir(self.folder)):
             if name.endswith(".history"):
                 with open(os.path.join(self.folder, name)) as file:
@@ -180,14 +183,18 @@
         return events
 
     # --- talking to it ----------------------------------------------------------------
-    async def call(self, method, target, document=None, headers=(), front=0):
+    async def call(
+        self, method: str, target: str, document: Any = None, headers: Headers = (), front: int = 0
+    ) -> Any:
         """One HTTP call to a front daemon; its answer, or None after 5 s."""
         client = http.Client(*split(self.fronts[front % len(self.fronts)][2]))
         answer = await curio.ignore_after(5, client.call(method, target, document, headers))
         await client.close()
         return answer
 
-    async def until(self, wanted, seconds=30, what="the condition"):
+    async def until(
+        self, wanted: Callable[[], Awaitable[Any]], seconds: float = 30, what: str = "the condition"
+    ) -> Any:
         """Waits for an awaitable condition to give something true; returns it."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -197,16 +204,16 @@
             await curio.sleep(0.05)
         raise TimeoutError(f"{what} did not come within {seconds} s")
 
-    async def served(self):
+    async def served(self) -> bool:
         """True once any front daemon reads through the leader."""
         answer = await self.call("GET", "/v1/setup", front=time.time_ns())
         return isinstance(answer, http.Response) and answer.status == 200
 
-    async def set_up(self):
+    async def set_up(self) -> None:
         """Puts the plan's queue configuration in force."""
         await self.until(self.served, 60, "service")
 
-        async def put():
+        async def put() -> bool:
             answer = await self.call("PUT", "/v1/setup", self.plan.queue_configuration, (("If-Match", "*"),))
             return isinstance(answer, http.Response) and answer.status == 200
 
--- a/src/pinepitch/simulation/fleet/runs.py
+++ b/src/pinepitch/simulation/fleet/runs.py
@@ -5,6 +5,7 @@
 import sys
 import tempfile
 import time
+from typing import Any
 
 import curio
 
@@ -15,7 +16,15 @@
 from .results import check, summary
 
 
-def fleet(plan="nkansah", seconds=20, rate=1.0, seed=0, folder=None, level="warning", fault=""):
+def fleet(
+    plan: str = "nkansah",
+    seconds: float = 20,
+    rate: float = 1.0,
+    seed: int = 0,
+    folder: str | None = None,
+    level: str = "warning",
+    fault: str = "",
+) -> None:
     """Runs a deployment as processes under its traffic and checks the histories.
 
     Args:
@@ -32,7 +41,9 @@
         sys.exit(1)
 
 
-async def run(one, seconds, rate=1.0, seed=0, fault=""):
+async def run(
+    one: Fleet, seconds: float, rate: float = 1.0, seed: int = 0, fault: str = ""
+) -> dict[str, Any]:
     """One fleet from its start to its checks; what was seen."""
     begun = time.monotonic()
     one.start_all()
@@ -61,7 +72,9 @@
         one.stop()
 
 
-def run_faults(plans="nkansah,pinturas", only="", seconds=12):
+def run_faults(
+    plans: str | list[str] = "nkansah,pinturas", only: str | list[str] = "", seconds: float = 12
+) -> None:
     """Runs every fault of the registry on the plans, one after another, and prints a table.
 
     Args:
