--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -18,22 +18,21 @@
 from pinepitch.common.effects import Reply, Send
 from pinepitch.front.daemon import FrontDaemon
 from pinepitch.model import contract, push_worker, pushed_job, queue_settings
-from pinepitch.runtime.host import Host
+from pinepitch.runtime import order_post
 from pinepitch.simulation.fleet.plans import PLANS
 from pinepitch.simulation.fleet.processes import Fleet
 from pinepitch.simulation.simulator import Simulator
 from pinepitch.state.cluster_state import ClusterState
 from pinepitch.transport import framing, http
 
-PACKAGES = {"accord": "control", "verge": "front"}  # of each program
 GOOD = {
-    "accord": {
+    "control": {
         "address": "127.0.0.1:7000",
         "area": "a",
         "data": "unused",
         "seeds": "127.0.0.1:1,127.0.0.1:2,127.0.0.1:3",
     },
-    "verge": {
+    "front": {
         "address": "127.0.0.1:7000",
         "http": "127.0.0.1:7001",
         "area": "a",
@@ -49,7 +48,7 @@
 }
 
 
-@when("{program} is started with {fault}")
+@when("`pinepitch {program}` is started with {fault}")
 def step_start(context, program, fault):
     settings = {**GOOD[program], **BENT[fault]}
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
@@ -61,7 +60,8 @@
             [
                 sys.executable,
                 "-c",
-                f"from pinepitch.{PACKAGES[program]}.program import main; main()",
+                "from pinepitch.cli.program import main; main()",
+                program,
                 f"--settings={file.name}",
             ],
             capture_output=True,
@@ -454,11 +454,11 @@
                     pass
 
         side = await curio.spawn(worker_side)
-        host = Host(None, "127.0.0.1:1", None)
+        inbox = curio.Queue()
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        await host._post_one(("t1/s", 1), address, "/v1/orders", {"task": "t1/s"})
+        await order_post.post(inbox, ("t1/s", 1), address, "/v1/orders", {"task": "t1/s"})
         await side.cancel()
-        return await host.inbox.get()
+        return await inbox.get()
 
     context.posted = curio.run(answered)
 
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -22,9 +22,9 @@
 from pinepitch.consensus.roles import Role
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.front.daemon import FrontDaemon
-from pinepitch.runtime.host import Link
 from pinepitch.simulation import outage
 from pinepitch.storage.folder_lock import FolderLock
+from pinepitch.transport.link import Link
 
 MEMBERS = {"a": "north", "b": "south", "c": "west"}
 WATCHED = 3.0  # seconds from the last start
@@ -182,7 +182,7 @@
             "-c",
             "from pinepitch.control.program import main; main()",
             "--address=127.0.0.1:1",
-            "--area=a",
+            "--zone=a",
             f"--data={context.folder}",
             "--seeds=127.0.0.1:1,127.0.0.1:2,127.0.0.1:3",
         ],
--- a/src/pinepitch/simulation/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -141,7 +141,7 @@
     def digest(self):
         """What the cluster state would remember it by."""
         plain = json.loads(json.dumps(self.arguments))
-        return requests.CALLS[self.call](None, "", plain, 0.0)[1][-1]
+        return requests.CALLS[self.call](None, "", plain, 0.0).operation[-1]
 
     def statuses(self):
         """The statuses that it was answered with."""
