--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -88,22 +88,18 @@
         self.absent_since = {}  # name -> since when
         self.loss, self.delay, self.double = LOSS, 0.002, 0.0
         self.lag = {}  # name -> seconds that a slow machine takes longer for whatever it does
-        self.link_rates = None  # a Ways where the bytes that a link carries are bounded
+        self.link_rates = None  # a LinkRates where the bytes that a link carries are bounded
         self.founders, self.mode = founders, mode
         self.kinds = {"accord": ControlDaemon, "verge": FrontDaemon, "minion": StandInWorker, **(kinds or {})}
-        self.worker_history, self.operator_history, self.trace = [], [], []
+        self.worker_history, self.trace = [], []
         self.requests, self.request_count = {}, 0
         self.callers = {}
         self.counts = collections.Counter()
         self.leaders = {}  # term -> identity, for the check that there is one
-        self.committed = {}  # index -> digest, for the check that all agree
         self.queue_configuration = queue_configuration or copy.deepcopy(QUEUE_CONFIGURATION)
         self._add_daemons(control_daemons, fronts)
         self.seeds = [one.address for one in list(self.nodes.values())[: constants.SEEDS]]
         self._add_workers(workers, zones)
-        self.capacities = {
-            name: node.core.capacity for name, node in self.nodes.items() if node.kind == "minion"
-        }
         for node in list(self.nodes.values()):
             if node.kind != "minion":
                 self.start(node.name)
@@ -131,6 +127,9 @@
                     self.worker_history,
                 )
                 self.at(self.draw.random() * 0.1, "tick", node.name, node.incarnation)
+        self.capacities = {
+            name: node.core.capacity for name, node in self.nodes.items() if node.kind == "minion"
+        }
 
     # --- the world --------------------------------------------------------------------
     def add(self, name, kind, zone):
