--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -246,7 +246,7 @@
         if self.load.waiting:  # each worker runs one task that takes all of it, and the rest wait
             for place in range(2):
                 await self.submit(("held", "bare")[place], (self.load.workers + 1 - place) // 2, LONG, 4000)
-            await self.until_taken(
+            await self.until(
                 lambda: sum(len(one.running) for one in self.workers) >= self.load.workers, "full workers"
             )
         for place in range(self.load.waiting // JOB_TASKS):
@@ -257,7 +257,7 @@
                 await self.submit("held", 1, LONG, 9000) for _ in range(BATCH)
             ]  # more than any worker has
             for name in names:
-                await self.until_taken(
+                await self.until(
                     lambda name=name: self.jobs[name]["accepted"] is not None, f"the answer to job {name}"
                 )
             over = []
@@ -267,11 +267,11 @@
                     (limits.HOST, f"/held/{name}"),
                     lambda status, answer, over=over: over.append(status),
                 )
-            await self.until_taken(
+            await self.until(
                 lambda names=names, over=over: len(over) == len(names), "the answers to cancels"
             )
 
-    async def until_taken(self, wanted, what):
+    async def until(self, wanted, what):
         """Waits for something that a fill can't do without."""
         end = time.monotonic() + PLACED_WITHIN
         while not wanted():
