--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -1,14 +1,24 @@
-"""Where the waiting waves go: one round over what is ready and who has room."""
+"""Which worker gets which waiting task: one assigning round over the ready waves and the candidates.
+
+The rules and what was weighed for them: docs/design/sharing.md.
+"""
 
 import heapq
+from collections.abc import Sequence
+from typing import Any
 
 from ..common import constants
 from . import policy as policies
 from .budgets import CapacityBudgets
-from .candidate_workers import candidate_workers
-from .idle_capacity import IdleCapacityCheck
-from .reservations import Reservations
-from .resources import RESOURCE_KINDS, less, tasks_in
+from .candidate_workers import CandidateWorker, StepKey, candidate_workers
+from .idle_capacity import IdleCapacityCheck, Violation
+from .leased_job import Step, Wave, WaveKey
+from .leased_job_state import LeasedJobState, WaveAssignment
+from .reservations import PendingStops, Reservations
+from .resources import RESOURCE_KINDS, Amount, Resources, less, tasks_in
+from .run_speed import Pace
+from .run_stop import StopItem
+from .worker import Worker
 
 # Why a round left tasks waiting, as operators are told it.
 REASON_NO_WORKER = "no minion"
@@ -16,24 +26,42 @@
 REASON_CAPACITY_KEPT = "room is kept for other work"
 REASON_OVER_BUDGET = "held back for other work"
 
+# (index of a task, identity of the worker that it is placed on) for some tasks of a wave.
+Group = list[tuple[int, str]]
+# A candidate in a heap: (score, place among the candidates, candidate); the least score first.
+RankedCandidate = tuple[tuple[Any, ...], int, CandidateWorker]
+
 
 class Assigner:
-    """Invariant: a round gives no seat more than its free room, and a gang all its seats or none."""
+    """Decides one round at a time. Where work goes is a guess of the leader's; whether it may run is decided
+    by LeasedJobState.assign, from the log.
+
+    Invariant: a round gives no candidate more than its free capacity, and places a gang whole or not at
+    all."""
 
-    def __init__(self, pace, policy=policies.DEFAULT):
+    def __init__(self, pace: Pace, policy: policies.Policy = policies.DEFAULT) -> None:
         self.pace, self.policy = pace, policy
-        self.short = {}  # key of a wave -> since when it found no room
-        self.kept_since = {}  # service -> since when some of its seats are kept without a break
-        self.exhausted = set()  # what waves ask of a seat that no seat has left in this round
+        self.short: dict[WaveKey, float] = {}  # key of a wave -> since when it found no capacity
+        # service -> since when some of its candidates are kept without a break
+        self.kept_since: dict[str, float] = {}
+        # what waves ask of a candidate that no candidate has left in this round
+        self.exhausted: set[tuple[Any, ...]] = set()
         self.idle_capacity = IdleCapacityCheck()
-        self.violations = ()  # of the newest round
-        self.near = {}  # rack -> tasks of this round that want to be there
+        self.violations: tuple[Violation, ...] = ()  # of the newest round
+        self.near: dict[str, int] = {}  # rack -> tasks of this round that want to be there
         self.budgets = CapacityBudgets(pace, policy)
-        self.hot_at = None
-        self.hot = {}  # rack -> work of late that wanted to be there
-        self.why = {}  # key of a wave -> why the newest round left some of it
+        self.hot_at: float | None = None
+        self.hot: dict[str, float] = {}  # rack -> work of late that wanted to be there
+        self.why: dict[WaveKey, str] = {}  # key of a wave -> why the newest round left some of it
 
-    def round(self, leased_jobs, workers, assignments, now, time):
+    def round(
+        self,
+        leased_jobs: LeasedJobState,
+        workers: dict[str, Worker],
+        assignments: PendingStops,
+        now: float,
+        time: float,
+    ) -> tuple[tuple[WaveAssignment, ...], tuple[StopItem, ...]]:
         """Places what is due. Returns (assign items, stop items): those of the operations "job-assign" and
         "job-stop". `now` is the daemon's clock, `time` that of the cluster state, both in seconds."""
         self.budgets.learn(leased_jobs, now)
@@ -56,9 +84,16 @@
         self._forget_short(leased_jobs)
         if complete:
             self._check(leased_jobs, candidates, reservations, items, now)
-        return tuple(items), tuple(stops)
+        return tuple(items), tuple(stop.plain() for stop in stops)
 
-    def _place_waves(self, waves, candidates, reservations, now, time):
+    def _place_waves(
+        self,
+        waves: list[Wave],
+        candidates: dict[str, list[CandidateWorker]],
+        reservations: Reservations,
+        now: float,
+        time: float,
+    ) -> tuple[list[WaveAssignment], bool]:
         """(assign items, whether every wave was looked at): a round places about MAX_ASSIGNED_TASKS."""
         items, count = [], 0
         for wave in waves:
@@ -72,16 +107,18 @@
             if group:
                 count += len(group)
                 items.append((wave.job.identity, wave.time, wave.number, tuple(group)))
-            self._note_short(wave, len(group), reservations, now)
+            self._remember_short(wave, len(group), reservations, now)
         return items, count < constants.MAX_ASSIGNED_TASKS
 
-    def _group_for(self, wave, candidates, reservations, time):
+    def _group_for(
+        self, wave: Wave, candidates: Sequence[CandidateWorker], reservations: Reservations, time: float
+    ) -> Group:
         """[(index, worker)] for the tasks of a wave that find a worker."""
         if wave.step.gang:
             return self._gang(wave, candidates, wave.key() in reservations.kept, time)
         return self._single(wave, candidates, reservations.kept.get(wave.key(), ()), time)
 
-    def _note_short(self, wave, placed, reservations, now):
+    def _remember_short(self, wave: Wave, placed: int, reservations: Reservations, now: float) -> None:
         """Remembers since when, and why, a wave of which so many tasks were placed is short of capacity."""
         if placed < len(wave.waiting):
             self.short.setdefault(wave.key(), now)
@@ -89,13 +126,20 @@
         else:
             self.short.pop(wave.key(), None)
 
-    def _forget_short(self, leased_jobs):
+    def _forget_short(self, leased_jobs: LeasedJobState) -> None:
         """Drops the waves of which nothing is ready any more."""
         for key in [key for key in self.short if key not in leased_jobs.ready]:
             del self.short[key]
 
-    def _check(self, leased_jobs, candidates, reservations, items, now):
-        """Looks whether a whole round left work beside idle room."""
+    def _check(
+        self,
+        leased_jobs: LeasedJobState,
+        candidates: dict[str, list[CandidateWorker]],
+        reservations: Reservations,
+        items: list[WaveAssignment],
+        now: float,
+    ) -> None:
+        """Looks whether a whole round left work beside idle capacity."""
         kept = {key: (leased_jobs.ready[key], mine) for key, mine in reservations.kept.items()}
         placed = {item[:3]: len(item[3]) for item in items}
         self.violations = (
@@ -103,8 +147,8 @@
             *self.idle_capacity.look(leased_jobs, candidates, self.short, now),
         )
 
-    def _rank(self, wave):
-        """The more urgent first, then what is due sooner: a step wider than a part of its service's room
+    def _rank(self, wave: Wave) -> tuple[int, float, str]:
+        """The more urgent first, then what is due sooner: a step wider than a part of its service's capacity
         is expected to take several turns of it."""
         job, step = wave.job, wave.step
         begun = wave.due if job.times else job.accepted
@@ -117,23 +161,24 @@
         )
         return (job.priority, begun + time_allowed, job.identity)
 
-    def _largest_share(self, step, total):
-        """The part of a service's room that one task of a step takes, of the resource it takes most of."""
+    def _largest_share(self, step: Step, total: Resources | None) -> float:
+        """The part of a service's capacity that one task of a step takes, of the resource it takes most
+        of."""
         if total is None:
             return 0.0
         return max(
             (step.resources[kind] / total[kind] for kind in RESOURCE_KINDS if total[kind]), default=0.0
         )
 
-    def _forget_hot(self, now):
+    def _forget_hot(self, now: float) -> None:
         """What racks were wanted for counts less with time."""
         passed = 0 if self.hot_at is None else now - self.hot_at
         self.hot_at, left = now, 0.5 ** (passed / constants.PEAK_HALF)
         for rack in self.hot:
             self.hot[rack] *= left
 
-    def _score(self, wave, candidate):
-        """The better the lower: near its data, then where it leaves least room over."""
+    def _score(self, wave: Wave, candidate: CandidateWorker) -> tuple[Any, ...]:
+        """The better the lower: near its data, then where it leaves least capacity over."""
         step = wave.step
         far = self.policy.prefer_near and bool(step.near) and step.near not in candidate.labels
         left = less(candidate.free, step.resources)
@@ -153,9 +198,11 @@
             candidate.identity,
         )
 
-    def _single(self, wave, candidates, kept, time):
-        """[(index, worker)] for tasks of a wave that is no gang: on the seats kept for it, and on others as
-        far as its budget goes."""
+    def _single(
+        self, wave: Wave, candidates: Sequence[CandidateWorker], kept: Sequence[CandidateWorker], time: float
+    ) -> Group:
+        """[(index, worker)] for tasks of a wave that is no gang: on the candidates kept for it, and on
+        others as far as its budget goes."""
         step, waiting = wave.step, sorted(wave.waiting)
         patience = self._patience(wave, candidates, time) if step.near and self.policy.wait_near else 0
         if step.near:
@@ -172,12 +219,14 @@
         if len(more) == patient:
             more += self._take_anywhere(wave, candidates, waiting[patient:allowed])
         if len(more) < allowed:
-            self.why.pop(wave.key(), None)  # what lacked was room
+            self.why.pop(wave.key(), None)  # what lacked was capacity
         self.budgets.charge(wave, len(more))
         return group + more
 
-    def _take_anywhere(self, wave, candidates, indices):
-        """As _take, on all seats; waves like one that found too few of them are not tried again."""
+    def _take_anywhere(
+        self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int]
+    ) -> Group:
+        """As _take, of all candidates; waves like one that found too few of them are not tried again."""
         step = wave.step
         alike = (
             wave.job.service,
@@ -193,10 +242,10 @@
             self.exhausted.add(alike)
         return group
 
-    def _take(self, wave, candidates, indices):
-        """[(index, worker)] for the first of some tasks, as many as find a seat."""
+    def _take(self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int]) -> Group:
+        """[(index, worker)] for the first of some tasks, as many as find a candidate."""
         group = []
-        order = self._order(wave, candidates) if indices else ()
+        order = self._order(wave, candidates) if indices else []
         for index in indices:
             candidate = self._next(wave, order)
             if candidate is None:
@@ -204,15 +253,15 @@
             group.append((index, candidate.identity))
         return group
 
-    def _why_left(self, wave, reservations):
-        """Why some of a wave found no seat."""
+    def _why_left(self, wave: Wave, reservations: Reservations) -> str:
+        """Why some of a wave found no candidate."""
         for key, candidates in reservations.kept.items():
             if key != wave.key() and any(candidate.can_run(wave) for candidate in candidates):
                 return REASON_CAPACITY_KEPT
         return REASON_NO_CAPACITY
 
-    def _order(self, wave, candidates):
-        """The seats that a wave's task may take, as a heap, the best first."""
+    def _order(self, wave: Wave, candidates: Sequence[CandidateWorker]) -> list[RankedCandidate]:
+        """The candidates that a wave's task may take, as a heap, the best first."""
         order = [
             (self._score(wave, candidate), place, candidate)
             for place, candidate in enumerate(candidates)
@@ -221,8 +270,8 @@
         heapq.heapify(order)
         return order
 
-    def _next(self, wave, order):
-        """The best seat, taken for one task, or None. Only the score of the seat taken changes."""
+    def _next(self, wave: Wave, order: list[RankedCandidate]) -> CandidateWorker | None:
+        """The best candidate, taken for one task, or None. Only the score of the candidate taken changes."""
         if not order:
             return None
         _, place, candidate = order[0]
@@ -233,8 +282,8 @@
             heapq.heappop(order)
         return candidate
 
-    def _patience(self, wave, candidates, time):
-        """How many of a wave's tasks had better wait for room near their data than start far away:
+    def _patience(self, wave: Wave, candidates: Sequence[CandidateWorker], time: float) -> int:
+        """How many of a wave's tasks had better wait for capacity near their data than start far away:
         those that would be done there sooner, if what stands before them takes as long as they do."""
         length = self.pace.expected(wave)
         if time - wave.since > min((self.pace.far - 1) * length, constants.MAX_NEAR_WAIT):
@@ -248,17 +297,17 @@
         self.near[wave.step.near] = ahead + len(wave.waiting)
         return max(0, int(turns * constants.NEAR_PART * (self.pace.far - 1)) - ahead)
 
-    def _gang(self, wave, candidates, kept, time):
-        """Seats for all members, in one rack where the step asks for that and it may be had. Where none are
-        kept for it, a gang leaves free what less urgent work is guaranteed."""
+    def _gang(self, wave: Wave, candidates: Sequence[CandidateWorker], kept: bool, time: float) -> Group:
+        """Places all members of a gang, in one rack where the step asks for that and it may be had. Where
+        none are kept for it, a gang leaves free what less urgent work is guaranteed."""
         step = wave.step
         if not kept and self.budgets.beside_claims(wave, len(wave.waiting)) < len(wave.waiting):
             self.why[wave.key()] = REASON_OVER_BUDGET
             return []
-        racks = {}
+        racks: dict[str, list[CandidateWorker]] = {}
         for candidate in candidates:
             racks.setdefault(candidate.rack, []).append(candidate)
-        tries = []
+        tries: list[Sequence[CandidateWorker]] = []
         tight = step.tight and self.policy.gang_in_one_rack
         if tight:
             tries = sorted(racks.values(), key=lambda one: sum(candidate.free[0] for candidate in one))
@@ -271,17 +320,18 @@
                 return group
         return []
 
-    def _fill(self, wave, candidates):
-        """One seat for each member among `seats`, or None with all as it was."""
-        order, before, group = self._order(wave, candidates), {}, []
+    def _fill(self, wave: Wave, candidates: Sequence[CandidateWorker]) -> Group | None:
+        """A candidate for each member of a gang, or None with all as it was."""
+        order, group = self._order(wave, candidates), []
+        before: dict[str, tuple[CandidateWorker, Amount, dict[StepKey, int]]] = {}
         for index in sorted(wave.waiting):
             if order:
-                candidate = order[0][2]
-                before.setdefault(candidate.identity, (candidate, candidate.free, dict(candidate.steps)))
+                best = order[0][2]
+                before.setdefault(best.identity, (best, best.free, dict(best.steps)))
             candidate = self._next(wave, order)
             if candidate is None:
-                for candidate, free, steps in before.values():
-                    candidate.free, candidate.steps = free, steps
+                for used, free, steps in before.values():
+                    used.free, used.steps = free, steps
                 return None
             group.append((index, candidate.identity))
         return group
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -1,45 +1,55 @@
-"""How much of a service's room work of one urgency may take, so that more urgent work finds room
+"""How much of a service's capacity work of one urgency may take, so that more urgent work finds capacity
 when it comes."""
 
 import math
+from typing import Any
 
 from ..common import constants
 from . import policy as policies
-from .resources import NO_RESOURCES, RESOURCE_KINDS, less, more, tasks_in, times
+from .candidate_workers import CandidateWorker
+from .leased_job import Wave
+from .leased_job_state import LeasedJobState
+from .plain_types import Document
+from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Level, Resources, less, more, tasks_in, times
+from .run_speed import Pace
 
 
-def slack(latency_target_ms, stretch, length):
+def slack(latency_target_ms: float, stretch: float, length: float) -> float:
     """Seconds that work of so many seconds can lose and still be in time by its queue's terms."""
     return latency_target_ms / 1000 + (stretch - 1) * length
 
 
 class CapacityBudgets:
-    """How much room waves may still take in the round under way.
+    """How much capacity waves may still take in the round under way.
 
-    Room is held back for more urgent work by what it took at most of late, from work that would keep the
-    room for longer than the urgent work can wait. What is sooner done than that holds nobody up.
+    Capacity is held back for more urgent work by what it took at most of late, from work that would keep the
+    capacity for longer than the urgent work can wait. What is sooner done than that holds nobody up.
 
     And each urgency with work that has waited for as long as it well can is guaranteed
-    MIN_GUARANTEED_SHARE of a service's room, and one task in any case: more urgent work leaves free
+    MIN_GUARANTEED_SHARE of a service's capacity, and one task in any case: more urgent work leaves free
     what it lacks of that, and makes nothing of it yield. Only work that some worker could
     take has such a claim.
 
     Invariants: a budget is charged for what a round places, never for what waves ask for, so that
-    a wave that finds no seat takes nothing from those behind it; a budget that is not used up admits
+    a wave that finds no candidate takes nothing from those behind it; a budget that is not used up admits
     one more task, however large."""
 
-    def __init__(self, pace, policy=policies.DEFAULT):
+    def __init__(self, pace: Pace, policy: policies.Policy = policies.DEFAULT) -> None:
         self.pace, self.policy = pace, policy
-        self.peaks = {}  # (service, priority) -> the most room it used of late
-        self.learnt_at = None
-        self.total_capacity = {}  # service -> room of all its seats
-        self.used = {}  # (service, priority) -> room that its work takes, by this round's placements too
-        self.waits = {}  # (service, priority) -> seconds that its work can well wait for room
-        self.claims = {}  # (service, priority) -> room that more urgent work leaves to it
-        self.sums = {}  # (service, priority) -> room of work as urgent and less; made anew after a charge
-
-    def learn(self, leased_jobs, now):
-        """How much room the work of each urgency took at most of late."""
+        self.peaks: dict[Level, list[float]] = {}  # (service, priority) -> the most capacity it used of late
+        self.learnt_at: float | None = None
+        self.total_capacity: dict[str, list[float]] = {}  # service -> capacity of all its candidates
+        # (service, priority) -> capacity that its work takes, by this round's placements too
+        self.used: dict[Level, Amount] = {}
+        # (service, priority) -> seconds that its work can well wait for capacity
+        self.waits: dict[Level, float] = {}
+        # (service, priority) -> capacity that more urgent work leaves to it
+        self.claims: dict[Level, Resources] = {}
+        # (service, priority) -> capacity of work as urgent and less; made anew after a charge
+        self.sums: dict[Level, Resources] = {}
+
+    def learn(self, leased_jobs: LeasedJobState, now: float) -> None:
+        """How much capacity the work of each urgency took at most of late."""
         passed = 0 if self.learnt_at is None else now - self.learnt_at
         self.learnt_at, left = now, 0.5 ** (passed / constants.PEAK_HALF)
         for key in {*leased_jobs.used, *self.peaks}:
@@ -47,8 +57,14 @@
             before = self.peaks.get(key, NO_RESOURCES)
             self.peaks[key] = [max(one, other * left) for one, other in zip(used, before, strict=True)]
 
-    def open(self, leased_jobs, candidates, waves, time):
-        """Begins a round: seats by service, and the waves that wait at a record time."""
+    def open(
+        self,
+        leased_jobs: LeasedJobState,
+        candidates: dict[str, list[CandidateWorker]],
+        waves: list[Wave],
+        time: float,
+    ) -> None:
+        """Begins a round: candidates by service, and the waves that wait at a time of the cluster state."""
         self.total_capacity = {
             service: [sum(candidate.worker.capacity[kind] for candidate in mine) for kind in RESOURCE_KINDS]
             for service, mine in candidates.items()
@@ -58,10 +74,13 @@
         self.waits = self._waits(leased_jobs.configuration.routes)
         self.claims = self._claims(candidates, waves, time)
 
-    def _used_of(self, leased_jobs, candidates):
-        """(service, priority) -> room that its work takes of these seats. What runs on workers that get no
-        work now, being silent or closed, takes nothing of the room that is shared out."""
-        used = {key: tuple(taken) for key, taken in leased_jobs.used.items()}
+    def _used_of(
+        self, leased_jobs: LeasedJobState, candidates: dict[str, list[CandidateWorker]]
+    ) -> dict[Level, Amount]:
+        """(service, priority) -> capacity that its work takes of these candidates. What runs on workers
+        that get no work now, being unresponsive or closed, takes nothing of the capacity that is shared
+        out."""
+        used = {key: more(taken, NO_RESOURCES) for key, taken in leased_jobs.used.items()}
         shared = {candidate.identity for mine in candidates.values() for candidate in mine}
         for identity in leased_jobs.placements.keys() - shared:
             for placement in leased_jobs.placements[identity].values():
@@ -69,16 +88,19 @@
                 used[key] = less(used[key], placement.resources)
         return used
 
-    def guaranteed(self, service):
-        """Room of a service that each urgency with work that waits has a right to."""
+    def guaranteed(self, service: str) -> list[float]:
+        """Capacity of a service that each urgency with work that waits has a right to."""
         return [
             resources * constants.MIN_GUARANTEED_SHARE
             for resources in self.total_capacity.get(service, NO_RESOURCES)
         ]
 
-    def _claims(self, candidates, waves, time):
-        """(service, priority) -> what an urgency lacks of its guaranteed room and has long waited for."""
-        claims, able = {}, {}
+    def _claims(
+        self, candidates: dict[str, list[CandidateWorker]], waves: list[Wave], time: float
+    ) -> dict[Level, Resources]:
+        """(service, priority) -> what an urgency lacks of its guaranteed capacity and has long waited for."""
+        claims: dict[Level, Resources] = {}
+        able: dict[tuple[Any, ...], bool] = {}
         if not self.policy.guarantee_shares:
             return claims
         for wave in waves:
@@ -99,7 +121,7 @@
                 claims[key] = self._claimed(key, wave, claims.get(key, NO_RESOURCES))
         return claims
 
-    def _claimed(self, key, wave, claimed):
+    def _claimed(self, key: Level, wave: Wave, claimed: Resources) -> Amount:
         """The claim of an urgency that claims so much already, with one more wave that waits."""
         had = more(claimed, self.used.get(key, NO_RESOURCES))
         count = tasks_in(less(self.guaranteed(key[0]), had), wave.step.resources)
@@ -108,15 +130,15 @@
         waiting = len(wave.waiting)
         return more(claimed, times(wave.step.resources, waiting if count is None else min(waiting, count)))
 
-    def _patience(self, wave):
-        """Seconds that a wave can wait for room and still be in time."""
+    def _patience(self, wave: Wave) -> float:
+        """Seconds that a wave can wait for capacity and still be in time."""
         job = wave.job
         return constants.WAIT_PART * slack(job.latency_target_ms, job.stretch, self.pace.expected(wave))
 
-    def _waits(self, routes):
-        """(service, priority) -> seconds that work of each urgency can wait for room and still be in time,
-        by the queue that can wait least. A part of its slack: what its aim leaves beyond its length."""
-        waits = {}
+    def _waits(self, routes: dict[str, Document]) -> dict[Level, float]:
+        """(service, priority) -> seconds that work of each urgency can wait for capacity and still be in
+        time, by the queue that can wait least. A part of its slack."""
+        waits: dict[Level, float] = {}
         for queue, length in self.pace.lengths.items():
             route = routes.get(queue)
             if route is None:
@@ -126,10 +148,10 @@
             waits[key] = min(waits.get(key, math.inf), wait)
         return waits
 
-    def left_by_less_urgent(self, wave):
-        """Room that a wave may take without taking what less urgent work is guaranteed."""
+    def left_by_less_urgent(self, wave: Wave) -> Resources:
+        """Capacity that a wave may take without taking what less urgent work is guaranteed."""
         service, priority = wave.job.service, wave.job.priority
-        left = self.total_capacity[service]
+        left: Resources = self.total_capacity[service]
         for (name, _), used in self.used.items():
             if name == service:
                 left = less(left, used)
@@ -138,16 +160,17 @@
                 left = less(left, claim)
         return left
 
-    def left(self, wave):
-        """Room that a wave may still take: all but what is held back for more urgent work and what work as
-        urgent as the wave, and less urgent work, takes; these may have BUDGET_PART of all room between
-        them, whatever is held back. Gangs are not bound: they hold all they need at once, and waiting
-        costs them most."""
+    def left(self, wave: Wave) -> Amount:
+        """Capacity that a wave may still take: all but what is held back for more urgent work and what
+        work as urgent as the wave, and less urgent work, takes; these may have BUDGET_PART of all
+        capacity between them, whatever is held back. Gangs are not bound: they hold all they need at
+        once, and waiting costs them most."""
         return less(self._cap(wave), self._taken(wave))
 
-    def _cap(self, wave):
-        """Room that work as urgent as a wave, and less urgent work, may take together."""
-        service, lasts, reserved = wave.job.service, self._lasts(wave), NO_RESOURCES
+    def _cap(self, wave: Wave) -> Resources:
+        """Capacity that work as urgent as a wave, and less urgent work, may take together."""
+        service, lasts = wave.job.service, self._lasts(wave)
+        reserved: Resources = NO_RESOURCES
         if not self.policy.reserve_for_urgent:
             return self.total_capacity[service]
         for key, peak in self.peaks.items():
@@ -160,32 +183,32 @@
             for resources, one in zip(total, reserved, strict=True)
         ]
 
-    def _lasts(self, wave):
-        """Seconds that a task of a wave is likely to keep its room."""
+    def _lasts(self, wave: Wave) -> float:
+        """Seconds that a task of a wave is likely to keep its capacity."""
         if wave.step.lasts:
             return math.inf
         return self.pace.expected(wave) * (self.pace.far if wave.step.near else 1)
 
-    def _taken(self, wave):
-        """Room that work as urgent as a wave, and less urgent work, takes by now."""
+    def _taken(self, wave: Wave) -> Resources:
+        """Capacity that work as urgent as a wave, and less urgent work, takes by now."""
         key = (wave.job.service, wave.job.priority)
         if key not in self.sums:
-            taken = NO_RESOURCES
+            taken: Resources = NO_RESOURCES
             for (service, priority), used in self.used.items():
                 if service == key[0] and priority >= key[1]:
                     taken = more(taken, used)
             self.sums[key] = taken
         return self.sums[key]
 
-    def allowance(self, wave, wanted):
+    def allowance(self, wave: Wave, wanted: int) -> int:
         """How many of `wanted` tasks a wave may be given."""
         left, resources = self.left(wave), wave.step.resources
         admitted = (
             math.ceil(max(0, left[kind]) / resources[kind]) for kind in RESOURCE_KINDS if resources[kind]
         )
-        return min((wanted, self.beside_claims(wave, wanted), *admitted))
+        return min(wanted, self.beside_claims(wave, wanted), *admitted)
 
-    def beside_claims(self, wave, wanted):
+    def beside_claims(self, wave: Wave, wanted: int) -> int:
         """How many of `wanted` tasks of a wave leave free what less urgent work is guaranteed."""
         service, priority = wave.job.service, wave.job.priority
         if not any(name == service and level > priority for name, level in self.claims):
@@ -193,16 +216,17 @@
         count = tasks_in(self.left_by_less_urgent(wave), wave.step.resources)
         return wanted if count is None else min(wanted, count)
 
-    def charge(self, wave, count):
+    def charge(self, wave: Wave, count: int) -> None:
         """So many tasks of a wave were placed."""
         key = (wave.job.service, wave.job.priority)
         self.used[key] = more(self.used.get(key, NO_RESOURCES), times(wave.step.resources, count))
         self.sums.clear()
 
-    def keepable(self, wave, kept):
-        """For how many tasks of a wave room may be kept beside the room `kept` for waves as urgent: no
-        more than it may use, and not what less urgent work is guaranteed. A gang, which needs all its
-        room at once, is not asked what else of its urgency runs, unless less urgent work lacks room now."""
+    def keepable(self, wave: Wave, kept: Resources) -> int:
+        """For how many tasks of a wave capacity may be kept beside the capacity `kept` for waves as
+        urgent: no more than it may use, and not what less urgent work is guaranteed. A gang, which needs
+        all its capacity at once, is not asked what else of its urgency runs, unless less urgent work
+        lacks capacity now."""
         service, priority = wave.job.service, wave.job.priority
         claims = [
             resources
@@ -217,11 +241,11 @@
         most = tasks_in(less(allowed, own), wave.step.resources)
         return len(wave.waiting) if most is None else most
 
-    def _below(self, used, cap, resources):
-        """Whether less than a cap is used of all that a room takes."""
+    def _below(self, used: Resources, cap: Resources, resources: Resources) -> bool:
+        """Whether less than a cap is used of all that a capacity takes."""
         return all(used[kind] < cap[kind] for kind in RESOURCE_KINDS if resources[kind])
 
-    def is_guaranteed(self, key):
-        """Whether all the room that a (service, priority) takes is guaranteed to it."""
+    def is_guaranteed(self, key: Level) -> bool:
+        """Whether all the capacity that a (service, priority) takes is guaranteed to it."""
         used, right = self.used.get(key, NO_RESOURCES), self.guaranteed(key[0])
         return all(one <= other for one, other in zip(used, right, strict=True))
--- a/src/pinepitch/scheduling/candidate_workers.py
+++ b/src/pinepitch/scheduling/candidate_workers.py
@@ -1,28 +1,36 @@
-"""A worker as one assigning round sees it."""
+"""The candidates of one assigning round: the workers that may get new work, and what they have free."""
+
+from collections.abc import Sequence
 
 from ..common import constants
-from .resources import NO_RESOURCES, RESOURCE_KINDS, less, tasks_in
+from .leased_job import Step, Wave
+from .leased_job_state import LeasedJobState
+from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, less, tasks_in
+from .worker import READY, Worker
+
+# A step, whatever its time: (identity of the job, number of the step).
+StepKey = tuple[str, int]
 
 
 class CandidateWorker:
-    """A worker that may get work in this round. Invariant: free is its room less that of every
+    """A worker that may get work in this round. Invariant: free is its capacity less that of every
     placement there whose end is not proven, started or not."""
 
     __slots__ = ("worker", "identity", "service", "labels", "rack", "free", "steps", "unreliable", "kept")
 
-    def __init__(self, worker, free, steps, unreliable):
+    def __init__(self, worker: Worker, free: Amount, steps: dict[StepKey, int], unreliable: bool) -> None:
         self.worker, self.identity, self.service = worker, worker.identity, worker.service
         self.labels, self.rack = worker.labels, worker.rack
         self.free, self.steps, self.unreliable = free, steps, unreliable
-        self.kept = None  # the wave that its room is kept for
+        self.kept: Wave | None = None  # the wave that its capacity is kept for
 
-    def has_free(self, resources):
-        """Whether one task of this room fits into what is free."""
+    def has_free(self, resources: Resources) -> bool:
+        """Whether one task of this capacity fits into what is free."""
         free = self.free
         return resources[0] <= free[0] and resources[1] <= free[1] and resources[2] <= free[2]
 
-    def can_run(self, wave):
-        """Whether one more task of a wave could run here, whomever the room is kept for."""
+    def can_run(self, wave: Wave) -> bool:
+        """Whether one more task of a wave could run here, whomever the capacity is kept for."""
         step = wave.step
         return (
             self.service == wave.job.service
@@ -31,8 +39,8 @@
             and (not step.apart or self.steps.get((wave.job.identity, wave.number), 0) < step.apart)
         )
 
-    def free_members(self, wave):
-        """How many more tasks of a wave could run here now, whomever the room is kept for."""
+    def free_members(self, wave: Wave) -> int:
+        """How many more tasks of a wave could run here now, whomever the capacity is kept for."""
         if not self.can_run(wave):
             return 0
         step, count = wave.step, tasks_in(self.free, wave.step.resources)
@@ -40,7 +48,7 @@
         counts = [one for one in (count, step.apart - beside if step.apart else None) if one is not None]
         return min(counts, default=len(wave.waiting))
 
-    def may_place(self, wave):
+    def may_place(self, wave: Wave) -> bool:
         """Whether one more task of a wave may be placed here: what is kept is taken by its wave and by
         more urgent ones only."""
         kept = self.kept
@@ -48,15 +56,15 @@
             return False
         return self.can_run(wave)
 
-    def place(self, wave):
+    def place(self, wave: Wave) -> None:
         """Places one task of a wave here."""
         self.free = less(self.free, wave.step.resources)
         key = (wave.job.identity, wave.number)
         self.steps[key] = self.steps.get(key, 0) + 1
 
-    def potential_members(self, wave, lasting):
+    def potential_members(self, wave: Wave, lasting: Resources) -> int:
         """How many more tasks of a wave this worker could run at once if all left it but what lasts,
-        which takes the room `lasting`."""
+        which takes the capacity `lasting`."""
         step, resources = wave.step, less(self.worker.capacity, lasting)
         if step.needs and not self.labels.issuperset(step.needs):
             return 0
@@ -66,16 +74,16 @@
             members = min(members, step.apart - self.steps.get((wave.job.identity, wave.number), 0))
         return max(0, members)
 
-    def free_share(self, step):
-        """The least part, 0 to 1, of this worker's room that is free, over what a step asks for."""
+    def free_share(self, step: Step) -> float:
+        """The least part, 0 to 1, of this worker's capacity that is free, over what a step asks for."""
         return min(
             (self.free[kind] / self.worker.capacity[kind] for kind in RESOURCE_KINDS if step.resources[kind]),
             default=1,
         )
 
 
-def in_use(candidates):
-    """The part, 0 to 1, of the room of some seats that is taken, of the resource most taken."""
+def in_use(candidates: Sequence[CandidateWorker]) -> float:
+    """The part, 0 to 1, of the capacity of some candidates that is taken, of the resource most taken."""
     most = 0.0
     for kind in RESOURCE_KINDS:
         total = sum(candidate.worker.capacity[kind] for candidate in candidates)
@@ -84,14 +92,18 @@
     return most
 
 
-def candidate_workers(leased_jobs, workers, now):
-    """The workers that may get work in a round, as seats by service."""
-    candidates = {}
+def candidate_workers(
+    leased_jobs: LeasedJobState, workers: dict[str, Worker], now: float
+) -> dict[str, list[CandidateWorker]]:
+    """The workers that may get work in a round, as candidates, by service. Left out are those that are
+    not fresh (heard once, unresponsive, late), closed (draining, evacuated, avoided), that run what is
+    not placed on them, or that are on trial after failures and have work already."""
+    candidates: dict[str, list[CandidateWorker]] = {}
     for worker in workers.values():
         placements = leased_jobs.placements.get(worker.identity, {})
         if (
             worker.heartbeats < 2
-            or worker.state != "ready"
+            or worker.state != READY
             or worker.unresponsive(now)
             or worker.stale
             or worker.zone in leased_jobs.evacuated
@@ -102,7 +114,8 @@
         unreliable = worker.failing > constants.LIVENESS_POOR
         if unreliable and placements:
             continue
-        free, steps = less(worker.capacity, leased_jobs.taken.get(worker.identity, NO_RESOURCES)), {}
+        free = less(worker.capacity, leased_jobs.taken.get(worker.identity, NO_RESOURCES))
+        steps: dict[StepKey, int] = {}
         for placement in placements.values():
             place = (placement.job, placement.number)
             steps[place] = steps.get(place, 0) + 1
--- a/src/pinepitch/scheduling/configuration.py
+++ b/src/pinepitch/scheduling/configuration.py
@@ -3,6 +3,8 @@
 import collections
 import hashlib
 import json
+from collections.abc import Iterable
+from typing import Any
 
 import voluptuous
 
@@ -10,6 +12,7 @@
 from ..model.validation import number as _number
 from ..model.validation import shaped
 from ..model.validation import whole_number as _whole_number
+from .plain_types import Document, Faults, Image, Outcome
 
 _NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_NAME_LENGTH))
 _PREFIX = voluptuous.All(
@@ -43,40 +46,43 @@
 LISTS = ("routes", "services")
 
 
-def checked(document):
+def checked(document: Any) -> Faults:
     """Faults of a whole configuration, () when it may come into force."""
-    _, faults = shaped(SHAPE, document)
+    faults: Faults = shaped(SHAPE, document)[1]
     if faults:
         return faults
-    faults, places = [], {}
+    found: list[tuple[str, str]] = []
+    places: dict[tuple[str, str], str] = {}
     services = {service["name"] for service in document["services"]}
     for kind in LISTS:
         counts = collections.Counter(item["name"] for item in document[kind])
-        faults.extend((f"{kind}.{name}", "named twice") for name in sorted(counts) if counts[name] > 1)
+        found.extend((f"{kind}.{name}", "named twice") for name in sorted(counts) if counts[name] > 1)
     for route in document["routes"]:
         place = (route["host"].lower(), route["prefix"])
         if route["service"] not in services:
-            faults.append((f"routes.{route['name']}.service", f"no service {route['service']!r}"))
+            found.append((f"routes.{route['name']}.service", f"no service {route['service']!r}"))
         if place in places:
-            faults.append(
+            found.append(
                 (f"routes.{route['name']}", f"{route['host']}{route['prefix']} is that of {places[place]}")
             )
         places[place] = route["name"]
         if route.get("timeout_ms", 1) == 0:
-            faults.append((f"routes.{route['name']}.timeout_ms", "0 leaves no time"))
-    return tuple(faults)
+            found.append((f"routes.{route['name']}.timeout_ms", "0 leaves no time"))
+    return tuple(found)
 
 
-def _named(items):
+def _named(items: object) -> bool:
     """Whether something is a list of items that each have a name."""
     return isinstance(items, list) and all(
         isinstance(one, dict) and isinstance(one.get("name"), str) for one in items
     )
 
 
-def amended(document, version, upserts, removes):
-    """(the document with named items put in and taken out, faults)."""
-    changed, faults = {**document, "version": version}, []
+def amended(
+    document: Document, version: Any, upserts: dict[str, Any], removes: dict[str, Any]
+) -> tuple[Any, Faults]:
+    """(the document with named items put in and taken out, ()) or (None, faults)."""
+    changed: Document = {**document, "version": version}
     for part, items in upserts.items():
         if not _named(items):
             return None, ((f"upserts.{part}", "expected a list of named items"),)
@@ -91,10 +97,10 @@
         if not isinstance(names, list) or not _named(changed.get(part)):
             return None, ((f"removes.{part}", "expected names out of a list of named items"),)
         changed[part] = [one for one in changed[part] if one["name"] not in names]
-    return changed, tuple(faults)
+    return changed, ()
 
 
-def digest_of(value):
+def digest_of(value: object) -> str:
     """What tells two calls with one version apart."""
     return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()[:16]
 
@@ -104,14 +110,16 @@
     of document, 0 while there is none; taken holds the digest of the call behind each of the
     newest CONFIGURATIONS_KEPT versions; places lists each host's routes, longest prefix first."""
 
-    def __init__(self, document=None, taken=()):
+    def __init__(self, document: Document | None = None, taken: Iterable[tuple[int, str]] = ()) -> None:
         self.taken = dict(taken)
         self._put(document)
 
-    def _put(self, document):
+    def _put(self, document: Document | None) -> None:
         self.document = document
-        self.version = document["version"] if document else 0
-        self.places, self.routes, self.services = {}, {}, {}
+        self.version: int = document["version"] if document else 0
+        self.places: dict[str, list[tuple[str, Document]]] = {}  # host -> (prefix, route)s, longest first
+        self.routes: dict[str, Document] = {}  # by name
+        self.services: dict[str, Document] = {}  # by name
         if document:
             for route in document["routes"]:
                 self.places.setdefault(route["host"].lower(), []).append((route["prefix"], route))
@@ -120,21 +128,22 @@
                 places.sort(key=lambda one: -len(one[0]))
             self.services = {service["name"]: service for service in document["services"]}
 
-    def image(self):
+    def image(self) -> Image:
+        """A value of which the same is made again."""
         return (self.document, tuple(self.taken.items()))
 
-    def find(self, host, path):
+    def find(self, host: str, path: str) -> tuple[Document, str] | None:
         """(route, the rest of the path) of the longest prefix that fits, or None."""
         for prefix, route in self.places.get(host.lower(), ()):
             if path.startswith(prefix):
                 return route, path[len(prefix) :]
         return None
 
-    def _forgotten_below(self):
+    def _forgotten_below(self) -> int:
         """The version below which calls may have been taken and forgotten, 0 if none is forgotten."""
         return next(iter(self.taken)) if len(self.taken) >= constants.CONFIGURATIONS_KEPT else 0
 
-    def _earlier_outcome(self, base, version, digest):
+    def _earlier_outcome(self, base: int, version: Any, digest: str) -> Outcome | None:
         """The outcome of a call that was taken before or comes too late, or None: it may be taken.
 
         A call older than all that is remembered may have been taken, so it is not refused."""
@@ -147,9 +156,10 @@
             return ("forgotten", version)
         return ("stale", self.version)
 
-    def take(self, base, document, digest):
-        """Brings a whole configuration into force, or says why not."""
-        version = document.get("version")
+    def take(self, base: int, document: Document, digest: str) -> Outcome:
+        """Brings a whole configuration into force in place of version `base`: ("configured", version). Else
+        ("stale", version in force), ("forgotten", version) or ("invalid", faults)."""
+        version: Any = document.get("version")  # of any type, as it isn't checked yet
         earlier_outcome = self._earlier_outcome(base, version, digest)
         if earlier_outcome is not None and earlier_outcome[0] != "forgotten":
             return earlier_outcome
@@ -166,8 +176,11 @@
             del self.taken[next(iter(self.taken))]
         return ("configured", version)
 
-    def amend(self, base, version, upserts, removes, digest):
-        """The same for named items."""
+    def amend(
+        self, base: int, version: Any, upserts: dict[str, Any], removes: dict[str, Any], digest: str
+    ) -> Outcome:
+        """The same for named items: `upserts` by list, `removes` names by list (the users' page on
+        configuration)."""
         earlier_outcome = self._earlier_outcome(base, version, digest)
         if earlier_outcome is not None:
             return earlier_outcome
--- /dev/null
+++ b/src/pinepitch/scheduling/daemon_interface.py
@@ -0,0 +1,55 @@
+"""What this package needs of the daemon that leads. The control daemon is one; a test may use another."""
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, Protocol
+
+from .leased_job_state import LeasedJobState
+from .plain_types import PlainAnswer
+
+if TYPE_CHECKING:
+    from .assignment_manager import AssignmentManager
+
+
+class ClusterStateView(Protocol):
+    """What is read of the replicated state; it changes only as entries of the log are applied."""
+
+    leased_jobs: LeasedJobState
+    levels: Mapping[str, int]  # operation -> the level of members that know it, for those above level 1
+
+
+class Daemon(Protocol):
+    """The daemon whose replica leads. All times are seconds; `now` is always the daemon's own clock, which
+    only moves forward and tells nothing of other machines."""
+
+    cluster_state: ClusterStateView
+    assignments: "AssignmentManager"
+    address: str  # where its clients reach it
+    epoch: int  # of its claim to place; 0 without one. It fences out orders of earlier leaders
+    lease_duration: float  # seconds that a worker may go on after the heartbeat that its lease answers
+    far: float  # times as long that a task takes away from its data
+    step_at: float  # `now` of the message that is being handled
+
+    def _now(self, now: float) -> float:
+        """The cluster's time, seconds: the median of the members' clocks, never behind the cluster state."""
+
+    def leased(self, now: float) -> bool:
+        """Whether what this daemon says as a leader can be relied on now."""
+
+    def common_level(self) -> int:
+        """The level of operations that every member knows."""
+
+    def propose(self, operation: tuple[Any, ...], waiting: Any, now: float) -> None:
+        """Puts an operation into the log; `waiting`, if not None, is told the outcome. Operations of a level
+        that some member does not know are held back."""
+
+    def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
+        """Proposes, and returns the index of the entry; None where the operation is held back."""
+
+    def answer(self, address: str, token: Any, answer: PlainAnswer) -> None:
+        """Answers a request that is pending; nothing happens if it is not pending any more."""
+
+    def _event(self, number: int, **fields: Any) -> None:
+        """Logs a numbered event (common/events.py)."""
+
+    def trace(self, number: int, **fields: Any) -> None:
+        """Logs an event for a timeline of jobs: there are many, so only where the log keeps them."""
--- a/src/pinepitch/scheduling/evacuation.py
+++ b/src/pinepitch/scheduling/evacuation.py
@@ -5,15 +5,17 @@
 the same index, and every order that its caller gives later has a higher one.
 """
 
+from collections.abc import Iterable
 from typing import NamedTuple
 
 from ..common import constants
+from .plain_types import Image, Outcome
 
 
 class Newest(NamedTuple):
-    """The newest order of a zone: the index of its entry, and whether it began the evacuation."""
+    """The newest order of a zone: its entry, and whether it began the evacuation."""
 
-    index: int
+    entry: int  # index in the log
     begun: bool
 
 
@@ -21,20 +23,25 @@
     """Invariants: since holds the zones that are evacuated; newest holds each zone's newest order,
     oldest first; a zone that is not in it had none after the index `forgotten`."""
 
-    def __init__(self, since=(), newest=(), forgotten=0):
+    def __init__(
+        self,
+        since: Iterable[tuple[str, float]] = (),
+        newest: Iterable[tuple[str, int, bool]] = (),
+        forgotten: int = 0,
+    ) -> None:
         self.since = dict(since)  # zone -> when its evacuation began
         self.newest = {zone: Newest(index, begun) for zone, index, begun in newest}
         self.forgotten = forgotten
 
-    def image(self):
+    def image(self) -> Image:
         """A value of which the same is made again."""
         newest = tuple((zone, *order) for zone, order in self.newest.items())
         return (tuple(self.since.items()), newest, self.forgotten)
 
-    def take(self, index, now, zone, begun, confirmed):
+    def take(self, index: int, now: float, zone: str, begun: bool, confirmed: int) -> Outcome:
         """An order at entry `index`, received when the log was at `confirmed` at the least."""
         newest = self.newest.get(zone)
-        if confirmed < (newest.index if newest else self.forgotten):
+        if confirmed < (newest.entry if newest else self.forgotten):
             return ("ok",) if (zone in self.since) == begun else ("superseded",)
         if begun and zone not in self.since and len(self.since) >= constants.MAX_EVACUATED_ZONES:
             return ("full",)
@@ -44,22 +51,22 @@
         self._forget_oldest()
         return ("ok",)
 
-    def take_unconfirmed(self, index, now, zone, begun):
+    def take_unconfirmed(self, index: int, now: float, zone: str, begun: bool) -> Outcome:
         """An order as members of level 2 propose it, which is taken however late it comes."""
         self._turn(now, zone, begun)
         if zone in self.newest:
             self.newest[zone] = Newest(index, begun)
         return ("ok",)
 
-    def _turn(self, now, zone, begun):
+    def _turn(self, now: float, zone: str, begun: bool) -> None:
         if begun:
             self.since.setdefault(zone, now)
         else:
             self.since.pop(zone, None)
 
-    def _forget_oldest(self):
+    def _forget_oldest(self) -> None:
         """Drops the oldest zone that is not evacuated once there are too many."""
         if len(self.newest) <= 2 * constants.MAX_EVACUATED_ZONES:
             return
         zone = next(one for one in self.newest if one not in self.since)
-        self.forgotten = max(self.forgotten, self.newest.pop(zone).index)
+        self.forgotten = max(self.forgotten, self.newest.pop(zone).entry)
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -1,31 +1,40 @@
 """Why jobs are where they are, which workers there are, what is in force: reading calls for
-operators, answered from the record and from what the leader has gathered."""
+operators, answered from the cluster state and from what the leader has gathered."""
+
+from typing import Any
 
 from ..common import constants
 from ..model.decisions import Answer, problem
-from .resources import less
+from .daemon_interface import Daemon
+from .leased_job import DONE, PLACED, WAITING, LeasedJob, Wave
+from .leased_job_state import FinalJob, LeasedJobState
+from .placement import Placements
+from .plain_types import Arguments, Document
+from .resources import NO_RESOURCES, Amount, Resources, less, more
+from .worker import READY, Worker
 
 RESOURCE_NAMES = ("cpu", "mem_mb", "gpu")
 
 
-def _resources_of(resources):
+def _resources_of(resources: Resources) -> Document:
     return dict(zip(RESOURCE_NAMES, resources, strict=False))
 
 
-def _taken(placements):
-    """The room of placements, added up."""
-    return tuple(
-        sum(one.resources[place] for one in placements.values()) for place in range(len(RESOURCE_NAMES))
-    )
+def _taken(placements: Placements) -> Amount:
+    """The capacity of placements, added up."""
+    taken = NO_RESOURCES
+    for placement in placements.values():
+        taken = more(taken, placement.resources)
+    return taken
 
 
-def _free(leased_jobs, worker):
+def _free(leased_jobs: LeasedJobState, worker: Worker) -> Amount:
     """What is left of a worker's capacity beside its placements; below 0 where they take more."""
     return less(worker.capacity, _taken(leased_jobs.placements.get(worker.identity, {})))
 
 
 # --- jobs ----------------------------------------------------------------------------
-def job(core, token, arguments, now):
+def job(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
     """A job's waves and placements, and why what waits does."""
     identity, leased_jobs = arguments[0], core.cluster_state.leased_jobs
     found = leased_jobs.jobs.get(identity)
@@ -37,21 +46,20 @@
     return problem(404, "unknown_job", f"no job {identity!r}")
 
 
-def _final_job(core, identity, final):
+def _final_job(core: Daemon, identity: str, final: FinalJob) -> Document:
     """A job that is over: runs of it may still stand whose ends are not proven."""
-    state, ended, queue = final[:3]
     return {
         "job": identity,
-        "state": state,
-        "queue": queue,
-        "ended": ended,
+        "state": final.state,
+        "queue": final.queue,
+        "ended": final.ended,
         "waves": [],
         "more_waves": 0,
         "placements": _placements(core, identity),
     }
 
 
-def _open_job(core, found, now):
+def _open_job(core: Daemon, found: LeasedJob, now: float) -> Document:
     """A job that is not over."""
     time = core._now(now)
     # what is not done comes first, so that a page's bound leaves out what is of least interest
@@ -72,8 +80,8 @@
     }
 
 
-def _wave(core, wave, time, now):
-    states = {"waiting": 0, "placed": 0, "done": 0}
+def _wave(core: Daemon, wave: Wave, time: float, now: float) -> Document:
+    states = {WAITING: 0, PLACED: 0, DONE: 0}
     for task in wave.tasks:
         states[task.state] += 1
     each = [task.failures for task in wave.tasks]
@@ -88,12 +96,12 @@
         "most_failures": wave.failures if wave.step.gang else max(each),
         "why": _why(core, wave, time),
     }
-    if states["waiting"] and not wave.blocked and wave.due <= time:
+    if states[WAITING] and not wave.blocked and wave.due <= time:
         line["candidates"] = _candidates(core, wave, now)
     return line
 
 
-def _why(core, wave, time):
+def _why(core: Daemon, wave: Wave, time: float) -> str:
     """What a wave waits for, or "" when none of it waits."""
     if not wave.waiting:
         return ""
@@ -107,9 +115,9 @@
     return core.assignments.assigner.why.get(wave.key(), "not yet looked at by a round")
 
 
-def _candidates(core, wave, now):
+def _candidates(core: Daemon, wave: Wave, now: float) -> dict[str, int]:
     """How many workers of the job's service each reason rules out."""
-    counts = {}
+    counts: dict[str, int] = {}
     for worker in core.assignments.workers.values():
         if worker.service == wave.job.service:
             why = _ruled_out(core, worker, wave, now)
@@ -117,7 +125,7 @@
     return counts
 
 
-def _ruled_out(core, worker, wave, now):
+def _ruled_out(core: Daemon, worker: Worker, wave: Wave, now: float) -> str:
     """What keeps a worker from one more task of a wave, or "open"."""
     leased_jobs, step = core.cluster_state.leased_jobs, wave.step
     placements = leased_jobs.placements.get(worker.identity, {})
@@ -140,11 +148,11 @@
     return "open"
 
 
-def _closed(leased_jobs, worker, now):
+def _closed(leased_jobs: LeasedJobState, worker: Worker, now: float) -> str:
     """Why a worker gets no new work of any kind, or ""."""
     if worker.unresponsive(now):
         return "silent"
-    if worker.state != "ready":
+    if worker.state != READY:
         return worker.state
     if worker.zone in leased_jobs.evacuated:
         return "its zone is evacuated"
@@ -153,8 +161,8 @@
     return "wary" if now < worker.avoided_until else ""
 
 
-def _placements(core, identity):
-    """Every run of a job whose end is not proven, as recorded and as its worker told it."""
+def _placements(core: Daemon, identity: str) -> list[Document]:
+    """Every run of a job whose end is not proven, as agreed on and as its worker lists it."""
     listed = []
     for worker_id, placements in core.cluster_state.leased_jobs.placements.items():
         worker = core.assignments.workers.get(worker_id)
@@ -177,7 +185,7 @@
 
 
 # --- workers, evacuations ------------------------------------------------------------
-def workers(core, token, arguments, now):
+def workers(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
     """Each worker this leader knows, and those that only placements name."""
     known, leased_jobs = core.assignments.workers, core.cluster_state.leased_jobs
     listed = []
@@ -189,7 +197,7 @@
     return Answer(200, {"workers": listed})
 
 
-def _unheard(identity, placed):
+def _unheard(identity: str, placed: int) -> Document:
     """A worker that only placements name."""
     return {
         "minion": identity,
@@ -210,7 +218,7 @@
     }
 
 
-def _heard(leased_jobs, worker, now):
+def _heard(leased_jobs: LeasedJobState, worker: Worker, now: float) -> Document:
     """What a worker's heartbeats tell of it, in the fields that _unheard lists."""
     return {
         "service": worker.service,
@@ -229,7 +237,7 @@
     }
 
 
-def evacuations(core, token, arguments, now):
+def evacuations(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
     """The zones that get no new work, and since when."""
     return Answer(
         200,
--- a/src/pinepitch/scheduling/idle_capacity.py
+++ b/src/pinepitch/scheduling/idle_capacity.py
@@ -1,10 +1,13 @@
-"""Invariants of placing: work does not wait beside room that stands idle."""
+"""Invariants of placing: work does not wait beside capacity that stands idle. (docs/design/sharing.md)"""
 
 import collections
+from collections.abc import Sequence
 from typing import NamedTuple
 
 from ..common import constants
-from .candidate_workers import in_use
+from .candidate_workers import CandidateWorker, in_use
+from .leased_job import PLACED, Wave, WaveKey
+from .leased_job_state import LeasedJobState
 
 KEPT_UNTAKEN = "kept room is not taken by the wave it is kept for"
 IDLE_BESIDE_WORK = "a job waits beside ample idle room"
@@ -16,26 +19,35 @@
     invariant: str
     job: str
     queue: str
-    seconds: float  # that the wave looked at has been short of room
+    seconds: float  # that the wave looked at has been short of capacity
 
 
 class IdleCapacityCheck:
     """Looks at each round's outcome, and counts what must not be.
 
-    KEPT_UNTAKEN: after a round a wave, no gang, still waits although a seat kept for it would take one more
-    of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had nothing placed and waited for
-    room while its service had room for twice what it needs at once and under half of its room was in use.
+    KEPT_UNTAKEN: after a round a wave, no gang, still waits although a candidate kept for it would take
+    one more of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had nothing placed and waited
+    for capacity while its service had capacity for twice what it needs at once and under half of its
+    capacity was in use.
 
     Invariant: a violation is counted once for each wave and each time that it begins."""
 
-    def __init__(self):
-        self.counts = collections.Counter()  # invariant -> violations
-        self.broken = set()  # (invariant, key of a wave) that were counted and go on
-        self.since = {}  # key of a wave -> since when its job waits beside ample idle room
-        self.looked_at = None
+    def __init__(self) -> None:
+        self.counts: collections.Counter[str] = collections.Counter()  # invariant -> violations
+        # (invariant, key of a wave) that were counted and go on
+        self.broken: set[tuple[str, WaveKey]] = set()
+        # key of a wave -> since when its job waits beside ample idle capacity
+        self.since: dict[WaveKey, float] = {}
+        self.looked_at: float | None = None
 
-    def after_round(self, kept, placed, short, now):
-        """Violations of KEPT_UNTAKEN. Takes `kept` (key of a wave -> (wave, seats)), `placed` (key of a
+    def after_round(
+        self,
+        kept: dict[WaveKey, tuple[Wave, list[CandidateWorker]]],
+        placed: dict[WaveKey, int],
+        short: dict[WaveKey, float],
+        now: float,
+    ) -> tuple[Violation, ...]:
+        """Violations of KEPT_UNTAKEN. Takes `kept` (key of a wave -> (wave, candidates)), `placed` (key of a
         wave -> tasks placed in this round) and `short` (key of a wave -> since when)."""
         found = {}
         for key, (wave, candidates) in kept.items():
@@ -44,7 +56,13 @@
                 found[key] = wave
         return self._counted(KEPT_UNTAKEN, found, short, now)
 
-    def look(self, leased_jobs, candidates, short, now):
+    def look(
+        self,
+        leased_jobs: LeasedJobState,
+        candidates: dict[str, list[CandidateWorker]],
+        short: dict[WaveKey, float],
+        now: float,
+    ) -> tuple[Violation, ...]:
         """Violations of IDLE_BESIDE_WORK, looked for once in IDLE_LOOK_EVERY seconds."""
         if self.looked_at is not None and now - self.looked_at < constants.IDLE_LOOK_EVERY:
             return ()
@@ -63,9 +81,10 @@
         found = {key: wave for key, wave in beside.items() if now - self.since[key] > constants.MAX_IDLE_WAIT}
         return self._counted(IDLE_BESIDE_WORK, found, short, now)
 
-    def _ample(self, wave, candidates):
-        """Whether nothing of a wave's job is placed, and there is room for twice what it needs at once."""
-        if any(task.state == "placed" for one in wave.job.waves.values() for task in one.tasks):
+    def _ample(self, wave: Wave, candidates: Sequence[CandidateWorker]) -> bool:
+        """Whether nothing of a wave's job is placed, and there is capacity for twice what it needs at
+        once."""
+        if any(task.state == PLACED for one in wave.job.waves.values() for task in one.tasks):
             return False
         wanted, count = 2 * (len(wave.waiting) if wave.step.gang else 1), 0
         for candidate in candidates:
@@ -74,7 +93,9 @@
                 return True
         return False
 
-    def _counted(self, invariant, found, short, now):
+    def _counted(
+        self, invariant: str, found: dict[WaveKey, Wave], short: dict[WaveKey, float], now: float
+    ) -> tuple[Violation, ...]:
         """The violations that are new, once counted."""
         before = {key for name, key in self.broken if name == invariant}
         self.broken -= {(invariant, key) for key in before - found.keys()}
--- a/src/pinepitch/scheduling/leased_job.py
+++ b/src/pinepitch/scheduling/leased_job.py
@@ -2,6 +2,8 @@
 
 import hashlib
 import json
+from collections.abc import Iterable
+from typing import Any, Self
 
 import voluptuous
 
@@ -9,9 +11,18 @@
 from ..model.validation import number as _number
 from ..model.validation import shaped
 from ..model.validation import whole_number as _whole_number
+from .plain_types import Faults, Image
+from .resources import Amount
 
+# What tells waves apart: (identity of the job, time, number of the step).
+WaveKey = tuple[str, int, int]
+# A job as it is handed in, checked and plain: (spec, steps, first_ms, every_ms, times).
+PlainJob = tuple[Any, ...]
+# What a job's queue says of it: (service, attempts, priority, latency target in ms, stretch).
+Terms = tuple[str, int, int, float, float]
 
-def _short(most):
+
+def _short(most: int) -> voluptuous.All:
     return voluptuous.All(str, voluptuous.Length(max=most))
 
 
@@ -45,25 +56,11 @@
         voluptuous.Extra: object,
     }
 )
-FIELDS = (
-    "count",
-    "cpu",
-    "mem_mb",
-    "gpu",
-    "est_ms",
-    "after",
-    "gang",
-    "tight",
-    "needs",
-    "near",
-    "apart",
-    "saves",
-    "twice",
-    "lasts",
-)
+# the order in which a plain step holds its fields: that of STEP
+FIELDS = tuple(str(key) for key in STEP if key is not voluptuous.Extra)
 
 
-def checked(document):
+def checked(document: object) -> tuple[PlainJob | None, Faults]:
     """(plain job, ()) or (None, faults). Plain: (spec, steps, first_ms, every_ms, times), a step
     being a tuple in the order of FIELDS."""
     plain, faults = shaped(SHAPE, document)
@@ -84,14 +81,14 @@
     return (plain["spec"], tuple(steps), plain["first_ms"], plain["every_ms"], plain["times"]), ()
 
 
-def digest_of(plain):
+def digest_of(plain: PlainJob) -> str:
     """What tells two jobs under one name apart."""
     return hashlib.sha256(json.dumps(plain).encode()).hexdigest()[:16]
 
 
 class Step:
     """One step of a job. Invariants: after names earlier steps only; a gang's tasks start, run
-    and end together; room is (thousandths of a core, megabytes, accelerators) of one task."""
+    and end together."""
 
     __slots__ = (
         "count",
@@ -108,7 +105,20 @@
         "lasts",
     )
 
-    def __init__(self, image):
+    count: int  # tasks of one wave
+    resources: Amount  # of one task
+    est_ms: float  # what the caller expects one task to take on a usual worker, milliseconds
+    after: tuple[int, ...]  # the numbers of the steps that must be done before
+    gang: bool  # all of its tasks start, run and end together
+    tight: bool  # a gang that wants all of its tasks in one rack
+    needs: tuple[str, ...]  # labels that a worker must have
+    near: str  # label of the workers near its data, "" where it has none
+    apart: int  # most tasks of this step on one worker, 0 for any number
+    saves: bool  # its tasks save their progress, so that another run goes on from there
+    twice: bool  # a second run of a task beside the first does no harm
+    lasts: bool  # its tasks have no end of their own (a feed)
+
+    def __init__(self, image: Image) -> None:
         (
             self.count,
             cpu,
@@ -129,18 +139,33 @@
         self.after, self.needs = tuple(after), tuple(needs)
 
 
+# The state of a task, as it is stored and as operators are told it.
+WAITING = "waiting"
+PLACED = "placed"
+DONE = "done"
+
+
 class Task:
-    """One task of a wave. Invariants: state is "waiting", "placed" or "done"; run is the
+    """One task of a wave. Invariants: state is WAITING, PLACED or DONE; run is the
     highest run number ever given to it; a run in open_runs was let go without its end being
     heard, so that its end, should it come, still counts once."""
 
     __slots__ = ("state", "run", "failures", "saved", "worker_id", "open_runs")
 
-    def __init__(self, state="waiting", run=0, failures=0, saved="", worker_id="", open_runs=()):
+    def __init__(
+        self,
+        state: str = WAITING,
+        run: int = 0,
+        failures: int = 0,
+        saved: str = "",
+        worker_id: str = "",
+        open_runs: Iterable[int] = (),
+    ) -> None:
         self.state, self.run, self.failures, self.saved = state, run, failures, saved
         self.worker_id, self.open_runs = worker_id, set(open_runs)
 
-    def image(self):
+    def image(self) -> Image:
+        """A value of which the same is made again."""
         return (
             self.state,
             self.run,
@@ -171,32 +196,35 @@
         "since",
     )
 
-    def __init__(self, job, time, number, due):
+    def __init__(self, job: "LeasedJob", time: int, number: int, due: float) -> None:
         self.job, self.time, self.number, self.due = job, time, number, due
         self.step = job.steps[number]
         self.tasks = [Task() for _ in range(self.step.count)]
         self.waiting = set(range(self.step.count))
         self.left = self.step.count
         self.blocked = len(self.step.after)
-        self.failed_runs = set()  # of a gang: the runs that count as failed
-        self.since = due  # record time, seconds; when it could first start, as far as known
+        self.failed_runs: set[int] = set()  # of a gang: the runs that count as failed
+        self.since = due  # time of the cluster state, seconds; when it could first start, as far as known
 
     @property
-    def failures(self):
+    def failures(self) -> int:
         """Of a gang: how many of its runs have failed."""
         return len(self.failed_runs)
 
-    def key(self):
+    def key(self) -> WaveKey:
+        """What tells this wave apart from all others."""
         return (self.job.identity, self.time, self.number)
 
-    def reference(self, index):
+    def reference(self, index: int) -> str:
+        """The reference of one of its tasks, as workers and operators are told it."""
         return f"{self.job.identity}.{self.time}.{self.number}.{index}"
 
-    def breaking(self):
+    def breaking(self) -> bool:
         """Whether some but not all members of a gang are placed."""
-        return self.step.gang and 0 < len(self.waiting) < self.left
+        return bool(self.step.gang and 0 < len(self.waiting) < self.left)
 
-    def image(self):
+    def image(self) -> Image:
+        """A value of which the same is made again."""
         return (tuple(sorted(self.failed_runs)), self.since, tuple(task.image() for task in self.tasks))
 
 
@@ -225,14 +253,14 @@
         "plain",
     )
 
-    def __init__(self, identity, queue, terms, plain, accepted):
+    def __init__(self, identity: str, queue: str, terms: Terms, plain: PlainJob, accepted: float) -> None:
         self.identity, self.queue, self.accepted = identity, queue, accepted
         self.service, self.attempts, self.priority, self.latency_target_ms, self.stretch = terms
         self.plain = plain
         self.spec, steps, self.first_ms, self.every_ms, self.times = plain
         self.steps = [Step(step) for step in steps]
         self.begun = False
-        self.waves = {}
+        self.waves: dict[tuple[int, int], Wave] = {}
         for time in range(max(1, self.times)):
             due = (self.first_ms + time * self.every_ms) / 1000 if self.times else 0.0
             for number in range(len(self.steps)):
@@ -240,10 +268,12 @@
         self.left = len(self.waves)
         self.digest = digest_of(plain)
 
-    def terms(self):
+    def terms(self) -> Terms:
+        """What the job's queue said of it when it was accepted."""
         return (self.service, self.attempts, self.priority, self.latency_target_ms, self.stretch)
 
-    def image(self):
+    def image(self) -> Image:
+        """A value of which the same is made again."""
         return (
             self.identity,
             self.queue,
@@ -255,7 +285,8 @@
         )
 
     @classmethod
-    def from_image(cls, image):
+    def from_image(cls, image: Image) -> Self:
+        """The job that an image was made of."""
         identity, queue, terms, plain, accepted, begun, waves = image
         job = cls(identity, queue, tuple(terms), tuple(plain), accepted)
         job.begun = begun
@@ -263,8 +294,8 @@
             wave = job.waves[(time, number)]
             wave.failed_runs, wave.since = set(failed_runs), since
             wave.tasks = [Task(*task) for task in tasks]
-            wave.waiting = {place for place, task in enumerate(wave.tasks) if task.state == "waiting"}
-            wave.left = sum(task.state != "done" for task in wave.tasks)
+            wave.waiting = {place for place, task in enumerate(wave.tasks) if task.state == WAITING}
+            wave.left = sum(task.state != DONE for task in wave.tasks)
         job.left = sum(bool(wave.left) for wave in job.waves.values())
         for wave in job.waves.values():
             wave.blocked = sum(bool(job.waves[(wave.time, one)].left) for one in wave.step.after)
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -1,15 +1,29 @@
-"""The board: jobs, placements and the configuration, as a deterministic part of the record.
+"""What is agreed on about leased jobs: the jobs, their placements, the configuration of routes and services
+and the evacuated zones. A deterministic part of the cluster state.
 
-Every operation is an entry of the log; what it decides is the same at every accord.
+Every operation is an entry of the log; what it decides is the same at every control daemon. Its outcome is
+a tuple: a word, and what belongs to it. Times are those of the cluster state, seconds.
 """
 
 import itertools
+from collections.abc import Sequence
+from typing import Any, NamedTuple, Self
 
 from ..common import constants
 from .configuration import Configuration
 from .evacuation import Evacuations
-from .leased_job import LeasedJob
-from .placement import Placement
+from .leased_job import DONE, PLACED, WAITING, LeasedJob, PlainJob, Task, Wave, WaveKey
+from .placement import RUN_DONE, RUN_FAILED, RUN_NEVER_STARTED, Placement, Placements, RunEndItem, RunKey
+from .plain_types import Document, Image, Outcome
+from .resources import NO_RESOURCES, Level, less, more
+from .run_stop import StopItem
+
+# The state of a job, as callers are told it.
+JOB_QUEUED = "queued"  # no task was ever placed
+JOB_RUNNING = "running"
+JOB_COMPLETED = "completed"
+JOB_FAILED = "failed"  # a task or a gang has used up its attempts
+JOB_CANCELLED = "cancelled"
 
 # What followed from a run's end, as the operation "job-ended" tells it, item by item, and event 155 logs it.
 END_DONE = "done"  # the task, or its whole gang, is done
@@ -20,26 +34,40 @@
 END_LATE = "late"  # the job is over or was never known
 END_UNKNOWN = "unknown"  # the job has no such task
 
+# An item of the operation "job-assign": (job, time, number of the step, ((index of a task, worker), ...)).
+WaveAssignment = tuple[str, int, int, tuple[tuple[int, str], ...]]
+
+
+class FinalJob(NamedTuple):
+    """What is kept of a job that is over, for FINAL_LASTS seconds at the most."""
+
+    state: str  # JOB_COMPLETED, JOB_FAILED or JOB_CANCELLED
+    ended: float  # time of the cluster state, seconds
+    queue: str
+    digest: str  # tells two jobs under one name apart
+
 
 class LeasedJobState:
     """Invariants: jobs holds those not final, final the state of those that are, oldest end
-    first; taken and used are the sums of the placements' rooms; ready holds every wave with
+    first; taken and used are the sums of the placements' resources; ready holds every wave with
     waiting tasks whose earlier steps are all done and that is not breaking;
-    placements[minion] holds each run given to it whose end is not proven."""
-
-    def __init__(self):
-        self.jobs = {}
-        self.final = {}  # identity -> (state, ended, queue, digest)
-        self.placements = {}  # minion -> {(reference, run): Placement}
-        self.taken = {}  # minion -> [thousandths of a core, megabytes, accelerators] of its placements
-        self.used = {}  # (service, priority) -> the same of all placements
+    placements[worker] holds each run given to it whose end is not proven."""
+
+    def __init__(self) -> None:
+        self.jobs: dict[str, LeasedJob] = {}
+        self.final: dict[str, FinalJob] = {}  # by identity
+        self.placements: dict[str, Placements] = {}  # worker -> {(reference, run): Placement}
+        # worker -> [thousandths of a core, megabytes, accelerators] of its placements
+        self.taken: dict[str, list[float]] = {}
+        self.used: dict[Level, list[float]] = {}  # (service, priority) -> the same of all placements
         self.configuration = Configuration()
         self.evacuations = Evacuations()
-        self.ready = {}  # key of a wave -> Wave
-        self.counts = {}  # queue -> jobs not yet begun
+        self.ready: dict[WaveKey, Wave] = {}  # by key
+        self.counts: dict[str, int] = {}  # queue -> jobs not yet begun
 
     # --- image ------------------------------------------------------------------------
-    def image(self):
+    def image(self) -> Image:
+        """A value of which the same is made again."""
         return (
             tuple(job.image() for job in self.jobs.values()),
             tuple((identity, *rest) for identity, rest in self.final.items()),
@@ -49,12 +77,13 @@
         )
 
     @classmethod
-    def from_image(cls, image):
+    def from_image(cls, image: Image) -> Self:
+        """The state that an image was made of."""
         leased_jobs = cls()
         jobs, final, placements, configuration, evacuations = image
         leased_jobs.configuration = Configuration(*configuration)
         leased_jobs.evacuations = Evacuations(*evacuations)
-        leased_jobs.final = {identity: tuple(rest) for identity, *rest in final}
+        leased_jobs.final = {identity: FinalJob(*rest) for identity, *rest in final}
         for one in placements:
             placement = Placement(*one)
             leased_jobs._add_placement(placement)
@@ -68,71 +97,61 @@
         return leased_jobs
 
     @property
-    def evacuated(self):
+    def evacuated(self) -> dict[str, float]:
         """The zones that are evacuated, and since when."""
         return self.evacuations.since
 
-    def _index(self, wave):
+    def _index(self, wave: Wave) -> None:
         """Puts a wave among the ready, or takes it out."""
         if wave.waiting and not wave.blocked and not wave.breaking():
             self.ready[wave.key()] = wave
         else:
             self.ready.pop(wave.key(), None)
 
-    def _add_placement(self, placement):
-        """A run takes its room."""
+    def _add_placement(self, placement: Placement) -> None:
+        """Counts the resources of a run that is placed."""
         self.placements.setdefault(placement.worker_id, {})[(placement.reference(), placement.run)] = (
             placement
         )
-        for totals, key in (
-            (self.taken, placement.worker_id),
-            (self.used, (placement.service, placement.priority)),
-        ):
-            totals[key] = [
-                one + more for one, more in zip(totals.get(key, (0, 0, 0)), placement.resources, strict=False)
-            ]
-
-    def _remove_placement(self, worker_id, key):
-        """A run's room is free again; its placement, or None when there was none."""
+        worker_id, level = placement.worker_id, (placement.service, placement.priority)
+        self.taken[worker_id] = list(more(self.taken.get(worker_id, NO_RESOURCES), placement.resources))
+        self.used[level] = list(more(self.used.get(level, NO_RESOURCES), placement.resources))
+
+    def _remove_placement(self, worker_id: str, key: RunKey) -> Placement | None:
+        """A run takes nothing any more; its placement, or None when there was none."""
         placements = self.placements.get(worker_id, {})
         placement = placements.pop(key, None)
         if placement is None:
             return None
-        self.used[(placement.service, placement.priority)] = [
-            one - less
-            for one, less in zip(
-                self.used[(placement.service, placement.priority)], placement.resources, strict=False
-            )
-        ]
+        level = (placement.service, placement.priority)
+        self.used[level] = list(less(self.used[level], placement.resources))
         if placements:
-            self.taken[worker_id] = [
-                one - less for one, less in zip(self.taken[worker_id], placement.resources, strict=False)
-            ]
+            self.taken[worker_id] = list(less(self.taken[worker_id], placement.resources))
         else:
             del self.placements[worker_id], self.taken[worker_id]
         return placement
 
     # --- reading ----------------------------------------------------------------------
-    def state(self, identity):
+    def state(self, identity: str) -> str | None:
         """The state of a job, or None when there is none."""
         job = self.jobs.get(identity)
         if job is not None:
-            return "running" if job.begun else "queued"
+            return JOB_RUNNING if job.begun else JOB_QUEUED
         final = self.final.get(identity)
-        return final[0] if final else None
+        return final.state if final else None
 
-    def task(self, placement):
+    def task(self, placement: Placement) -> tuple[Wave, Task] | None:
         """(wave, task) that a placement still stands for, or None."""
         job = self.jobs.get(placement.job)
         wave = job.waves.get((placement.time, placement.number)) if job else None
         if wave is None:
             return None
         task = wave.tasks[placement.index]
-        if task.state == "placed" and task.run == placement.run and task.worker_id == placement.worker_id:
+        if task.state == PLACED and task.run == placement.run and task.worker_id == placement.worker_id:
             return wave, task
         return None
 
-    def wanted(self, placement):
+    def wanted(self, placement: Placement) -> bool:
         """Whether a placed run should start, or go on."""
         if placement.stop:
             return False
@@ -140,8 +159,9 @@
         return found is not None and not found[0].breaking()
 
     # --- operations -------------------------------------------------------------------
-    def accept(self, now, identity, queue, plain):
-        """A job is handed in at a queue."""
+    def accept(self, now: float, identity: str, queue: str, plain: PlainJob) -> Outcome:
+        """A job is handed in at a queue: ("accepted", identity), ("known", identity), ("missing", queue)
+        where no such route is in force, or ("full", queue) at MAX_LEASED_JOBS."""
         job = self.jobs.get(identity)
         if job is not None or identity in self.final:
             return ("known", identity)
@@ -164,33 +184,36 @@
             self._index(wave)
         return ("accepted", identity)
 
-    def cancel(self, now, identity):
-        """Nothing more of a job starts; what runs is stopped."""
+    def cancel(self, now: float, identity: str) -> Outcome:
+        """Nothing more of a job starts; what runs is stopped. ("cancelled", identity), ("final", state) of a
+        job that is over, or ("missing", identity)."""
         job = self.jobs.get(identity)
         if job is None:
             final = self.final.get(identity)
-            return ("final", final[0]) if final else ("missing", identity)
-        self._finish(now, job, "cancelled")
+            return ("final", final.state) if final else ("missing", identity)
+        self._finish(now, job, JOB_CANCELLED)
         return ("cancelled", identity)
 
-    def _finish(self, now, job, state):
+    def _finish(self, now: float, job: LeasedJob, state: str) -> None:
         del self.jobs[job.identity]
         if not job.begun:
             self.counts[job.queue] -= 1
         for wave in job.waves.values():
             self.ready.pop(wave.key(), None)
-        self.final[job.identity] = (state, now, job.queue, job.digest)
-        for identity, (_, ended, *_) in list(itertools.islice(self.final.items(), constants.FINAL_SWEEP)):
-            if ended + constants.FINAL_LASTS > now and len(self.final) <= constants.MAX_FINAL_JOBS:
+        self.final[job.identity] = FinalJob(state, now, job.queue, job.digest)
+        for identity, final in list(itertools.islice(self.final.items(), constants.FINAL_SWEEP)):
+            if final.ended + constants.FINAL_LASTS > now and len(self.final) <= constants.MAX_FINAL_JOBS:
                 break
             del self.final[identity]
 
-    def assign(self, now, epoch, items):
-        """Places runs. Items: (job, time, number, ((index, minion), ...)); of a gang all or none."""
+    def assign(self, now: float, epoch: int, items: Sequence[WaveAssignment]) -> tuple[Placement, ...]:
+        """Places runs. Items: (job, time, number, ((index, worker), ...)); of a gang all or none."""
         placed = []
         for identity, time, number, pairs in items:
             job = self.jobs.get(identity)
-            wave = job.waves.get((time, number)) if job else None
+            if job is None:
+                continue
+            wave = job.waves.get((time, number))
             if wave is None or wave.blocked or wave.breaking() or now < wave.due:
                 continue
             group = [(index, worker_id) for index, worker_id in dict(pairs).items() if index in wave.waiting]
@@ -203,7 +226,7 @@
             self._index(wave)
         return tuple(placed)
 
-    def _place(self, now, epoch, wave, group):
+    def _place(self, now: float, epoch: int, wave: Wave, group: list[tuple[int, str]]) -> list[Placement]:
         """Places some of a wave's waiting tasks, each on its worker; the placements. The members of a gang
         get one run number, that of the gang."""
         job, step, placed = wave.job, wave.step, []
@@ -213,7 +236,7 @@
             if not step.lasts and not step.gang and task.failures >= job.attempts:
                 continue
             task.run = gang_run if step.gang else task.run + 1
-            task.state, task.worker_id = "placed", worker_id
+            task.state, task.worker_id = PLACED, worker_id
             wave.waiting.discard(index)
             placement = Placement(
                 job.identity,
@@ -232,24 +255,33 @@
             placed.append(placement)
         return placed
 
-    def stop(self, now, items):
-        """Runs that are to end. Items: (minion, reference, run, why)."""
+    def stop(self, now: float, items: Sequence[StopItem]) -> Outcome:
+        """Runs that are to end. Items: (worker, reference, run, why)."""
         for worker_id, reference, run, why in items:
             placement = self.placements.get(worker_id, {}).get((reference, run))
             if placement is not None and not placement.stop:
                 placement.stop = why
         return ("ok",)
 
-    def end(self, now, items):
-        """Proven ends. Items: (minion, reference, run, how, saved, heard): heard says that the
-        minion itself told it, so that it can't come again; what follows is told by item."""
+    def end(self, now: float, items: Sequence[RunEndItem]) -> Outcome:
+        """Proven ends. Items: (worker, reference, run, how, saved, heard): heard says that the
+        worker itself told it, so that it can't come again; what follows is told by item."""
         outcomes = []
         for worker_id, reference, run, how, saved, heard in items:
             placement = self._remove_placement(worker_id, (reference, run))
             outcomes.append(self._ended(now, placement, reference, run, how, saved, heard))
         return ("ended", tuple(outcomes))
 
-    def _ended(self, now, placement, reference, run, how, saved, heard):
+    def _ended(
+        self,
+        now: float,
+        placement: Placement | None,
+        reference: str,
+        run: int,
+        how: str,
+        saved: str,
+        heard: bool,
+    ) -> str:
         """What follows from the end of one run, whose placement is gone by now: an END_... word."""
         identity, *rest = reference.split(".")
         job = self.jobs.get(identity)
@@ -260,37 +292,37 @@
         if wave is None or index >= len(wave.tasks):
             return END_UNKNOWN
         task = wave.tasks[index]
-        current = placement is not None and task.state == "placed" and task.run == run
+        current = placement is not None and task.state == PLACED and task.run == run
         if not current:
             if run not in task.open_runs or not heard:
                 return END_STALE
             task.open_runs.discard(run)
-        elif not heard and how != "unsent":
+        elif not heard and how != RUN_NEVER_STARTED:
             task.open_runs.add(run)
         self._keep_saved(wave, task, run, saved)
-        if task.state == "done":
+        if task.state == DONE:
             return END_STALE
-        if how == "done" and not wave.step.lasts:
+        if how == RUN_DONE and not wave.step.lasts:
             return self._done(now, job, wave, index)
-        if how == "failed" and not wave.step.lasts and self._out_of_attempts(wave, task, run):
-            self._finish(now, job, "failed")
+        if how == RUN_FAILED and not wave.step.lasts and self._out_of_attempts(wave, task, run):
+            self._finish(now, job, JOB_FAILED)
             return END_FAILED
         if current:
             self._wait_again(now, wave, index)
         return END_AGAIN
 
-    def _keep_saved(self, wave, task, run, saved):
+    def _keep_saved(self, wave: Wave, task: Task, run: int, saved: str) -> None:
         """Keeps the progress that a run saved, for the whole gang where there is one, unless a newer run
         may have saved more."""
-        if not saved or task.state == "done" or run + 1 < task.run:
+        if not saved or task.state == DONE or run + 1 < task.run:
             return
         gang = wave.step.gang
-        if gang and any(one.state == "placed" and one.run > run for one in wave.tasks):
+        if gang and any(one.state == PLACED and one.run > run for one in wave.tasks):
             return
         for one in wave.tasks if gang else (task,):
             one.saved = saved
 
-    def _out_of_attempts(self, wave, task, run):
+    def _out_of_attempts(self, wave: Wave, task: Task, run: int) -> bool:
         """Counts a failed run, a gang's once however many of its members tell it; whether it was the last
         that the job's attempts allow."""
         if not wave.step.gang:
@@ -299,19 +331,19 @@
         wave.failed_runs.add(run)
         return wave.failures >= wave.job.attempts
 
-    def _wait_again(self, now, wave, index):
+    def _wait_again(self, now: float, wave: Wave, index: int) -> None:
         """A task whose newest run has ended waits for another."""
         task = wave.tasks[index]
-        task.state, task.worker_id = "waiting", ""
+        task.state, task.worker_id = WAITING, ""
         wave.waiting.add(index)
         wave.since = now
         self._index(wave)
 
-    def _done(self, now, job, wave, index):
+    def _done(self, now: float, job: LeasedJob, wave: Wave, index: int) -> str:
         """A task, or with one member the whole gang, has ended well."""
         for place in range(len(wave.tasks)) if wave.step.gang else (index,):
-            if wave.tasks[place].state != "done":
-                wave.tasks[place].state = "done"
+            if wave.tasks[place].state != DONE:
+                wave.tasks[place].state = DONE
                 wave.waiting.discard(place)
                 wave.left -= 1
         self._index(wave)
@@ -323,17 +355,29 @@
                     other.since = max(other.due, now)
                     self._index(other)
             if not job.left:
-                self._finish(now, job, "completed")
+                self._finish(now, job, JOB_COMPLETED)
                 return END_COMPLETED
         return END_DONE
 
-    def configure(self, now, base, document, digest):
+    def configure(self, now: float, base: int, document: Document, digest: str) -> Outcome:
+        """A whole configuration, as Configuration.take has it."""
         return self.configuration.take(base, document, digest)
 
-    def amend(self, now, base, version, upserts, removes, digest):
+    def amend(
+        self,
+        now: float,
+        base: int,
+        version: Any,
+        upserts: dict[str, Any],
+        removes: dict[str, Any],
+        digest: str,
+    ) -> Outcome:
+        """Named items of the configuration, as Configuration.amend has them."""
         return self.configuration.amend(base, version, upserts, removes, digest)
 
-    def evacuate(self, now, zone, begun, index, confirmed=None):
+    def evacuate(
+        self, now: float, zone: str, begun: bool, index: int, confirmed: int | None = None
+    ) -> Outcome:
         """An order for a zone at entry `index`; `confirmed` as Evacuations.take wants it."""
         if confirmed is None:
             return self.evacuations.take_unconfirmed(index, now, zone, begun)
--- a/src/pinepitch/scheduling/leases.py
+++ b/src/pinepitch/scheduling/leases.py
@@ -1,25 +1,34 @@
-"""Which workers run nothing any more though nobody heard an end: holds that lapsed, workers that left."""
+"""Which workers run nothing any more though nobody heard an end: leases that
+lapsed, workers that left."""
+
+from collections.abc import Iterator
 
 from ..common import constants
+from .daemon_interface import Daemon
+from .placement import Placements
+from .run_ends import EndIntake
+from .worker import Worker
 
-LEFT, LAPSED = "left", "hold lapsed"
+# Why a worker is let go, as event 180 tells it.
+LEFT = "left"  # it said that it ends
+LAPSED = "hold lapsed"
 
 
 class LeaseWatch:
-    """Invariant: a hold counts as lapsed only once it is over by the slowest clock a worker may have,
+    """Invariant: a lease counts as lapsed only once it is over by the slowest clock a worker may have,
     counted from the newest heartbeat whose answer may have extended it, by whichever leader."""
 
-    def __init__(self, core, since):
+    def __init__(self, core: Daemon, since: float) -> None:
         self.core, self.since = core, since  # since when this daemon leads
-        self.left_at = {}  # worker -> when it said that it ends
+        self.left_at: dict[str, float] = {}  # worker -> when it said that it ends
 
-    def leave(self, identity, now):
+    def leave(self, identity: str, now: float) -> None:
         """A worker says that it ends now."""
         self.left_at.setdefault(identity, now)
 
-    def over(self, workers, ends, now):
-        """Yields (identity, why) of workers whose life is over; each is to be let go before the next is
-        asked for."""
+    def over(self, workers: dict[str, Worker], ends: EndIntake, now: float) -> Iterator[tuple[str, str]]:
+        """Yields (identity, why) of workers whose incarnation is over; each is to be let go before the
+        next is asked for."""
         for identity, at in list(self.left_at.items()):
             if now - at >= constants.LEAVE_MARGIN:
                 del self.left_at[identity]
@@ -30,12 +39,12 @@
             if now - self._leased_from(workers.get(identity), placements) > self._span():
                 yield identity, LAPSED
 
-    def _span(self):
-        """Seconds after which a hold is over, whatever the worker's clock."""
+    def _span(self) -> float:
+        """Seconds after which a lease is over, whatever the worker's clock."""
         return self.core.lease_duration * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN
 
-    def _leased_from(self, worker, placements):
-        """When the newest hold on what a worker runs may have begun."""
+    def _leased_from(self, worker: Worker | None, placements: Placements) -> float:
+        """When the newest lease on what a worker runs may have begun."""
         if worker is not None and worker.leased_from is not None:
             return worker.leased_from
         if worker is not None and all(one.epoch == self.core.epoch for one in placements.values()):
--- a/src/pinepitch/scheduling/reservations.py
+++ b/src/pinepitch/scheduling/reservations.py
@@ -1,40 +1,79 @@
-"""Room that is kept for waves which have found none for long, and what had better yield to them."""
+"""Capacity that is kept for waves which have found none for long, and what had better yield to them."""
+
+from collections.abc import Set
+from typing import Any, NamedTuple, Protocol
 
 from ..common import constants
 from . import policy as policies
-from .candidate_workers import in_use
-from .resources import NO_RESOURCES, less, more, times
+from .budgets import CapacityBudgets
+from .candidate_workers import CandidateWorker, in_use
+from .leased_job import Wave, WaveKey
+from .leased_job_state import LeasedJobState
+from .placement import Placement, RunKey
+from .resources import NO_RESOURCES, Level, Resources, less, more, times
+from .run_stop import YIELDS, RunStop
+
+
+class PendingStops(Protocol):
+    """What is read of the assignment manager."""
+
+    @property
+    def stopping(self) -> Set[RunKey]:
+        """The runs whose stop is proposed."""
+
+
+class AbleCandidate(NamedTuple):
+    """A worker that could be kept for a wave. In the order of preference: most of its capacity free first."""
+
+    minus_free: float  # 0 to -1: the least part that is free of what the wave asks for
+    identity: str
+    candidate: CandidateWorker
+    members: int  # tasks of the wave that it could run at once
+
+
+class KeptCandidate(NamedTuple):
+    """A worker that is kept for a wave."""
+
+    candidate: CandidateWorker
+    members: int  # tasks of the wave that it is kept for
 
 
 class Reservations:
-    """Keeps seats for the first waves that have been short for long, and says which less urgent runs
+    """Keeps candidates for the first waves that have been short for long, and says which less urgent runs
     had better yield to them: those that save their progress lose nothing but a restart, of others no
     more work is thrown away for a wave than YIELD_WASTE.
 
-    Invariants: a seat is kept for one wave at most, and only if the wave can take it once what runs
-    there has ended; no more than RESERVE_PART of a service's seats are kept. While under half of a
-    service's room is in use nothing is kept for over RESERVE_LASTS without a break: in the round
+    Invariants: a candidate is kept for one wave at most, and only if the wave can take it once what runs
+    there has ended; no more than RESERVE_PART of a service's candidates are kept. While under half of a
+    service's capacity is in use nothing is kept for over RESERVE_LASTS without a break: in the round
     between, whatever waits may take what stood empty."""
 
     def __init__(
-        self, leased_jobs, assignments, budgets, candidates, kept_since, time, policy=policies.DEFAULT
-    ):
+        self,
+        leased_jobs: LeasedJobState,
+        assignments: PendingStops,
+        budgets: CapacityBudgets,
+        candidates: dict[str, list[CandidateWorker]],
+        kept_since: dict[str, float],
+        time: float,
+        policy: policies.Policy = policies.DEFAULT,
+    ) -> None:
         self.policy = policy
         self.leased_jobs, self.assignments, self.budgets = leased_jobs, assignments, budgets
         self.candidates, self.time = candidates, time
-        self.kept_since = kept_since  # service -> since when some of its seats are kept
-        self.counts = {}  # service -> waves that seats are kept for
-        self.taken = {}  # service -> seats kept
-        self.kept = {}  # key of a wave -> the seats kept for it
-        self.kept_resources = {}  # (service, priority) -> room kept for its waves
-        self.lasting = {}  # worker -> room of what lasts there
+        self.kept_since = kept_since  # service -> since when some of its candidates are kept
+        self.counts: dict[str, int] = {}  # service -> waves that candidates are kept for
+        self.taken: dict[str, int] = {}  # service -> candidates kept
+        self.kept: dict[WaveKey, list[CandidateWorker]] = {}  # key of a wave -> the candidates kept for it
+        self.kept_resources: dict[Level, Resources] = {}  # (service, priority) -> capacity kept for its waves
+        self.lasting: dict[str, Resources] = {}  # worker -> capacity of what lasts there
         self.waste = 0.0  # core-seconds that may still be thrown away for the wave looked at
 
-    def keep(self, waves, short, now):
-        """Keeps seats for those of `waves`, the first in rank first, that have been short for long by
-        `short` (key of a wave -> since when); the stops that make room on them."""
+    def keep(self, waves: list[Wave], short: dict[WaveKey, float], now: float) -> list[RunStop]:
+        """Keeps candidates for those of `waves`, the first in rank first, that have been short for long by
+        `short` (key of a wave -> since when); the stops that free capacity on them."""
         stops = []
-        failed = set()  # shapes that found no seats since one was kept last: their like find none either
+        failed = set()  # shapes that found no candidates since one was kept last: their like find none either
         for wave in waves:
             if not self._due(wave, short, now):
                 continue
@@ -53,8 +92,8 @@
             self.kept_since.setdefault(service, now)
         return stops
 
-    def _due(self, wave, short, now):
-        """Whether a wave has waited long enough, and may have room kept for it."""
+    def _due(self, wave: Wave, short: dict[WaveKey, float], now: float) -> bool:
+        """Whether a wave has waited long enough, and may have capacity kept for it."""
         service = wave.job.service
         patience = constants.RESERVE_AFTER * (1 if wave.job.priority else 0.5)
         return (
@@ -64,14 +103,14 @@
             and not self._lapsed(service, now)
         )
 
-    def _lapsed(self, service, now):
-        """Whether some of a service's room was kept for long while most of it is idle."""
+    def _lapsed(self, service: str, now: float) -> bool:
+        """Whether some of a service's capacity was kept for long while most of it is idle."""
         if now - self.kept_since.get(service, now) < constants.RESERVE_LASTS:
             return False
         return in_use(self.candidates[service]) < constants.RESERVE_BUSY
 
-    def _shape(self, wave):
-        """What decides which seats a wave may have: waves of one shape are refused alike."""
+    def _shape(self, wave: Wave) -> tuple[Any, ...]:
+        """What decides which candidates a wave may have: waves of one shape are refused alike."""
         step = wave.step
         job = wave.job.identity if step.apart else None
         return (
@@ -87,14 +126,15 @@
             len(wave.waiting),
         )
 
-    def _keep(self, wave, chosen):
-        """Keeps the chosen seats for a wave; the stops that make room on them."""
+    def _keep(self, wave: Wave, chosen: list[KeptCandidate]) -> list[RunStop]:
+        """Keeps the chosen candidates for a wave; the stops that free capacity on them."""
         service = wave.job.service
         self.counts[service] = self.counts.get(service, 0) + 1
         self.taken[service] = self.taken.get(service, 0) + len(chosen)
-        stops, enough, self.waste = [], True, constants.YIELD_WASTE
-        self.kept[wave.key()] = [candidate for candidate, _ in chosen]
-        kept = times(wave.step.resources, sum(members for _, members in chosen))
+        stops: list[RunStop] = []
+        enough, self.waste = True, constants.YIELD_WASTE
+        self.kept[wave.key()] = [one.candidate for one in chosen]
+        kept = times(wave.step.resources, sum(one.members for one in chosen))
         self.kept_resources[self._level(wave)] = more(
             self.kept_resources.get(self._level(wave), NO_RESOURCES), kept
         )
@@ -105,10 +145,10 @@
             stops.extend(found or ())
         return stops if enough or not wave.step.gang else []
 
-    def _choose(self, wave):
-        """[(seat, members)] for the members of a wave by the whole room of workers, those with most
+    def _choose(self, wave: Wave) -> list[KeptCandidate] | None:
+        """Candidates for the members of a wave by the whole capacity of workers, those with most
         of it free first: near its data if any stands there, of a gang that wants one rack in one, if
-        any rack is large enough. A gang gets seats for all its members or none; other waves get fewer
+        any rack is large enough. A gang gets candidates for all its members or none; other waves get fewer
         when there are not enough, or not enough that may be kept."""
         step, wanted = wave.step, len(wave.waiting)
         keepable = self.budgets.keepable(wave, self.kept_resources.get(self._level(wave), NO_RESOURCES))
@@ -119,38 +159,41 @@
             one for candidate in self.candidates[wave.job.service] if (one := self._able(wave, candidate))
         ]
         able.sort(key=lambda one: one[:2])
-        able = [one for one in able if step.near in one[2].labels] or able if step.near else able
+        if step.near:
+            able = [one for one in able if step.near in one.candidate.labels] or able
         if step.gang and step.tight:
             able = self._one_rack(able, wanted)
         chosen, left = [], wanted
-        for _, _, candidate, members in able[: self._may_keep_more(wave.job.service)]:
+        for one in able[: self._may_keep_more(wave.job.service)]:
             if left <= 0:
                 break
-            chosen.append((candidate, min(members, left)))
-            left -= members
+            chosen.append(KeptCandidate(one.candidate, min(one.members, left)))
+            left -= one.members
         return chosen if left <= 0 or not step.gang else None
 
-    def _level(self, wave):
+    def _level(self, wave: Wave) -> Level:
         """The (service, priority) of a wave."""
         return (wave.job.service, wave.job.priority)
 
-    def _may_keep_more(self, service):
-        """How many more seats of a service may be kept."""
+    def _may_keep_more(self, service: str) -> int:
+        """How many more candidates of a service may be kept."""
         most = max(1, int(len(self.candidates[service]) * constants.RESERVE_PART))
         return max(0, most - self.taken.get(service, 0))
 
-    def _able(self, wave, candidate):
-        """(rank, identity, seat, members) of a seat that may be kept for a wave, else None."""
+    def _able(self, wave: Wave, candidate: CandidateWorker) -> AbleCandidate | None:
+        """A candidate as one that may be kept for a wave, or None."""
         step = wave.step
         if candidate.kept is not None or candidate.unreliable:
             return None
         members = candidate.potential_members(wave, self._lasting_on(candidate))
-        return (-candidate.free_share(step), candidate.identity, candidate, members) if members else None
+        if not members:
+            return None
+        return AbleCandidate(-candidate.free_share(step), candidate.identity, candidate, members)
 
-    def _lasting_on(self, candidate):
-        """Room on a seat of runs that last, which no wait brings back."""
+    def _lasting_on(self, candidate: CandidateWorker) -> Resources:
+        """Capacity on a candidate of runs that last, which no wait brings back."""
         if candidate.identity not in self.lasting:
-            resources = NO_RESOURCES
+            resources: Resources = NO_RESOURCES
             for placement in self.leased_jobs.placements.get(candidate.identity, {}).values():
                 found = None if placement.stop else self.leased_jobs.task(placement)
                 if found is not None and found[0].step.lasts:
@@ -158,21 +201,21 @@
             self.lasting[candidate.identity] = resources
         return self.lasting[candidate.identity]
 
-    def _one_rack(self, able, wanted):
-        """The able seats of the rack with most room free that is large enough, or all of them."""
-        racks = {}
+    def _one_rack(self, able: list[AbleCandidate], wanted: int) -> list[AbleCandidate]:
+        """The able candidates of the rack with most capacity free that is large enough, or all of them."""
+        racks: dict[str, list[AbleCandidate]] = {}
         for one in able:
-            racks.setdefault(one[2].rack, []).append(one)
-        large = [rack for rack in racks.values() if sum(one[3] for one in rack) >= wanted]
-        return min(large, key=lambda rack: sum(one[0] for one in rack) / len(rack), default=able)
+            racks.setdefault(one.candidate.rack, []).append(one)
+        large = [rack for rack in racks.values() if sum(one.members for one in rack) >= wanted]
+        return min(large, key=lambda rack: sum(one.minus_free for one in rack) / len(rack), default=able)
 
-    def _victims(self, wave, candidate, members):
-        """Stops that make room for so many members on a seat; None when there is no such way."""
-        missing = [
+    def _victims(self, wave: Wave, candidate: CandidateWorker, members: int) -> list[RunStop] | None:
+        """Stops that free capacity for so many members on a candidate; None when there is no such way."""
+        missing: Resources = [
             members * resources - free
             for resources, free in zip(wave.step.resources, candidate.free, strict=True)
         ]
-        stops = []
+        stops: list[RunStop] = []
         if max(missing) <= 0:
             return stops
         placements = self.leased_jobs.placements.get(candidate.identity, {})
@@ -185,10 +228,10 @@
             if not self._yields(wave, candidate, key, placement):
                 continue
             missing = less(missing, placement.resources)
-            stops.append((candidate.identity, *key, "yields"))
+            stops.append(RunStop(candidate.identity, key[0], key[1], YIELDS))
         return stops if max(missing) <= 0 else None
 
-    def _yields(self, wave, candidate, key, placement):
+    def _yields(self, wave: Wave, candidate: CandidateWorker, key: RunKey, placement: Placement) -> bool:
         """Whether a run may be stopped for a wave; what that throws away is taken from the waste allowed."""
         found = self.leased_jobs.task(placement)
         if not self.policy.yielding or found is None or key not in candidate.worker.running:
--- a/src/pinepitch/scheduling/run_speed.py
+++ b/src/pinepitch/scheduling/run_speed.py
@@ -1,44 +1,81 @@
 """How long work takes, learnt from ends and from progress. The leader's guess alone: it decides
 where work goes, never whether it may."""
 
+from collections.abc import Container
+from typing import NamedTuple
+
 from ..common import constants
-from .worker import Progress
+from .leased_job import Wave, WaveKey
+from .placement import RUN_DONE, RunKey, WorkerRun
+from .worker import Progress, Worker
 
 UNKNOWN = Progress(0, 0, 0)
 
 
+class StartedRun(NamedTuple):
+    """A run whose start was answered."""
+
+    at: float  # by the leader's clock, seconds
+    is_far: bool  # whether its worker stands away from the data
+
+
+class Projection(NamedTuple):
+    """How long a run is likely to take, by its progress."""
+
+    left: float  # seconds
+    total: float  # seconds
+
+
+class RunLengths:
+    """How long the runs of one wave took that have ended. Invariant: runs is above 0 once one was added."""
+
+    __slots__ = ("seconds", "runs")
+
+    def __init__(self) -> None:
+        self.seconds, self.runs = 0.0, 0
+
+    def add(self, seconds: float) -> None:
+        """One more run has ended, after so many seconds."""
+        self.seconds += seconds
+        self.runs += 1
+
+    @property
+    def usual(self) -> float:
+        """Seconds that a run took on average."""
+        return self.seconds / self.runs
+
+
 class Pace:
-    """Invariants: lengths and speeds are positive; a wave's figures are of its own runs, taken
+    """Invariants: lengths and speeds are positive; what is known of a wave is of its own runs, taken
     back to a usual worker near the data."""
 
-    def __init__(self, far):
+    def __init__(self, far: float) -> None:
         self.far = far  # times as long that a task takes away from its data or its rack
-        self.lengths = {}  # queue -> seconds a task takes, weighted to the newest
-        self.waves = {}  # key of a wave -> [seconds in sum, runs]
-        self.started = {}  # (minion, reference, run) -> (when its start was answered, whether far)
+        self.lengths: dict[str, float] = {}  # queue -> seconds a task takes, weighted to the newest
+        self.waves: dict[WaveKey, RunLengths] = {}  # key of a wave -> RunLengths
+        self.started: dict[WorkerRun, StartedRun] = {}  # (worker, reference, run) -> StartedRun
         self.swept = 0  # waves and runs known when those of jobs that are over were dropped last
 
-    def start(self, worker_id, reference, run, far, now):
+    def start(self, worker_id: str, reference: str, run: int, far: bool, now: float) -> None:
         """A start is answered; the first answer counts."""
-        self.started.setdefault((worker_id, reference, run), (now, far))
+        self.started.setdefault((worker_id, reference, run), StartedRun(now, far))
 
-    def end(self, worker, wave, reference, run, how, now):
+    def end(self, worker: Worker, wave: Wave | None, reference: str, run: int, how: str, now: float) -> None:
         """A run has ended."""
-        begun, far = self.started.pop((worker.identity, reference, run), (None, False))
-        if begun is None or how != "done" or wave is None or wave.step.lasts:
+        started = self.started.pop((worker.identity, reference, run), None)
+        if started is None or how != RUN_DONE or wave is None or wave.step.lasts:
             return
-        seconds = max(0.01, (now - begun) / (self.far if far else 1))
-        known = self.waves.setdefault(wave.key(), [0.0, 0])
-        if known[1] >= 2:
-            worker.pace(seconds / (known[0] / known[1]), constants.SPEED_WEIGHT)
+        seconds = max(0.01, (now - started.at) / (self.far if started.is_far else 1))
+        known = self.waves.setdefault(wave.key(), RunLengths())
+        if known.runs >= 2:
+            worker.pace(seconds / known.usual, constants.SPEED_WEIGHT)
         usual = seconds / worker.speed
-        known[0] += usual
-        known[1] += 1
+        known.add(usual)
         queue = wave.job.queue
         before = self.lengths.get(queue, usual)
         self.lengths[queue] = before + (usual - before) * constants.LENGTH_WEIGHT
 
-    def forget(self, jobs):
+    def forget(self, jobs: Container[str]) -> None:
         """Drops what is known of jobs that are over; `jobs`: those that are not. Once what is held has
         doubled, so that it costs little for each job."""
         known_count = len(self.waves) + len(self.started)
@@ -50,25 +87,25 @@
         }
         self.swept = len(self.waves) + len(self.started)
 
-    def expected(self, wave):
+    def expected(self, wave: Wave) -> float:
         """Seconds that a task of a wave is likely to take on a usual worker near its data."""
         known = self.waves.get(wave.key())
-        if known and known[1]:
-            return known[0] / known[1]
+        if known is not None:
+            return known.usual
         guess = wave.step.est_ms / 1000
         learnt = self.lengths.get(wave.job.queue)
         return guess if learnt is None else learnt
 
-    def is_far(self, wave, worker):
+    def is_far(self, wave: Wave, worker: Worker) -> bool:
         """Whether a worker stands away from the data of a wave's tasks."""
         return bool(wave.step.near) and wave.step.near not in worker.labels
 
-    def projected(self, worker, key):
-        """(seconds left, seconds in all) of a run by its progress, or None while that says nothing."""
-        percent, _, first = worker.progress.get(key, UNKNOWN)
-        begun = self.started.get((worker.identity, *key), (first, False))[0]
-        elapsed = worker.heard_at - begun
+    def projected(self, worker: Worker, key: RunKey) -> Projection | None:
+        """How long a run is likely to take by its progress, or None while that says nothing."""
+        percent, _, first_at = worker.progress.get(key, UNKNOWN)
+        started = self.started.get((worker.identity, *key))
+        elapsed = worker.heard_at - (first_at if started is None else started.at)
         if percent < constants.MIN_PROGRESS or elapsed < constants.PROGRESS_AFTER:
             return None
         total = elapsed * 100 / percent
-        return total - elapsed, total
+        return Projection(total - elapsed, total)
