--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from ..common import constants
-from ..model.decisions import Answer, Decision, problem
+from ..model.decisions import Answer, problem
 from .daemon_interface import Daemon
 from .leased_job import DONE, PLACED, WAITING, LeasedJob, Wave
 from .leased_job_state import FinalJob, LeasedJobState
@@ -34,7 +34,7 @@
 
 
 # --- jobs ----------------------------------------------------------------------------
-def job(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+def job(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
     """A job's waves and placements, and why what waits does."""
     identity, leased_jobs = arguments[0], core.cluster_state.leased_jobs
     found = leased_jobs.jobs.get(identity)
@@ -185,7 +185,7 @@
 
 
 # --- workers, evacuations ------------------------------------------------------------
-def workers(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+def workers(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
     """Each worker this leader knows, and those that only placements name."""
     known, leased_jobs = core.assignments.workers, core.cluster_state.leased_jobs
     listed = []
@@ -237,7 +237,7 @@
     }
 
 
-def evacuations(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+def evacuations(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
     """The zones that get no new work, and since when."""
     return Answer(
         200,
