--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -24,6 +24,7 @@
 import cbor2
 
 from pinepitch.common import constants, packed_operations
+from pinepitch.consensus import messages
 from pinepitch.simulation import daemon_calls, leased_job_trial, pushed_job_trial
 from pinepitch.simulation import simulator as simulators
 from pinepitch.simulation.agreement import plain_image
@@ -165,7 +166,7 @@
 def note_model(history, world):
     """Notes all messages that a model's fleet ever sent, as frames, and what its disks hold."""
     for sent in world.post.messages:
-        frame = framing.encode(sent.sender, sent.message)
+        frame = framing.encode(sent.sender, messages.encode(sent.message))
         history.note("frames", sent.receiver, plain(frame[framing.LENGTH.size :]))
     for identity, replica in sorted(world.replicas.items()):
         history.note("disks", identity, plain(packed_operations.dumps(replica.disk)))
