--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -214,11 +214,11 @@
     history = RecordedHistory()
     run = schedule.drawn_run(seed)
     served = run.serves_again(seed)
-    history.note("times", run.leased, run.world.time, {None: 2, False: 0, True: 1}[served])
-    for term, leader in run.world.leaders:
+    history.note("times", run.leased, run.state.time, {None: 2, False: 0, True: 1}[served])
+    for term, leader in run.state.leaders:
         history.note("events", term, leader)
-    history.note("images", len(run.world.committed))
-    note_model(history, run.world)
+    history.note("images", len(run.state.committed))
+    note_model(history, run.state)
     return history
 
 
@@ -227,7 +227,7 @@
     history = RecordedHistory()
     start, every, walks = search.search(name, SEARCH_BOUNDS, SEARCH_WALKS)
     for outcome in (every, walks):
-        history.note("events", outcome.states, outcome.steps, outcome.depth, int(outcome.whole))
+        history.note("events", outcome.states, outcome.steps, outcome.depth, int(outcome.complete))
     note_model(history, start)
     return history
 
--- a/features/steps/models.py
+++ b/features/steps/models.py
@@ -5,9 +5,11 @@
 from hypothesis import given as drawn
 
 from pinepitch.simulation.model_checker import fleets, script, search
+from pinepitch.simulation.model_checker.actions import Budget
 from pinepitch.simulation.model_checker.explore import Found
 from pinepitch.simulation.model_checker.faults import FAULTS, conditions, injected
-from pinepitch.simulation.model_checker.fleets import FAST, MODELS, SLOW, THREE, Fleet
+from pinepitch.simulation.model_checker.fleets import FAST, MODELS, SLOW, THREE
+from pinepitch.simulation.model_checker.model import Fleet, started
 from pinepitch.simulation.model_checker.schedule import BEGINNING, EVENTS, SHAPES, Event, Run, drawn_run
 
 STATES_LEAST = 10_000  # states; what all brief searches see together, so that none became empty
@@ -47,16 +49,16 @@
 
 @given("three voters and a caught-up spare that replaces the third, while the second is lost")
 def step_replacing(context):
-    context.fleet = Fleet(THREE, {"d": "west"}, budget=fleets.Budget(beats=10), script=fleets.LEARNT)
+    context.fleet = Fleet(THREE, {"d": "west"}, budget=Budget(heartbeats=10), script=fleets.LEARNT)
 
 
 def replaced_without_second(fleet):
     """The leader's consensus after a replacement was begun, carried on by all but b."""
     with conditions(fleet):
-        state = fleets.started(fleet._replace(budget=fleets.Budget(beats=10, changes=1)))
+        state = started(fleet._replace(budget=Budget(heartbeats=10, changes=1)))
         state = script.act("change", "a", REPLACING)(state)
         for _ in range(6):
-            state = script.act("beat", "a")(script.quiet_without("b")(state))
+            state = script.act("heartbeat", "a")(script.quiet_without("b")(state))
     return state.replicas["a"].consensus
 
 
@@ -142,8 +144,8 @@
 def step_leases(context):
     assert len(context.runs) >= context.count
     assert 2 * sum(run.leased > 0 for run in context.runs) > len(context.runs)
-    assert sum(len(run.world.leaders) > 1 for run in context.runs) > 5
-    assert sum(len(run.world.wiped) > 0 for run in context.runs) > 5
+    assert sum(len(run.state.leaders) > 1 for run in context.runs) > 5
+    assert sum(len(run.state.wiped) > 0 for run in context.runs) > 5
 
 
 @when("{count:d} schedules drawn from seeds run")
--- a/src/pinepitch/consensus/effects.py
+++ b/src/pinepitch/consensus/effects.py
@@ -14,7 +14,7 @@
 class SaveBase(NamedTuple):
     """Makes a new base durable in place of all that was saved; then `saved(sequence)` is to be called."""
 
-    sequence: int
+    sequence: int | None  # None where nothing waits for it
     payload: list[Any]
 
 
--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -91,7 +91,7 @@
         self.hard_sequence = 0  # of the newest save with hard state
         self.durable = 0
         self.saving: list[PendingSave] = []
-        self.deferred: list[tuple[int, Effect]] = []  # (sequence, effect) waiting for a save
+        self.deferred: list[tuple[int, SendMessage]] = []  # (sequence, effect) waiting for a save
         self.hard_dirty = False
         self.truncate: int | None = None  # the first index that the next save drops
         self.dirty_from: int | None = None  # the first index that the next save writes
--- a/src/pinepitch/simulation/model_checker/faults.py
+++ b/src/pinepitch/simulation/model_checker/faults.py
@@ -1,22 +1,29 @@
 """Faults injected into consensus, each of which a model must find: the proof that it can."""
 
+from __future__ import annotations
+
 import contextlib
-from typing import NamedTuple
+from collections.abc import Iterable, Iterator
+from typing import Any, NamedTuple
 from unittest import mock
 
 from ...common import constants
 from ...consensus import acknowledgements, commitment, election, leadership_transfer, log_changes, reads
-from ...consensus.effects import ReadConfirmed, SendMessage
+from ...consensus.effects import Effect, ReadConfirmed, SendMessage
 from ...consensus.handlers import ANSWERS, HANDLERS
 from ...consensus.messages import AppendReply, LeadershipTransfer, VoteReply, VoteRequest
-from ...consensus.quorum import Membership, Quorum
+from ...consensus.quorum import Membership, Quorum, Replies, Result
 from ...consensus.replica import Consensus
 from ...consensus.roles import LEADER
 from . import invariants
+from .actions import Action
+from .model import Fleet
 from .replica import Replica, machine_of
 from .state import ModelState
 from .timed import QUANTUM, TimedModelState
 
+Proposed = tuple[int, list[Effect]] | None
+
 original_advance = commitment.advance
 original_append_reply = acknowledgements.on_append_reply
 original_change_members = Consensus.change_members
@@ -25,17 +32,19 @@
 original_wait = TimedModelState._wait
 
 
-def _commits_by_old_list(self, identities, leader):
+def _commits_by_old_list(self: Membership, identities: Iterable[str], leader: str) -> bool:
     return self.now.commits(identities, leader)
 
 
-def _elects_by_new_list(self, replies, term, leader, leader_term):
+def _elects_by_new_list(
+    self: Membership, replies: Replies, term: int, leader: str | None, leader_term: int
+) -> Result:
     quorum = self.quorums()[-1]
     own = {one: reply for one, reply in replies.items() if one in quorum.members}
     return quorum.elects(own, term, leader, leader_term)
 
 
-def _advance_by_learners(replica, now):
+def _advance_by_learners(replica: Consensus, now: float) -> None:
     """Counts copies of learners as if they were a voter's."""
     matches = {one: follower.match for one, follower in replica.followers.items()}
     matches[replica.identity] = replica.durable
@@ -47,14 +56,14 @@
             break
 
 
-def _advance_unsaved(replica, now):
+def _advance_unsaved(replica: Consensus, now: float) -> None:
     """Counts the leader's own entries before they are durable."""
     durable, replica.durable = replica.durable, replica.last_index()
     original_advance(replica, now)
     replica.durable = durable
 
 
-def _advance_older_terms(replica, now):
+def _advance_older_terms(replica: Consensus, now: float) -> None:
     """Commits entries of older terms by counting copies of them."""
     matches = {one: follower.match for one, follower in replica.followers.items()}
     matches[replica.identity] = replica.durable
@@ -67,11 +76,11 @@
             break
 
 
-def _is_vote(effect):
+def _is_vote(effect: Effect) -> bool:
     return isinstance(effect, SendMessage) and isinstance(effect.message, VoteReply)
 
 
-def _vote_before_saved(replica, sender, message, now):
+def _vote_before_saved(replica: Consensus, sender: str, message: VoteRequest, now: float) -> None:
     """Tells a vote before it is durable."""
     original_vote(replica, sender, message, now)
     votes = [effect for _, effect in replica.deferred if _is_vote(effect)]
@@ -79,13 +88,13 @@
     replica.effects.extend(votes)
 
 
-def _votes_again(replica, sender, message, now):
+def _votes_again(replica: Consensus, sender: str, message: VoteRequest, now: float) -> None:
     """Forgets whom it voted for."""
     replica.history.pop(message.term, None)
     original_vote(replica, sender, message, now)
 
 
-def _change_at_once(self, members, time, now):
+def _change_at_once(self: Consensus, members: dict[str, str], time: float, now: float) -> Proposed:
     """Goes to a new list of members without a joint one."""
     if self.role != LEADER or not self.serving() or self.membership_index > self.commit:
         return None
@@ -93,7 +102,7 @@
     return self.propose([("members", coming.image())], time, now)
 
 
-def _change_keeps_learners(self, members, time, now):
+def _change_keeps_learners(self: Consensus, members: dict[str, str], time: float, now: float) -> Proposed:
     """Goes on to treat a voter of the coming list as a learner, as before this was repaired."""
     learners = dict(self.learners)
     result = original_change_members(self, members, time, now)
@@ -102,7 +111,7 @@
     return result
 
 
-def _wipe_keeps_identity(self, action):
+def _wipe_keeps_identity(self: ModelState, action: Action) -> None:
     """A lost disk comes back under its former name."""
     self._spend("wipes")
     identity = action.subject
@@ -111,18 +120,18 @@
     self.logs = {**self.logs, identity: self.replicas[identity].stored()}
 
 
-def _drop_log_keeps_durable(replica, first):
+def _drop_log_keeps_durable(replica: Consensus, first: int) -> None:
     """Goes on to count what a snapshot replaced as durable, as before this was repaired."""
     replica.log.clear(first)
 
 
-def _no_wait_after_restart(self, now):
+def _no_wait_after_restart(self: Consensus, now: float) -> None:
     """Votes at once in a new incarnation, whatever the former one acknowledged."""
     if self.election_at is None:
         self.reset_election(now)
 
 
-def _step_before_incarnation(self, sender, message, now):
+def _step_before_incarnation(self: Consensus, sender: str, message: Any, now: float) -> list[Effect]:
     """Takes messages before the wait of a new incarnation has begun, as before this was repaired."""
     kind = type(message)
     if kind in ANSWERS and message.term > self.term:
@@ -131,7 +140,7 @@
     return self.done(now)
 
 
-def _lease_from_answer(replica, sender, message, now):
+def _lease_from_answer(replica: Consensus, sender: str, message: AppendReply, now: float) -> None:
     """Counts a lease from when an answer was heard, not from when its heartbeat was sent."""
     current = replica.role == LEADER and message.term == replica.term
     if current and message.heartbeat in replica.heartbeat_times:
@@ -139,7 +148,7 @@
     original_append_reply(replica, sender, message, now)
 
 
-def _leased_by_new_list(self, now):
+def _leased_by_new_list(self: Consensus, now: float) -> bool:
     """Takes a lease from the coming list alone."""
     membership, self.membership = self.membership, Membership(self.membership.quorums()[-1])
     try:
@@ -148,8 +157,9 @@
         self.membership = membership
 
 
-def _hands_over_and_leads(replica, now):
+def _hands_over_and_leads(replica: Consensus, now: float) -> None:
     """Names a successor, and leads on with its lease."""
+    assert replica.handover is not None
     target = replica.handover.target
     follower = replica.followers.get(target)
     if follower is not None and follower.match >= replica.last_index() == replica.commit:
@@ -157,14 +167,14 @@
         replica.send(target, message, replica.hard_sequence)
 
 
-def _check_round_at_once(replica, now):
+def _check_round_at_once(replica: Consensus, now: float) -> None:
     """Answers reads without asking whether this one still leads."""
     if replica.round is not None:
         replica.effects.extend(ReadConfirmed(token, replica.round.commit) for token in replica.reads_now)
         replica.reads_now, replica.round = [], None
 
 
-def _wait_while_suspended(self, action):
+def _wait_while_suspended(self: TimedModelState, action: Action) -> None:
     """Lets the clock of a stopped daemon's machine stand still."""
     original_wait(self, action)
     stopped = {machine_of(one): self.stopped.get(machine_of(one), 0.0) + QUANTUM for one in self.frozen}
@@ -174,8 +184,8 @@
 class Fault(NamedTuple):
     """A fault: what it replaces, and the models that must find it."""
 
-    replaced: tuple  # (owner, attribute, replacement)
-    models: tuple
+    replaced: tuple[tuple[Any, str, Any], ...]  # (owner, attribute, replacement)
+    models: tuple[str, ...]
 
 
 # The registry of injected faults.
@@ -216,7 +226,7 @@
 
 
 @contextlib.contextmanager
-def conditions(fleet):
+def conditions(fleet: Fleet) -> Iterator[None]:
     """The constants of a model: nothing kept behind a snapshot, appends as short as the fleet says."""
     with contextlib.ExitStack() as stack:
         stack.enter_context(mock.patch.object(constants, "SNAPSHOT_TAIL", 0))
@@ -225,7 +235,7 @@
 
 
 @contextlib.contextmanager
-def injected(name):
+def injected(name: str) -> Iterator[None]:
     """The fault of that name in place; '' for none."""
     invariants.forget_quorums()
     with contextlib.ExitStack() as stack:
--- a/src/pinepitch/simulation/model_checker/fleets.py
+++ b/src/pinepitch/simulation/model_checker/fleets.py
@@ -1,61 +1,28 @@
-"""The models: small fleets, where each search of them starts, and how far it goes."""
+"""The registry of models: small fleets, where each search of them starts, and how far it goes."""
 
-from typing import NamedTuple
+from __future__ import annotations
 
 from ...common import constants
 from ...consensus.messages import AppendEntries, AppendReply, VoteReply, VoteRequest
-from .script import act, deliver, drop, elect, keep_only, quiet_without, settle, wait_unheard, wait_without
-from .state import Budget, ModelState
-from .timed import TimedBudget, TimedModelState
+from .actions import Budget, TimedBudget
+from .model import Bounds, Fleet, Model
+from .script import (
+    act,
+    act_until_quiet,
+    deliver,
+    drop,
+    elect,
+    keep_only,
+    quiet_without,
+    wait_unheard,
+    wait_without,
+)
 
-PLENTY = 100  # steps of each kind; that a script may take
 SLOW, FAST = 1 - constants.CLOCK_DRIFT, 1 + constants.CLOCK_DRIFT
 
 
-class Fleet(NamedTuple):
-    """A small fleet. `script` leads from a founding to the state where a search begins."""
-
-    members: dict
-    spares: dict = {}
-    mode: str = "static"
-    budget: Budget = Budget()
-    script: tuple = ()
-    slow_disks: bool = False  # whether a write becomes durable in a step of its own
-    append_entries: int = constants.APPEND_ENTRIES  # most in one append, so that an append may be in parts
-    draws: dict = {}  # daemon -> its random numbers; always the shortest spread where left out
-    rates: dict | None = None  # seconds of each steady clock per second; None for a model without time
-
-
-class Bounds(NamedTuple):
-    """How far a search goes."""
-
-    depth: int
-    states: int
-
-
-class Model(NamedTuple):
-    """A fleet and the bounds of its searches: in CI and on command."""
-
-    fleet: Fleet
-    brief: Bounds
-    long: Bounds
-    about: str
-
-
-def started(fleet):
-    """The world in which a search of this fleet begins."""
-    kind = type(fleet.budget)
-    plenty = kind(*([PLENTY] * len(kind._fields)))
-    begun = fleet._replace(budget=plenty, slow_disks=False)
-    state = ModelState(begun) if fleet.rates is None else TimedModelState(begun, fleet.rates)
-    for line in fleet.script:
-        state = line(state)
-    state.budget, state.slow_disks = fleet.budget, fleet.slow_disks
-    return state
-
-
-def _replaced(members, leaver, newcomer):
-    """The list of members, as a change names it, with one replaced in its area."""
+def _replaced(members: dict[str, str], leaver: str, newcomer: str) -> tuple[tuple[str, str], ...]:
+    """The list of members, as a change names it, with one replaced in its zone."""
     rest = {one: zone for one, zone in members.items() if one != leaver}
     return tuple(sorted({**rest, newcomer: members[leaver]}.items()))
 
@@ -63,7 +30,12 @@
 THREE = {"a": "north", "b": "south", "c": "west"}
 FOUR = {"a": "north", "b": "south", "c": "west", "d": "west"}
 FIVE = {"a": "north", "b": "north", "c": "south", "d": "south", "e": "west"}
-LEARNT = (elect("a"), settle("propose", "a"), settle("learn", "a", "d"), settle("beat", "a"))
+LEARNT = (
+    elect("a"),
+    act_until_quiet("propose", "a"),
+    act_until_quiet("learn", "a", "d"),
+    act_until_quiet("heartbeat", "a"),
+)
 CHANGING = (*LEARNT, act("change", "a", _replaced(THREE, "c", "d")))
 LOST_TAIL = (
     elect("c"),
@@ -73,12 +45,12 @@
     drop,
     act("stand", "b"),
     quiet_without("c"),
-    settle("compact", "b"),
-    act("beat", "b"),
+    act_until_quiet("compact", "b"),
+    act("heartbeat", "b"),
     quiet_without("c"),
-    act("beat", "b"),
+    act("heartbeat", "b"),
 )
-SERVING = (wait_without(6, "c"), elect("a"), settle("propose", "a"))
+SERVING = (wait_without(6, "c"), elect("a"), act_until_quiet("propose", "a"))
 LEASED = (*SERVING, wait_without(5, "c"))
 LATE_ANSWER = (
     *SERVING,
@@ -103,7 +75,7 @@
     act("freeze", "a"),
     wait_without(6, "a"),
     elect("c"),
-    settle("propose", "c"),
+    act_until_quiet("propose", "c"),
     act("thaw", "a"),
 )
 CLOCKS = {"a": SLOW, "b": FAST, "c": FAST}
@@ -111,10 +83,10 @@
 # The registry of models: name -> what is searched.
 MODELS = {
     "election": Model(
-        Fleet(THREE, budget=Budget(stands=2, proposals=1, beats=1, restarts=1)),
+        Fleet(THREE, budget=Budget(stands=2, proposals=1, heartbeats=1, restarts=1)),
         Bounds(5, 700),
         Bounds(10, 1_000_000),
-        "three voters from their founding on: two campaigns, a proposal, a crash",
+        "three voters from their bootstrap on: two campaigns, a proposal, a crash",
     ),
     "slow-disks": Model(
         Fleet(THREE, budget=Budget(stands=2, proposals=1, restarts=2), slow_disks=True),
@@ -125,7 +97,7 @@
     "two-terms": Model(
         Fleet(
             THREE,
-            budget=Budget(stands=2, proposals=1, beats=2, restarts=1),
+            budget=Budget(stands=2, proposals=1, heartbeats=2, restarts=1),
             script=(elect("a"), act("propose", "a"), deliver(AppendEntries, "b"), drop, act("stand", "c")),
         ),
         Bounds(5, 700),
@@ -144,7 +116,7 @@
         "votes are asked for while disks are slow; a voter starts anew and is asked again",
     ),
     "older-term": Model(
-        Fleet(THREE, budget=Budget(stands=1, beats=2), script=OLDER_TERM, append_entries=1),
+        Fleet(THREE, budget=Budget(stands=1, heartbeats=2), script=OLDER_TERM, append_entries=1),
         Bounds(6, 700),
         Bounds(12, 1_000_000),
         "three terms left a different tail each (Figure 8 of the Raft paper), logs are sent in parts",
@@ -152,7 +124,7 @@
     "repeats": Model(
         Fleet(
             THREE,
-            budget=Budget(stands=2, proposals=1, beats=1, repeats=3),
+            budget=Budget(stands=2, proposals=1, heartbeats=1, repeats=3),
             script=(elect("a"), act("propose", "a")),
         ),
         Bounds(5, 700),
@@ -163,7 +135,7 @@
         Fleet(
             THREE,
             {"d": "west"},
-            budget=Budget(stands=2, proposals=1, beats=1, restarts=1),
+            budget=Budget(stands=2, proposals=1, heartbeats=1, restarts=1),
             script=CHANGING,
         ),
         Bounds(5, 700),
@@ -174,7 +146,7 @@
         Fleet(
             THREE,
             {"d": "west"},
-            budget=Budget(stands=2, proposals=1, beats=1, restarts=1),
+            budget=Budget(stands=2, proposals=1, heartbeats=1, restarts=1),
             script=(
                 *CHANGING,
                 deliver(AppendEntries, "b"),
@@ -190,12 +162,12 @@
         Fleet(
             THREE,
             {"d": "west", "e": "south"},
-            budget=Budget(stands=1, changes=1, beats=2),
+            budget=Budget(stands=1, changes=1, heartbeats=2),
             script=(
                 *LEARNT,
-                settle("learn", "a", "e"),
-                settle("beat", "a"),
-                settle("change", "a", _replaced(THREE, "c", "d")),
+                act_until_quiet("learn", "a", "e"),
+                act_until_quiet("heartbeat", "a"),
+                act_until_quiet("change", "a", _replaced(THREE, "c", "d")),
             ),
         ),
         Bounds(4, 700),
@@ -205,7 +177,7 @@
     "wiped": Model(
         Fleet(
             THREE,
-            budget=Budget(stands=2, proposals=1, changes=1, beats=2, wipes=1),
+            budget=Budget(stands=2, proposals=1, changes=1, heartbeats=2, wipes=1),
             script=(elect("a"), act("propose", "a"), deliver(AppendEntries, "b")),
         ),
         Bounds(5, 700),
@@ -215,13 +187,13 @@
     "wiped-twice": Model(
         Fleet(
             THREE,
-            budget=Budget(stands=1, changes=1, beats=2, wipes=1),
+            budget=Budget(stands=1, changes=1, heartbeats=2, wipes=1),
             script=(
                 elect("a"),
-                settle("propose", "a"),
+                act_until_quiet("propose", "a"),
                 act("wipe", "c"),
-                settle("learn", "a", "c'"),
-                settle("beat", "a"),
+                act_until_quiet("learn", "a", "c'"),
+                act_until_quiet("heartbeat", "a"),
                 act("change", "a", _replaced(THREE, "c", "c'")),
             ),
         ),
@@ -232,7 +204,7 @@
     "snapshot": Model(
         Fleet(
             THREE,
-            budget=Budget(stands=1, proposals=2, beats=2, restarts=1, compactions=1),
+            budget=Budget(stands=1, proposals=2, heartbeats=2, restarts=1, compactions=1),
             script=LOST_TAIL,
         ),
         Bounds(7, 700),
@@ -242,23 +214,23 @@
     "zones": Model(
         Fleet(
             FOUR,
-            budget=Budget(stands=2, proposals=1, beats=1, restarts=1),
+            budget=Budget(stands=2, proposals=1, heartbeats=1, restarts=1),
             script=(elect("a"), act("propose", "a")),
         ),
         Bounds(4, 700),
         Bounds(8, 1_000_000),
-        "four voters in three areas, two of them in one group",
+        "four voters in three zones, two of them in one group",
     ),
     "five-single": Model(
         Fleet(
             FIVE,
             {"f": "west"},
             "single",
-            budget=Budget(stands=1, proposals=1, beats=1),
+            budget=Budget(stands=1, proposals=1, heartbeats=1),
             script=(
                 elect("a"),
-                settle("learn", "a", "f"),
-                settle("beat", "a"),
+                act_until_quiet("learn", "a", "f"),
+                act_until_quiet("heartbeat", "a"),
                 act("change", "a", _replaced(FIVE, "e", "f")),
             ),
         ),
@@ -270,7 +242,7 @@
         Fleet(
             THREE,
             {"d": "west"},
-            budget=Budget(stands=1, proposals=2, beats=1, restarts=1),
+            budget=Budget(stands=1, proposals=2, heartbeats=1, restarts=1),
             script=LEARNT,
         ),
         Bounds(5, 700),
@@ -281,7 +253,7 @@
         Fleet(
             THREE,
             {"d": "west"},
-            budget=Budget(stands=1, proposals=1, handovers=2, beats=1, restarts=1),
+            budget=Budget(stands=1, proposals=1, handovers=2, heartbeats=1, restarts=1),
             script=CHANGING,
         ),
         Bounds(5, 700),
@@ -292,7 +264,7 @@
         Fleet(
             THREE,
             budget=TimedBudget(waits=2, handovers=1, restarts=1),
-            script=(*SERVING, settle("wait", "")),
+            script=(*SERVING, act_until_quiet("wait", "")),
             rates=CLOCKS,
         ),
         Bounds(7, 700),
@@ -309,7 +281,7 @@
         Fleet(THREE, budget=TimedBudget(waits=2), script=LATE_ANSWER, rates=CLOCKS),
         Bounds(7, 700),
         Bounds(16, 1_000_000),
-        "the answer to a leader's beat is late by nearly a whole time-out",
+        "the answer to a leader's heartbeat is late by nearly a whole time-out",
     ),
     "lease-restart": Model(
         Fleet(
@@ -352,8 +324,8 @@
             budget=TimedBudget(waits=2, restarts=1),
             script=(
                 *SERVING,
-                settle("learn", "a", "d"),
-                settle("wait", ""),
+                act_until_quiet("learn", "a", "d"),
+                act_until_quiet("wait", ""),
                 act("change", "a", _replaced(THREE, "c", "d")),
                 wait_without(4, "b", "c"),
             ),
@@ -370,8 +342,8 @@
             script=(
                 *LEASED,
                 act("wipe", "c"),
-                settle("learn", "a", "c'"),
-                settle("wait", ""),
+                act_until_quiet("learn", "a", "c'"),
+                act_until_quiet("wait", ""),
                 act("change", "a", _replaced(THREE, "c", "c'")),
             ),
             rates=CLOCKS,
--- a/src/pinepitch/simulation/model_checker/invariants.py
+++ b/src/pinepitch/simulation/model_checker/invariants.py
@@ -1,23 +1,32 @@
 """What must hold in every state of a model, whatever happened before."""
 
+from __future__ import annotations
+
 import functools
 import itertools
+from collections.abc import Iterable, Iterator
+from typing import Any
 
 from ...consensus import election
+from ...consensus.log import Entry
 from ...consensus.quorum import Membership, Reply, membership_from_image
+from ...consensus.replica import Consensus
 from .replica import frozen
 
+Image = Any  # a frozen `Membership.image()`
+Committed = tuple[tuple[int, Any], ...]  # the `entry_key` of each committed entry
+
 
 class Violation(AssertionError):
     """An invariant that a state of the model breaks."""
 
 
-def entry_key(entry):
+def entry_key(entry: Entry) -> tuple[int, Any]:
     """Term and operation of an entry of the log, to be compared."""
     return (entry[0], frozen(entry[2]))
 
 
-def subsets(names):
+def subsets(names: Iterable[str]) -> Iterator[frozenset[str]]:
     """Every set of these names."""
     names = sorted(names)
     for size in range(len(names) + 1):
@@ -26,28 +35,28 @@
 
 
 @functools.lru_cache(maxsize=100_000)
-def wins(image, voters):
-    """Whether the votes of `voters` elect a leader by the cohort of that frozen image."""
+def wins(image: Image, voters: frozenset[str]) -> bool:
+    """Whether the votes of `voters` elect a leader by the membership of that frozen image."""
     replies = {voter: Reply(True, None, 0, {}) for voter in voters}
-    return cohort_of(image).elects(replies, 1, None, 0).satisfied
+    return membership_of(image).elects(replies, 1, None, 0).satisfied
 
 
 @functools.lru_cache(maxsize=10_000)
-def cohort_of(image):
-    """The Cohort of a frozen image."""
+def membership_of(image: Image) -> Membership:
+    """The Membership of a frozen image."""
     return membership_from_image([(dict(members), mode) for members, mode in image])
 
 
 @functools.lru_cache(maxsize=10_000)
-def election_quorums(image):
+def election_quorums(image: Image) -> list[frozenset[str]]:
     """Every set of members that elects a leader."""
-    return [one for one in subsets(cohort_of(image).members()) if wins(image, one)]
+    return [one for one in subsets(membership_of(image).members()) if wins(image, one)]
 
 
 @functools.lru_cache(maxsize=10_000)
-def commit_quorums(image):
+def commit_quorums(image: Image) -> list[frozenset[str]]:
     """Every set of members that commits under some leader in it."""
-    membership = cohort_of(image)
+    membership = membership_of(image)
     return [
         one
         for one in subsets(membership.members())
@@ -56,8 +65,8 @@
 
 
 @functools.lru_cache(maxsize=10_000)
-def quorums_meet(former, latter):
-    """Whether the quorums of two successive cohorts, as frozen images, meet as they must."""
+def quorums_meet(former: Image, latter: Image) -> bool:
+    """Whether the quorums of two successive memberships, as frozen images, meet as they must."""
     for elected in election_quorums(former):
         if not all(elected & other for other in election_quorums(latter)):
             return False
@@ -66,25 +75,25 @@
     return all(one & other for one in commit_quorums(former) for other in election_quorums(latter))
 
 
-def forget_quorums():
+def forget_quorums() -> None:
     """Forgets which quorums there are: what decides them was changed."""
     for remembered in (wins, election_quorums, commit_quorums, quorums_meet, quorums_to_hold):
         remembered.cache_clear()
 
 
-def check_change(former, latter):
-    """Successive cohorts have quorums that meet."""
+def check_change(former: Image, latter: Image) -> None:
+    """Successive memberships have quorums that meet."""
     for first, second in ((former, latter), (latter, latter)):
         if not quorums_meet(first, second):
             raise Violation(f"quorums of successive members don't meet: {first} then {second}")
 
 
-def holds(consensus, index, term):
+def holds(consensus: Consensus, index: int, term: int) -> bool:
     """Whether a log holds the committed entry of that index and term, and so all before it."""
     return index <= consensus.base_index or consensus.term_at(index) == term
 
 
-def check_electable(logs, committed):
+def check_electable(logs: list[Consensus], committed: Committed) -> None:
     """Whoever can win an election holds all that was committed.
 
     `logs` are the decoded disks of all members that still have their disk: any of them may
@@ -98,27 +107,29 @@
             continue
         last = candidate.last_index()
         last_term = candidate.term_at(last)
+        assert last_term is not None
         voters = frozenset(voter.identity for voter in logs if election.is_current(voter, last, last_term))
         if wins(frozen(candidate.membership.image()), voters):
             raise Violation(f"{candidate.identity} can be elected and lacks committed entry {index}")
 
 
-def check_commit_of_members(logs, image, committed):
+def check_commit_of_members(logs: list[Consensus], image: Image, committed: Committed) -> None:
     """All that is committed by now lies, durable, on every quorum that may elect from now on, and on
     every one that may commit, where any two of these meet (with 2 or 4 groups they need not).
 
-    `image` is the cohort that the change names; the quorums are those of members that have their disks."""
+    `image` is the membership that the change names; the quorums are those of members that
+    have their disks."""
     index, term = len(committed), committed[-1][0]
     holders = {log.identity for log in logs if holds(log, index, term)}
     present = {log.identity for log in logs}
-    members = Membership(cohort_of(image).quorums()[-1])
+    members = Membership(membership_of(image).quorums()[-1])
     for quorum in quorums_to_hold(frozen(members.image())):
         if quorum <= present and not quorum & holders:
             raise Violation(f"change committed at {index}, which no one of {sorted(quorum)} holds")
 
 
 @functools.lru_cache(maxsize=10_000)
-def quorums_to_hold(image):
+def quorums_to_hold(image: Image) -> list[frozenset[str]]:
     """The quorums of a list of members that must each hold what is committed."""
     commits = commit_quorums(image)
     meet = all(one & other for one in commits for other in commits)
--- a/src/pinepitch/simulation/model_checker/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -1,38 +1,50 @@
 """One replica of a model: a real Consensus, its disk, and a fingerprint of both."""
 
+from __future__ import annotations
+
 import collections
 import copy
 import functools
-from typing import NamedTuple
+import random
+from collections.abc import Hashable, Iterable, Sequence
+from typing import Any, NamedTuple, Protocol, cast
 
 from ...common import constants
+from ...consensus.flow_control import Flow
 from ...consensus.follower import Follower
-from ...consensus.log import Log
+from ...consensus.log import Entry, Log
 from ...consensus.messages import encode
 from ...consensus.replica import Consensus
-from ...consensus.snapshot_transfer import IncomingSnapshot
+from ...consensus.snapshot_transfer import IncomingSnapshot, Transfer
 
 LONG_AGO = -1e9
 SCALARS = (int, str, bool, float, bytes, type(None))
 
 
+class Draw(Hashable, Protocol):
+    """What a decider asks of its random numbers."""
+
+    def random(self) -> float:
+        """A number from 0 to 1."""
+
+
 class SteadyRandom:
     """Stands in for a decider's random numbers, so that a state has no hidden part."""
 
-    def random(self):
+    def random(self) -> float:
         """The shortest spread that a decider may draw."""
         return 0.0
 
 
-SHORTEST = SteadyRandom()
+SHORTEST: Draw = SteadyRandom()
 
 
 class EmptyArchive:
-    """An archive that holds no segments: the model's record has no tickets."""
+    """An archive that holds no segments: the model's cluster state has no jobs."""
 
     sealed = 0
 
-    def segment(self, number):
+    def segment(self, number: int) -> bytes:
         """No segment is ever asked for."""
         raise AssertionError(f"segment {number} is not there")
 
@@ -42,10 +54,10 @@
 
     replaces: bool  # whether it is a base, in place of all that was saved, or a change
     sequence: int | None
-    payload: list
+    payload: list[Any]
 
 
-def frozen(value):
+def frozen(value: Any) -> Any:
     """A hashable copy of a message or of a part of one."""
     if isinstance(value, (list, tuple)):
         return tuple([frozen(one) if type(one) not in SCALARS else one for one in value])
@@ -54,30 +66,32 @@
     return value
 
 
-def frozen_message(message):
+def frozen_message(message: Any) -> Any:
     """A hashable copy of a message between replicas, with its kind."""
     return frozen(encode(message))
 
 
-def frozen_entries(entries):
+def frozen_entries(entries: Sequence[Entry]) -> Any:
     """A hashable copy of entries of the log."""
     return tuple([one if one[2][0] != "members" else frozen(one) for one in entries])
 
 
-def fresh_consensus(identity, members, mode, draw):
+def fresh_consensus(identity: str, members: dict[str, str], mode: str, draw: Draw) -> Consensus:
     """A Consensus without any past."""
     return copy_of(_unused_consensus(identity, tuple(members.items()), mode, draw))
 
 
 @functools.lru_cache(maxsize=1_000)
-def _unused_consensus(identity, members, mode, draw):
+def _unused_consensus(
+    identity: str, members: tuple[tuple[str, str], ...], mode: str, draw: Draw
+) -> Consensus:
     consensus = Consensus(identity, 0, dict(members), mode)
-    consensus.random = draw
+    consensus.random = cast(random.Random, draw)  # nothing else is drawn
     consensus.archive = EmptyArchive()
     return consensus
 
 
-def copy_of(consensus):
+def copy_of(consensus: Consensus) -> Consensus:
     """A Consensus with the same state, which shares only what is never changed in place."""
     twin = Consensus.__new__(Consensus)
     fields = twin.__dict__
@@ -94,20 +108,20 @@
     return twin
 
 
-def _copy_of_incoming(incoming):
+def _copy_of_incoming(incoming: IncomingSnapshot) -> IncomingSnapshot:
     twin = IncomingSnapshot(incoming.last_index)
     twin.total, twin.data = incoming.total, bytearray(incoming.data)
     return twin
 
 
-def _copy_of_log(log):
+def _copy_of_log(log: Log) -> Log:
     twin = Log()
     twin.first, twin.size = log.first, log.size
     twin.entries, twin.sizes = list(log.entries), list(log.sizes)
     return twin
 
 
-def _copy_of_follower(follower):
+def _copy_of_follower(follower: Follower) -> Follower:
     twin = Follower.__new__(Follower)
     twin.__dict__.update(follower.__dict__)
     twin.flow = copy.copy(follower.flow)
@@ -116,19 +130,19 @@
     return twin
 
 
-def _forget_flow_times(flow):
+def _forget_flow_times(flow: Flow) -> None:
     """Takes time, and what was learnt by time, out of what is under way to a follower."""
     flow.in_flight = collections.deque(sent._replace(at=0.0) for sent in flow.in_flight)
     flow.progress_at, flow.rate, flow.losses = 0.0, None, 0
     flow.budget = constants.APPEND_START
 
 
-def _flow_state(flow):
+def _flow_state(flow: Flow) -> Any:
     """What is under way to a follower, without times."""
     return tuple((sent.last, sent.size) for sent in flow.in_flight)
 
 
-def _transfer_state(transfer):
+def _transfer_state(transfer: Transfer | None) -> Any:
     """A snapshot on its way to a follower, None where there is none."""
     if transfer is None:
         return None
@@ -140,15 +154,18 @@
     """A daemon of the model. Invariants: `disk` is the payload of a base file that holds all
     that is durable; `queue` are the writes under way; a wiped daemon has another identity."""
 
-    def __init__(self, identity, zone, members, mode, draw=SHORTEST):
+    def __init__(
+        self, identity: str, zone: str, members: dict[str, str], mode: str, draw: Draw = SHORTEST
+    ) -> None:
         self.identity, self.zone = identity, zone
         self.members, self.mode, self.draw = members, mode, draw
         self.consensus = fresh_consensus(identity, members, mode, draw)
         self.disk = self.consensus.bootstrap_base()
-        self.queue = ()
-        self._key = self._disk_key = None
+        self.queue: tuple[Write, ...] = ()
+        self._key: int | None = None
+        self._disk_key: int | None = None
 
-    def copy(self):
+    def copy(self) -> Replica:
         """A replica with the same state, for the next step to change."""
         twin = Replica.__new__(Replica)
         twin.__dict__.update(self.__dict__)
@@ -156,7 +173,7 @@
         twin._key = None
         return twin
 
-    def complete(self):
+    def complete(self) -> Write:
         """Makes the next write durable; the write."""
         write, self.queue = self.queue[0], self.queue[1:]
         self._disk_key = None
@@ -166,18 +183,18 @@
             self.disk = self.stored([write.payload]).base_payload()
         return write
 
-    def stored(self, changes=()):
+    def stored(self, changes: Iterable[Any] = ()) -> Consensus:
         """A Consensus that starts from the disk."""
         consensus = fresh_consensus(self.identity, self.members, self.mode, self.draw)
         consensus.restore(self.disk, changes)
         return consensus
 
-    def restart(self):
+    def restart(self) -> None:
         """Ends the process and starts it again from what was durable."""
         self.queue = ()
         self.consensus = self.stored()
 
-    def forget_times(self, now):
+    def forget_times(self, now: float) -> None:
         """Takes time out of the state: any time-out may have passed, any wait may be over."""
         consensus = self.consensus
         consensus.heard_leader = consensus.heartbeat_at = consensus.ask_at = LONG_AGO
@@ -191,19 +208,19 @@
         for save in consensus.saving:
             save.begun_at = 0.0
 
-    def key(self):
+    def key(self) -> int:
         """A fingerprint: replicas with equal keys behave alike from here on."""
         if self._key is None:
             self._key = hash((self.identity, self._state(), self._durable_state()))
         return self._key
 
-    def _durable_state(self):
+    def _durable_state(self) -> Any:
         if self._disk_key is None:
             self._disk_key = hash(frozen(self.disk))
         queued = tuple((write.replaces, frozen(write.payload)) for write in self.queue)
         return self._disk_key, queued
 
-    def _state(self):
+    def _state(self) -> Any:
         one = self.consensus
         sequence = one.saved_sequence
         followers = tuple(
@@ -240,11 +257,11 @@
         )
 
 
-def machine_of(identity):
+def machine_of(identity: str) -> str:
     """The machine that a daemon runs on; a wiped one's newcomer runs on the same."""
     return identity.rstrip("'")
 
 
-def identity_in(consensus):
+def identity_in(consensus: Consensus) -> bool:
     """Whether a replica is a member by its own log."""
     return consensus.identity in consensus.membership.members()
--- a/src/pinepitch/simulation/model_checker/schedule.py
+++ b/src/pinepitch/simulation/model_checker/schedule.py
@@ -4,16 +4,19 @@
 them, the leader lets newcomers in. Who draws the events is no matter of this module.
 """
 
+from __future__ import annotations
+
 import random
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from ...consensus.roles import LEADER
 from . import invariants
+from .actions import Action, TimedBudget
 from .faults import conditions
-from .fleets import FAST, FIVE, SLOW, THREE, Fleet
-from .replica import frozen, machine_of
-from .state import Action
-from .timed import TimedBudget, TimedModelState
+from .fleets import FAST, FIVE, SLOW, THREE
+from .model import Fleet
+from .replica import Draw, frozen, machine_of
+from .timed import TimedModelState
 
 MESSAGES_MOST = 400  # messages; delivered between two waits, a storm beyond that is a fault itself
 RECOVERY = 80  # quanta; within which an election, a joint change and another election are over
@@ -34,65 +37,67 @@
 class Run:
     """A schedule under way. Invariants: `seed` decides all spreads; every state was checked."""
 
-    def __init__(self, members, spares, mode, rates, seed):
-        draws = {one: random.Random(f"{one}-{seed}") for one in (*members, *spares)}
+    def __init__(
+        self, members: dict[str, str], spares: dict[str, str], mode: str, rates: dict[str, float], seed: int
+    ) -> None:
+        draws: dict[str, Draw] = {one: random.Random(f"{one}-{seed}") for one in (*members, *spares)}
         fleet = Fleet(members, spares, mode, ENDLESS, draws=draws, rates=rates)
-        self.world = TimedModelState(fleet, rates)
-        self.cuts = set()  # (machine, machine) whose messages wait
+        self.state = TimedModelState(fleet, rates)
+        self.partitions: set[frozenset[str]] = set()  # (machine, machine) whose messages wait
         self.leased = 0  # states, one a wait, in which a leader had its lease
         self.wipes = 0
 
-    def machines(self):
+    def machines(self) -> list[str]:
         """The machines, in order; a wiped one keeps its name."""
-        return sorted({machine_of(one) for one in self.world.replicas})
+        return sorted({machine_of(one) for one in self.state.replicas})
 
-    def identity(self, number):
+    def identity(self, number: int) -> str:
         """The daemon that runs on the machine of that number."""
         machines = self.machines()
         machine = machines[number % len(machines)]
-        return next(one for one in sorted(self.world.replicas) if machine_of(one) == machine)
+        return next(one for one in sorted(self.state.replicas) if machine_of(one) == machine)
 
-    def step(self, kind, subject, detail=None):
-        """One checked step of the world."""
-        after = self.world.step(Action(kind, subject, detail))
-        after.check(self.world)
-        self.world = after
+    def step(self, kind: str, subject: Any, detail: Any = None) -> None:
+        """One checked step of the state."""
+        after = self.state.step(Action(kind, subject, detail))
+        after.check(self.state)
+        self.state = after
 
-    def happen(self, event):
+    def happen(self, event: Event) -> None:
         """An event and the time after it."""
         EVENTS[event.kind](self, event)
         for _ in range(event.quanta):
             self.deliver()
             self.tend_members()
             self.step("wait", "")
-            self.leased += any(self._leased(identity) for identity in self.world.replicas)
+            self.leased += any(self._leased(identity) for identity in self.state.replicas)
 
-    def _leased(self, identity):
-        consensus = self.world.replicas[identity].consensus
-        return consensus.role == LEADER and consensus.leased(self.world.now(identity))
+    def _leased(self, identity: str) -> bool:
+        consensus = self.state.replicas[identity].consensus
+        return consensus.role == LEADER and consensus.leased(self.state.now(identity))
 
-    def deliver(self):
+    def deliver(self) -> None:
         """All messages that no cut and no stopped daemon holds back."""
         for _ in range(MESSAGES_MOST):
-            number = next((one for one in sorted(self.world.messages) if self._passes(one)), None)
+            number = next((one for one in sorted(self.state.messages) if self._passes(one)), None)
             if number is None:
                 return
             self.step("deliver", number)
         raise AssertionError("messages never end")
 
-    def _passes(self, number):
-        message = self.world.post.messages[number]
+    def _passes(self, number: int) -> bool:
+        message = self.state.post.messages[number]
         ends = frozenset((machine_of(message.sender), machine_of(message.receiver)))
-        return ends not in self.cuts and message.receiver not in self.world.frozen
+        return ends not in self.partitions and message.receiver not in self.state.frozen
 
-    def tend_members(self):
+    def tend_members(self) -> None:
         """Lets newcomers in, in the place of a daemon that the same machine ran before."""
-        for leader in self.world.leaders_by_themselves():
-            if leader in self.world.frozen:
+        for leader in self.state.leaders_by_themselves():
+            if leader in self.state.frozen:
                 continue
-            consensus = self.world.replicas[leader].consensus
+            consensus = self.state.replicas[leader].consensus
             members = consensus.membership.members()
-            for identity in sorted(self.world.replicas):
+            for identity in sorted(self.state.replicas):
                 if identity not in members and identity not in consensus.followers:
                     self.step("learn", leader, identity)
                 elif identity not in members and consensus.caught_up(identity):
@@ -100,14 +105,14 @@
                     if former is not None:
                         self.change(leader, former, identity)
 
-    def change(self, leader, leaver, newcomer):
+    def change(self, leader: str, leaver: str, newcomer: str) -> None:
         """Replaces a member, if the leader may now."""
-        members = self.world.replicas[leader].consensus.membership.now.members
-        zone = self.world.replicas[newcomer].zone
+        members = self.state.replicas[leader].consensus.membership.now.members
+        zone = self.state.replicas[newcomer].zone
         coming = {**{one: place for one, place in members.items() if one != leaver}, newcomer: zone}
         self.step("change", leader, tuple(sorted(coming.items())))
 
-    def serves_again(self, lost):
+    def serves_again(self, lost: int) -> bool | None:
         """Whether a proposal is committed once all is well again but for one machine that stays away,
         by its number; None if those that are left can't elect a leader."""
         self.happen(Event("heal anew", 0, 0, 0))
@@ -117,88 +122,88 @@
             return None
         self.step("freeze", away)
         self.happen(Event("nothing", 0, 0, RECOVERY))
-        committed = len(self.world.committed)
+        committed = len(self.state.committed)
         self.happen(Event("propose", 0, 0, COMMIT))
-        return len(self.world.committed) > committed
+        return len(self.state.committed) > committed
 
-    def _quorum_left(self, away):
+    def _quorum_left(self, away: str) -> bool:
         """Whether those that have their disks, but for one, may elect a leader by their newest list."""
-        logs = {one: log for one, log in self.world.logs.items() if one != away}
+        logs = {one: log for one, log in self.state.logs.items() if one != away}
         newest = max(logs.values(), key=lambda log: (log.term_at(log.last_index()), log.last_index()))
         image = frozen(newest.membership.image())
         return invariants.wins(image, frozenset(logs) & frozenset(newest.membership.members()))
 
     # --- events -----------------------------------------------------------------------
-    def _nothing(self, event):
+    def _nothing(self, event: Event) -> None:
         pass
 
-    def _cut(self, event):
+    def _partition(self, event: Event) -> None:
         """Messages between two machines wait."""
-        self.cuts.add(
+        self.partitions.add(
             frozenset((machine_of(self.identity(event.first)), machine_of(self.identity(event.second))))
         )
 
-    def _cut_off(self, event):
+    def _isolate(self, event: Event) -> None:
         """Messages of one machine wait."""
         lost = machine_of(self.identity(event.first))
-        self.cuts |= {frozenset((lost, other)) for other in self.machines() if other != lost}
+        self.partitions |= {frozenset((lost, other)) for other in self.machines() if other != lost}
 
-    def _heal(self, event):
+    def _heal(self, event: Event) -> None:
         """What waited arrives, late."""
-        self.cuts.clear()
+        self.partitions.clear()
 
-    def _heal_anew(self, event):
+    def _heal_anew(self, event: Event) -> None:
         """What waited is lost, links begin anew."""
-        for number in sorted(self.world.messages):
+        for number in sorted(self.state.messages):
             if not self._passes(number):
                 self.step("lose", number)
-        self.cuts.clear()
+        self.partitions.clear()
 
-    def _freeze(self, event):
+    def _freeze(self, event: Event) -> None:
         identity = self.identity(event.first)
-        if identity not in self.world.frozen:
+        if identity not in self.state.frozen:
             self.step("freeze", identity)
 
-    def _thaw(self, event):
-        for identity in sorted(self.world.frozen):
+    def _thaw(self, event: Event) -> None:
+        for identity in sorted(self.state.frozen):
             self.step("thaw", identity)
 
-    def _restart(self, event):
+    def _restart(self, event: Event) -> None:
         self.step("restart", self.identity(event.first))
 
-    def _wipe(self, event):
+    def _wipe(self, event: Event) -> None:
         if self.wipes < WIPES_MOST:
             self.wipes += 1
             self.step("wipe", self.identity(event.first))
 
-    def _propose(self, event):
-        for leader in self.world.leaders_by_themselves():
-            if leader not in self.world.frozen:
+    def _propose(self, event: Event) -> None:
+        for leader in self.state.leaders_by_themselves():
+            if leader not in self.state.frozen:
                 self.step("propose", leader)
 
-    def _read(self, event):
-        for leader in self.world.leaders_by_themselves():
-            if leader not in self.world.frozen:
+    def _read(self, event: Event) -> None:
+        for leader in self.state.leaders_by_themselves():
+            if leader not in self.state.frozen:
                 self.step("read", leader)
 
-    def _hand_over(self, event):
-        for leader in self.world.leaders_by_themselves():
-            if leader not in self.world.frozen:
+    def _transfer_leadership(self, event: Event) -> None:
+        for leader in self.state.leaders_by_themselves():
+            if leader not in self.state.frozen:
                 self.step("hand over", leader, self.identity(event.first))
 
-    def _replace(self, event):
+    def _replace(self, event: Event) -> None:
         """A leader swaps a member for a spare that follows."""
-        for leader in self.world.leaders_by_themselves():
-            consensus = self.world.replicas[leader].consensus
+        for leader in self.state.leaders_by_themselves():
+            consensus = self.state.replicas[leader].consensus
             members = sorted(consensus.membership.members())
             ready = [one for one in sorted(consensus.learners) if consensus.caught_up(one)]
-            ready = [one for one in ready if one in self.world.replicas]
-            if ready and leader not in self.world.frozen:
+            ready = [one for one in ready if one in self.state.replicas]
+            if ready and leader not in self.state.frozen:
                 self.change(leader, members[event.first % len(members)], ready[event.second % len(ready)])
 
-    def _compact(self, event):
+    def _compact(self, event: Event) -> None:
         identity = self.identity(event.first)
-        consensus = self.world.replicas[identity].consensus
+        consensus = self.state.replicas[identity].consensus
         if consensus.commit > consensus.base_index:
             self.step("compact", identity)
 
@@ -206,8 +211,8 @@
 # The registry of events: kind -> what happens.
 EVENTS = {
     "nothing": Run._nothing,
-    "cut": Run._cut,
-    "cut off": Run._cut_off,
+    "cut": Run._partition,
+    "cut off": Run._isolate,
     "heal": Run._heal,
     "heal anew": Run._heal_anew,
     "freeze": Run._freeze,
@@ -216,7 +221,7 @@
     "wipe": Run._wipe,
     "propose": Run._propose,
     "read": Run._read,
-    "hand over": Run._hand_over,
+    "hand over": Run._transfer_leadership,
     "replace": Run._replace,
     "compact": Run._compact,
 }
@@ -224,10 +229,14 @@
 
 BEGINNING = Event("nothing", 0, 0, 20)  # time for a first election
 EVENTS_EACH = 20  # events; of a schedule drawn from a seed
-SHAPES = ((THREE, {}, "static"), (THREE, {"d": "west"}, "static"), (FIVE, {"f": "west"}, "single"))
+SHAPES: tuple[tuple[dict[str, str], dict[str, str], str], ...] = (
+    (THREE, {}, "static"),
+    (THREE, {"d": "west"}, "static"),
+    (FIVE, {"f": "west"}, "single"),
+)
 
 
-def drawn_run(seed):
+def drawn_run(seed: int) -> Run:
     """A schedule drawn from a seed, run to its end."""
     draw = random.Random(f"schedule-{seed}")
     members, spares, mode = draw.choice(SHAPES)
--- a/src/pinepitch/simulation/model_checker/search.py
+++ b/src/pinepitch/simulation/model_checker/search.py
@@ -1,24 +1,31 @@
 """Runs the models: briefly in CI, at length on command; with a fault in place, to see it found."""
 
+from __future__ import annotations
+
 import collections
 import contextlib
 import gc
 import time
+from collections.abc import Iterator
 
 from . import fleets
-from .explore import breadth_first, random_walks
+from .explore import Found, Outcome, breadth_first, random_walks
 from .faults import FAULTS, conditions, injected
+from .model import Bounds, started
 from .schedule import drawn_run
+from .state import ModelState
 
 WALKS, WALK_LENGTH = 12, 60  # random schedules after the exhaustive part, and steps of each
 FAULT_STATES = 6_500  # states; seen at most before walks are to find an injected fault
 
 
-def search(name, bounds, walks=WALKS, fault=""):
+def search(
+    name: str, bounds: Bounds, walks: int = WALKS, fault: str = ""
+) -> tuple[ModelState, Outcome, Outcome | None]:
     """A model's start, the outcome of every schedule within the bounds, and of random ones or None."""
     fleet = fleets.MODELS[name].fleet
     with conditions(fleet), injected(fault), _without_collector():
-        start = fleets.started(fleet)
+        start = started(fleet)
         every = breadth_first(start, *bounds)
         if every.found is not None or not walks:
             return start, every, None
@@ -26,7 +33,7 @@
 
 
 @contextlib.contextmanager
-def _without_collector():
+def _without_collector() -> Iterator[None]:
     """No search for garbage cycles meanwhile: the states of a search make none."""
     gc.disable()
     try:
@@ -35,13 +42,13 @@
         gc.enable()
 
 
-def finds(name, fault):
+def finds(name: str, fault: str) -> Found | None:
     """What the search of a model finds of an injected fault, or None."""
-    _, every, walks = search(name, fleets.Bounds(20, FAULT_STATES), fault=fault)
-    return every.found or walks.found
+    _, every, walks = search(name, Bounds(20, FAULT_STATES), fault=fault)
+    return every.found or (walks.found if walks is not None else None)
 
 
-def explore(model="all", states=0, walks=1_000, fault=""):
+def explore(model: str = "all", states: int = 0, walks: int = 1_000, fault: str = "") -> None:
     """Searches models at length and prints what was seen; the steps to whatever breaks.
 
     `model` is a name of the registry, "all", or "schedules": random ones of fleets with clocks,
@@ -58,10 +65,10 @@
         _print_search(name, bounds._replace(states=states) if states else bounds, walks, fault)
 
 
-def _print_search(name, bounds, walks, fault):
+def _print_search(name: str, bounds: Bounds, walks: int, fault: str) -> None:
     begun = time.monotonic()
     start, every, wandered = search(name, bounds, walks, fault)
-    until = "whole" if every.whole else "then the bound on states"
+    until = "whole" if every.complete else "then the bound on states"
     lasted = time.monotonic() - begun
     print(f"{name}: {every.states} states, {every.steps} steps, depth {every.depth} {until}, {lasted:.0f} s")
     if wandered is not None:
@@ -73,9 +80,9 @@
             print(f"    {start.describe(action)}")
 
 
-def _print_schedules(count):
+def _print_schedules(count: int) -> None:
     begun = time.monotonic()
-    outcomes = collections.Counter()
+    outcomes: collections.Counter[str] = collections.Counter()
     leased = terms = 0
     for seed in range(count):
         try:
@@ -89,7 +96,7 @@
             print(f"  NOT SERVING AGAIN, seed {seed}")
         outcomes[{True: "serve again", False: "stand still", None: "lost too much"}[served]] += 1
         leased += run.leased
-        terms += len(run.world.leaders)
+        terms += len(run.state.leaders)
     summary = ", ".join(f"{number} {what}" for what, number in sorted(outcomes.items()))
     print(f"schedules: {count}, {summary}; {terms} leaders, leases in {leased} quanta, ", end="")
     print(f"{time.monotonic() - begun:.0f} s")
--- a/src/pinepitch/simulation/model_checker/state.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -1,22 +1,26 @@
-"""A state of a model: replicas, messages under way, and what was promised so far.
+"""A state of a model: replicas, messages under way, and what was committed so far.
 
-A world is never changed once it is made: a step copies the one replica it acts on. Time is
+A state is never changed once it is made: a step copies the one replica it acts on. Time is
 left out: every time-out may pass at any moment, and a message may arrive at any later one,
 in any order, or never. Safety must not rest on either.
 """
 
-from typing import NamedTuple
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Sequence
+from typing import TYPE_CHECKING, Any, Self
 
-from ...common import constants
 from ...common.effects import SaveChange
 from ...consensus import election, replication
 from ...consensus.effects import (
     BecomeLeader,
     CommitEntries,
+    Effect,
     InstallSnapshot,
     SaveBase,
     SendMessage,
 )
+from ...consensus.log import Entry
 from ...consensus.messages import (
     AppendEntries,
     AppendReply,
@@ -27,107 +31,72 @@
     SnapshotChunk,
     VoteReply,
 )
+from ...consensus.replica import Consensus
 from ...consensus.roles import CANDIDATE, LEADER
 from . import invariants
+from .actions import Action
 from .invariants import Violation
-from .replica import SHORTEST, Replica, Write, frozen, frozen_message, identity_in
+from .post import Post, PostedMessage
+from .replica import SHORTEST, Replica, Write, frozen, identity_in
+
+if TYPE_CHECKING:
+    from .model import Fleet
 
 NOW = 1000.0  # seconds; the one reading of every clock
 STALE_ANSWERS = (VoteReply, AppendReply, ChunkReply)  # answers that mean nothing in a later term
 
 
-class Message(NamedTuple):
-    """A message under way."""
-
-    sender: str
-    receiver: str
-    message: tuple
-
-
-class Post:
-    """All messages of a search, by number. Invariant: equal letters have the same number."""
-
-    def __init__(self):
-        self.messages, self.numbers = [], {}
-
-    def number(self, sender, receiver, message):
-        """The number of a message, new or seen before."""
-        key = (sender, receiver, frozen_message(message))
-        number = self.numbers.get(key)
-        if number is None:
-            number = self.numbers[key] = len(self.messages)
-            self.messages.append(Message(sender, receiver, message))
-        return number
-
-
-class Budget(NamedTuple):
-    """How often each kind of step may still be taken."""
-
-    stands: int = 0  # a member stands for election
-    proposals: int = 0
-    changes: int = 0  # joint changes begun
-    beats: int = 0  # a leader sends anew what was not answered
-    restarts: int = 0
-    wipes: int = 0
-    compactions: int = 0
-    repeats: int = 0  # a message arrives twice
-    handovers: int = 0  # a leader lets another voter lead
-
-
-class Action(NamedTuple):
-    """A step that may be taken. `subject` is an identity or the number of a letter."""
-
-    kind: str
-    subject: object
-    detail: object = None
-
-
 class ModelState:
     """A state without time.
 
     Invariants: `leaders` names at most one leader a term; `committed[i]` is what every
-    replica has, or will have, at index i + 1; letters wait only for daemons that are there."""
+    replica has, or will have, at index i + 1; messages wait only for daemons that are there."""
 
-    ignored = (NewerTerm, RemovedNotice, PreVoteReply)  # messages that only make elections faster
+    kinds: dict[str, Callable[[Any, Action], None]] = {}  # below
+    ignored: tuple[type[Any], ...] = (
+        NewerTerm,
+        RemovedNotice,
+        PreVoteReply,
+    )  # messages that only make elections faster
 
-    def __init__(self, fleet):
+    def __init__(self, fleet: Fleet) -> None:
         self.post = Post()
-        self.replicas = {}
+        self.replicas: dict[str, Replica] = {}
         for identity, zone in fleet.members.items():
             draw = fleet.draws.get(identity, SHORTEST)
             self.replicas[identity] = Replica(identity, zone, dict(fleet.members), fleet.mode, draw)
         for identity, zone in fleet.spares.items():
             draw = fleet.draws.get(identity, SHORTEST)
             self.replicas[identity] = Replica(identity, zone, {}, fleet.mode, draw)
-        self.messages = frozenset()
-        self.budget = fleet.budget
+        self.messages: frozenset[int] = frozenset()
+        self.budget: Any = fleet.budget  # a Budget or TimedBudget
         self.slow_disks = fleet.slow_disks
-        self.committed = ()
-        self.leaders = ()
-        self.wiped = frozenset()
-        self.logs = {}  # identity -> its disk, decoded
+        self.committed: invariants.Committed = ()
+        self.leaders: tuple[tuple[int, str], ...] = ()  # (term, identity)
+        self.wiped: frozenset[str] = frozenset()
+        self.logs: dict[str, Consensus] = {}  # identity -> its disk, decoded
         for identity, replica in self.replicas.items():
             self.logs[identity] = replica.stored()
 
-    def key(self):
-        """A fingerprint: worlds with equal keys have the same future."""
+    def key(self) -> int:
+        """A fingerprint: states with equal keys have the same future."""
         replicas = tuple(self.replicas[one].key() for one in sorted(self.replicas))
         return hash((replicas, self.messages, self.budget, self.committed, self.leaders, self.wiped))
 
-    def now(self, identity):
+    def now(self, identity: str) -> float:
         """The steady clock of a daemon."""
         return NOW
 
-    def _forget_times(self, replica):
+    def _forget_times(self, replica: Replica) -> None:
         """Takes time out of a replica's state."""
         replica.forget_times(NOW)
 
     # --- steps ------------------------------------------------------------------------
-    def actions(self):
+    def actions(self) -> list[Action]:
         """Every step that may be taken here, in an order that is always the same."""
-        found = [Action("deliver", model_message) for model_message in sorted(self.messages)]
+        found = [Action("deliver", posted) for posted in sorted(self.messages)]
         if self.budget.repeats:
-            found += [Action("repeat", model_message) for model_message in sorted(self.messages)]
+            found += [Action("repeat", posted) for posted in sorted(self.messages)]
         for identity in sorted(self.replicas):
             replica = self.replicas[identity]
             if replica.queue:
@@ -144,17 +113,17 @@
                 found.append(Action("compact", identity))
         return found
 
-    def _may_stand(self, replica):
+    def _may_stand(self, replica: Replica) -> bool:
         consensus = replica.consensus
         return identity_in(consensus) and not consensus.removed
 
-    def _leader_actions(self, identity, replica):
+    def _leader_actions(self, identity: str, replica: Replica) -> list[Action]:
         consensus = replica.consensus
         found = []
         if self.budget.proposals:
             found.append(Action("propose", identity))
-        if self.budget.beats:
-            found.append(Action("beat", identity))
+        if self.budget.heartbeats:
+            found.append(Action("heartbeat", identity))
         if consensus.serving() and consensus.membership.coming is None:
             if consensus.membership_index <= consensus.commit and self.budget.changes:
                 found += [Action("change", identity, change) for change in self._changes(consensus)]
@@ -166,7 +135,7 @@
                 found.append(Action("learn", identity, other))
         return found
 
-    def _changes(self, consensus):
+    def _changes(self, consensus: Consensus) -> list[tuple[tuple[str, str], ...]]:
         """The lists of members that a leader may go on to: one replaced, one added, one removed."""
         members = consensus.membership.members()
         lists = []
@@ -183,8 +152,8 @@
                 lists.append({one: place for one, place in members.items() if one != leaver})
         return [tuple(sorted(one.items())) for one in lists]
 
-    def step(self, action):
-        """The world after a step; Violation when that breaks an invariant."""
+    def step(self, action: Action) -> Self:
+        """The state after a step; Violation when that breaks an invariant."""
         after = type(self).__new__(type(self))
         after.__dict__.update(self.__dict__)
         after.replicas = dict(self.replicas)
@@ -192,55 +161,53 @@
         after._forget_stale()
         return after
 
-    def _spend(self, kind):
+    def _spend(self, kind: str) -> None:
         self.budget = self.budget._replace(**{kind: getattr(self.budget, kind) - 1})
 
-    def _touch(self, identity):
+    def _touch(self, identity: str) -> Replica:
         replica = self.replicas[identity] = self.replicas[identity].copy()
         return replica
 
-    def _deliver(self, action):
+    def _deliver(self, action: Action) -> None:
         self.messages -= {action.subject}
         self._take(action.subject)
 
-    def describe(self, action):
+    def describe(self, action: Action) -> str:
         """An action in words."""
         if action.kind in ("deliver", "repeat", "lose"):
-            model_message = self.post.messages[action.subject]
-            return f"{action.kind} {model_message.sender}->{model_message.receiver} {model_message.message}"
+            posted = self.post.messages[action.subject]
+            return f"{action.kind} {posted.sender}->{posted.receiver} {posted.message}"
         return f"{action.kind} {action.subject}" + ("" if action.detail is None else f" {action.detail}")
 
-    def _lose(self, action):
+    def _lose(self, action: Action) -> None:
         self.messages -= {action.subject}
 
-    def _repeat(self, action):
+    def _repeat(self, action: Action) -> None:
         self._spend("repeats")
         self._take(action.subject)
 
-    def _take(self, number):
-        model_message = self.post.messages[number]
-        replica = self._touch(model_message.receiver)
+    def _take(self, number: int) -> None:
+        posted = self.post.messages[number]
+        replica = self._touch(posted.receiver)
         self._forget_times(replica)
-        effects = replica.consensus.step(
-            model_message.sender, model_message.message, self.now(model_message.receiver)
-        )
-        self._carry_out(replica, effects)
+        effects = replica.consensus.step(posted.sender, posted.message, self.now(posted.receiver))
+        self._apply_effects(replica, effects)
 
-    def _save(self, action):
+    def _save(self, action: Action) -> None:
         replica = self._touch(action.subject)
         self._complete(replica)
 
-    def _complete(self, replica):
+    def _complete(self, replica: Replica) -> None:
         write = replica.complete()
         self.logs = {**self.logs, replica.identity: replica.stored()}
         if write.sequence is not None:
-            self._carry_out(replica, replica.consensus.saved(write.sequence, self.now(replica.identity)))
+            self._apply_effects(replica, replica.consensus.saved(write.sequence, self.now(replica.identity)))
 
-    def _restart(self, action):
+    def _restart(self, action: Action) -> None:
         self._spend("restarts")
         self._touch(action.subject).restart()
 
-    def _wipe(self, action):
+    def _wipe(self, action: Action) -> None:
         self._spend("wipes")
         identity = action.subject
         former = self.replicas.pop(identity)
@@ -253,7 +220,7 @@
             one for one in self.messages if self.post.messages[one].receiver != identity
         )
 
-    def _stand(self, action):
+    def _stand(self, action: Action) -> None:
         """Stands without a pre-vote, which only holds elections back."""
         self._spend("stands")
         replica = self._touch(action.subject)
@@ -262,55 +229,54 @@
         if consensus.role == LEADER:
             consensus.follow(consensus.term, now, "commit quorum not heard")
         election.campaign(consensus, CANDIDATE, now)
-        self._carry_out(replica, consensus.done(now))
+        self._apply_effects(replica, consensus.done(now))
 
-    def _propose(self, action):
+    def _propose(self, action: Action) -> None:
         self._spend("proposals")
         replica = self._touch(action.subject)
         operation = ("put", f"{action.subject}{self.budget.proposals}")
-        _, effects = replica.consensus.propose([operation], 0.0, self.now(action.subject))
-        self._carry_out(replica, effects)
+        proposed = replica.consensus.propose([operation], 0.0, self.now(action.subject))
+        assert proposed is not None
+        self._apply_effects(replica, proposed[1])
 
-    def _change(self, action):
+    def _change(self, action: Action) -> None:
         self._spend("changes")
         replica = self._touch(action.subject)
         result = replica.consensus.change_members(dict(action.detail), 0.0, self.now(action.subject))
         if result is not None:
-            self._carry_out(replica, result[1])
+            self._apply_effects(replica, result[1])
 
-    def _hand_over(self, action):
+    def _transfer_leadership(self, action: Action) -> None:
         self._spend("handovers")
         replica = self._touch(action.subject)
         effects = replica.consensus.transfer_leadership({action.detail}, self.now(action.subject))
-        self._carry_out(replica, effects)
+        self._apply_effects(replica, effects)
 
-    def _learn(self, action):
+    def _learn(self, action: Action) -> None:
         replica = self._touch(action.subject)
         consensus, now = replica.consensus, self.now(action.subject)
         consensus.learn(action.detail, self.replicas[action.detail].zone, now)
         replication.replicate(consensus, action.detail, now, heartbeat=True)
-        self._carry_out(replica, consensus.done(now))
+        self._apply_effects(replica, consensus.done(now))
 
-    def _beat(self, action):
+    def _heartbeat(self, action: Action) -> None:
         """Sends anew whatever is not acknowledged."""
-        self._spend("beats")
+        self._spend("heartbeats")
         replica = self._touch(action.subject)
         self._forget_times(replica)
         consensus, now = replica.consensus, self.now(action.subject)
-        for follower in consensus.followers.values():
-            follower.sent_at = now - 2 * constants.APPEND_RESEND
         replication.broadcast(consensus, now)
-        self._carry_out(replica, consensus.done(now))
+        self._apply_effects(replica, consensus.done(now))
 
-    def _compact(self, action):
+    def _compact(self, action: Action) -> None:
         self._spend("compactions")
         replica = self._touch(action.subject)
         consensus = replica.consensus
         payload = consensus.compact(consensus.commit, b"record")
-        self._carry_out(replica, [SaveBase(None, payload)])
+        self._apply_effects(replica, [SaveBase(None, payload)])
 
     # --- effects ----------------------------------------------------------------------
-    def _carry_out(self, replica, effects):
+    def _apply_effects(self, replica: Replica, effects: Iterable[Effect]) -> None:
         for effect in effects:
             match effect:
                 case SendMessage(receiver, message):
@@ -324,34 +290,34 @@
                 case InstallSnapshot():
                     self._install(replica)
                 case BecomeLeader():
-                    self._lead(replica)
+                    self._become_leader(replica)
         self._forget_times(replica)
         if replica.queue and not self.slow_disks:
             self._complete(replica)
 
-    def _post(self, sender, receiver, message):
+    def _post(self, sender: str, receiver: str, message: Any) -> None:
         if type(message) in self.ignored or receiver not in self.replicas:
             return
         self.messages |= {self.post.number(sender, receiver, self._posted(message))}
 
-    def _posted(self, message):
-        """A message without the number of its beat, which only leases and reads need."""
+    def _posted(self, message: Any) -> Any:
+        """A message without the number of its heartbeat, which only leases and reads need."""
         if isinstance(message, (AppendEntries, AppendReply, SnapshotChunk, ChunkReply)):
             return message._replace(heartbeat=0)
         return message
 
-    def _forget_stale(self):
+    def _forget_stale(self) -> None:
         """Drops answers of terms that their receiver has, durably, left behind."""
         kept = [number for number in self.messages if not self._stale(self.post.messages[number])]
         if len(kept) < len(self.messages):
             self.messages = frozenset(kept)
 
-    def _stale(self, model_message):
-        message = model_message.message
-        return type(message) in STALE_ANSWERS and message.term < self.logs[model_message.receiver].term
+    def _stale(self, posted: PostedMessage) -> bool:
+        message: Any = posted.message
+        return type(message) in STALE_ANSWERS and message.term < self.logs[posted.receiver].term
 
-    # --- what was promised ------------------------------------------------------------
-    def _commit(self, replica, first, entries):
+    # --- what must hold ---------------------------------------------------------------
+    def _commit(self, replica: Replica, first: int, entries: Sequence[Entry]) -> None:
         for place, entry in enumerate(entries):
             index, found = first + place, invariants.entry_key(entry)
             if index <= len(self.committed):
@@ -365,12 +331,12 @@
                 logs = list(self.logs.values())
                 invariants.check_commit_of_members(logs, frozen(entry[2][1]), self.committed)
 
-    def _install(self, replica):
+    def _install(self, replica: Replica) -> None:
         index, term = replica.consensus.base_index, replica.consensus.base_term
         if index > len(self.committed) or self.committed[index - 1][0] != term:
             raise Violation(f"{replica.identity} installs a snapshot of {index} that is not committed")
 
-    def _lead(self, replica):
+    def _become_leader(self, replica: Replica) -> None:
         consensus = replica.consensus
         for term, leader in self.leaders:
             if term == consensus.term:
@@ -381,8 +347,8 @@
             if term < consensus.term and not invariants.holds(consensus, index, term):
                 raise Violation(f"{replica.identity} leads term {consensus.term} without entry {index}")
 
-    def check(self, before):
-        """Invariants of a whole state; `before` is the world that this one came from."""
+    def check(self, before: ModelState) -> None:
+        """Invariants of a whole state; `before` is the state that this one came from."""
         if self.logs is not before.logs or self.committed is not before.committed:
             invariants.check_electable(list(self.logs.values()), self.committed)
         for identity, replica in self.replicas.items():
@@ -392,11 +358,11 @@
             self._check_memberships(former.consensus, replica.consensus)
             self._check_durable(replica)
 
-    def _check_memberships(self, former, latter):
+    def _check_memberships(self, former: Consensus, latter: Consensus) -> None:
         if latter.role == LEADER and former.role == LEADER and former.membership != latter.membership:
             invariants.check_change(frozen(former.membership.image()), frozen(latter.membership.image()))
 
-    def _check_durable(self, replica):
+    def _check_durable(self, replica: Replica) -> None:
         """What a replica counts as durable is on its disk."""
         consensus, disk = replica.consensus, self.logs[replica.identity]
         index = min(consensus.durable, consensus.last_index())
@@ -407,7 +373,7 @@
             raise Violation(f"{replica.identity} counts entry {index} as durable, its disk lacks it")
 
 
-# The registry of steps: kind of action -> what it does to a world.
+# The registry of steps: kind of action -> what it does to a state.
 ModelState.kinds = {
     "deliver": ModelState._deliver,
     "lose": ModelState._lose,
@@ -418,8 +384,8 @@
     "stand": ModelState._stand,
     "propose": ModelState._propose,
     "change": ModelState._change,
-    "hand over": ModelState._hand_over,
+    "hand over": ModelState._transfer_leadership,
     "learn": ModelState._learn,
-    "beat": ModelState._beat,
+    "heartbeat": ModelState._heartbeat,
     "compact": ModelState._compact,
 }
--- a/src/pinepitch/simulation/model_checker/timed.py
+++ b/src/pinepitch/simulation/model_checker/timed.py
@@ -5,36 +5,27 @@
 time of day is nowhere read, so a step of it changes nothing.
 """
 
-from typing import NamedTuple
+from __future__ import annotations
 
-from ...consensus.effects import ReadConfirmed
+from collections.abc import Iterable
+from typing import TYPE_CHECKING, Any
+
+from ...consensus.effects import Effect, ReadConfirmed
+from ...consensus.flow_control import Flow
 from ...consensus.roles import LEADER
+from .actions import Action
 from .invariants import Violation
-from .replica import machine_of
-from .state import Action, ModelState
+from .replica import Replica, machine_of
+from .state import ModelState
+
+if TYPE_CHECKING:
+    from .model import Fleet
 
 QUANTUM = 0.1  # seconds; of real time, as long as a heartbeat
 BEGIN = 1000.0  # seconds; what every clock reads at first
 
 
-class TimedBudget(NamedTuple):
-    """How often each kind of step may still be taken; times out of it pass by themselves."""
-
-    waits: int = 0
-    freezes: int = 0
-    restarts: int = 0
-    wipes: int = 0
-    proposals: int = 0
-    changes: int = 0
-    stands: int = 0
-    beats: int = 0
-    compactions: int = 0
-    repeats: int = 0
-    handovers: int = 0
-    reads: int = 0  # a leader is asked for what is committed
-
-
-def _flow_times(flow):
+def _flow_times(flow: Flow) -> Any:
     """The times of what is under way to a follower."""
     return tuple(round(sent.at, 3) for sent in flow.in_flight), round(max(flow.progress_at, 0.0), 3)
 
@@ -44,26 +35,28 @@
 
     ignored = ()
 
-    def __init__(self, fleet, rates=None):
+    def __init__(self, fleet: Fleet, rates: dict[str, float] | None = None) -> None:
         self.time = 0.0
         self.rates = dict(rates or {})  # daemon -> seconds of its clock per second; 1 where left out
-        self.frozen = frozenset()
-        self.stopped = {}  # machine -> seconds that its clock stood still, which a steady clock never does
+        self.frozen: frozenset[str] = frozenset()
+        self.stopped: dict[
+            str, float
+        ] = {}  # machine -> seconds that its clock stood still, which a steady clock never does
         super().__init__(fleet)
 
-    def now(self, identity):
+    def now(self, identity: str) -> float:
         """The steady clock of a daemon; a wiped one's machine keeps its clock."""
         machine = machine_of(identity)
         passed = self.time - self.stopped.get(machine, 0.0)
         return BEGIN + passed * self.rates.get(machine, 1.0)
 
-    def key(self):
+    def key(self) -> int:
         """A fingerprint, times included."""
         times = tuple(self._times(self.replicas[one]) for one in sorted(self.replicas))
         stopped = tuple(sorted(self.stopped.items()))
         return hash((super().key(), round(self.time, 3), self.frozen, stopped, times))
 
-    def _times(self, replica):
+    def _times(self, replica: Replica) -> Any:
         consensus = replica.consensus
         followers = tuple(
             (one, follower.heartbeat, round(follower.heard_at, 3), _flow_times(follower.flow))
@@ -80,16 +73,16 @@
             (consensus.round, tuple(consensus.reads_now), tuple(consensus.reads_next)),
         )
 
-    def _forget_times(self, replica):
+    def _forget_times(self, replica: Replica) -> None:
         """Times are part of this model."""
 
-    def _posted(self, message):
+    def _posted(self, message: Any) -> Any:
         return message
 
     # --- steps ------------------------------------------------------------------------
-    def actions(self):
+    def actions(self) -> list[Action]:
         """Every step that may be taken here; campaigns and beats come with time."""
-        found = [one for one in super().actions() if one.kind not in ("stand", "beat")]
+        found = [one for one in super().actions() if one.kind not in ("stand", "heartbeat")]
         found = [one for one in found if self._awake(one)]
         if self.budget.waits:
             found.append(Action("wait", ""))
@@ -100,64 +93,65 @@
             found += [Action("read", one) for one in self.leaders_by_themselves() if one not in self.frozen]
         return found
 
-    def leaders_by_themselves(self):
+    def leaders_by_themselves(self) -> list[str]:
         """Daemons that take themselves for the leader."""
         return [one for one in sorted(self.replicas) if self.replicas[one].consensus.role == LEADER]
 
-    def _awake(self, action):
+    def _awake(self, action: Action) -> bool:
         if action.kind in ("deliver", "repeat"):
             return self.post.messages[action.subject].receiver not in self.frozen
         return action.subject not in self.frozen
 
-    def _wait(self, action):
+    def _wait(self, action: Action) -> None:
         self._spend("waits")
         self.time += QUANTUM
         for identity in sorted(self.replicas):
             if identity not in self.frozen:
                 self._tick_one(identity)
 
-    def _tick(self, action):
+    def _tick(self, action: Action) -> None:
         self._tick_one(action.subject)
 
-    def _tick_one(self, identity):
+    def _tick_one(self, identity: str) -> None:
         replica = self._touch(identity)
-        self._carry_out(replica, replica.consensus.tick(self.now(identity)))
+        self._apply_effects(replica, replica.consensus.tick(self.now(identity)))
 
-    def _freeze(self, action):
+    def _freeze(self, action: Action) -> None:
         self._spend("freezes")
         self.frozen |= {action.subject}
 
-    def _thaw(self, action):
+    def _thaw(self, action: Action) -> None:
         """Goes on; what came meanwhile is still under way, and may be read before the next tick or after."""
         self.frozen -= {action.subject}
 
-    def _restart(self, action):
-        """Starts anew at once; the first input of the new life may come any time later."""
+    def _restart(self, action: Action) -> None:
+        """Starts anew at once; the first input of the new incarnation may come any time later."""
         super()._restart(action)
         self.replicas[action.subject].consensus.begun_at = self.now(action.subject)
         self.frozen -= {action.subject}
 
-    def _wipe(self, action):
+    def _wipe(self, action: Action) -> None:
         super()._wipe(action)
         self.frozen -= {action.subject}
 
-    def _read(self, action):
+    def _read(self, action: Action) -> None:
         """Asks a leader for a read; its token is what had been committed by then, anywhere."""
         self._spend("reads")
         replica = self._touch(action.subject)
         effects = replica.consensus.read(len(self.committed), self.now(action.subject))
-        self._carry_out(replica, effects)
+        assert effects is not None
+        self._apply_effects(replica, effects)
 
-    def _carry_out(self, replica, effects):
+    def _apply_effects(self, replica: Replica, effects: Iterable[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, ReadConfirmed) and effect.commit < effect.token:
                 raise Violation(
                     f"{replica.identity} reads at {effect.commit}, when asked {effect.token} was committed"
                 )
-        super()._carry_out(replica, effects)
+        super()._apply_effects(replica, effects)
 
     # --- invariants -------------------------------------------------------------------
-    def check(self, before):
+    def check(self, before: ModelState) -> None:
         """What holds without time, and the lease."""
         super().check(before)
         for identity, replica in self.replicas.items():
