--- a/features/same_histories.py
+++ b/features/same_histories.py
@@ -24,6 +24,7 @@
 import cbor2
 
 from pinepitch.common import constants, packed_operations
+from pinepitch.consensus import messages
 from pinepitch.simulation import daemon_calls, leased_job_trial, pushed_job_trial
 from pinepitch.simulation import simulator as simulators
 from pinepitch.simulation.agreement import plain_image
@@ -165,7 +166,7 @@
 def note_model(history, world):
     """Notes all messages that a model's fleet ever sent, as frames, and what its disks hold."""
     for sent in world.post.messages:
-        frame = framing.encode(sent.sender, sent.message)
+        frame = framing.encode(sent.sender, messages.encode(sent.message))
         history.note("frames", sent.receiver, plain(frame[framing.LENGTH.size :]))
     for identity, replica in sorted(world.replicas.items()):
         history.note("disks", identity, plain(packed_operations.dumps(replica.disk)))
@@ -213,11 +214,11 @@
     history = RecordedHistory()
     run = schedule.drawn_run(seed)
     served = run.serves_again(seed)
-    history.note("times", run.leased, run.world.time, {None: 2, False: 0, True: 1}[served])
-    for term, leader in run.world.leaders:
+    history.note("times", run.leased, run.state.time, {None: 2, False: 0, True: 1}[served])
+    for term, leader in run.state.leaders:
         history.note("events", term, leader)
-    history.note("images", len(run.world.committed))
-    note_model(history, run.world)
+    history.note("images", len(run.state.committed))
+    note_model(history, run.state)
     return history
 
 
@@ -226,7 +227,7 @@
     history = RecordedHistory()
     start, every, walks = search.search(name, SEARCH_BOUNDS, SEARCH_WALKS)
     for outcome in (every, walks):
-        history.note("events", outcome.states, outcome.steps, outcome.depth, int(outcome.whole))
+        history.note("events", outcome.states, outcome.steps, outcome.depth, int(outcome.complete))
     note_model(history, start)
     return history
 
