--- a/src/pinepitch/front/own_state_handlers.py
+++ b/src/pinepitch/front/own_state_handlers.py
@@ -19,7 +19,22 @@
 def health(front: Any, request: HttpRequest, now: float) -> Answer:
     """200 while the daemon knows its cluster and has recent updates, else 503."""
     ready = front.cluster is not None and not front.stale
-    return Answer(200 if ready else 503, front.health(now), None if ready else constants.RETRY_AFTER)
+    return Answer(200 if ready else 503, _known(front, now), None if ready else constants.RETRY_AFTER)
+
+
+def _known(front: Any, now: float) -> dict[str, Any]:
+    """What the daemon knows of itself and its cluster."""
+    return {
+        "identity": front.identity,
+        "area": front.zone,
+        "cohort": front.cluster,
+        "leader": front.leader,
+        "stale": front.stale,
+        "setup_version": (front.body or {}).get("setup_version"),
+        "accords": front.control_daemons.addresses(),
+        "time": front.cluster_time.earliest(now),
+        "orders_under_way": len(front.orders.waiting),
+    }
 
 
 def metrics_text(front: Any, request: HttpRequest, now: float) -> Answer:
