--- a/src/pinepitch/control/agreement.py
+++ b/src/pinepitch/control/agreement.py
@@ -62,7 +62,8 @@
 
     def on_encoded(self, index: int, data: bytes, now: float) -> None:
         """A snapshot is encoded: the log is compacted up to it, unless it is out of date."""
-        core, self.snapshotting = self.core, False
+        core = self.core
+        self.snapshotting = False
         if index > core.consensus.base_index and core.consensus.term_at(index) is not None:
             payload = core.consensus.compact(index, data, self.snapshot_segments)
             core.cluster_state.archive.retired.clear()
--- a/src/pinepitch/control/cluster_entry.py
+++ b/src/pinepitch/control/cluster_entry.py
@@ -22,11 +22,8 @@
 
     def seek_cluster(self, now: float) -> None:
         """Founds a cluster once that may be, or asks to join the one that was heard of."""
-        ready = (
-            self.core.bootstrap.ready(now)
-            if self.core.may_bootstrap and self._may_found(self.core.address)
-            else None
-        )
+        founds = self.core.may_bootstrap and self._may_found(self.core.address)
+        ready = self.core.bootstrap.ready(now) if founds else None
         if ready is not None:
             cluster, members = ready
             self.consent(cluster, members, now)
--- a/src/pinepitch/control/proposals.py
+++ b/src/pinepitch/control/proposals.py
@@ -31,7 +31,7 @@
         """Proposes, and says at which index; None when it is held back."""
         if self.core.cluster_state.levels.get(operation[0], 1) > self.common_level():
             return None
-        index = self.core.consensus.last_index() + 1
+        index: int = self.core.consensus.last_index() + 1
         self.propose(operation, None, now)
         return index
 
