--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -37,7 +37,7 @@
 
 FrontDaemons = list[tuple[str, str]]  # [(identity, zone), ...] of those with a session
 
-ReadyUnits = dict[Shape, Sequence[tuple[Any, int, str]]]  # shape -> (due, number of the job, unit), sorted
+ReadyUnits = dict[Shape, list[tuple[float, int, str]]]  # shape -> (due, number of the job, unit), sorted
 
 SHORT = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being kept back
 
--- a/src/pinepitch/control/placement_round.py
+++ b/src/pinepitch/control/placement_round.py
@@ -99,22 +99,21 @@
         taken: dict[str, int] = {}
         for name in largest_first(job, names):
             task = job.tasks[name]
-            fitting = [seat for seat in self.seats if self._could_take(seat, task, taken)]
+            labels, units = frozenset(task.labels), task.units
+            fitting = [
+                seat
+                for seat in self.seats
+                if labels <= seat.labels
+                and not seat.poor
+                and seat.worker not in self.kept_on_workers
+                and seat.capacity - taken.get(seat.worker, 0) >= units
+            ]
             if not fitting:
                 return None
             best = max(fitting, key=lambda seat: self._roominess(seat, taken))
-            taken[best.worker] = taken.get(best.worker, 0) + task.units
+            taken[best.worker] = taken.get(best.worker, 0) + units
         return taken
 
-    def _could_take(self, seat: Seat, task: Task, taken: dict[str, int]) -> bool:
-        """Whether a worker could take a task once what runs there has ended."""
-        return (
-            frozenset(task.labels) <= seat.labels
-            and not seat.poor
-            and seat.worker not in self.kept_on_workers
-            and seat.capacity - taken.get(seat.worker, 0) >= task.units
-        )
-
     def _roominess(self, seat: Seat, taken: dict[str, int]) -> tuple[int, int, str]:
         """How good a worker is to keep units back on: most free units, fewest labels."""
         return (self.free[seat.worker] - taken.get(seat.worker, 0), -len(seat.labels), seat.worker)
--- a/src/pinepitch/control/preemption.py
+++ b/src/pinepitch/control/preemption.py
@@ -12,7 +12,7 @@
     from collections.abc import Container, Iterator, Mapping
 
     from ..model.pushed_job import PushedJob
-    from ..model.task import Task
+    from ..model.task import Standing, Task
     from ..state.cluster_state import ClusterState
     from .placement_round import Round, Shape
 
@@ -50,7 +50,7 @@
                 victims = self._fewest_of_one_worker(job, task)
             for ref in victims or ():
                 self.named.add(ref)
-                yield (ref, self._cluster_state.find(ref)[2].attempt, whom)
+                yield (ref, self._cluster_state.find_known(ref)[2].attempt, whom)
 
     def _wanting(self) -> Iterator[tuple[PushedJob, str, str]]:
         """(job, task name, why) of the oldest single tasks of queues that preempt which found
@@ -84,7 +84,7 @@
         gains = {}
         for reserved in self._cluster_state.reserved.values():
             for ref in reserved:
-                other, _, standing = self._cluster_state.find(ref)
+                other, _, standing = self._cluster_state.find_known(ref)
                 back = sum(credits for lender, credits in standing.charges if lender == job.queue)
                 if back and other.queue != job.queue:
                     gains[ref] = back
@@ -94,25 +94,23 @@
         """The least urgent, newest of the tasks in `gains` (reference -> what its end gives)
         that may be made to yield to a job and together give what is missing; None when
         they don't, or nothing is missing."""
+        running = {ref: self._cluster_state.find_known(ref) for ref in gains}
         victims = []
-        for ref in sorted(gains, key=self._urgency_and_age):
+        for ref in sorted(running, key=lambda one: (*_urgency_and_age(*running[one]), one)):
             if missing <= 0:
                 break
-            if self._may_yield(ref, job):
+            other, task, _ = running[ref]
+            if ref not in self.named and self._may_yield(other, task, job):
                 victims.append(ref)
                 missing -= gains[ref]
         return victims if victims and missing <= 0 else None
 
-    def _urgency_and_age(self, ref: str) -> tuple[int, float, str]:
-        job, _, standing = self._cluster_state.find(ref)
-        return (job.urgency, -standing.since, ref)
-
-    def _may_yield(self, ref: str, job: PushedJob) -> bool:
-        """Whether a running task may be made to yield to a job: no part of a gang does."""
-        other, task, _ = self._cluster_state.find(ref)
-        return (
-            ref not in self.named
-            and other.urgency < job.urgency
-            and self._cluster_state.queue_settings[other.queue].yields
-            and not task.gang
-        )
+    def _may_yield(self, other: PushedJob, task: Task, job: PushedJob) -> bool:
+        """Whether a running task of another job may be made to yield to a job: no part of a gang does."""
+        queue_settings = self._cluster_state.queue_settings[other.queue]
+        return other.urgency < job.urgency and queue_settings.yields and not task.gang
+
+
+def _urgency_and_age(job: PushedJob, task: Task, standing: Standing) -> tuple[int, float]:
+    """What of the running tasks yields first: the least urgent, of these the newest."""
+    return (job.urgency, -standing.since)
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -16,6 +16,8 @@
 from .daemon import ControlDaemon
 from .startup import identity_of, open_store
 
+FIELDS = {"zone": "area", "bootstrap_size": "founders"}  # flag -> its field in the settings, where it differs
+
 
 def _end(faults: Iterable[str]) -> NoReturn:
     """Ends the program with exit code 2 and a line for each fault."""
@@ -100,23 +102,12 @@
         memory_mb: megabytes of memory it may take (default 512); bounds the log.
         disk_mb: megabytes that its data folder may take (default 2000); bounds the log.
     """
-    found = checked_settings(
-        "accord",
-        settings,
-        {
-            "address": address,
-            "area": None if zone is None else str(zone),
-            "seeds": list(seeds) if isinstance(seeds, tuple) else seeds,
-            "data": data,
-            "level": level,
-            "founders": bootstrap_size,
-            "mode": mode,
-            "http": http,
-            "rules": rules,
-            "memory_mb": memory_mb,
-            "disk_mb": disk_mb,
-        },
-    )
+    flags = dict(locals())  # all arguments by name; fire has read each as a Python literal where it is one
+    del flags["settings"]
+    flags["zone"] = None if zone is None else str(zone)
+    flags["seeds"] = list(seeds) if isinstance(seeds, tuple) else seeds
+    fields = {FIELDS.get(flag, flag): value for flag, value in flags.items()}
+    found = checked_settings("accord", settings, fields)
     _serve(found, read_rules(found.rules))
 
 
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -264,13 +264,14 @@
     def _yield(self, now: float, yields: tuple[Fields, ...]) -> None:
         self.apply(now, ("yield", 1, yields))
         for ref, _attempt, _ in yields:
-            found = self.cluster_state.find(ref)
-            if ref in self.cluster_state.yielding and found[0].queue in self.metrics:
-                self.metrics[found[0].queue]["preemptions"] += 1
+            if ref in self.cluster_state.yielding:
+                job, _, _ = self.cluster_state.find_known(ref)
+                if job.queue in self.metrics:
+                    self.metrics[job.queue]["preemptions"] += 1
 
     def placed(self, now: float, ref: str) -> None:
         """A task was placed: draws how long it takes, and notes its end."""
-        job, task, standing = self.cluster_state.find(ref)
+        job, task, standing = self.cluster_state.find_known(ref)
         place, counted = self.names[job.identity]
         seconds, how = self.work.outcome(
             (job.queue, job.kind, task.units, task.labels),
--- a/src/pinepitch/control/requests/cluster.py
+++ b/src/pinepitch/control/requests/cluster.py
@@ -38,7 +38,7 @@
     listed = []
     for worker, reserved in sorted(leader.cluster_state.reserved.items()):
         for ref in sorted(reserved):
-            _, task, standing = leader.cluster_state.find(ref)
+            _, task, standing = leader.cluster_state.find_known(ref)
             listed.append(
                 {
                     "task": ref,
--- a/src/pinepitch/control/requests/drafts.py
+++ b/src/pinepitch/control/requests/drafts.py
@@ -29,7 +29,9 @@
 
 def _changed_cells(cluster_state: ClusterState, draft: dict[str, Any]) -> list[list[Any]]:
     """[cell, value in the version that the draft builds on, value in the draft] of all that it changes."""
-    base = cluster_state.queue_configurations.read(draft["base"])["queues"]
+    configuration = cluster_state.queue_configurations.read(draft["base"])
+    assert configuration is not None, "the history keeps every version"
+    base = configuration["queues"]
     drafted = draft["setup"]["queues"]
     cells = [
         [f"{queue}.{column}", base.get(queue, {}).get(column), value]
--- a/src/pinepitch/control/requests/pushed_jobs.py
+++ b/src/pinepitch/control/requests/pushed_jobs.py
@@ -61,11 +61,11 @@
 
 
 def _accepted(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
-    return Answer(201, job_summary(leader.cluster_state.pushed_job(outcome[1])))
+    return Answer(201, _summary_of(leader, outcome[1]))
 
 
 def _known(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
-    return Answer(200, job_summary(leader.cluster_state.pushed_job(outcome[1])))
+    return Answer(200, _summary_of(leader, outcome[1]))
 
 
 def _mismatch(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
@@ -115,6 +115,13 @@
     }
 
 
+def _summary_of(leader: Leader, identity: str) -> dict[str, Any]:
+    """The summary of a job that is known to be there, as every accepted one is."""
+    job = leader.cluster_state.pushed_job(identity)
+    assert job is not None, f"{identity} is not there"
+    return job_summary(job)
+
+
 def _job_with_tasks(job: PushedJob) -> dict[str, Any]:
     """A job with the standing of each task."""
     tasks = [_task_view(job, name) for name in job.tasks]
@@ -169,7 +176,7 @@
 
 def _jobs_of_key(leader: Leader, key: str) -> list[dict[str, Any]]:
     known = leader.cluster_state.known(key, "")
-    return [job_summary(leader.cluster_state.pushed_job(known[1]))] if known else []
+    return [_summary_of(leader, known[1])] if known else []
 
 
 # --- cancelling ----------------------------------------------------------------------
@@ -184,4 +191,4 @@
         return unknown_job(identity)
     if outcome[0] == "ended":
         return problem(409, "ended", f"the ticket is already {outcome[1]}", state=outcome[1])
-    return Answer(200, job_summary(leader.cluster_state.pushed_job(identity)))
+    return Answer(200, _summary_of(leader, identity))
--- a/src/pinepitch/control/requests/queue_configuration.py
+++ b/src/pinepitch/control/requests/queue_configuration.py
@@ -28,10 +28,10 @@
     line = cluster_state.queue_configurations.line(version)
     if line is None:
         return _unknown_version(repr(arguments[0]))
-    if version == cluster_state.version:
-        document = cluster_state.queue_configuration
-    else:
-        document = cluster_state.queue_configurations.read(version)
+    in_force = version == cluster_state.version
+    document = (
+        cluster_state.queue_configuration if in_force else cluster_state.queue_configurations.read(version)
+    )
     return Answer(200, {**_version_view(line), "setup": document})
 
 
