--- a/src/pinepitch/control/applied_entries.py
+++ b/src/pinepitch/control/applied_entries.py
@@ -57,11 +57,12 @@
             self.core.end_counts[how] = self.core.end_counts.get(how, 0) + 1
             self.core._event(155, task=ref, attempt=attempt, how=how, result=result)
             found = self.core.cluster_state.find(ref)
-            worker = self.core.worker_reports.push_workers.get(found[2].worker) if found else None
+            name = found[2].worker if found else ""
+            worker = self.core.worker_reports.push_workers.get(name)
             if worker is not None and how in ("done", "failed"):
                 worker.judge(how == "done")
                 if worker.poor():
-                    self.core._event(157, minion=found[2].worker)
+                    self.core._event(157, minion=name)
 
     def _leased_job_assigned(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """Runs were placed under leases."""
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -181,6 +181,7 @@
     open_jobs, final = {"queued": 0, "running": 0}, {"completed": 0, "failed": 0, "cancelled": 0}
     for identity in leased_jobs.jobs:
         state = leased_jobs.state(identity)
+        assert state is not None, f"{identity} is open and has no state"
         open_jobs[state] = open_jobs.get(state, 0) + 1
     for state, *_ in leased_jobs.final.values():
         final[state] = final.get(state, 0) + 1
@@ -236,9 +237,9 @@
     ]
 
 
-def _worker_capacity(daemon: ControlDaemon, now: float) -> dict[Labels, int]:
+def _worker_capacity(daemon: ControlDaemon, now: float) -> dict[Labels, float]:
     """(service, resource, "taken" or "free") -> capacity of the workers that are heard and ready."""
-    capacity: dict[Labels, int] = {}
+    capacity: dict[Labels, float] = {}
     for worker in daemon.assignments.workers.values():
         if worker.unresponsive(now) or worker.state != "ready":
             continue
--- a/src/pinepitch/control/requests/cluster.py
+++ b/src/pinepitch/control/requests/cluster.py
@@ -8,11 +8,11 @@
 
 if TYPE_CHECKING:
     from ...state.cluster_state import ClusterState
-    from .leader import Leader
+    from ..daemon import ControlDaemon
 
 
 # --- queues --------------------------------------------------------------------------
-def pending(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def pending(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """What waits and runs at each queue, beside its settings."""
     cluster_state = leader.cluster_state
     queues = [_queue_view(cluster_state, queue) for queue in sorted(cluster_state.queue_settings)]
@@ -33,7 +33,7 @@
     }
 
 
-def list_placed_tasks(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_placed_tasks(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """Every placed task, for operators and history checks."""
     listed = []
     for worker, reserved in sorted(leader.cluster_state.reserved.items()):
@@ -51,7 +51,7 @@
     return Answer(200, {"tasks": listed})
 
 
-def list_approval_pauses(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_approval_pauses(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The alerts that pause approvals of drafts, and since when."""
     pauses = [
         {"alert": alert, "since": since, "why": why}
@@ -61,7 +61,7 @@
 
 
 # --- members -------------------------------------------------------------------------
-def read_cluster(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_cluster(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The cluster as its leader sees it: quorums, roles, members and all daemons with a session."""
     consensus = leader.consensus
     quorum = consensus.membership.now
@@ -83,7 +83,7 @@
     return Answer(200, document)
 
 
-def _members(leader: Leader) -> list[dict[str, Any]]:
+def _members(leader: ControlDaemon) -> list[dict[str, Any]]:
     return [
         {
             "accord": identity,
@@ -95,7 +95,7 @@
     ]
 
 
-def _daemons(leader: Leader) -> list[dict[str, Any]]:
+def _daemons(leader: ControlDaemon) -> list[dict[str, Any]]:
     return [
         {"daemon": one.identity, "kind": one.kind, "area": one.zone, "address": one.address}
         for kind in ("accord", "verge")
@@ -104,7 +104,7 @@
 
 
 # --- counts --------------------------------------------------------------------------
-def read_metrics(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_metrics(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """Counts of jobs, entries and messages, for the command line and for soaks."""
     cluster_state, consensus = leader.cluster_state, leader.consensus
     document = {
@@ -132,6 +132,6 @@
     return states
 
 
-def read_log_index(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_log_index(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """How far the log is, confirmed: what was acknowledged before has no higher index."""
     return Answer(200, {"index": leader.cluster_state.index})
--- a/src/pinepitch/control/requests/drafts.py
+++ b/src/pinepitch/control/requests/drafts.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from ...state.cluster_state import ClusterState
-    from .leader import Leader
+    from ..daemon import ControlDaemon
 
 # what of a draft callers see, in this order
 DRAFT_FIELDS = ("draft", "base", "patch", "who", "why", "time", "state", "measure")
@@ -48,14 +48,14 @@
     return int(identity[1:])
 
 
-def list_drafts(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_drafts(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """All drafts that are kept, the oldest first."""
     cluster_state = leader.cluster_state
     drafts = [draft_view(cluster_state, one) for one in sorted(cluster_state.drafts, key=_number)]
     return Answer(200, {"drafts": drafts})
 
 
-def read_draft(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_draft(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """One draft with its measure, if it has one."""
     if arguments[0] not in leader.cluster_state.drafts:
         return _missing(leader, ("missing",))
@@ -63,13 +63,13 @@
 
 
 # --- changing ------------------------------------------------------------------------
-def draft(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def draft(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Keeps a patch as a draft on the version it builds on."""
     base, patch, who, why = arguments
     return Propose(("draft", token, base, patch, who, why), "draft")
 
 
-def rehearse(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def rehearse(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Asks for a rehearsal of a draft, on the workers that are open now."""
     capacities = [
         [name, worker.report.zone, worker.report.capacity, list(worker.report.labels)]
@@ -79,35 +79,35 @@
     return Propose(("rehearse", arguments[0], capacities), "draft")
 
 
-def approve(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def approve(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Brings a draft into force that its rehearsal found better."""
     identity, who, why = arguments
     return Propose(("approve", token, identity, who, why), "draft")
 
 
-def drop(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def drop(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Forgets a draft."""
     return Propose(("drop", arguments[0]), "dropped", arguments[0])
 
 
 # --- outcomes ------------------------------------------------------------------------
-def _missing(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _missing(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(404, "unknown_draft", "no such draft")
 
 
-def _ended(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _ended(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "ended", f"the draft is already {outcome[1]}")
 
 
-def _unmeasured(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _unmeasured(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "not_measured", "rehearse the draft on the version in force first")
 
 
-def _worse(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _worse(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "not_better", f"the rehearsal's verdict: {outcome[1]}", verdict=outcome[1])
 
 
-def _paused(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _paused(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(
         409,
         "held",
@@ -117,7 +117,7 @@
     )
 
 
-def _drafted(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _drafted(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return Answer(200, draft_view(leader.cluster_state, outcome[1]))
 
 
@@ -133,13 +133,13 @@
 
 
 def draft_answer(
-    leader: Leader, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+    leader: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
     """The answer to an operation on a draft: the draft, the version it brought, or what forbids it."""
     make = _DRAFT_ANSWERS.get(outcome[0])
     return make(leader, outcome) if make is not None else CHANGE_ANSWERS[outcome[0]](outcome)
 
 
-def dropped_answer(leader: Leader, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
+def dropped_answer(leader: ControlDaemon, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
     """The answer to the dropping of a draft."""
     return _missing(leader, outcome) if outcome[0] == "missing" else Answer(200, {"dropped": identity})
--- a/src/pinepitch/control/requests/explanations.py
+++ b/src/pinepitch/control/requests/explanations.py
@@ -12,10 +12,10 @@
     from ...model.push_worker import PushWorker
     from ...model.pushed_job import PushedJob
     from ...model.task import Standing, Task
-    from .leader import Leader
+    from ..daemon import ControlDaemon
 
 
-def explain(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def explain(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """A job with the reason of each task, from the cluster state and the newest placing round."""
     job = leader.cluster_state.pushed_job(arguments[0])
     if job is None:
@@ -34,7 +34,7 @@
     return Answer(200, document)
 
 
-def _task_view(leader: Leader, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
+def _task_view(leader: ControlDaemon, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
     standing = job.standings[task.name]
     return {
         "task": task.name,
@@ -48,7 +48,7 @@
     }
 
 
-def _reasons(leader: Leader, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
+def _reasons(leader: ControlDaemon, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
     """The fields that depend on the task's state."""
     standing = job.standings[task.name]
     if standing.state == "placed":
@@ -92,7 +92,7 @@
     return f"attempt {standing.attempt} on {standing.worker} with " + ", ".join(parts)
 
 
-def _waits_for(leader: Leader, job: PushedJob, task: Task, standing: Standing, now: float) -> str:
+def _waits_for(leader: ControlDaemon, job: PushedJob, task: Task, standing: Standing, now: float) -> str:
     """What keeps a waiting task from being placed, in words."""
     undone = [one for one in task.after if job.standings[one].state != "done"]
     if undone:
@@ -105,7 +105,7 @@
     return leader.placer.reason(leader.cluster_state, job, task.name)
 
 
-def _candidates(leader: Leader, task: Task, now: float) -> list[dict[str, str]]:
+def _candidates(leader: ControlDaemon, task: Task, now: float) -> list[dict[str, str]]:
     """What rules out, or doesn't, each worker."""
     return [
         {"minion": name, "why": _ruled_out(leader, name, worker, task, now)}
@@ -113,7 +113,7 @@
     ]
 
 
-def _ruled_out(leader: Leader, name: str, worker: PushWorker, task: Task, now: float) -> str:
+def _ruled_out(leader: ControlDaemon, name: str, worker: PushWorker, task: Task, now: float) -> str:
     """What keeps a task from a worker, or "open"."""
     report = worker.report
     left = report.capacity - sum(leader.cluster_state.reserved.get(name, {}).values())
--- a/src/pinepitch/control/requests/push_workers.py
+++ b/src/pinepitch/control/requests/push_workers.py
@@ -8,11 +8,11 @@
 from ...model.push_worker import Report
 
 if TYPE_CHECKING:
-    from .leader import Leader
+    from ..daemon import ControlDaemon
 
 
 # --- reports -------------------------------------------------------------------------
-def report(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+def report(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
     """A worker's report: what it runs, and which ends it has not yet heard acknowledged."""
     read = _report_of(arguments)
     ends, acknowledged, strays = leader.take_report(read, now)
@@ -35,7 +35,7 @@
 
 
 def report_answer(
-    leader: Leader, outcome: tuple[Any, ...] | None, context: tuple[Any, ...], now: float
+    leader: ControlDaemon, outcome: tuple[Any, ...] | None, context: tuple[Any, ...], now: float
 ) -> Answer:
     """The answer to a report, once its ends are agreed on."""
     acknowledged, strays, ends = context
@@ -50,7 +50,7 @@
 
 
 # --- workers -------------------------------------------------------------------------
-def list_workers(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_workers(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """Each worker heard of, and those that only the cluster state names."""
     cluster_state = leader.cluster_state
     recorded = set(cluster_state.reserved) | set(cluster_state.drained) | set(cluster_state.withdrawn)
@@ -58,7 +58,7 @@
     return Answer(200, {"minions": [_worker_view(leader, name, now) for name in names]})
 
 
-def _worker_view(leader: Leader, name: str, now: float) -> dict[str, Any]:
+def _worker_view(leader: ControlDaemon, name: str, now: float) -> dict[str, Any]:
     worker = leader.push_workers.get(name)
     known = worker.report if worker else None
     reserved = leader.cluster_state.reserved.get(name, {})
@@ -77,26 +77,26 @@
     }
 
 
-def drain(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def drain(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Closes a worker to new tasks, or opens it again."""
     worker, closed = arguments
     return Propose(("drain", worker, bool(closed)), "done", {"minion": worker, "draining": bool(closed)})
 
 
-def withdraw(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def withdraw(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Announces that a worker goes at a time, in seconds of the cluster's clock."""
     worker, due = arguments
     return Propose(("withdraw", worker, due), "done", {"minion": worker, "withdrawn": due})
 
 
 # --- zones ---------------------------------------------------------------------------
-def empty_zone(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def empty_zone(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Closes all workers of a zone to new tasks, or opens them again."""
     zone, emptied = arguments
     return Propose(("area", zone, bool(emptied)), "done", {"area": zone, "emptied": bool(emptied)})
 
 
-def list_zones(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_zones(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The zones of the workers heard of, and those that are emptied."""
     counts: dict[str, int] = {}
     for worker in leader.push_workers.values():
@@ -110,6 +110,8 @@
     return Answer(200, {"areas": zones})
 
 
-def done_answer(leader: Leader, outcome: tuple[Any, ...], context: dict[str, Any], now: float) -> Answer:
+def done_answer(
+    leader: ControlDaemon, outcome: tuple[Any, ...], context: dict[str, Any], now: float
+) -> Answer:
     """The answer to an order that can't fail: what it asked for is in force."""
     return Answer(200, context)
--- a/src/pinepitch/control/requests/pushed_jobs.py
+++ b/src/pinepitch/control/requests/pushed_jobs.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from ...model.pushed_job import PushedJob
-    from .leader import Leader
+    from ..daemon import ControlDaemon
 
 
 def unknown_job(identity: str) -> Answer:
@@ -18,7 +18,7 @@
 
 
 # --- submitting ----------------------------------------------------------------------
-def submit(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+def submit(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
     """Takes a checked job; the same key with the same digest of its body is the same job."""
     key, digest, plain = arguments
     cluster_state = leader.cluster_state
@@ -31,10 +31,11 @@
     return submit_answer(leader, refusal)
 
 
-def _why_unplaceable(leader: Leader, plain: dict[str, Any], now: float) -> str:
+def _why_unplaceable(leader: ControlDaemon, plain: dict[str, Any], now: float) -> str:
     """Why no known worker, heard of late or not, could take some task, or "". A leader that
     has not yet gathered its workers rules nothing out."""
-    if not leader.push_workers or now - leader.leader_since < constants.REPORT_GATHERING:
+    since = leader.leader_since
+    if not leader.push_workers or since is None or now - since < constants.REPORT_GATHERING:
         return ""
     seen = set()
     for task in plain["tasks"]:
@@ -48,7 +49,7 @@
     return ""
 
 
-def _why_none_fits(leader: Leader, name: str, units: int, labels: frozenset[str]) -> str:
+def _why_none_fits(leader: ControlDaemon, name: str, units: int, labels: frozenset[str]) -> str:
     """Why no known worker could ever take a task of so many units with these labels, or ""."""
     reports = [worker.report for worker in leader.push_workers.values()]
     capacities = [report.capacity for report in reports if labels <= set(report.labels)]
@@ -60,23 +61,23 @@
     return ""
 
 
-def _accepted(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _accepted(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return Answer(201, _summary_of(leader, outcome[1]))
 
 
-def _known(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _known(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return Answer(200, _summary_of(leader, outcome[1]))
 
 
-def _mismatch(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _mismatch(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "key_reused", "this key came with another body before", ticket=outcome[1])
 
 
-def _rejected(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _rejected(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(429, "shed", outcome[1], constants.RETRY_AFTER)
 
 
-def _invalid(leader: Leader, outcome: tuple[Any, ...]) -> Answer:
+def _invalid(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return faulty(outcome[1])
 
 
@@ -91,7 +92,7 @@
 
 
 def submit_answer(
-    leader: Leader, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+    leader: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
     """The answer to a submission: 201 for a new job, 200 for one known by its key."""
     return _SUBMIT_ANSWERS[outcome[0]](leader, outcome)
@@ -115,7 +116,7 @@
     }
 
 
-def _summary_of(leader: Leader, identity: str) -> dict[str, Any]:
+def _summary_of(leader: ControlDaemon, identity: str) -> dict[str, Any]:
     """The summary of a job that is known to be there, as every accepted one is."""
     job = leader.cluster_state.pushed_job(identity)
     assert job is not None, f"{identity} is not there"
@@ -147,7 +148,7 @@
     }
 
 
-def read_job(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_job(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """One job with its tasks, live or archived."""
     job = leader.cluster_state.pushed_job(arguments[0])
     if job is None:
@@ -155,7 +156,7 @@
     return Answer(200, _job_with_tasks(job))
 
 
-def list_jobs(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_jobs(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """A page of jobs by number, or the one of a key; `next` says after which the next page begins."""
     after, most, state, queue, key = arguments
     if key:
@@ -174,18 +175,18 @@
     return Answer(200, {"tickets": listed, "next": following})
 
 
-def _jobs_of_key(leader: Leader, key: str) -> list[dict[str, Any]]:
+def _jobs_of_key(leader: ControlDaemon, key: str) -> list[dict[str, Any]]:
     known = leader.cluster_state.known(key, "")
     return [_summary_of(leader, known[1])] if known else []
 
 
 # --- cancelling ----------------------------------------------------------------------
-def cancel(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def cancel(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Cancels a job; what runs of it is told to yield."""
     return Propose(("cancel", arguments[0]), "cancel", arguments[0])
 
 
-def cancel_answer(leader: Leader, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
+def cancel_answer(leader: ControlDaemon, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
     """The answer to a cancellation: 404 for an unknown job, 409 for one that has ended."""
     if outcome[0] == "missing":
         return unknown_job(identity)
--- a/src/pinepitch/control/requests/queue_configuration.py
+++ b/src/pinepitch/control/requests/queue_configuration.py
@@ -8,7 +8,7 @@
 from ...model.decisions import Answer, Decision, Propose, faulty, problem
 
 if TYPE_CHECKING:
-    from .leader import Leader
+    from ..daemon import ControlDaemon
 
 VERSION_FIELDS = ("version", "who", "why", "time", "base")  # as callers see a line of the history
 
@@ -21,7 +21,7 @@
     return dict(zip(VERSION_FIELDS, line, strict=False))
 
 
-def read_version(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_version(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """One version with its document; 0 asks for the one in force."""
     cluster_state = leader.cluster_state
     version = arguments[0] or cluster_state.version
@@ -35,21 +35,21 @@
     return Answer(200, {**_version_view(line), "setup": document})
 
 
-def list_versions(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_versions(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The history that is kept, without the documents."""
     cluster_state = leader.cluster_state
     lines = [_version_view(line) for line in cluster_state.queue_configurations.lines]
     return Answer(200, {"version": cluster_state.version, "setups": lines})
 
 
-def read_table(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_table(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The table in force, cell by cell."""
     cluster_state = leader.cluster_state
     cells = queue_settings.cells(cluster_state.queue_configuration)
     return Answer(200, {"version": cluster_state.version, "rows": cells})
 
 
-def change(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+def change(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
     """Brings a document or a patch into force on the version it builds on."""
     base, manner, document, who, why = arguments
     cluster_state = leader.cluster_state
@@ -59,7 +59,7 @@
     return Propose(("setup", token, base, manner, document, who, why), "setup")
 
 
-def go_back(leader: Leader, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+def go_back(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
     """Brings the document of an earlier version into force again, as a new version."""
     base, wanted, who, why = arguments
     document = leader.cluster_state.queue_configurations.read(wanted)
@@ -94,7 +94,7 @@
 
 
 def change_answer(
-    leader: Leader, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+    leader: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
     """The answer to a change: the version that it brought, or why there is none."""
     return CHANGE_ANSWERS[outcome[0]](outcome)
--- a/src/pinepitch/control/requests/registry.py
+++ b/src/pinepitch/control/requests/registry.py
@@ -1,7 +1,8 @@
 """The registries of requests and of the answers that outcomes become: a new one is an entry here.
 
 A reading request is answered from the cluster state once leadership is confirmed; a deciding one is answered
-at once, or names what is to be agreed on first.
+at once, or names what is to be agreed on first. `leader` is the daemon: its handlers are called only while
+it leads.
 """
 
 from __future__ import annotations
