--- a/src/pinepitch/control/startup.py
+++ b/src/pinepitch/control/startup.py
@@ -1,7 +1,7 @@
 """How a control daemon opens its data folder: the store, and the identity that stands in it."""
 
 import secrets
-from typing import Any
+from typing import Any, NamedTuple
 
 from ..consensus.log import packed_step
 from ..storage.store import Damaged, Foreign, Store
@@ -9,6 +9,21 @@
 Opened = tuple[Store, Any, list[Any], dict[int, Any], str | None]
 
 
+class Tolerance(NamedTuple):
+    """How a cluster is made to serve on after the loss of so many machines."""
+
+    mode: str  # quorum mode, as consensus.quorum has them
+    voters: int  # members wanted
+
+
+def tolerance_of(machines_lost: int) -> Tolerance:
+    """What serves on after any `machines_lost` machines are lost at once: a majority of 2 n + 1 voters
+    is left after n. For one machine zones are the groups ("static", FlexiRaft's quorums, with the
+    usual three voters); for more each voter is a group of its own ("single"), as no zone may hold a
+    majority."""
+    return Tolerance("single" if machines_lost > 1 else "static", 2 * machines_lost + 1)
+
+
 def open_store(folder: str) -> Opened:
     """(store, snapshot base, steps, segments, why it was damaged or None). A damaged store counts as
     empty; one of another version is left as it is, and OSError says so."""
--- a/src/pinepitch/transport/http.py
+++ b/src/pinepitch/transport/http.py
@@ -31,7 +31,7 @@
     texts."""
 
     status: int
-    document: object
+    document: Any
     headers: tuple[tuple[str, str], ...] = ()
 
 
