--- a/src/pinepitch/scheduling/daemon_interface.py
+++ b/src/pinepitch/scheduling/daemon_interface.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ..model.decisions import Answer
 from .leased_job_state import LeasedJobState
+from .plain_types import PlainAnswer
 
 if TYPE_CHECKING:
     from .assignment_manager import AssignmentManager
@@ -45,7 +45,7 @@
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
         """Proposes, and returns the index of the entry; None where the operation is held back."""
 
-    def answer(self, address: str, token: Any, answer: Answer) -> None:
+    def answer(self, address: str, token: Any, answer: PlainAnswer) -> None:
         """Answers a request that is pending; nothing happens if it is not pending any more."""
 
     def _event(self, number: int, **fields: Any) -> None:
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -16,7 +16,7 @@
 UNFINISHED = ("queued", "running")  # states of a job
 
 
-def _unready(core: Daemon) -> Decision | None:
+def _unready(core: Daemon) -> Answer | None:
     if not core.cluster_state.leased_jobs.configuration.version:
         return problem(503, "unconfigured", "no configuration is in force yet", constants.RETRY_AFTER)
     return None
@@ -53,7 +53,7 @@
 
 
 def submitted(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer to a call whose operation had this outcome: LeasedJobState.accept."""
+    """The answer once LeasedJobState.accept had this outcome."""
     if outcome[0] in ("accepted", "known"):
         return Answer(200, {"state": core.cluster_state.leased_jobs.state(outcome[1]) or "completed"})
     if outcome[0] == "missing":
@@ -95,7 +95,7 @@
 
 
 def cancelled(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer to a call whose operation had this outcome: LeasedJobState.cancel."""
+    """The answer once LeasedJobState.cancel had this outcome."""
     if outcome[0] == "missing":
         return problem(410, "no_job", "no such job")
     return Answer(200, {"state": "cancelled" if outcome[0] == "cancelled" else outcome[1]})
@@ -131,7 +131,7 @@
 
 
 def configured(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer to a call whose operation had this outcome: Configuration.take."""
+    """The answer once Configuration.take or amend had this outcome."""
     if outcome[0] == "configured":
         return Answer(200, {"version": outcome[1]})
     if outcome[0] == "stale":
@@ -158,7 +158,7 @@
 
 
 def evacuated(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer to a call whose operation had this outcome: Evacuations.take."""
+    """The answer once Evacuations.take had this outcome."""
     if outcome[0] == "superseded":
         why = "another order for the zone came first; this one was not taken, send it again"
         return problem(503, "superseded", why, constants.RETRY_AFTER)
