--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -267,9 +267,7 @@
                     (limits.HOST, f"/held/{name}"),
                     lambda status, answer, over=over: over.append(status),
                 )
-            await self.until(
-                lambda names=names, over=over: len(over) == len(names), "the answers to cancels"
-            )
+            await self.until(lambda names=names, over=over: len(over) == len(names), "the answers to cancels")
 
     async def until(self, wanted, what):
         """Waits for something that a fill can't do without."""
