--- a/src/pinepitch/control/rehearsal.py
+++ b/src/pinepitch/control/rehearsal.py
@@ -18,10 +18,11 @@
     """What the objective makes of a replay: less is better. Each queue counts alike but
     for its weight, however many jobs it has."""
     weights = objective["queues"]
-    return sum(
+    total: float = sum(
         weights.get(queue, 1.0) * sum(objective[name] * one[name] for name in METRICS)
         for queue, one in metrics.items()
     )
+    return total
 
 
 def harm(
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -200,7 +200,8 @@
         if moved:
             return now + constants.PLACE_EVERY
         if self.moments:  # what found no capacity is tried again when something has happened
-            return max(now + constants.PLACE_EVERY, min(self.moments[0][0], now + 0.5))
+            next_moment: float = self.moments[0][0]
+            return max(now + constants.PLACE_EVERY, min(next_moment, now + 0.5))
         return None
 
     def look(self, when: float) -> None:
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -209,7 +209,7 @@
             self.effects.extend(self.indexed_forwarder.answered(token, answer, key, now))
 
     def _on_not_taken(
-        self, token: str, leader: str | None, attempt: int, reading: Sequence[Any] | None, now: float
+        self, token: str, leader: str | None, attempt: int, reading: tuple[int, float] | None, now: float
     ) -> None:
         """A control daemon that doesn't take a request says who leads, and what the leader's clock has
         passed."""
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -10,6 +10,7 @@
 from typing import Any, NamedTuple
 
 from ..common import constants, events
+from ..model.decisions import Answer
 from . import policy as policies
 from .assigner import Assigner
 from .daemon_interface import Daemon
@@ -97,7 +98,7 @@
         if worker is None:
             worker = self.workers[identity] = Worker(identity, now)
         if not worker.take_heartbeat(heartbeat, now):
-            self.core.answer(address, token, (200, {}, None))
+            self.core.answer(address, token, Answer(200, {}))
             return
         self._answer_deferred(identity)
         self.ends.take(worker, heartbeat["ended"])
@@ -110,7 +111,7 @@
         """Answers a worker's older heartbeat, if there is one: that tells it nothing."""
         older = self.deferred_heartbeats.pop(identity, None)
         if older is not None:
-            self.core.answer(older.address, older.token, (200, {}, None))
+            self.core.answer(older.address, older.token, Answer(200, {}))
 
     def leave(self, identity: str, now: float) -> None:
         """A worker says that it ends now."""
@@ -164,7 +165,7 @@
                 self.idle_heartbeats.append(IdleHeartbeat(taken, identity))
                 continue
             del self.deferred_heartbeats[identity]
-            self.core.answer(address, token, (200, self._orders(worker, taken, now), None))
+            self.core.answer(address, token, Answer(200, self._orders(worker, taken, now)))
 
     def _idle(self, worker: Worker) -> bool:
         """Whether nothing can be said to a worker that has nothing to say: where there are many its heartbeat
--- a/src/pinepitch/scheduling/daemon_interface.py
+++ b/src/pinepitch/scheduling/daemon_interface.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, Protocol
 
+from ..model.decisions import Answer
 from .leased_job_state import LeasedJobState
-from .plain_types import PlainAnswer
 
 if TYPE_CHECKING:
     from .assignment_manager import AssignmentManager
@@ -13,22 +13,33 @@
 class ClusterStateView(Protocol):
     """What is read of the replicated state; it changes only as entries of the log are applied."""
 
-    leased_jobs: LeasedJobState
-    levels: Mapping[str, int]  # operation -> the level of members that know it, for those above level 1
+    @property
+    def leased_jobs(self) -> LeasedJobState:
+        """What is agreed on about jobs under leases."""
+
+    @property
+    def levels(self) -> Mapping[str, int]:
+        """Operation -> the level of members that know it, for those above level 1."""
 
 
 class Daemon(Protocol):
     """The daemon whose replica leads. All times are seconds; `now` is always the daemon's own clock, which
     only moves forward and tells nothing of other machines."""
 
-    cluster_state: ClusterStateView
     assignments: "AssignmentManager"
     address: str  # where its clients reach it
-    epoch: int  # of its claim to place; 0 without one. It fences out orders of earlier leaders
     lease_duration: float  # seconds that a worker may go on after the heartbeat that its lease answers
     far: float  # times as long that a task takes away from its data
     step_at: float  # `now` of the message that is being handled
 
+    @property
+    def cluster_state(self) -> ClusterStateView:
+        """The replicated state, as this daemon has applied it."""
+
+    @property
+    def epoch(self) -> int:
+        """Of its claim to place; 0 without one. It fences out orders of earlier leaders."""
+
     def _now(self, now: float) -> float:
         """The cluster's time, seconds: the median of the members' clocks, never behind the cluster state."""
 
@@ -45,7 +56,7 @@
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
         """Proposes, and returns the index of the entry; None where the operation is held back."""
 
-    def answer(self, address: str, token: Any, answer: PlainAnswer) -> None:
+    def answer(self, address: str, token: Any, answer: Answer) -> None:
         """Answers a request that is pending; nothing happens if it is not pending any more."""
 
     def _event(self, number: int, **fields: Any) -> None:
--- a/src/pinepitch/scheduling/plain_types.py
+++ b/src/pinepitch/scheduling/plain_types.py
@@ -13,5 +13,3 @@
 Faults = tuple[tuple[str, str], ...]
 # The arguments of a call, in the order of the contract of calls.
 Arguments = tuple[Any, ...]
-# An answer to a request as it goes over the wire, with the fields of model.decisions.Answer.
-PlainAnswer = tuple[int, Any, Any]
--- a/src/pinepitch/state/operations.py
+++ b/src/pinepitch/state/operations.py
@@ -174,7 +174,7 @@
 
     identity: str
     queue: str
-    document: dict[str, Any]
+    document: tuple[Any, ...]  # as scheduling.leased_job.checked() made it
 
 
 class CancelLeasedJob(NamedTuple):
