--- a/features/steps/api.py
+++ b/features/steps/api.py
@@ -100,13 +100,13 @@
     simulator = context.simulator
     version = simulator.ask("GET", "/v1/setup")[1]["version"]
     front = next(node for node in simulator.nodes.values() if node.kind == "verge")
-    replies, reply = [], front.core._reply
+    replies, reply = [], front.core.product_requests._reply
 
     def noted(request, status, document, retry=None, headers=()):
         replies.append(headers)
         reply(request, status, document, retry, headers)
 
-    with mock.patch.object(front.core, "_reply", noted):
+    with mock.patch.object(front.core.product_requests, "_reply", noted):
         simulator.ask("GET", "/v1/setup", front=0)
     assert ("ETag", f'"{version}"') in replies[0], replies
     patch = {"queues": {"default": {"limit": 47}}}
--- a/src/pinepitch/common/effects.py
+++ b/src/pinepitch/common/effects.py
@@ -13,7 +13,7 @@
     """A message to another daemon; it may get lost, and then nobody is told."""
 
     address: str  # host:port of the daemon
-    message: tuple  # its kind first; it keeps the contract of its kind
+    message: tuple[Any, ...]  # its kind first; it keeps the contract of its kind
 
 
 class Reply(NamedTuple):
@@ -46,7 +46,7 @@
     sequence) once it is durable, unless `sequence` is None: then nothing waits for it."""
 
     sequence: int | None
-    payload: list
+    payload: list[Any]
 
 
 class WriteSegment(NamedTuple):
@@ -59,7 +59,7 @@
 class WriteNote(NamedTuple):
     """A note about membership in a cluster; durable before any later effect is carried out."""
 
-    payload: list
+    payload: list[Any]
 
 
 class EncodeSnapshot(NamedTuple):
--- a/src/pinepitch/front/control_daemons.py
+++ b/src/pinepitch/front/control_daemons.py
@@ -46,7 +46,7 @@
             found = self.known.get(identity)
             self.known[identity] = KnownDaemon(zone, address, found.heard if found else NEVER)
 
-    def told(self) -> tuple[tuple[str, str, str], ...]:
+    def endpoints(self) -> tuple[tuple[str, str, str], ...]:
         """(identity, zone, address) of each, as a greeting tells them."""
         return tuple((identity, found.zone, found.address) for identity, found in self.known.items())
 
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -85,7 +85,7 @@
     # --- sessions ---------------------------------------------------------------------
     def _greeting(self) -> tuple[Any, ...]:
         """What a greeting and its answer tell of this daemon."""
-        known = self.control_daemons.told()
+        known = self.control_daemons.endpoints()
         return (self.identity, "verge", self.zone, self.address, self.cluster, (), 0.0, known, (), 0)
 
     def _tick(self, now: float) -> None:
@@ -209,7 +209,7 @@
             self.effects.extend(self.indexed_forwarder.answered(token, answer, key, now))
 
     def _on_not_taken(
-        self, token: str, leader: str | None, attempt: int, reading: Sequence[Any] | None, now: float
+        self, token: str, leader: str | None, attempt: int, reading: tuple[int, float] | None, now: float
     ) -> None:
         """A control daemon that doesn't take a request says who leads, and what the leader's clock has
         passed."""
@@ -285,7 +285,7 @@
         """Asks the leader for updates, if no request is open or an outcome can wait no longer."""
         patience = constants.UPDATES_DEFERRAL + constants.FORWARD_RETRY
         waiting = self.updates_token is not None
-        fresh = self.orders.unsent_outcomes()
+        fresh = self.orders.has_new_outcomes()
         if waiting and now - self.updates_requested_at < (constants.TICK if fresh else patience):
             return
         address = self.leader
--- a/src/pinepitch/front/job_handlers.py
+++ b/src/pinepitch/front/job_handlers.py
@@ -15,7 +15,7 @@
         return problem(400, "malformed", "expected a JSON object")
     key = request.headers.get("idempotency-key") or body.get("key") or secrets.token_hex(12)
     plain, faults = pushed_job.checked({**body, "key": key})
-    if faults:
+    if plain is None:
         return faulty(faults)
     del plain["key"]
     front.forward(request.request, "submit", (key, pushed_job.digest_of(plain), plain), now)
@@ -25,7 +25,7 @@
 def report(front: Any, request: HttpRequest, now: float) -> Outcome:
     """Forwards the report of a worker."""
     found, faults = push_worker.checked(request.document)
-    if faults:
+    if found is None:
         return faulty(faults)
     front.forward(request.request, "report", tuple(found), now)
     return FORWARDED
--- a/src/pinepitch/front/orders.py
+++ b/src/pinepitch/front/orders.py
@@ -22,7 +22,7 @@
         self.outcomes: list[tuple[str, int, str]] = []  # (reference, attempt, outcome)
         self.outcomes_sent = 0
 
-    def unsent_outcomes(self) -> bool:
+    def has_new_outcomes(self) -> bool:
         """Whether an outcome is in no request for updates yet."""
         return len(self.outcomes) > self.outcomes_sent
 
--- a/src/pinepitch/front/program.py
+++ b/src/pinepitch/front/program.py
@@ -1,6 +1,7 @@
 """The verge daemon: takes calls and sends orders; keeps nothing on disk."""
 
 import secrets
+from typing import Any
 
 import fire
 
@@ -9,7 +10,14 @@
 from .daemon import FrontDaemon
 
 
-def run(settings=None, address=None, zone=None, seeds=None, http=None, level=None):
+def run(
+    settings: Any = None,
+    address: Any = None,
+    zone: Any = None,
+    seeds: Any = None,
+    http: Any = None,
+    level: Any = None,
+) -> None:
     """Runs a front daemon.
 
     Args:
@@ -36,6 +44,6 @@
     serve("verge", FrontDaemon(identity, found.address, found.zone, found.seeds), found, log)
 
 
-def main(arguments=None):
+def main(arguments: list[str] | None = None) -> None:
     """Runs the daemon with these arguments, by default the process's."""
     fire.Fire(run, command=arguments, name="pinepitch front")
--- a/src/pinepitch/transport/http.py
+++ b/src/pinepitch/transport/http.py
@@ -62,7 +62,7 @@
         self.size += len(event.data)
         return self.size <= self.most
 
-    def whole(self) -> bytes:
+    def complete(self) -> bytes:
         """All of it."""
         return b"".join(self.parts)
 
@@ -157,7 +157,7 @@
     """The Request of a message that is complete."""
     assert head is not None, "h11 ended a message that had no head"
     headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
-    return Request(head.method.decode(), head.target.decode("latin-1"), headers, body.whole())
+    return Request(head.method.decode(), head.target.decode("latin-1"), headers, body.complete())
 
 
 class Client:
@@ -268,7 +268,7 @@
     """The Response of a message that is complete, or a Fault if its JSON can't be read."""
     assert head is not None, "h11 ended a message that had no head"
     headers = tuple((name.decode(), value.decode()) for name, value in head.headers)
-    text = body.whole().decode("utf-8", "replace")
+    text = body.complete().decode("utf-8", "replace")
     if not dict(headers).get("content-type", "").startswith("application/json"):
         return Response(head.status_code, text, headers)
     try:
