--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -10,7 +10,7 @@
 from ..common import events
 from ..common.daemon_settings import Settings
 from ..common.limits import Limits
-from ..runtime.daemon_process import checked_settings, serve
+from ..runtime.serving import checked_settings, serve
 from ..storage.folder_lock import FolderLock
 from .alert_watch import Rule
 from .daemon import ControlDaemon
--- a/src/pinepitch/front/program.py
+++ b/src/pinepitch/front/program.py
@@ -6,7 +6,7 @@
 import fire
 
 from ..common import events
-from ..runtime.daemon_process import checked_settings, serve
+from ..runtime.serving import checked_settings, serve
 from .daemon import FrontDaemon
 
 
