--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -18,18 +18,12 @@
     first_at: float  # when a heartbeat first listed the run
 
 
-class SchedulingState(NamedTuple):
-    """What an assigning round reads of a worker's newest heartbeat: while it stays the same, so does what a
-    round would decide."""
-
-    heard_twice: bool
-    stale: bool
-    service: str
-    zone: str
-    state: str
-    labels: frozenset[str]
-    capacity: tuple[float, ...]
-    running: frozenset[tuple[str, int]]
+# What an assigning round reads of a worker's newest heartbeat: while it stays the same, so does what it would
+# decide. (heard twice, late, service, zone, state, labels, capacity, runs), made for every heartbeat and so a
+# plain tuple.
+SchedulingState = tuple[
+    bool, bool, str, str, str, frozenset[str], tuple[float, ...], frozenset[tuple[str, int]]
+]
 
 
 class Worker:
@@ -89,7 +83,7 @@
         self.leaves_at = now + leaves / 1000 if leaves is not None and self.state != READY else None
         self.running = {(ref, run): (saved, percent) for ref, run, saved, percent in heartbeat["running"]}
         self.listed = {(ref, run) for _, ref, run, _, _ in heartbeat["ended"]}
-        self.scheduling_state = SchedulingState(
+        self.scheduling_state = (
             self.heartbeats >= 2,
             self.stale,
             self.service,
