--- a/src/pinepitch/runtime/disk_task.py
+++ b/src/pinepitch/runtime/disk_task.py
@@ -64,7 +64,7 @@
 
     async def _encode(self, job: EncodeSnapshot) -> None:
         data = await curio.run_in_thread(self.encode, job.image)
-        await self.inbox.put(("encoded", job.index, data))
+        await self.inbox.put(("encoded", job.applied_index, data))
 
     async def _segment(self, job: WriteSegment) -> None:
         assert self.store is not None
