--- a/features/soak/soak.py
+++ b/features/soak/soak.py
@@ -132,7 +132,7 @@
         fault = self.draw.choice(sorted(FAULTS))
         whom = self._whom(FAULTS[fault].kind)
         cores_met = any(name in self.open for name in self.processes.names("core"))
-        if not whom or fault == "wipe-core" and (cores_met or now - self.wiped_at < WIPE_APART):
+        if not whom or (fault == "wipe-core" and (cores_met or now - self.wiped_at < WIPE_APART)):
             return
         if FAULTS[fault].kind == "core" and now - self.wiped_at < WIPE_APART:
             return  # one lost disk is all that may be lost until it has been made up for
--- a/features/steps/quorum.py
+++ b/features/steps/quorum.py
@@ -193,7 +193,7 @@
     quorum = kind(members, "dynamic")
     term_of = dict.fromkeys(members, 0)
     history = {one: {} for one in members}
-    known = {one: (None, 0) for one in members}
+    known = dict.fromkeys(members, (None, 0))
     leaders = {}
     for term in range(1, 9):
         for candidate in draw.sample(sorted(members), draw.choice((1, 1, 2, 3))):
--- a/src/pinepitch/cli/explain.py
+++ b/src/pinepitch/cli/explain.py
@@ -66,6 +66,7 @@
         job: the name of a pushed job (t...) or a leased one (16 hex digits).
         front: IP:PORT of the front daemon to ask.
         json: whether to print the answer as JSON.
+
     """
     if LEASED_JOB.fullmatch(job):
         LeasedJobCommands(front, json).show(job)
--- a/src/pinepitch/cli/queue_table.py
+++ b/src/pinepitch/cli/queue_table.py
@@ -42,7 +42,8 @@
 
     def edit(self, *cells: str, base: int | None = None, why: str = "") -> None:
         """Makes a draft of cells, each QUEUE.COLUMN=VALUE, on version `base` (the one in
-        force when left out)."""
+        force when left out).
+        """
         changes = {}
         for cell in cells:
             name, equals, value = str(cell).partition("=")
--- a/src/pinepitch/common/daemon_settings.py
+++ b/src/pinepitch/common/daemon_settings.py
@@ -13,7 +13,8 @@
 
 class Settings(NamedTuple):
     """Invariant: every field has passed its check. `mode` is the quorum mode; a front daemon uses
-    neither `data`, `bootstrap_members`, `mode`, `rules`, `memory` nor `disk`."""
+    neither `data`, `bootstrap_members`, `mode`, `rules`, `memory` nor `disk`.
+    """
 
     address: str
     zone: str
@@ -30,7 +31,8 @@
 
 def address(text: object) -> str:
     """A text that is a numeric IP:PORT; host names are refused since nothing here resolves them.
-    voluptuous.Invalid says what is wrong."""
+    voluptuous.Invalid says what is wrong.
+    """
     if not isinstance(text, str) or ":" not in text:
         raise voluptuous.Invalid("expected IP:PORT")
     host, _, port = text.rpartition(":")
--- a/src/pinepitch/common/document.py
+++ b/src/pinepitch/common/document.py
@@ -8,14 +8,14 @@
 from . import constants
 
 
-class Unsound(ValueError):
+class UnsoundDocumentError(ValueError):
     """JSON that says two things at once."""
 
 
 def _no_member_twice(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     members = dict(pairs)
     if len(members) < len(pairs):
-        raise Unsound("a member is named twice")
+        raise UnsoundDocumentError("a member is named twice")
     return members
 
 
@@ -25,7 +25,8 @@
 
 def _unsound_scalar(value: Any) -> str | None:
     """Why a value that contains no others can't be forwarded, or None. Types as json makes them: told by
-    type(), as this is asked for every value of every heartbeat."""
+    type(), as this is asked for every value of every heartbeat.
+    """
     kind = type(value)
     if kind is str:
         try:
@@ -41,7 +42,8 @@
 
 def unsound(value: Any) -> str | None:
     """Why a document can't be forwarded and handed on as it is, or None: numbers JSON or our
-    frames can't say, text that is no text, deeper nesting than MAX_DEPTH."""
+    frames can't say, text that is no text, deeper nesting than MAX_DEPTH.
+    """
     todo: list[tuple[Iterable[Any], int]] = [
         ((value,), 1)
     ]  # values beside each other, and how deep they stand
@@ -65,7 +67,9 @@
     try:
         document = json.loads(body, parse_constant=_no_constant, object_pairs_hook=_no_member_twice)
     except (ValueError, RecursionError) as fault:
-        return None, "the body is not JSON" + (f": {fault}" if isinstance(fault, Unsound) else "")
+        return None, "the body is not JSON" + (
+            f": {fault}" if isinstance(fault, UnsoundDocumentError) else ""
+        )
     why = unsound(document)
     return (None, why) if why else (document, None)
 
--- a/src/pinepitch/common/effects.py
+++ b/src/pinepitch/common/effects.py
@@ -35,7 +35,8 @@
 
 class SaveChange(NamedTuple):
     """A change of consensus' stored state. Once it is durable, and all saves before it, the decider is
-    told ("saved", sequence)."""
+    told ("saved", sequence).
+    """
 
     sequence: int
     change: Any
@@ -43,7 +44,8 @@
 
 class WriteBase(NamedTuple):
     """A snapshot base, which takes the place of all saves before it. The decider is told ("saved",
-    sequence) once it is durable, unless `sequence` is None: then nothing waits for it."""
+    sequence) once it is durable, unless `sequence` is None: then nothing waits for it.
+    """
 
     sequence: int | None
     payload: list[Any]
@@ -64,7 +66,8 @@
 
 class EncodeSnapshot(NamedTuple):
     """An image of the cluster state, to be encoded beside the decider, which is then told
-    ("encoded", index, bytes)."""
+    ("encoded", index, bytes).
+    """
 
     applied_index: int  # of the last entry that the image holds
     image: Any
@@ -72,7 +75,8 @@
 
 class Rehearse(NamedTuple):
     """A draft to be measured beside the decider, which is then told ("rehearsed", epoch, draft, asked,
-    measure). From `traffic` on: the arguments of the decider's measure()."""
+    measure). From `traffic` on: the arguments of the decider's measure().
+    """
 
     epoch: int  # of the role holder that rehearses
     draft: str  # its identity
--- a/src/pinepitch/common/limits.py
+++ b/src/pinepitch/common/limits.py
@@ -7,7 +7,8 @@
 
 class Limits(NamedTuple):
     """Bytes of memory and of disk. Invariants: the log and the tail behind every snapshot base fit
-    many times into either; tail <= laggard <= since_base <= log."""
+    many times into either; tail <= laggard <= since_base <= log.
+    """
 
     memory: int = constants.MEMORY
     disk: int = constants.DISK
--- a/src/pinepitch/common/metrics.py
+++ b/src/pinepitch/common/metrics.py
@@ -8,7 +8,8 @@
 
 class Histogram:
     """The distribution of a measured value over BUCKETS (seconds). Invariants: counts has one more
-    element than the bounds; total is the sum of what was added."""
+    element than the bounds; total is the sum of what was added.
+    """
 
     def __init__(self) -> None:
         self.counts = [0] * (len(constants.BUCKETS) + 1)
--- a/src/pinepitch/consensus/acknowledgements.py
+++ b/src/pinepitch/consensus/acknowledgements.py
@@ -56,8 +56,7 @@
 
 def _take_success(follower: Follower, index: int, now: float) -> None:
     follower.flow.answered(index, now)
-    if index > follower.match:
-        follower.match = index
+    follower.match = max(follower.match, index)
     follower.next = max(follower.next, follower.match + 1)
     follower.probing = False
 
--- a/src/pinepitch/consensus/cluster_clock.py
+++ b/src/pinepitch/consensus/cluster_clock.py
@@ -10,7 +10,8 @@
     clock, bent by at most SLEW; a reading too old has no say in the median, and fewer
     readings than a majority of the members have none at all. While carried, the time goes
     on from the newest that was agreed, which is never ahead of the truth, and the first
-    median ahead of it takes its place."""
+    median ahead of it takes its place.
+    """
 
     def __init__(self) -> None:
         self.offset: float | None = None  # seconds; cluster time less monotonic time
@@ -27,7 +28,8 @@
 
     def read(self, now: float, agreed: float = 0.0, needed: int = 1) -> float:
         """The cluster's time at monotonic `now`; `agreed` is the newest in the cluster state and
-        `needed` a majority of the members."""
+        `needed` a majority of the members.
+        """
         fresh = sorted(
             offset for offset, heard in self.readings.values() if now - heard <= constants.CLOCK_FRESH
         )
--- a/src/pinepitch/consensus/commitment.py
+++ b/src/pinepitch/consensus/commitment.py
@@ -40,7 +40,8 @@
 
 def commit_slice(replica: Consensus, now: float) -> None:
     """Commits as much as one step may take: a restarted member has all since its base to apply, and
-    must go on sending heartbeats and answering meanwhile, or others take its place."""
+    must go on sending heartbeats and answering meanwhile, or others take its place.
+    """
     start = replica.commit + 1
     entries, _ = replica.log.slice_from(start, constants.COMMIT_ENTRIES, constants.COMMIT_BYTES)
     entries = entries[: replica.committed - replica.commit]
--- a/src/pinepitch/consensus/effects.py
+++ b/src/pinepitch/consensus/effects.py
@@ -34,7 +34,8 @@
 
 class InstallSnapshot(NamedTuple):
     """Replaces the cluster state by the one of a snapshot; `segments` are those of its archive that were
-    received: number -> bytes."""
+    received: number -> bytes.
+    """
 
     last_index: int  # of the entries that the snapshot stands for
     image: bytes
@@ -42,20 +43,21 @@
 
 
 class BecomeLeader(NamedTuple):
-    """This replica leads `term` from now on."""
+    """The replica leads `term` from now on."""
 
     term: int
 
 
 class StepDown(NamedTuple):
-    """This replica leads no more."""
+    """The replica leads no more."""
 
     why: str
 
 
 class ReadConfirmed(NamedTuple):
     """Leadership was confirmed after the read of `token` was asked for: what is committed up to `commit`
-    may be read."""
+    may be read.
+    """
 
     token: Any
     commit: int
--- a/src/pinepitch/consensus/election.py
+++ b/src/pinepitch/consensus/election.py
@@ -47,7 +47,8 @@
 
 def ask_votes(replica: Consensus, now: float) -> None:
     """Asks for what the campaign under way needs, and again until the time-out: a request or its
-    answer may get lost, and a voter that still waits for a lease to end grants a moment later."""
+    answer may get lost, and a voter that still waits for a lease to end grants a moment later.
+    """
     replica.ask_at = now + constants.VOTE_AGAIN * (0.5 + replica.random.random())
     request = _vote_request(replica)
     for identity in replica.membership.members():
@@ -69,7 +70,8 @@
 
 def count_votes(replica: Consensus, now: float) -> None:
     """Goes on to the next step of the election that the replies allow. A candidate leads only once its
-    own vote is durable."""
+    own vote is durable.
+    """
     term = replica.term if replica.role == CANDIDATE else replica.term + 1
     result = replica.membership.elects(replica.replies, term, replica.leader, replica.leader_term)
     if result.satisfied:
@@ -181,7 +183,8 @@
 
 def on_takeover(replica: Consensus, sender: str, message: TakeoverRequest, now: float) -> None:
     """A vote asked for by a candidate whom the leader of the term `released` named: that leader, and
-    every older one, relies on its lease no more; a newer one may."""
+    every older one, relies on its lease no more; a newer one may.
+    """
     term, last_index, last_term, released = message
     if term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
--- a/src/pinepitch/consensus/flow_control.py
+++ b/src/pinepitch/consensus/flow_control.py
@@ -21,7 +21,8 @@
 
     Invariants: in_flight is in the order of sending; budget is from MIN_APPEND_BYTES to
     APPEND_BYTES; at most one message of BULK_BYTES or more is under way, and then it alone,
-    since such ones go by a connection of their own and order holds for one connection only."""
+    since such ones go by a connection of their own and order holds for one connection only.
+    """
 
     def __init__(self) -> None:
         self.in_flight: collections.deque[Sent] = collections.deque()
--- a/src/pinepitch/consensus/follower.py
+++ b/src/pinepitch/consensus/follower.py
@@ -7,7 +7,8 @@
 class Follower:
     """What a leader knows of one member or learner.
 
-    Invariants: match <= the leader's last index and is durable there; next > match."""
+    Invariants: match <= the leader's last index and is durable there; next > match.
+    """
 
     def __init__(self, last_index: int, now: float) -> None:
         self.match = 0
--- a/src/pinepitch/consensus/following.py
+++ b/src/pinepitch/consensus/following.py
@@ -14,7 +14,8 @@
 
 def hear_leader(replica: Consensus, sender: str, term: int, now: float) -> None:
     """Takes `sender` for the leader of `term`. Votes of terms up to this one are needed no more
-    (docs/flexiraft.md, change 6)."""
+    (docs/flexiraft.md, change 6).
+    """
     if term > replica.term or replica.role != FOLLOWER:
         replica.follow(term, now, "leader heard")
     replica.following = sender
@@ -75,7 +76,8 @@
 
 def _take_entries(replica: Consensus, previous: int, entries: Any) -> bool:
     """Adds what the log lacks of the entries after `previous`, in place of what conflicts; whether it
-    lacked any. Entries from the wire are lists."""
+    lacked any. Entries from the wire are lists.
+    """
     for position, entry in enumerate(entries):
         index = previous + 1 + position
         own = replica.term_at(index)
--- a/src/pinepitch/consensus/leader_clock.py
+++ b/src/pinepitch/consensus/leader_clock.py
@@ -20,7 +20,8 @@
     """The newest reading heard, carried on by this daemon's own clock.
 
     Invariants: term never falls; the floor of one term never falls, and is at most what the
-    leader's steady clock reads, given that no clock runs slower than another by CLOCK_DRIFT."""
+    leader's steady clock reads, given that no clock runs slower than another by CLOCK_DRIFT.
+    """
 
     def __init__(self) -> None:
         self.term = 0
@@ -31,7 +32,7 @@
         if reading is None:
             return
         term, seconds = reading
-        if term > self.term or term == self.term and seconds > self._passed(now):
+        if term > self.term or (term == self.term and seconds > self._passed(now)):
             self.term, self.seconds, self.heard = term, seconds, now
 
     def floor(self, now: float) -> Reading | None:
--- a/src/pinepitch/consensus/leadership_transfer.py
+++ b/src/pinepitch/consensus/leadership_transfer.py
@@ -16,7 +16,8 @@
 class Handover(NamedTuple):
     """A leader's intent to let `target` lead. Until then it leads on; after `until` it just stands down.
 
-    Invariant: leadership, and with it the lease, is given up before the target hears of it."""
+    Invariant: leadership, and with it the lease, is given up before the target hears of it.
+    """
 
     target: str
     until: float  # seconds of the steady clock
--- a/src/pinepitch/consensus/log.py
+++ b/src/pinepitch/consensus/log.py
@@ -24,7 +24,8 @@
 
 def _size(operation: Operation) -> int:
     """About how many bytes an operation takes: those of its marshal form, which never leaves this
-    process, is no smaller than what is sent and needs a fifth of the time or less."""
+    process, is no smaller than what is sent and needs a fifth of the time or less.
+    """
     try:
         return ENTRY + len(marshal.dumps(operation, MARSHAL_VERSION))
     except ValueError:  # a subclass of a plain type
@@ -53,7 +54,8 @@
     """Entries without a gap.
 
     Invariants: entries[i] has index first + i and sizes[i] is its size;
-    size is the sum of sizes."""
+    size is the sum of sizes.
+    """
 
     def __init__(self) -> None:
         self.first = 1
--- a/src/pinepitch/consensus/log_changes.py
+++ b/src/pinepitch/consensus/log_changes.py
@@ -27,7 +27,8 @@
 
 def append(replica: Consensus, entries: Sequence[Entry], start: int) -> None:
     """Adds entries, the first of which gets the index `start`. A membership is in force at once, before it
-    is committed (joint consensus, section 8)."""
+    is committed (joint consensus, section 8).
+    """
     if replica.dirty_from is None or start < replica.dirty_from:
         replica.dirty_from = start
     replica.log.append(entries)
@@ -51,7 +52,8 @@
 
 def drop_log(replica: Consensus, first: int) -> None:
     """Drops every entry, the next one being `first`, for a snapshot that the log does not lead to:
-    of what is on disk or on its way there only what is committed stays true."""
+    of what is on disk or on its way there only what is committed stays true.
+    """
     replica.log.clear(first)
     replica.durable = min(replica.durable, replica.commit)
     for save in replica.saving:
--- a/src/pinepitch/consensus/membership_change.py
+++ b/src/pinepitch/consensus/membership_change.py
@@ -18,7 +18,8 @@
     replica: Consensus, members: dict[str, str], time: float, now: float
 ) -> tuple[int, list[Effect]] | None:
     """Begins a joint change to `members` (identity -> zone); None when one is under way or there is no own
-    commit yet."""
+    commit yet.
+    """
     if replica.role != LEADER or replica.membership.coming is not None or not replica.serving():
         return None
     if replica.handover is not None:
--- a/src/pinepitch/consensus/messages.py
+++ b/src/pinepitch/consensus/messages.py
@@ -81,7 +81,8 @@
 
 class AppendEntries(NamedTuple):
     """Entries that follow the entry `previous`, none for a heartbeat. A heartbeat that says nothing of the
-    log has 0 for `previous`, `previous_term` and `commit`."""
+    log has 0 for `previous`, `previous_term` and `commit`.
+    """
 
     term: int
     previous: int
@@ -93,7 +94,8 @@
 
 class AppendReply(NamedTuple):
     """The answer to AppendEntries: the newest entry that is durable here and agrees with the leader's log;
-    None for a heartbeat that said nothing of the log. Where `success` is False, the entry to try next."""
+    None for a heartbeat that said nothing of the log. Where `success` is False, the entry to try next.
+    """
 
     term: int
     success: bool
@@ -116,7 +118,8 @@
 
 class ChunkReply(NamedTuple):
     """The answer to SnapshotChunk: the offset that is needed next, -1 to begin anew, COMPLETE_OFFSET where
-    nothing of the snapshot is needed; `stored` is the newest segment of the archive that is stored here."""
+    nothing of the snapshot is needed; `stored` is the newest segment of the archive that is stored here.
+    """
 
     term: int
     last_index: int
--- a/src/pinepitch/consensus/pending_save.py
+++ b/src/pinepitch/consensus/pending_save.py
@@ -4,7 +4,7 @@
 class PendingSave:
     """A write that is not durable yet. `last_index` falls when entries that it holds are dropped."""
 
-    __slots__ = ("sequence", "last_index", "begun_at")
+    __slots__ = ("begun_at", "last_index", "sequence")
 
     def __init__(self, sequence: int, last_index: int, begun_at: float) -> None:
         self.sequence = sequence
--- a/src/pinepitch/consensus/quorum.py
+++ b/src/pinepitch/consensus/quorum.py
@@ -15,7 +15,8 @@
 
     Invariants: history maps a term to the identity voted for in it, for every term after
     leader_term in which this voter granted a vote; (leader, leader_term) is the newest
-    leader the voter has known, or (None, 0)."""
+    leader the voter has known, or (None, 0).
+    """
 
     granted: bool
     leader: str | None
@@ -39,7 +40,7 @@
 
 @functools.lru_cache(maxsize=GROUPINGS_KEPT)
 def _groups(members: tuple[tuple[str, str], ...], mode: str) -> Groups:
-    """group -> identities in it, for members as pairs. Kept: a leader asks for it at every call it takes."""
+    """Group -> identities in it, for members as pairs. Kept: a leader asks for it at every call it takes."""
     quorum = Quorum(dict(members), mode)
     groups: dict[str, set[str]] = {}
     for identity in sorted(quorum.members):
@@ -53,7 +54,8 @@
     Invariants: members maps identity to zone; groups are disjoint and cover members;
     2 * elect > number of groups, and commit + elect > number of groups, so that in
     static and single mode any two election quorums, and any commit and election quorum, meet in a
-    whole group's majority and hence in a member."""
+    whole group's majority and hence in a member.
+    """
 
     members: dict[str, str]
     mode: str
@@ -61,16 +63,16 @@
     def group_of(self, identity: str) -> str:
         """The group a member is in: its zone, or itself in single mode and where fewer than 3 zones exist."""
         zone = self.members[identity]
-        if self.mode == "single" or self.mode == "static" and len(set(self.members.values())) < 3:
+        if self.mode == "single" or (self.mode == "static" and len(set(self.members.values())) < 3):
             return identity
         return zone
 
     def groups(self) -> Groups:
-        """group -> identities in it; not to be changed."""
+        """Group -> identities in it; not to be changed."""
         return _groups(tuple(self.members.items()), self.mode)
 
     def commit_count(self) -> int:
-        """c of 'majority in c of k groups': the largest that keeps both intersections."""
+        """C of 'majority in c of k groups': the largest that keeps both intersections."""
         return (len(self.groups()) + 1) // 2
 
     def elect_count(self) -> int:
@@ -112,7 +114,8 @@
         Changed from the print: the groups a leader may be in add up instead of being
         replaced at each step. A candidate that merely *may* have won does not rule out
         that it lost, so the next winner may have come through the older groups; with
-        the print's replacement its votes there would go unread (docs/flexiraft.md)."""
+        the print's replacement its votes there would go unread (docs/flexiraft.md).
+        """
         every = self.groups()
         possible = {self.group_of(leader)}
         step = leader_term
@@ -166,7 +169,8 @@
     """The members now and, during a joint change, the members to come.
 
     Invariant: while `coming` is set every decision needs both quorums, so that a quorum
-    of either list alone never decides (joint consensus, section 8)."""
+    of either list alone never decides (joint consensus, section 8).
+    """
 
     now: Quorum
     coming: Quorum | None = None
@@ -176,14 +180,15 @@
         return (self.now,) if self.coming is None else (self.now, self.coming)
 
     def members(self) -> dict[str, str]:
-        """identity -> zone of every voter, of either list."""
+        """Identity -> zone of every voter, of either list."""
         return {**self.now.members, **(self.coming.members if self.coming else {})}
 
     def commits(self, identities: Iterable[str], leader: str) -> bool:
         """Whether `identities` commit under `leader` by every quorum in force.
 
         In dynamic mode a leader that a list lacks can't have a group there: such a list
-        then asks for majorities in all its groups, which meets any of its quorums."""
+        then asks for majorities in all its groups, which meets any of its quorums.
+        """
         for quorum in self.quorums():
             if quorum.mode == "dynamic" and leader not in quorum.members:
                 if quorum.majorities(identities) != set(quorum.groups()):
--- a/src/pinepitch/consensus/reads.py
+++ b/src/pinepitch/consensus/reads.py
@@ -24,7 +24,8 @@
 
 def leased(replica: Consensus, now: float) -> bool:
     """Whether a commit quorum answered a heartbeat sent so lately that no other leader can have
-    been elected since and have served: such a quorum grants no pre-vote before its time-out."""
+    been elected since and have served: such a quorum grants no pre-vote before its time-out.
+    """
     since = now - constants.LEADER_LEASE
     heard = {
         identity
--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -48,7 +48,8 @@
     it is told; commit <= committed <= last index; durable <= last
     index and all up to it is on disk; history holds no term <= leader_term, since any
     candidate starts Algorithm 1 at the newest leader told with the histories, and this
-    one's is told along; membership is that of the newest members entry in the log or base."""
+    one's is told along; membership is that of the newest members entry in the log or base.
+    """
 
     def __init__(
         self,
@@ -165,7 +166,8 @@
 
     def compact(self, index: int, image: bytes, segments: tuple[int, int] = (1, 0)) -> list[Any]:
         """Takes `image`, which stands on `segments` (first, last) of the archive, as the cluster state up
-        to `index`; the payload of the new base."""
+        to `index`; the payload of the new base.
+        """
         return snapshot_base.compact(self, index, image, segments)
 
     def saved(self, sequence: int, now: float) -> list[Effect]:
@@ -266,7 +268,8 @@
     def _begin_incarnation(self, now: float) -> None:
         """At the first input of this incarnation: what an earlier one acknowledged may still carry a
         leader's lease, so no vote is given, and none asked for, before that is over, also by that leader's
-        slower clock."""
+        slower clock.
+        """
         if self.election_at is not None:
             return
         since = now if self.begun_at is None else min(now, self.begun_at)
@@ -348,7 +351,8 @@
 
     def transfer_leadership(self, candidates: Iterable[str], now: float) -> list[Effect]:
         """Leads on until the voter among `candidates` that lacks least has all that is agreed on, then
-        gives leadership up and lets that voter campaign at once; with no such voter stands down."""
+        gives leadership up and lets that voter campaign at once; with no such voter stands down.
+        """
         if self.role != LEADER:
             return []
         leadership_transfer.begin(self, set(candidates), now)
@@ -359,7 +363,8 @@
         self, members: dict[str, str], time: float, now: float
     ) -> tuple[int, list[Effect]] | None:
         """Begins a joint change to `members` (identity -> zone); None when one is under way or there is no
-        own commit yet."""
+        own commit yet.
+        """
         return membership_change.begin(self, members, time, now)
 
     def changing(self) -> bool:
--- a/src/pinepitch/consensus/replication.py
+++ b/src/pinepitch/consensus/replication.py
@@ -81,7 +81,8 @@
 
 def _needs_snapshot(replica: Consensus, follower: Follower) -> bool:
     """Whether a follower is sent the base: it needs entries that are gone, or so many that
-    the image is the shorter way, or the sending has begun."""
+    the image is the shorter way, or the sending has begun.
+    """
     if follower.transfer is not None:
         if follower.transfer.snapshot.last_index > follower.match:
             return True
@@ -105,7 +106,8 @@
 
 def _send_heartbeat(replica: Consensus, identity: str, follower: Follower) -> None:
     """A heartbeat with no entries. While a large append is under way, by another connection, it
-    says nothing of what that one brings."""
+    says nothing of what that one brings.
+    """
     if not follower.flow.bulky():
         _send_append(replica, identity, follower.next - 1, ())
     elif follower.match > 0 and replica.term_at(follower.match) is not None:
--- a/src/pinepitch/consensus/snapshot_base.py
+++ b/src/pinepitch/consensus/snapshot_base.py
@@ -70,7 +70,8 @@
 
 def compact(replica: Consensus, index: int, image: bytes, segments: tuple[int, int]) -> list[Any]:
     """Takes `image`, which stands on `segments` of the archive, as the cluster state up to `index`; the
-    payload of the new base."""
+    payload of the new base.
+    """
     replica.base_segments = segments
     term = replica.term_at(index)
     assert term is not None
@@ -89,7 +90,8 @@
 
 def _kept_from(replica: Consensus, index: int) -> int:
     """The first entry to keep behind a base at `index`: a tail, and what followers still need
-    as far as the laggards' bounds go."""
+    as far as the laggards' bounds go.
+    """
     keep = replica.log.tail_start(index, constants.SNAPSHOT_TAIL, replica.limits.tail)
     needed = [follower.needed_from() for follower in replica.followers.values()]
     needed = [first for first in needed if replica.first <= first < keep]
--- a/src/pinepitch/consensus/snapshot_sender.py
+++ b/src/pinepitch/consensus/snapshot_sender.py
@@ -34,7 +34,7 @@
     if replica.base_image is None:
         return
     transfer = follower.transfer
-    if transfer is None or transfer.payload is None and transfer.snapshot.last_index != replica.base_index:
+    if transfer is None or (transfer.payload is None and transfer.snapshot.last_index != replica.base_index):
         follower.flow.clear()
         transfer = follower.transfer = Transfer(_newest_snapshot(replica))
     if transfer.in_flight:
--- a/src/pinepitch/consensus/snapshot_transfer.py
+++ b/src/pinepitch/consensus/snapshot_transfer.py
@@ -18,7 +18,8 @@
 
 class Transfer:
     """The leader's side. Invariants: the snapshot stays the same until all of it has arrived, whatever
-    newer one its leader makes meanwhile; payload is None until the follower said what it stores."""
+    newer one its leader makes meanwhile; payload is None until the follower said what it stores.
+    """
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
@@ -30,7 +31,8 @@
 
     def repeats(self, offset: int, stored_segment: int) -> bool:
         """Whether an answer is one to an earlier chunk, or to one that came twice: acted on, it
-        would make every further chunk be sent twice."""
+        would make every further chunk be sent twice.
+        """
         if self.payload is None:
             return False
         if offset < 0:  # else a new incarnation of the follower asks for all anew, perhaps storing less
@@ -48,7 +50,8 @@
 
 class IncomingSnapshot:
     """The follower's side. Invariant: whoever sends it was told in this incarnation of the follower
-    which segments it stores, since a former one may have stored more."""
+    which segments it stores, since a former one may have stored more.
+    """
 
     def __init__(self, last_index: int) -> None:
         self.last_index = last_index
--- a/src/pinepitch/control/agreement.py
+++ b/src/pinepitch/control/agreement.py
@@ -26,7 +26,8 @@
 
 class Agreement:
     """Invariant: the cluster state holds just the entries up to those applied; one snapshot is made at
-    a time."""
+    a time.
+    """
 
     def __init__(self, core: "ControlDaemon") -> None:
         self.core = core
@@ -142,7 +143,8 @@
 
     def _snapshot_due(self) -> bool:
         """Whether so many entries, or so many bytes of them, were applied since the last base. A
-        large image is made more rarely, so that writing it costs no more than the entries did."""
+        large image is made more rarely, so that writing it costs no more than the entries did.
+        """
         consensus = self.core.consensus
         if self.core.cluster_state.index - consensus.base_index >= constants.SNAPSHOT_ENTRIES:
             return True
--- a/src/pinepitch/control/alert_watch.py
+++ b/src/pinepitch/control/alert_watch.py
@@ -51,14 +51,15 @@
 
 class Watch:
     """What the leader knows of the rules. Invariant: since holds the alerts of the rules whose
-    comparison holds now, and from when on, in seconds of this daemon's clock."""
+    comparison holds now, and from when on, in seconds of this daemon's clock.
+    """
 
     def __init__(self, rules: Sequence[Rule]) -> None:
         self.rules = rules
         self.since: dict[str, float] = {}
 
     def firing(self, metrics: str, now: float) -> dict[str, str]:
-        """alert -> why, for the rules that fire by these metrics in the text format of Prometheus."""
+        """Alert -> why, for the rules that fire by these metrics in the text format of Prometheus."""
         series = _parsed(metrics)
         fires = {}
         for rule in self.rules:
--- a/src/pinepitch/control/bootstrap.py
+++ b/src/pinepitch/control/bootstrap.py
@@ -20,7 +20,8 @@
     """What an empty control daemon has seen.
 
     Invariants: consent is given at most once, to one list, and is durable before it is
-    told; no cluster begins while any daemon reached knows one."""
+    told; no cluster begins while any daemon reached knows one.
+    """
 
     def __init__(self, identity: str, zone: str, bootstrap_size: int) -> None:
         self.identity, self.zone = identity, zone
@@ -54,7 +55,8 @@
 
     def veto(self, now: float, other_than: str | None = None) -> str | None:
         """The cluster, other than `other_than`, that some daemon knows, or None. What a daemon was
-        heard to know counts for long: it may greet this one only now and then."""
+        heard to know counts for long: it may greet this one only now and then.
+        """
         for cluster, heard in self.known_clusters.values():
             if now - heard <= constants.BOOTSTRAP_VETO_LASTS and cluster != other_than:
                 return cluster
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -38,7 +38,8 @@
 
 class ControlDaemon:
     """Invariants: with no cluster there is no consensus, and the other way round; the cluster state holds
-    just the entries up to those applied; what exists only while leading is as new unless it leads."""
+    just the entries up to those applied; what exists only while leading is as new unless it leads.
+    """
 
     level = constants.RECORD_LEVEL
     cluster_state_class = ClusterState
@@ -256,7 +257,7 @@
             self.take_cluster_state(self.consensus.base_image, segments)
 
     def begin_consensus(self, members: Members | None) -> None:
-        """This daemon is in a cluster from now on; `members` found it, or are empty where it joins."""
+        """The daemon is in a cluster from now on; `members` found it, or are empty where it joins."""
         self.consensus = Consensus(self.identity, self.seed, members, self.mode, self.limits)
         self.consensus.begun_at = self.begun_at
         self.consensus.archive = self.cluster_state.archive
@@ -303,7 +304,8 @@
 
     def step(self, message: tuple[Any, ...], now: float, clock: float) -> list[Any]:
         """Takes one message; returns the effects. `now` is the steady clock's, `clock` the wall clock's
-        time, both in seconds."""
+        time, both in seconds.
+        """
         self.time.hear(self.identity, clock, now)
         self.step_at = now
         self.indexed_forwarder.turn(now)
--- a/src/pinepitch/control/forwarded_requests.py
+++ b/src/pinepitch/control/forwarded_requests.py
@@ -18,7 +18,8 @@
 
 class PendingRequest(NamedTuple):
     """A forwarded request that is being answered, and which attempt of it was taken. Invariant: the first
-    two are its request key."""
+    two are its request key.
+    """
 
     call: str
     subject: str
@@ -41,7 +42,8 @@
 
 class ForwardedRequests:
     """Invariants: what it gathers is empty unless this daemon leads; a request is pending until it is
-    answered, and answered as the request that it was taken as."""
+    answered, and answered as the request that it was taken as.
+    """
 
     def __init__(self, core: "ControlDaemon") -> None:
         self.core = core
@@ -55,7 +57,8 @@
 
     def step_down(self, waiting: list[Waiting], now: float) -> None:
         """Tells all who wait that this daemon leads no more. What was proposed for those in `waiting`
-        may still be agreed on; whatever else was asked is not taken."""
+        may still be agreed on; whatever else was asked is not taken.
+        """
         for one in waiting:
             self.in_doubt(one.address, one.token)
         for read in self.reading.values():
@@ -74,7 +77,8 @@
         now: float,
     ) -> None:
         """A daemon forwards a request; every request is safe to be sent again. None is taken after its
-        end, a Reading of this leader's clock: whoever forwards it has given it up by then."""
+        end, a Reading of this leader's clock: whoever forwards it has given it up by then.
+        """
         consensus = self.core.consensus
         if consensus is None or consensus.role != "leader" or self.core.stopping:
             self.refuse(address, token, self.core._leader_address(), attempt, now)
@@ -106,7 +110,9 @@
         """Whether this leader may decide on a call now."""
         if not self.core.consensus.serving():
             return False
-        return call not in LEASED_CALLS or self.core.leadership.epoch > 0 and self.core.consensus.leased(now)
+        return call not in LEASED_CALLS or (
+            self.core.leadership.epoch > 0 and self.core.consensus.leased(now)
+        )
 
     def _in_time(self, end: Reading | None, now: float) -> bool:
         """Whether a forwarded request may be taken; one without an end may not."""
@@ -139,7 +145,8 @@
 
     def answer(self, address: str, token: str, answer: Answer, until: float | None = None) -> None:
         """The answer to a pending request, perhaps to one that this daemon forwarded itself; what was
-        only read, and not agreed on, is written until `until` at the latest."""
+        only read, and not agreed on, is written until `until` at the latest.
+        """
         current = self.pending_requests.pop(token, None)
         if current is None:
             return
--- a/src/pinepitch/control/leader.py
+++ b/src/pinepitch/control/leader.py
@@ -62,7 +62,8 @@
 
     def claim_placing(self, now: float) -> None:
         """Proposes to hold the placing role, beside the first entry of the term: nothing under leases is
-        answered before this one has brought its epoch, so it goes out with the other."""
+        answered before this one has brought its epoch, so it goes out with the other.
+        """
         self.epoch = -1
         self.role_index = self.core.consensus.last_index() + 1
         self.core.proposals.propose(("duty", "placing", self.core.identity), None, now)
@@ -70,7 +71,8 @@
     def place(self, now: float) -> None:
         """One round: at once when something was applied that may let a task be placed, and
         now and then for what only time brings. Never from within applying, whose own
-        save must go first."""
+        save must go first.
+        """
         if (
             self.placing_busy
             or self.epoch <= 0
@@ -130,7 +132,8 @@
 
     def _maintain_alerts(self, now: float) -> None:
         """The leader, under its epoch, judges the rules by its own metrics; what holds
-        approvals is an entry, so that it outlives the leader."""
+        approvals is an entry, so that it outlives the leader.
+        """
         self.alert_at = now
         firing = self.alerts.firing(metrics_text.text(self.core, now), now)
         holding = {
--- a/src/pinepitch/control/membership.py
+++ b/src/pinepitch/control/membership.py
@@ -1,5 +1,6 @@
 """Decisions on who votes: what a list of members may lose, who takes a leaving voter's seat, and
-how long a voter must be unheard before a newcomer takes its place. Pure functions and values."""
+how long a voter must be unheard before a newcomer takes its place. Pure functions and values.
+"""
 
 import functools
 import itertools
@@ -15,7 +16,8 @@
 class Tolerance(NamedTuple):
     """What a list of members can lose next and still both commit and elect; larger is better.
 
-    Invariant: -1 machines says that it can't even without another loss."""
+    Invariant: -1 machines says that it can't even without another loss.
+    """
 
     machines: int  # any so many
     zones: bool  # whether any one whole zone
@@ -74,7 +76,8 @@
 def successor(quorum: Quorum, leaver: str, spares: Mapping[str, str], live: Collection[str]) -> str | None:
     """The spare (identity -> zone, in order) that may take the leaver's seat: one of its zone, or in
     single mode, where a zone is no group, any that leaves as much to lose as the leaver itself would
-    once it is back. None without one."""
+    once it is back. None without one.
+    """
     zone = quorum.members[leaver]
     present = set(live) | {leaver}
     for identity in sorted(spares, key=lambda one: (spares[one] != zone, one)):
@@ -96,14 +99,16 @@
 class Budget(NamedTuple):
     """Where the time goes that a lost voter's successor has from its start until it may be needed.
 
-    Invariant: what the parts take in sum, the silence included, is within catch_up."""
+    Invariant: what the parts take in sum, the silence included, is within catch_up.
+    """
 
     catch_up: float  # seconds; what the platform grants
     change: float  # seconds; the longest joint change measured here
 
     def replace_after(self) -> float:
         """For how many seconds a voter must be unheard before a newcomer takes its seat: what joining,
-        catching up and the joint change leave, with the change counted twice as another may be under way."""
+        catching up and the joint change leave, with the change counted twice as another may be under way.
+        """
         change = max(self.change, constants.CHANGE_WITHIN)
         left = self.catch_up - constants.JOIN_WITHIN - constants.CATCH_UP_WITHIN - 2 * change
         return max(constants.SESSION_LASTS, left)
@@ -112,7 +117,8 @@
 class Leave(NamedTuple):
     """What a leader knows of a voter that said it stops.
 
-    Invariant: kept is what the voter was told last of its seat, None for nothing yet."""
+    Invariant: kept is what the voter was told last of its seat, None for nothing yet.
+    """
 
     since: float  # seconds of the leader's clock
     kept: bool | None
@@ -121,7 +127,8 @@
 class Departure:
     """A stopping control daemon's wait until it is decided who gets its seat.
 
-    Invariants: it ends at the latest `within` after it began, and soon if no leader says anything."""
+    Invariants: it ends at the latest `within` after it began, and soon if no leader says anything.
+    """
 
     def __init__(self, now: float, within: float) -> None:
         self.begun, self.within = now, within
--- a/src/pinepitch/control/membership_changes.py
+++ b/src/pinepitch/control/membership_changes.py
@@ -13,7 +13,8 @@
 
 class MembershipChanges:
     """Invariants: one change is under way at a time; `leaving` holds only daemons that said that they
-    stop."""
+    stop.
+    """
 
     def __init__(self, core: "ControlDaemon") -> None:
         self.core = core
@@ -92,7 +93,8 @@
         self, identity: str, zone: str, members: Members, out: dict[str, float], live: set[str]
     ) -> Members | None:
         """The members once a newcomer is in: in a lost one's seat, its own zone's first, or in a zone
-        without any; else None, and it stays a spare that follows the log."""
+        without any; else None, and it stays a spare that follows the log.
+        """
         address = self.core.sessions.address(identity)
         lost = [one for one in members if self.core.sessions.address(one) == address]
         if not lost:
@@ -118,12 +120,14 @@
 
     def _spread_zones(self, identity: str, zone: str, members: Members, live: set[str]) -> Members | None:
         """The members once a newcomer has the seat of one whose zone holds several, as after a loss that
-        one of another zone stood in for; None where that leaves no more to lose."""
+        one of another zone stood in for; None where that leaves no more to lose.
+        """
         for one, place in sorted(members.items()):
             several = sum(other == place for other in members.values()) > 1
-            if several and one != self.core.identity and place != zone:
-                if membership.gains(self.core.consensus.membership.now, one, identity, zone, live):
-                    return membership.swapped(members, one, identity, zone)
+            if not several or one == self.core.identity or place == zone:
+                continue
+            if membership.gains(self.core.consensus.membership.now, one, identity, zone, live):
+                return membership.swapped(members, one, identity, zone)
         return None
 
     def _propose_members(self, members: Members, now: float) -> None:
--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -46,7 +46,8 @@
     """Invariants: proposed holds each reference proposed and not yet applied, so that no
     round proposes one twice; why holds, for a shape of which the newest round placed not
     all, the reason; short holds when each unit that now lacks capacity, credits or a place
-    under its limit was first seen to."""
+    under its limit was first seen to.
+    """
 
     def __init__(self) -> None:
         self.proposed: dict[str, tuple[Charges, str, int]] = {}  # reference -> (charges, queue, units)
@@ -64,7 +65,8 @@
         time: float,
     ) -> tuple[tuple[tuple[Any, ...], ...], tuple[YieldItem, ...]]:
         """(place items, yield items) of one round, as the log holds them; `now` is this daemon's clock,
-        `time` the cluster's, both in seconds."""
+        `time` the cluster's, both in seconds.
+        """
         cluster_state.promote_due_units(time)
         this_round = Round(*self._seats(cluster_state, workers, now))
         if not front_daemons:
@@ -109,7 +111,8 @@
     def _keep_for_oldest(self, cluster_state: ClusterState, this_round: Round, now: float) -> list[Wanted]:
         """For the unit of each queue that has been short the longest, and long enough:
         capacity on the workers where it will fit first, and its queue's credits and limit.
-        Others still get what is left beside that, which delays it by nothing."""
+        Others still get what is left beside that, which delays it by nothing.
+        """
         self.short = {key: since for key, since in self.short.items() if key in cluster_state.slots}
         oldest = []
         for key, since in sorted(self.short.items(), key=lambda one: (one[1], one[0])):
@@ -137,7 +140,8 @@
         self, cluster_state: ClusterState, workers: dict[str, PushWorker], now: float
     ) -> tuple[list[Seat], dict[str, int]]:
         """Workers that may get work, and the units free on each: every reservation in the cluster
-        state and every one proposed is taken off."""
+        state and every one proposed is taken off.
+        """
         seats, free = [], {}
         pending = self._proposed_units()
         for name in sorted(workers):
@@ -157,7 +161,7 @@
         return seats, free
 
     def _proposed_units(self) -> dict[str | None, int]:
-        """worker -> units proposed there, not yet applied."""
+        """Worker -> units proposed there, not yet applied."""
         pending: dict[str | None, int] = {}
         for ref, (_, _, units) in self.proposed.items():
             worker = self._worker_of.get(ref)
@@ -166,7 +170,8 @@
 
     def _candidates(self, cluster_state: ClusterState) -> Iterator[Wanted]:
         """What could start now: most urgent first, queues in turn by how little of their
-        share they use, within a queue by due. A shape of which one did not fit is left."""
+        share they use, within a queue by due. A shape of which one did not fit is left.
+        """
         heads: list[tuple[int, float, str, ReadyUnits]] = []
         for queue, levels in cluster_state.ready_units.items():
             queue_settings = cluster_state.queue_settings.get(queue)
@@ -253,7 +258,8 @@
 
 def _patience(cluster_state: ClusterState, job: PushedJob, unit: str, names: Sequence[str]) -> float:
     """For how many seconds a unit is short before capacity is kept back for it: less for a queue that
-    preempts, and for the rest of a gang of which some run already."""
+    preempts, and for the rest of a gang of which some run already.
+    """
     is_gang = unit[0] == "/"
     apart = is_gang and len(names) < sum(task.gang == unit[1:] for task in job.tasks.values())
     if apart or cluster_state.queue_settings[job.queue].preempts:
--- a/src/pinepitch/control/placement_round.py
+++ b/src/pinepitch/control/placement_round.py
@@ -74,7 +74,8 @@
 
 class Round:
     """One round. Invariants: free counts every reservation in the cluster state, every one
-    proposed, and those of this round; what is kept back is for the unit named alone."""
+    proposed, and those of this round; what is kept back is for the unit named alone.
+    """
 
     def __init__(self, seats: list[Seat], free: dict[str, int]) -> None:
         self.seats, self.free = seats, free
@@ -95,7 +96,7 @@
         return 0 if kept is None or kept[1] == wanted.key else kept[0]
 
     def capacity_for(self, job: PushedJob, names: tuple[str, ...]) -> dict[str, int] | None:
-        """worker -> units to keep back for a unit, where most is free; None if it fits nowhere."""
+        """Worker -> units to keep back for a unit, where most is free; None if it fits nowhere."""
         taken: dict[str, int] = {}
         for name in largest_first(job, names):
             task = job.tasks[name]
@@ -120,7 +121,8 @@
 
     def draw(self, task: Task, wanted: Wanted, taken: dict[str, int]) -> Seat | str:
         """The seat for a task: the one with most capacity left, so that load spreads; seats
-        with labels that the task does not ask for come last, so that they stay free."""
+        with labels that the task does not ask for come last, so that they stay free.
+        """
         best, best_rank, fits = None, None, False
         labels = frozenset(task.labels)
         for seat in self.seats:
@@ -143,7 +145,8 @@
     ) -> Charges | None:
         """Who lends the credits for a task: the queue itself but for what it keeps, then the queues
         with most idle; None if they don't suffice. A feed has no end, so it never borrows.
-        `lent` holds what the unit's earlier tasks took, and is added to."""
+        `lent` holds what the unit's earlier tasks took, and is added to.
+        """
 
         def balance(queue: str) -> int:
             return cluster_state.balance(queue) - self.borrowed.get(queue, 0) - lent.get(queue, 0)
--- a/src/pinepitch/control/preemption.py
+++ b/src/pinepitch/control/preemption.py
@@ -21,7 +21,8 @@
 
 class Preemption:
     """The preemption of one round. Invariant: named holds every task that yields already,
-    agreed on or found here, so that none is asked for twice."""
+    agreed on or found here, so that none is asked for twice.
+    """
 
     def __init__(
         self,
@@ -37,7 +38,8 @@
 
     def yields(self, time: float) -> Iterator[YieldItem]:
         """Who should yield to urgent tasks that found no capacity or whose own credits were lent;
-        `time` is the cluster's, in seconds."""
+        `time` is the cluster's, in seconds.
+        """
         served = {found[2].yields_to for found in map(self._cluster_state.find, self.named) if found}
         for job, name, why in self._wanting():
             task, standing = job.tasks[name], job.standings[name]
@@ -54,7 +56,8 @@
 
     def _wanting(self) -> Iterator[tuple[PushedJob, str, str]]:
         """(job, task name, why) of the oldest single tasks of queues that preempt which found
-        no capacity, or whose credits are lent out."""
+        no capacity, or whose credits are lent out.
+        """
         for (queue, shape), why in self._why.items():
             preempts = self._cluster_state.queue_settings[queue].preempts
             if why not in (NO_CAPACITY, NO_CREDITS) or not preempts or len(shape) != 2:
@@ -93,7 +96,8 @@
     def _victims(self, job: PushedJob, gains: Mapping[str, int], missing: int) -> list[str] | None:
         """The least urgent, newest of the tasks in `gains` (reference -> what its end gives)
         that may be made to yield to a job and together give what is missing; None when
-        they don't, or nothing is missing."""
+        they don't, or nothing is missing.
+        """
         running = {ref: self._cluster_state.find_known(ref) for ref in gains}
         victims = []
         for ref in sorted(running, key=lambda one: (*_urgency_and_age(*running[one]), one)):
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -101,6 +101,7 @@
         rules: a YAML file of alert rules; the same one at every control daemon.
         memory_mb: megabytes of memory it may take (default 512); bounds the log.
         disk_mb: megabytes that its data folder may take (default 2000); bounds the log.
+
     """
     flags = dict(locals())  # all arguments by name; fire has read each as a Python literal where it is one
     del flags["settings"]
--- a/src/pinepitch/control/proposals.py
+++ b/src/pinepitch/control/proposals.py
@@ -17,7 +17,8 @@
 
 class Proposals:
     """Invariants: nobody waits unless this daemon leads; no operation is proposed that a member, by the
-    level it told last, does not know."""
+    level it told last, does not know.
+    """
 
     def __init__(self, core: "ControlDaemon") -> None:
         self.core = core
@@ -37,7 +38,8 @@
 
     def common_level(self) -> int:
         """The level agreed on, or the lowest of the members if it is higher by now; one that has not
-        advertised its own counts as 1. What was agreed stays: a member that is away knew it then."""
+        advertised its own counts as 1. What was agreed stays: a member that is away knew it then.
+        """
         advertised = min(
             (self.core.advertised_levels.get(one, 1) for one in self.core.consensus.membership.members()),
             default=1,
@@ -46,7 +48,8 @@
 
     def propose(self, operation: tuple[Any, ...], waiting: Waiting | None, now: float) -> None:
         """Puts one operation into the log; `waiting` is told the outcome. One that a member
-        does not know yet is held back."""
+        does not know yet is held back.
+        """
         if self.core.cluster_state.levels.get(operation[0], 1) > self.common_level():
             self.core._event(133, operation=operation[0], level=self.common_level())
             if waiting is not None:
--- a/src/pinepitch/control/rehearsal.py
+++ b/src/pinepitch/control/rehearsal.py
@@ -16,7 +16,8 @@
 
 def cost(metrics: QueueMetrics, objective: dict[str, Any]) -> float:
     """What the objective makes of a replay: less is better. Each queue counts alike but
-    for its weight, however many jobs it has."""
+    for its weight, however many jobs it has.
+    """
     weights = objective["queues"]
     total: float = sum(
         weights.get(queue, 1.0) * sum(objective[name] * one[name] for name in METRICS)
@@ -146,7 +147,8 @@
     pairs: int = constants.REHEARSAL_PAIRS,
 ) -> dict[str, Any]:
     """Replays both tables in pairs under the same seeds and says which is better by the
-    objective in force, or that there was too little traffic to tell."""
+    objective in force, or that there was too little traffic to tell.
+    """
     count, nonempty = _traffic(blocks)
     lacking = _too_little(blocks, worker_capacities)
     if lacking:
--- a/src/pinepitch/control/rehearsal_role.py
+++ b/src/pinepitch/control/rehearsal_role.py
@@ -40,7 +40,8 @@
 
     def _in_turn(self) -> bool:
         """Whether this daemon measures: the first live one in the agreed order that does not lead;
-        the leader itself only when alone."""
+        the leader itself only when alone.
+        """
         leader = self.core.consensus.following
         members = self.core.consensus.membership.members()
         live = sorted(
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -55,7 +55,8 @@
 class Work:
     """What the sample tells of each kind of work: how long it takes, how often it fails and
     after what time. Invariant: the same draw for the same seed, task and attempt, whatever
-    the table."""
+    the table.
+    """
 
     def __init__(self, blocks: Iterable[Block]) -> None:
         self.lengths: dict[WorkKind, list[float]] = {}
@@ -92,7 +93,8 @@
 
 def resampled(blocks: Iterable[Block], seed: int) -> tuple[Running, list[Fields]]:
     """(running at the start, arrivals) of whole blocks drawn anew and put one after another
-    until they last REPLAY_LASTS or hold REPLAY_JOBS; some block must hold an arrival."""
+    until they last REPLAY_LASTS or hold REPLAY_JOBS; some block must hold an arrival.
+    """
     draw = random.Random(f"rehearsal-{seed}")
     blocks = [block for block in blocks if block[2]]
     moment, running = 0.0, None
@@ -113,7 +115,8 @@
 
 class Replay:
     """One table on some workers in virtual time. Invariants: moments are handled in order of
-    (time, number); a round is due while something is ready and nothing else comes first."""
+    (time, number); a round is due while something is ready and nothing else comes first.
+    """
 
     def __init__(
         self,
@@ -153,7 +156,8 @@
         pause: Callable[[], None] | None = None,
     ) -> QueueMetrics:
         """The metrics of a replay of `arrivals`, with `running` under way at its start; `pause` is
-        called now and then, so that a thread can leave the processor to others."""
+        called now and then, so that a thread can leave the processor to others.
+        """
         for one in running:
             self._begin_running(*one)
         self.look(0.0)
@@ -294,7 +298,8 @@
     # --- metrics ----------------------------------------------------------------------
     def finish(self, end: float) -> QueueMetrics:
         """The metrics: waits in seconds, capacity used in unit seconds, the rest as shares of the
-        queue's jobs."""
+        queue's jobs.
+        """
         for job in self.cluster_state.pushed_jobs.values():
             if job.queue in self.metrics and self.names[job.identity][1]:
                 self._judge(job, end)
--- a/src/pinepitch/control/requests/pushed_jobs.py
+++ b/src/pinepitch/control/requests/pushed_jobs.py
@@ -33,7 +33,8 @@
 
 def _why_unplaceable(leader: ControlDaemon, plain: dict[str, Any], now: float) -> str:
     """Why no known worker, heard of late or not, could take some task, or "". A leader that
-    has not yet gathered its workers rules nothing out."""
+    has not yet gathered its workers rules nothing out.
+    """
     since = leader.leader_since
     if not leader.push_workers or since is None or now - since < constants.REPORT_GATHERING:
         return ""
--- a/src/pinepitch/control/sessions.py
+++ b/src/pinepitch/control/sessions.py
@@ -15,7 +15,8 @@
 class Session(NamedTuple):
     """Invariant: heard is when the daemon, or the control daemon that holds its session, last
     said that it stands, in seconds of this daemon's clock; it expires SESSION_LASTS later, or
-    RELAYED_SESSION_LASTS if it was relayed."""
+    RELAYED_SESSION_LASTS if it was relayed.
+    """
 
     identity: str
     kind: str
--- a/src/pinepitch/control/startup.py
+++ b/src/pinepitch/control/startup.py
@@ -20,13 +20,15 @@
     """What serves on after any `machines_lost` machines are lost at once: a majority of 2 n + 1 voters
     is left after n. For one machine zones are the groups ("static", FlexiRaft's quorums, with the
     usual three voters); for more each voter is a group of its own ("single"), as no zone may hold a
-    majority."""
+    majority.
+    """
     return Tolerance("single" if machines_lost > 1 else "static", 2 * machines_lost + 1)
 
 
 def open_store(folder: str) -> Opened:
     """(store, snapshot base, steps, segments, why it was damaged or None). A damaged store counts as
-    empty; one of another version is left as it is, and OSError says so."""
+    empty; one of another version is left as it is, and OSError says so.
+    """
     store = Store(folder)
     loaded = store.load(packed_step)
     if isinstance(loaded, Foreign):
--- a/src/pinepitch/control/worker_reports.py
+++ b/src/pinepitch/control/worker_reports.py
@@ -13,7 +13,8 @@
 
 class WorkerReports:
     """Invariants: what it gathers is empty unless this daemon leads; an end is proposed once in a term
-    until it is agreed on."""
+    until it is agreed on.
+    """
 
     def __init__(self, core: "ControlDaemon") -> None:
         self.core = core
@@ -28,7 +29,8 @@
 
     def take_report(self, report: Report, now: float) -> tuple[list[Any], list[Any], list[Any]]:
         """Gathers a worker's report; (ends to agree on, ends that are known, strays: runs that nobody
-        wants)."""
+        wants).
+        """
         newest = self._keep_newest(report, now)
         ends, acknowledged = [], []
         for ref, attempt, how in report.ended:
@@ -76,7 +78,8 @@
     def _absent(self, report: Report, listed: set[tuple[str, int]]) -> Iterator[tuple[Any, ...]]:
         """Proof by absence: a report begun after send-by and a margin lists all that
         runs, so what it lacks has ended or never begun. A new start at another address
-        may be another machine: it proves nothing of what the name's last one runs."""
+        may be another machine: it proves nothing of what the name's last one runs.
+        """
         for ref in sorted(self.core.cluster_state.reserved.get(report.worker, {})):
             standing = self.core.cluster_state.find_known(ref)[2]
             if (ref, standing.attempt) in listed:
--- a/src/pinepitch/front/cluster_time.py
+++ b/src/pinepitch/front/cluster_time.py
@@ -7,7 +7,8 @@
 
 class Bounds(NamedTuple):
     """Cluster time less the own steady clock: the least and the most it can be (seconds), and when
-    that was learnt."""
+    that was learnt.
+    """
 
     least: float
     most: float
@@ -17,7 +18,8 @@
 class ClusterTime:
     """Bounds on cluster time. Invariant: they hold given that no request for updates was answered
     before it was sent, nor its answer read before it was given; they are widened by SLEW when compared
-    with newer ones, as cluster time may be bent so much."""
+    with newer ones, as cluster time may be bent so much.
+    """
 
     def __init__(self) -> None:
         self.bounds: Bounds | None = None
@@ -39,7 +41,8 @@
 
     def learn(self, token: str, time: float, deferred_for: float, now: float) -> None:
         """An answer told the cluster's `time`, after the request had been deferred for some seconds:
-        that moment lies between request and answer on the own clock, however long either lay unread."""
+        that moment lies between request and answer on the own clock, however long either lay unread.
+        """
         asked = self.asked.pop(token, None)
         if asked is None:
             return
--- a/src/pinepitch/front/configuration_handlers.py
+++ b/src/pinepitch/front/configuration_handlers.py
@@ -43,7 +43,8 @@
 
 def change(manner: str) -> Callable[[Any, HttpRequest, float], Outcome]:
     """A handler that forwards a change: "whole" replaces the configuration, "merge" patches it
-    (RFC 7396)."""
+    (RFC 7396).
+    """
 
     def handler(front: Any, request: HttpRequest, now: float) -> Outcome:
         try:
--- a/src/pinepitch/front/control_daemons.py
+++ b/src/pinepitch/front/control_daemons.py
@@ -28,7 +28,8 @@
 
     def greeted(self, others: Iterable[tuple[str, str, str]], now: float) -> None:
         """Takes what a greeting tells of others, where none is known under that identity, and forgets
-        those unheard for long."""
+        those unheard for long.
+        """
         for identity, zone, address in others:
             if identity not in self.known:
                 self.known[identity] = KnownDaemon(zone, address, NEVER)
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -24,7 +24,8 @@
 
 class FrontDaemon:
     """Decides for one front daemon: no I/O. Invariant: version only grows within a leader's term.
-    Times are seconds of the steady clock if nothing else is said."""
+    Times are seconds of the steady clock if nothing else is said.
+    """
 
     def __init__(self, identity: str, address: str, zone: str, seeds: Sequence[str]) -> None:
         self.identity, self.address, self.zone, self.seeds = identity, address, zone, tuple(seeds)
@@ -174,7 +175,8 @@
         self, request: int, call: str, arguments: tuple[Any, ...], patience: float, now: float
     ) -> None:
         """A call that came through an adapter, forwarded to whoever leads; or whether this daemon is
-        ready."""
+        ready.
+        """
         self.counts["calls"] += 1
         if call == "ready":
             ready = self.configured and not self.stopping
@@ -212,7 +214,8 @@
         self, token: str, leader: str | None, attempt: int, reading: tuple[int, float] | None, now: float
     ) -> None:
         """A control daemon that doesn't take a request says who leads, and what the leader's clock has
-        passed."""
+        passed.
+        """
         self.leader_clock.hear(reading, now)
         if token == self.updates_token:
             self.updates_token = None
@@ -289,7 +292,7 @@
         if waiting and now - self.updates_requested_at < (constants.TICK if fresh else patience):
             return
         address = self.leader
-        if waiting and not fresh or address is None:
+        if (waiting and not fresh) or address is None:
             address = self._next_address(self.leader or "")
         if address is None or self.stopping:
             return
--- a/src/pinepitch/front/http_request.py
+++ b/src/pinepitch/front/http_request.py
@@ -7,9 +7,10 @@
 class HttpRequest:
     """A request on its way through the filters. Invariants: what came in is never changed; `handler`,
     `names` and `query` are set by the filter that reads the target, `document` by the one that reads
-    the body."""
+    the body.
+    """
 
-    __slots__ = ("request", "method", "target", "headers", "body", "handler", "names", "query", "document")
+    __slots__ = ("body", "document", "handler", "headers", "method", "names", "query", "request", "target")
 
     def __init__(self, request: int, method: str, target: str, headers: dict[str, str], body: bytes) -> None:
         self.request = request  # the host's number for it
--- a/src/pinepitch/front/orders.py
+++ b/src/pinepitch/front/orders.py
@@ -12,7 +12,8 @@
 class Orders:
     """Invariants: an order in `taken` was posted at most once and never will be again; `outcomes` holds
     what the leader has not yet acknowledged, the first `outcomes_sent` of it are told in the newest
-    request for updates."""
+    request for updates.
+    """
 
     def __init__(self, event: Callable[..., None], post: Callable[..., None]) -> None:
         self._event = event  # emits a numbered event
@@ -60,7 +61,8 @@
 
     def send_due(self, earliest: float, latest: float, body: dict[str, Any]) -> None:
         """Sends each order whose time has come, once, unless the newest updates have overtaken it;
-        `earliest` and `latest` are the bounds of cluster time now."""
+        `earliest` and `latest` are the bounds of cluster time now.
+        """
         for key, order in list(self.waiting.items()):
             if latest > order["send_by"]:
                 self._event(154, task=key[0], attempt=key[1])
--- a/src/pinepitch/front/program.py
+++ b/src/pinepitch/front/program.py
@@ -27,6 +27,7 @@
         zone: the zone this machine stands in.
         seeds: three IP:PORT of other daemons, parted by commas.
         level: log level: debug, info, warning, error, critical.
+
     """
     found = checked_settings(
         "verge",
--- a/src/pinepitch/model/greeting.py
+++ b/src/pinepitch/model/greeting.py
@@ -5,7 +5,8 @@
 
 class Greeting(NamedTuple):
     """What a daemon tells of itself, in a greeting and in the answer to one; on the wire its fields follow
-    the kind of the message, in this order."""
+    the kind of the message, in this order.
+    """
 
     identity: str
     kind: str  # "accord" or "verge", as on the wire
--- a/src/pinepitch/model/push_worker.py
+++ b/src/pinepitch/model/push_worker.py
@@ -17,7 +17,8 @@
     Invariants: counter grows within an incarnation; running holds (reference, attempt) of
     all it runs now; ended holds (reference, attempt, how) until each is acknowledged;
     heard is the newest cluster time (seconds) that an answer told it: the report was begun
-    later."""
+    later.
+    """
 
     worker: str
     zone: str
@@ -90,7 +91,8 @@
     """What the leader has gathered of one worker. Not stored: rebuilt from reports.
 
     Invariants: report is the newest by (incarnation, counter); failing, the decaying part of
-    outcomes that were bad, lies in [0, 1]. heard_at and trial_at are seconds of the leader's clock."""
+    outcomes that were bad, lies in [0, 1]. heard_at and trial_at are seconds of the leader's clock.
+    """
 
     def __init__(self, report: Report, now: float) -> None:
         self.report = report
--- a/src/pinepitch/model/pushed_job.py
+++ b/src/pinepitch/model/pushed_job.py
@@ -20,7 +20,8 @@
 
     Invariants: identity is unique in the cluster; tasks and standings have the same names;
     state is pending until every task is final, then finished only if all are done, else failed
-    or cancelled; cancelled_at is 0 until a cancel is in force."""
+    or cancelled; cancelled_at is 0 until a cancel is in force.
+    """
 
     identity: str  # "t" and a number
     key: str  # the client's token
@@ -153,7 +154,7 @@
 
 
 def tasks_from(plain: dict[str, Any], queue_retries: int, feed: bool) -> dict[str, Task]:
-    """name -> Task of a checked document; attempts are bounded by the queue's settings."""
+    """Name -> Task of a checked document; attempts are bounded by the queue's settings."""
     tasks = {}
     for one in plain["tasks"]:
         attempts = queue_retries + 1
--- a/src/pinepitch/model/queue_settings.py
+++ b/src/pinepitch/model/queue_settings.py
@@ -15,7 +15,8 @@
     """The settings of one queue.
 
     Invariants: 0 <= share <= limit; a running task holds its units in credits, lent
-    by its own queue first; units running never pass limit."""
+    by its own queue first; units running never pass limit.
+    """
 
     share: int  # units of capacity the queue may count on
     urgency: int  # of its jobs that name none
@@ -104,7 +105,8 @@
 
 def checked(document: Any, known: dict[str, Any] | None = None) -> tuple[dict[str, Any] | None, Faults]:
     """(whole configuration, ()) or (None, faults), every fault named by its path. Settings that
-    are those of the configuration `known`, checked before, are not checked again."""
+    are those of the configuration `known`, checked before, are not checked again.
+    """
     same = _same_settings(document, known)
     plain, shape_faults = shaped(SHAPE, _without_queues(document, same))
     if shape_faults:
--- a/src/pinepitch/model/task.py
+++ b/src/pinepitch/model/task.py
@@ -10,7 +10,8 @@
     """What a client asked for.
 
     Invariants: units >= 1; after names tasks of the same job without a cycle; members of one
-    gang wait for no other member of it; attempts >= 1 (feeds: no bound)."""
+    gang wait for no other member of it; attempts >= 1 (feeds: no bound).
+    """
 
     name: str
     units: int  # of a worker's capacity
@@ -35,7 +36,8 @@
     yields_to is the reference of the task that it makes place for, or "move" (to a better
     place), "limit" (it has run too long), "gang" (another member did not start), "cancel" or
     "failing" (its job is cancelled or has failed). Each of past is (attempt, worker, front
-    daemon, how it ended, when placed, when ended, placed_under, charges)."""
+    daemon, how it ended, when placed, when ended, placed_under, charges).
+    """
 
     state: str = "waiting"
     attempt: int = 0
--- a/src/pinepitch/model/validation.py
+++ b/src/pinepitch/model/validation.py
@@ -50,7 +50,8 @@
 
 def _in_order(errors: Iterable[voluptuous.Invalid]) -> list[voluptuous.Invalid]:
     """The errors in their order, but missing keys beside each other by name: voluptuous tells
-    these in the order of a set, which differs from process to process."""
+    these in the order of a set, which differs from process to process.
+    """
     ordered: list[voluptuous.Invalid] = []
     for (is_missing, _), group in itertools.groupby(errors, _missing_in):
         beside = list(group)
--- a/src/pinepitch/runtime/clocks.py
+++ b/src/pinepitch/runtime/clocks.py
@@ -7,7 +7,8 @@
 
 def steady_clock() -> float:
     """Seconds by which a decider's leases and time-outs are told: never set, and unlike the monotonic
-    clock it goes on while the machine is suspended, so that a lease is over when it resumes."""
+    clock it goes on while the machine is suspended, so that a lease is over when it resumes.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -18,7 +19,8 @@
 
 class Pauser:
     """Called between slices of long work in a thread: sleeps as long as the slice took, at most MAX_REST,
-    so that the decider's own thread has the interpreter for at least half of the time."""
+    so that the decider's own thread has the interpreter for at least half of the time.
+    """
 
     def __init__(self) -> None:
         self.since = time.monotonic()
--- a/src/pinepitch/runtime/disk_task.py
+++ b/src/pinepitch/runtime/disk_task.py
@@ -23,7 +23,8 @@
 
 class DiskTask:
     """Owns the store. Invariants: saves and notes become durable in the order they came, as many of
-    them in one file as wait; segments and bases are written beside them, in an order of their own."""
+    them in one file as wait; segments and bases are written beside them, in an order of their own.
+    """
 
     def __init__(self, store: Store | None, inbox: Any, encode: Callable[[Any], Any]) -> None:
         self.store = store
--- a/src/pinepitch/runtime/host.py
+++ b/src/pinepitch/runtime/host.py
@@ -38,7 +38,8 @@
 
 class Host:
     """Runs one decider. Invariants: only run() steps it; a note is on disk before any
-    later effect of the same step is carried out."""
+    later effect of the same step is carried out.
+    """
 
     def __init__(
         self,
--- a/src/pinepitch/runtime/http_port.py
+++ b/src/pinepitch/runtime/http_port.py
@@ -16,7 +16,8 @@
 
 class Exchange:
     """Where the decider's replies meet the connections that wait for them. Invariants: a request's
-    number is never used again; `waiting` holds the requests that have no reply yet."""
+    number is never used again; `waiting` holds the requests that have no reply yet.
+    """
 
     def __init__(self, inbox: Any) -> None:
         self.inbox = inbox
@@ -51,7 +52,8 @@
 
 async def timely_response(answers: Any) -> http.Response:
     """The Response to a request once its reply comes; the clock is read when it is about to be
-    written, however long the process was stopped since the reply was decided."""
+    written, however long the process was stopped since the reply was decided.
+    """
     reply, until = await answers.get()
     return http.Response(*stall_detector.timely(reply, until, steady_clock()))
 
@@ -88,7 +90,8 @@
 
 class AdapterHandler:
     """Hands requests to the decider as the calls that an adapter makes of them. Once the process is
-    stopping each answer ends its connection, so that the caller turns to another daemon."""
+    stopping each answer ends its connection, so that the caller turns to another daemon.
+    """
 
     def __init__(self, exchange: Exchange, adapter: Adapter) -> None:
         self.exchange, self.adapter = exchange, adapter
--- a/src/pinepitch/runtime/serving.py
+++ b/src/pinepitch/runtime/serving.py
@@ -35,7 +35,8 @@
     watch: Any = None,
 ) -> None:
     """Runs a decider until it is told to stop. A broken invariant ends the process with 70, a port that
-    can't be opened with 1."""
+    can't be opened with 1.
+    """
     host = Host(core, found.address, log, store, found.http, adapters, stop_within, watch)
     try:
         curio.run(host.run)
--- a/src/pinepitch/runtime/stall_detector.py
+++ b/src/pinepitch/runtime/stall_detector.py
@@ -22,7 +22,8 @@
 
 class StallGuard:
     """Notices by its own steady clock that the process did not run. Invariant: `until` is
-    STALL_AFTERMATH past the end of the newest stall."""
+    STALL_AFTERMATH past the end of the newest stall.
+    """
 
     def __init__(self) -> None:
         self.last_turn: float | None = None
@@ -30,7 +31,8 @@
 
     def turn(self, now: float) -> float:
         """Notes one turn of the daemon's loop, which ticks at the least; the seconds of the stall
-        that it ends, 0.0 if there was none."""
+        that it ends, 0.0 if there was none.
+        """
         passed = 0.0 if self.last_turn is None else now - self.last_turn
         self.last_turn = now
         if passed <= constants.STALL:
@@ -40,7 +42,8 @@
 
     def refuses(self, message: Sequence[Any], now: float) -> bool:
         """Whether a message is a request that may have waited since before the stall: its caller
-        has gone to another daemon, and may have done what the call would undo."""
+        has gone to another daemon, and may have done what the call would undo.
+        """
         if now >= self.until:
             return False
         kind: str = message[0]
--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -37,7 +37,8 @@
     by LeasedJobState.assign, from the log.
 
     Invariant: a round gives no candidate more than its free capacity, and places a gang whole or not at
-    all."""
+    all.
+    """
 
     def __init__(self, pace: Pace, policy: policies.Policy = policies.DEFAULT) -> None:
         self.pace, self.policy = pace, policy
@@ -63,7 +64,8 @@
         time: float,
     ) -> tuple[tuple[WaveAssignment, ...], tuple[StopItem, ...]]:
         """Places what is due. Returns (assign items, stop items): those of the operations "job-assign" and
-        "job-stop". `now` is the daemon's clock, `time` that of the cluster state, both in seconds."""
+        "job-stop". `now` is the daemon's clock, `time` that of the cluster state, both in seconds.
+        """
         self.budgets.learn(leased_jobs, now)
         self._forget_hot(now)
         self.near, self.why, self.exhausted = {}, {}, set()
@@ -149,7 +151,8 @@
 
     def _rank(self, wave: Wave) -> tuple[int, float, str]:
         """The more urgent first, then what is due sooner: a step wider than a part of its service's capacity
-        is expected to take several turns of it."""
+        is expected to take several turns of it.
+        """
         job, step = wave.job, wave.step
         begun = wave.due if job.times else job.accepted
         wide = len(wave.waiting) * self._largest_share(step, self.budgets.total_capacity.get(job.service))
@@ -163,7 +166,8 @@
 
     def _largest_share(self, step: Step, total: Resources | None) -> float:
         """The part of a service's capacity that one task of a step takes, of the resource it takes most
-        of."""
+        of.
+        """
         if total is None:
             return 0.0
         return max(
@@ -202,7 +206,8 @@
         self, wave: Wave, candidates: Sequence[CandidateWorker], kept: Sequence[CandidateWorker], time: float
     ) -> Group:
         """[(index, worker)] for tasks of a wave that is no gang: on the candidates kept for it, and on
-        others as far as its budget goes."""
+        others as far as its budget goes.
+        """
         step, waiting = wave.step, sorted(wave.waiting)
         patience = self._patience(wave, candidates, time) if step.near and self.policy.wait_near else 0
         if step.near:
@@ -284,7 +289,8 @@
 
     def _patience(self, wave: Wave, candidates: Sequence[CandidateWorker], time: float) -> int:
         """How many of a wave's tasks had better wait for capacity near their data than start far away:
-        those that would be done there sooner, if what stands before them takes as long as they do."""
+        those that would be done there sooner, if what stands before them takes as long as they do.
+        """
         length = self.pace.expected(wave)
         if time - wave.since > min((self.pace.far - 1) * length, constants.MAX_NEAR_WAIT):
             return 0
@@ -299,7 +305,8 @@
 
     def _gang(self, wave: Wave, candidates: Sequence[CandidateWorker], kept: bool, time: float) -> Group:
         """Places all members of a gang, in one rack where the step asks for that and it may be had. Where
-        none are kept for it, a gang leaves free what less urgent work is guaranteed."""
+        none are kept for it, a gang leaves free what less urgent work is guaranteed.
+        """
         step = wave.step
         if not kept and self.budgets.beside_claims(wave, len(wave.waiting)) < len(wave.waiting):
             self.why[wave.key()] = REASON_OVER_BUDGET
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -57,7 +57,8 @@
     """Invariants: empty unless its daemon leads; a start is answered only while the leader's lease
     stands, to a heartbeat that is fresh, for a committed placement that is still wanted and whose
     end is not being proposed; an absence proves that a run never started only in a fresh
-    heartbeat, of a placement of this leader's own epoch or once older leaders' answers are dead."""
+    heartbeat, of a placement of this leader's own epoch or once older leaders' answers are dead.
+    """
 
     def __init__(self, core: Daemon, now: float, policy: policies.Policy = policies.DEFAULT) -> None:
         # since when this daemon leads, by its clock, seconds
@@ -92,7 +93,8 @@
         self, identity: str, heartbeat: Document, address: str, token: Any, now: float
     ) -> None:
         """A worker's heartbeat, checked (worker.checked); flush() answers it, `token` says what to. One that
-        is older than the newest is answered at once, with nothing."""
+        is older than the newest is answered at once, with nothing.
+        """
         self.counts["beats"] += 1
         worker = self.workers.get(identity)
         if worker is None:
@@ -137,7 +139,7 @@
         """A worker's incarnation is over: what it ran has ended."""
         worker = self.workers.pop(identity, None)
         self._answer_deferred(identity)
-        for (reference, run), _placement in self.leased_jobs.placements.get(identity, {}).items():
+        for reference, run in self.leased_jobs.placements.get(identity, {}):
             saved = worker.running.get((reference, run), ("", 0))[0] if worker else ""
             self.ends.propose(identity, reference, run, RUN_LAPSED, saved, False)
         self.core._event(180, minion=identity, why=why)
@@ -169,7 +171,8 @@
 
     def _idle(self, worker: Worker) -> bool:
         """Whether nothing can be said to a worker that has nothing to say: where there are many its heartbeat
-        is deferred, so that a start reaches it at once; what runs nothing has no end to tell meanwhile."""
+        is deferred, so that a start reaches it at once; what runs nothing has no end to tell meanwhile.
+        """
         return (
             self.policy.defer_idle_heartbeats
             and self._pace() > constants.HEARTBEAT_INTERVAL
@@ -182,7 +185,8 @@
 
     def _orders(self, worker: Worker, taken: float, now: float) -> Document:
         """What a worker is told in answer to its newest heartbeat, taken at `taken`; the keys are those of
-        the users' page on workers."""
+        the users' page on workers.
+        """
         placements = self.leased_jobs.placements.get(worker.identity, {})
         strays = [key for key in worker.running if key not in placements]
         start, unwanted = self._starts_and_stops(worker, placements, not strays, now)
@@ -277,7 +281,8 @@
 
     def _watch(self, now: float) -> None:
         """Leases that have lapsed, workers that said they end, and those unresponsive for so long that
-        they are forgotten."""
+        they are forgotten.
+        """
         for identity, why in self.leases.over(self.workers, self.ends, now):
             self._gone(identity, why)
         self.pace.forget(self.leased_jobs.jobs)
@@ -295,7 +300,8 @@
 
     def _copy_what_may_run_twice(self, now: float) -> None:
         """What an unresponsive worker runs is let go at once where the step says that a second run does no
-        harm; should the first be done before, its late end still counts."""
+        harm; should the first be done before, its late end still counts.
+        """
         for worker in self.workers.values():
             if not worker.unresponsive(now):
                 continue
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -1,5 +1,6 @@
 """How much of a service's capacity work of one urgency may take, so that more urgent work finds capacity
-when it comes."""
+when it comes.
+"""
 
 import math
 from typing import Any
@@ -32,7 +33,8 @@
 
     Invariants: a budget is charged for what a round places, never for what waves ask for, so that
     a wave that finds no candidate takes nothing from those behind it; a budget that is not used up admits
-    one more task, however large."""
+    one more task, however large.
+    """
 
     def __init__(self, pace: Pace, policy: policies.Policy = policies.DEFAULT) -> None:
         self.pace, self.policy = pace, policy
@@ -79,7 +81,8 @@
     ) -> dict[Level, Amount]:
         """(service, priority) -> capacity that its work takes of these candidates. What runs on workers
         that get no work now, being unresponsive or closed, takes nothing of the capacity that is shared
-        out."""
+        out.
+        """
         used = {key: more(taken, NO_RESOURCES) for key, taken in leased_jobs.used.items()}
         shared = {candidate.identity for mine in candidates.values() for candidate in mine}
         for identity in leased_jobs.placements.keys() - shared:
@@ -137,7 +140,8 @@
 
     def _waits(self, routes: dict[str, Document]) -> dict[Level, float]:
         """(service, priority) -> seconds that work of each urgency can wait for capacity and still be in
-        time, by the queue that can wait least. A part of its slack."""
+        time, by the queue that can wait least. A part of its slack.
+        """
         waits: dict[Level, float] = {}
         for queue, length in self.pace.lengths.items():
             route = routes.get(queue)
@@ -164,7 +168,8 @@
         """Capacity that a wave may still take: all but what is held back for more urgent work and what
         work as urgent as the wave, and less urgent work, takes; these may have BUDGET_PART of all
         capacity between them, whatever is held back. Gangs are not bound: they hold all they need at
-        once, and waiting costs them most."""
+        once, and waiting costs them most.
+        """
         return less(self._cap(wave), self._taken(wave))
 
     def _cap(self, wave: Wave) -> Resources:
@@ -226,7 +231,8 @@
         """For how many tasks of a wave capacity may be kept beside the capacity `kept` for waves as
         urgent: no more than it may use, and not what less urgent work is guaranteed. A gang, which needs
         all its capacity at once, is not asked what else of its urgency runs, unless less urgent work
-        lacks capacity now."""
+        lacks capacity now.
+        """
         service, priority = wave.job.service, wave.job.priority
         claims = [
             resources
--- a/src/pinepitch/scheduling/candidate_workers.py
+++ b/src/pinepitch/scheduling/candidate_workers.py
@@ -14,9 +14,10 @@
 
 class CandidateWorker:
     """A worker that may get work in this round. Invariant: free is its capacity less that of every
-    placement there whose end is not proven, started or not."""
+    placement there whose end is not proven, started or not.
+    """
 
-    __slots__ = ("worker", "identity", "service", "labels", "rack", "free", "steps", "unreliable", "kept")
+    __slots__ = ("free", "identity", "kept", "labels", "rack", "service", "steps", "unreliable", "worker")
 
     def __init__(self, worker: Worker, free: Amount, steps: dict[StepKey, int], unreliable: bool) -> None:
         self.worker, self.identity, self.service = worker, worker.identity, worker.service
@@ -50,7 +51,8 @@
 
     def may_place(self, wave: Wave) -> bool:
         """Whether one more task of a wave may be placed here: what is kept is taken by its wave and by
-        more urgent ones only."""
+        more urgent ones only.
+        """
         kept = self.kept
         if kept is not None and kept is not wave and kept.job.priority <= wave.job.priority:
             return False
@@ -64,7 +66,8 @@
 
     def potential_members(self, wave: Wave, lasting: Resources) -> int:
         """How many more tasks of a wave this worker could run at once if all left it but what lasts,
-        which takes the capacity `lasting`."""
+        which takes the capacity `lasting`.
+        """
         step, resources = wave.step, less(self.worker.capacity, lasting)
         if step.needs and not self.labels.issuperset(step.needs):
             return 0
@@ -97,7 +100,8 @@
 ) -> dict[str, list[CandidateWorker]]:
     """The workers that may get work in a round, as candidates, by service. Left out are those that are
     not fresh (heard once, unresponsive, late), closed (draining, evacuated, avoided), that run what is
-    not placed on them, or that are on trial after failures and have work already."""
+    not placed on them, or that are on trial after failures and have work already.
+    """
     candidates: dict[str, list[CandidateWorker]] = {}
     for worker in workers.values():
         placements = leased_jobs.placements.get(worker.identity, {})
--- a/src/pinepitch/scheduling/configuration.py
+++ b/src/pinepitch/scheduling/configuration.py
@@ -108,7 +108,8 @@
 class Configuration:
     """What is in force, and which calls brought earlier versions. Invariants: version is that
     of document, 0 while there is none; taken holds the digest of the call behind each of the
-    newest CONFIGURATIONS_KEPT versions; places lists each host's routes, longest prefix first."""
+    newest CONFIGURATIONS_KEPT versions; places lists each host's routes, longest prefix first.
+    """
 
     def __init__(self, document: Document | None = None, taken: Iterable[tuple[int, str]] = ()) -> None:
         self.taken = dict(taken)
@@ -146,7 +147,8 @@
     def _earlier_outcome(self, base: int, version: Any, digest: str) -> Outcome | None:
         """The outcome of a call that was taken before or comes too late, or None: it may be taken.
 
-        A call older than all that is remembered may have been taken, so it is not refused."""
+        A call older than all that is remembered may have been taken, so it is not refused.
+        """
         is_number = type(version) is int
         if is_number and self.taken.get(version) == digest:
             return ("configured", version)
@@ -158,7 +160,8 @@
 
     def take(self, base: int, document: Document, digest: str) -> Outcome:
         """Brings a whole configuration into force in place of version `base`: ("configured", version). Else
-        ("stale", version in force), ("forgotten", version) or ("invalid", faults)."""
+        ("stale", version in force), ("forgotten", version) or ("invalid", faults).
+        """
         version: Any = document.get("version")  # of any type, as it isn't checked yet
         earlier_outcome = self._earlier_outcome(base, version, digest)
         if earlier_outcome is not None and earlier_outcome[0] != "forgotten":
@@ -180,7 +183,8 @@
         self, base: int, version: Any, upserts: dict[str, Any], removes: dict[str, Any], digest: str
     ) -> Outcome:
         """The same for named items: `upserts` by list, `removes` names by list (the users' page on
-        configuration)."""
+        configuration).
+        """
         earlier_outcome = self._earlier_outcome(base, version, digest)
         if earlier_outcome is not None:
             return earlier_outcome
--- a/src/pinepitch/scheduling/daemon_interface.py
+++ b/src/pinepitch/scheduling/daemon_interface.py
@@ -24,7 +24,8 @@
 
 class Daemon(Protocol):
     """The daemon whose replica leads. All times are seconds; `now` is always the daemon's own clock, which
-    only moves forward and tells nothing of other machines."""
+    only moves forward and tells nothing of other machines.
+    """
 
     assignments: "AssignmentManager"
     address: str  # where its clients reach it
@@ -51,7 +52,8 @@
 
     def propose(self, operation: tuple[Any, ...], waiting: Any, now: float) -> None:
         """Puts an operation into the log; `waiting`, if not None, is told the outcome. Operations of a level
-        that some member does not know are held back."""
+        that some member does not know are held back.
+        """
 
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
         """Proposes, and returns the index of the entry; None where the operation is held back."""
--- a/src/pinepitch/scheduling/evacuation.py
+++ b/src/pinepitch/scheduling/evacuation.py
@@ -21,7 +21,8 @@
 
 class Evacuations:
     """Invariants: since holds the zones that are evacuated; newest holds each zone's newest order,
-    oldest first; a zone that is not in it had none after the index `forgotten`."""
+    oldest first; a zone that is not in it had none after the index `forgotten`.
+    """
 
     def __init__(
         self,
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -1,5 +1,6 @@
 """Why jobs are where they are, which workers there are, what is in force: reading calls for
-operators, answered from the cluster state and from what the leader has gathered."""
+operators, answered from the cluster state and from what the leader has gathered.
+"""
 
 from typing import Any
 
--- a/src/pinepitch/scheduling/idle_capacity.py
+++ b/src/pinepitch/scheduling/idle_capacity.py
@@ -1,4 +1,4 @@
-"""Invariants of placing: work does not wait beside capacity that stands idle. (docs/design/sharing.md)"""
+"""Invariants of placing: work does not wait beside capacity that stands idle (docs/design/sharing.md)."""
 
 import collections
 from collections.abc import Sequence
@@ -30,7 +30,8 @@
     for capacity while its service had capacity for twice what it needs at once and under half of its
     capacity was in use.
 
-    Invariant: a violation is counted once for each wave and each time that it begins."""
+    Invariant: a violation is counted once for each wave and each time that it begins.
+    """
 
     def __init__(self) -> None:
         self.counts: collections.Counter[str] = collections.Counter()  # invariant -> violations
@@ -48,7 +49,8 @@
         now: float,
     ) -> tuple[Violation, ...]:
         """Violations of KEPT_UNTAKEN. Takes `kept` (key of a wave -> (wave, candidates)), `placed` (key of a
-        wave -> tasks placed in this round) and `short` (key of a wave -> since when)."""
+        wave -> tasks placed in this round) and `short` (key of a wave -> since when).
+        """
         found = {}
         for key, (wave, candidates) in kept.items():
             waits = len(wave.waiting) > placed.get(key, 0) and not wave.step.gang
@@ -83,7 +85,8 @@
 
     def _ample(self, wave: Wave, candidates: Sequence[CandidateWorker]) -> bool:
         """Whether nothing of a wave's job is placed, and there is capacity for twice what it needs at
-        once."""
+        once.
+        """
         if any(task.state == PLACED for one in wave.job.waves.values() for task in one.tasks):
             return False
         wanted, count = 2 * (len(wave.waiting) if wave.step.gang else 1), 0
--- a/src/pinepitch/scheduling/leased_job.py
+++ b/src/pinepitch/scheduling/leased_job.py
@@ -62,7 +62,8 @@
 
 def checked(document: object) -> tuple[PlainJob | None, Faults]:
     """(plain job, ()) or (None, faults). Plain: (spec, steps, first_ms, every_ms, times), a step
-    being a tuple in the order of FIELDS."""
+    being a tuple in the order of FIELDS.
+    """
     plain, faults = shaped(SHAPE, document)
     if faults:
         return None, faults
@@ -88,21 +89,22 @@
 
 class Step:
     """One step of a job. Invariants: after names earlier steps only; a gang's tasks start, run
-    and end together."""
+    and end together.
+    """
 
     __slots__ = (
+        "after",
+        "apart",
         "count",
-        "resources",
         "est_ms",
-        "after",
         "gang",
-        "tight",
-        "needs",
+        "lasts",
         "near",
-        "apart",
+        "needs",
+        "resources",
         "saves",
+        "tight",
         "twice",
-        "lasts",
     )
 
     count: int  # tasks of one wave
@@ -148,9 +150,10 @@
 class Task:
     """One task of a wave. Invariants: state is WAITING, PLACED or DONE; run is the
     highest run number ever given to it; a run in open_runs was let go without its end being
-    heard, so that its end, should it come, still counts once."""
+    heard, so that its end, should it come, still counts once.
+    """
 
-    __slots__ = ("state", "run", "failures", "saved", "worker_id", "open_runs")
+    __slots__ = ("failures", "open_runs", "run", "saved", "state", "worker_id")
 
     def __init__(
         self,
@@ -180,20 +183,21 @@
     """The tasks of one step at one of the job's times. Invariants: blocked counts the steps
     before it that are not all done; left counts its tasks not done; waiting holds the indices
     of its waiting tasks; of a gang either all wait, all are placed, or it is breaking: then
-    the rest is stopped until all wait again."""
+    the rest is stopped until all wait again.
+    """
 
     __slots__ = (
+        "blocked",
+        "due",
+        "failed_runs",
         "job",
-        "time",
+        "left",
         "number",
+        "since",
         "step",
-        "due",
         "tasks",
+        "time",
         "waiting",
-        "left",
-        "blocked",
-        "failed_runs",
-        "since",
     )
 
     def __init__(self, job: "LeasedJob", time: int, number: int, due: float) -> None:
@@ -230,27 +234,28 @@
 
 class LeasedJob:
     """A job accepted and not yet final. Invariants: times below 1 mean once, under time 0;
-    waves has one entry for each time and step; begun is whether any task was ever placed."""
+    waves has one entry for each time and step; begun is whether any task was ever placed.
+    """
 
     __slots__ = (
+        "accepted",
+        "attempts",
+        "begun",
+        "digest",
+        "every_ms",
+        "first_ms",
         "identity",
+        "latency_target_ms",
+        "left",
+        "plain",
+        "priority",
         "queue",
         "service",
-        "attempts",
-        "priority",
-        "latency_target_ms",
-        "stretch",
         "spec",
         "steps",
-        "first_ms",
-        "every_ms",
+        "stretch",
         "times",
-        "accepted",
-        "begun",
         "waves",
-        "left",
-        "digest",
-        "plain",
     )
 
     def __init__(self, identity: str, queue: str, terms: Terms, plain: PlainJob, accepted: float) -> None:
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -51,7 +51,8 @@
     """Invariants: jobs holds those not final, final the state of those that are, oldest end
     first; taken and used are the sums of the placements' resources; ready holds every wave with
     waiting tasks whose earlier steps are all done and that is not breaking;
-    placements[worker] holds each run given to it whose end is not proven."""
+    placements[worker] holds each run given to it whose end is not proven.
+    """
 
     def __init__(self) -> None:
         self.jobs: dict[str, LeasedJob] = {}
@@ -161,7 +162,8 @@
     # --- operations -------------------------------------------------------------------
     def accept(self, now: float, identity: str, queue: str, plain: PlainJob) -> Outcome:
         """A job is handed in at a queue: ("accepted", identity), ("known", identity), ("missing", queue)
-        where no such route is in force, or ("full", queue) at MAX_LEASED_JOBS."""
+        where no such route is in force, or ("full", queue) at MAX_LEASED_JOBS.
+        """
         job = self.jobs.get(identity)
         if job is not None or identity in self.final:
             return ("known", identity)
@@ -186,7 +188,8 @@
 
     def cancel(self, now: float, identity: str) -> Outcome:
         """Nothing more of a job starts; what runs is stopped. ("cancelled", identity), ("final", state) of a
-        job that is over, or ("missing", identity)."""
+        job that is over, or ("missing", identity).
+        """
         job = self.jobs.get(identity)
         if job is None:
             final = self.final.get(identity)
@@ -228,7 +231,8 @@
 
     def _place(self, now: float, epoch: int, wave: Wave, group: list[tuple[int, str]]) -> list[Placement]:
         """Places some of a wave's waiting tasks, each on its worker; the placements. The members of a gang
-        get one run number, that of the gang."""
+        get one run number, that of the gang.
+        """
         job, step, placed = wave.job, wave.step, []
         gang_run = max(task.run for task in wave.tasks) + 1
         for index, worker_id in group:
@@ -265,7 +269,8 @@
 
     def end(self, now: float, items: Sequence[RunEndItem]) -> Outcome:
         """Proven ends. Items: (worker, reference, run, how, saved, heard): heard says that the
-        worker itself told it, so that it can't come again; what follows is told by item."""
+        worker itself told it, so that it can't come again; what follows is told by item.
+        """
         outcomes = []
         for worker_id, reference, run, how, saved, heard in items:
             placement = self._remove_placement(worker_id, (reference, run))
@@ -313,7 +318,8 @@
 
     def _keep_saved(self, wave: Wave, task: Task, run: int, saved: str) -> None:
         """Keeps the progress that a run saved, for the whole gang where there is one, unless a newer run
-        may have saved more."""
+        may have saved more.
+        """
         if not saved or task.state == DONE or run + 1 < task.run:
             return
         gang = wave.step.gang
@@ -324,7 +330,8 @@
 
     def _out_of_attempts(self, wave: Wave, task: Task, run: int) -> bool:
         """Counts a failed run, a gang's once however many of its members tell it; whether it was the last
-        that the job's attempts allow."""
+        that the job's attempts allow.
+        """
         if not wave.step.gang:
             task.failures += 1
             return task.failures >= wave.job.attempts
--- a/src/pinepitch/scheduling/leases.py
+++ b/src/pinepitch/scheduling/leases.py
@@ -1,5 +1,6 @@
 """Which workers run nothing any more though nobody heard an end: leases that
-lapsed, workers that left."""
+lapsed, workers that left.
+"""
 
 from collections.abc import Iterator
 
@@ -16,7 +17,8 @@
 
 class LeaseWatch:
     """Invariant: a lease counts as lapsed only once it is over by the slowest clock a worker may have,
-    counted from the newest heartbeat whose answer may have extended it, by whichever leader."""
+    counted from the newest heartbeat whose answer may have extended it, by whichever leader.
+    """
 
     def __init__(self, core: Daemon, since: float) -> None:
         self.core, self.since = core, since  # since when this daemon leads
@@ -28,7 +30,8 @@
 
     def over(self, workers: dict[str, Worker], ends: EndIntake, now: float) -> Iterator[tuple[str, str]]:
         """Yields (identity, why) of workers whose incarnation is over; each is to be let go before the
-        next is asked for."""
+        next is asked for.
+        """
         for identity, at in list(self.left_at.items()):
             if now - at >= constants.LEAVE_MARGIN:
                 del self.left_at[identity]
--- a/src/pinepitch/scheduling/placement.py
+++ b/src/pinepitch/scheduling/placement.py
@@ -21,21 +21,22 @@
 
 class Placement:
     """Invariants: it stands until an end of the run is proven, whatever becomes of the job
-    meanwhile, so that its resources stay counted; stop is why the run is to end, or ""."""
+    meanwhile, so that its resources stay counted; stop is why the run is to end, or "".
+    """
 
     __slots__ = (
+        "epoch",
+        "index",
         "job",
-        "time",
         "number",
-        "index",
-        "run",
-        "worker_id",
+        "priority",
         "resources",
+        "run",
         "service",
-        "priority",
-        "stop",
         "since",
-        "epoch",
+        "stop",
+        "time",
+        "worker_id",
     )
 
     def __init__(
--- a/src/pinepitch/scheduling/plain_types.py
+++ b/src/pinepitch/scheduling/plain_types.py
@@ -1,5 +1,6 @@
 """Types of the plain values that cross the edge of this package: they are encoded as they are, in frames, in
-the log and in snapshots, so they stay tuples, lists and dicts."""
+the log and in snapshots, so they stay tuples, lists and dicts.
+"""
 
 from typing import Any
 
--- a/src/pinepitch/scheduling/policy.py
+++ b/src/pinepitch/scheduling/policy.py
@@ -1,5 +1,6 @@
 """Which mechanisms take part in scheduling decisions. All do in a deployment; tests and trials switch single
-ones off to tell what each contributes (docs/decisions.md)."""
+ones off to tell what each contributes (docs/decisions.md).
+"""
 
 from typing import NamedTuple
 
--- a/src/pinepitch/scheduling/progress.py
+++ b/src/pinepitch/scheduling/progress.py
@@ -99,7 +99,8 @@
     A task that was stopped as slow and is as slow elsewhere is long: it tells nothing of its next worker.
 
     Invariant: only a run that its worker listed in a fresh heartbeat is judged, and each at most once while
-    its stop is on the way."""
+    its stop is on the way.
+    """
 
     def __init__(self, pace: Pace, policy: policies.Policy = policies.DEFAULT) -> None:
         self.pace, self.policy = pace, policy
@@ -115,7 +116,8 @@
     ) -> tuple[RunStop, ...]:
         """The runs that are to end (tuple of RunStop): those that stand still, or go so slowly beside their
         like on other workers that a new start elsewhere would be done sooner. `stopping` holds the
-        (reference, run) whose stop is on the way."""
+        (reference, run) whose stop is on the way.
+        """
         self._look_back(workers)
         self._forget_tasks(leased_jobs)
         stops, projected = [], []
@@ -144,7 +146,8 @@
 
     def take_misjudged(self) -> list[WorkerRun]:
         """[(worker, reference, run)] found, since it was asked last, to have gone on after they were stopped
-        as stalled."""
+        as stalled.
+        """
         found, self.misjudged = self.misjudged, []
         return found
 
@@ -241,7 +244,7 @@
         return stops
 
     def _lengths(self, projected: list[Projected]) -> dict[WaveKey, Lengths]:
-        """key of a wave -> the Lengths of its runs, and of two that ended."""
+        """Key of a wave -> the Lengths of its runs, and of two that ended."""
         by_wave = collections.defaultdict(list)
         for one in projected:
             by_wave[one.watched.wave.key()].append(one)
--- a/src/pinepitch/scheduling/reservations.py
+++ b/src/pinepitch/scheduling/reservations.py
@@ -46,7 +46,8 @@
     Invariants: a candidate is kept for one wave at most, and only if the wave can take it once what runs
     there has ended; no more than RESERVE_PART of a service's candidates are kept. While under half of a
     service's capacity is in use nothing is kept for over RESERVE_LASTS without a break: in the round
-    between, whatever waits may take what stood empty."""
+    between, whatever waits may take what stood empty.
+    """
 
     def __init__(
         self,
@@ -71,7 +72,8 @@
 
     def keep(self, waves: list[Wave], short: dict[WaveKey, float], now: float) -> list[RunStop]:
         """Keeps candidates for those of `waves`, the first in rank first, that have been short for long by
-        `short` (key of a wave -> since when); the stops that free capacity on them."""
+        `short` (key of a wave -> since when); the stops that free capacity on them.
+        """
         stops = []
         failed = set()  # shapes that found no candidates since one was kept last: their like find none either
         for wave in waves:
@@ -149,10 +151,11 @@
         """Candidates for the members of a wave by the whole capacity of workers, those with most
         of it free first: near its data if any stands there, of a gang that wants one rack in one, if
         any rack is large enough. A gang gets candidates for all its members or none; other waves get fewer
-        when there are not enough, or not enough that may be kept."""
+        when there are not enough, or not enough that may be kept.
+        """
         step, wanted = wave.step, len(wave.waiting)
         keepable = self.budgets.keepable(wave, self.kept_resources.get(self._level(wave), NO_RESOURCES))
-        if not keepable or step.gang and keepable < wanted:
+        if not keepable or (step.gang and keepable < wanted):
             return None
         wanted = min(wanted, keepable)
         able = [
--- a/src/pinepitch/scheduling/resources.py
+++ b/src/pinepitch/scheduling/resources.py
@@ -29,6 +29,7 @@
 
 def tasks_in(resources: Resources, task: Resources) -> int | None:
     """How many whole tasks that ask for `task` fit into `resources`, 0 or more; None where nothing is asked
-    for, so that any number fits."""
+    for, so that any number fits.
+    """
     counts = [max(0, resources[kind]) // task[kind] for kind in RESOURCE_KINDS if task[kind]]
     return int(min(counts)) if counts else None
--- a/src/pinepitch/scheduling/run_ends.py
+++ b/src/pinepitch/scheduling/run_ends.py
@@ -29,7 +29,8 @@
     """Gathers ends, proposes those of a while as one entry, and knows which are under way.
 
     Invariants: of one run at most one end is under way; a number that a worker gave an end is pending
-    until that end is agreed on, and blocked while another end of the same run is."""
+    until that end is agreed on, and blocked while another end of the same run is.
+    """
 
     def __init__(self, core: Daemon, pace: Pace) -> None:
         self.core, self.pace = core, pace
@@ -45,7 +46,7 @@
         placements = self.core.cluster_state.leased_jobs.placements.get(worker.identity, {})
         blocked, worker.blocked = worker.blocked, set()
         for number, reference, run, how, saved in ended:
-            if number in worker.pending or number <= worker.seen and number not in blocked:
+            if number in worker.pending or (number <= worker.seen and number not in blocked):
                 continue
             worker.seen = max(worker.seen, number)
             if (worker.identity, reference, run) in self.proposed:
--- a/src/pinepitch/scheduling/run_speed.py
+++ b/src/pinepitch/scheduling/run_speed.py
@@ -1,5 +1,6 @@
 """How long work takes, learnt from ends and from progress. The leader's guess alone: it decides
-where work goes, never whether it may."""
+where work goes, never whether it may.
+"""
 
 from collections.abc import Container
 from typing import NamedTuple
@@ -29,7 +30,7 @@
 class RunLengths:
     """How long the runs of one wave took that have ended. Invariant: runs is above 0 once one was added."""
 
-    __slots__ = ("seconds", "runs")
+    __slots__ = ("runs", "seconds")
 
     def __init__(self) -> None:
         self.seconds, self.runs = 0.0, 0
@@ -47,7 +48,8 @@
 
 class Pace:
     """Invariants: lengths and speeds are positive; what is known of a wave is of its own runs, taken
-    back to a usual worker near the data."""
+    back to a usual worker near the data.
+    """
 
     def __init__(self, far: float) -> None:
         self.far = far  # times as long that a task takes away from its data or its rack
@@ -77,7 +79,8 @@
 
     def forget(self, jobs: Container[str]) -> None:
         """Drops what is known of jobs that are over; `jobs`: those that are not. Once what is held has
-        doubled, so that it costs little for each job."""
+        doubled, so that it costs little for each job.
+        """
         known_count = len(self.waves) + len(self.started)
         if known_count < 2 * max(constants.LENGTHS_KEPT, self.swept):
             return
--- a/src/pinepitch/scheduling/run_stop.py
+++ b/src/pinepitch/scheduling/run_stop.py
@@ -21,5 +21,6 @@
 
     def plain(self) -> StopItem:
         """The same as a plain tuple. What is proposed is measured by its form (consensus/log.py), which for a
-        NamedTuple gives another size, and so other messages."""
+        NamedTuple gives another size, and so other messages.
+        """
         return (self.worker, self.reference, self.run, self.why)
--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -31,7 +31,8 @@
 
     Invariants: sequence is that of the newest heartbeat taken; leased_from is when the newest heartbeat
     arrived that was answered with a lease, so that nothing it runs outlives leased_from and the
-    length of a lease; pending holds the numbers of its ends that are proposed and not yet agreed on."""
+    length of a lease; pending holds the numbers of its ends that are proposed and not yet agreed on.
+    """
 
     def __init__(self, identity: str, now: float) -> None:
         self.identity = identity
@@ -157,4 +158,4 @@
 
 
 def _is_number(value: object) -> bool:
-    return type(value) is int or type(value) is float and math.isfinite(value)
+    return type(value) is int or (type(value) is float and math.isfinite(value))
--- a/src/pinepitch/simulation/agreement.py
+++ b/src/pinepitch/simulation/agreement.py
@@ -12,7 +12,8 @@
 
 def agreement_faults(nodes):
     """Faults in words: logs that differ where committed, cluster states that differ at one index, derived
-    state that drifted, and images that would be restored to something else."""
+    state that drifted, and images that would be restored to something else.
+    """
     faults, entries, images = [], {}, {}
     for node in nodes:
         if node.kind != "accord" or node.core is None or node.core.consensus is None:
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -1,5 +1,6 @@
 """Long histories of large configurations: hundreds of changes handed to the leader of a
-simulated cluster, and what its members hold, send and keep of them."""
+simulated cluster, and what its members hold, send and keep of them.
+"""
 
 import contextlib
 import os
@@ -57,7 +58,8 @@
 
 class ControlCluster(Simulator):
     """Control daemons alone, to whose leader changes are handed. Invariants: version is that of the newest
-    change handed over; acknowledged holds the versions that were answered 200."""
+    change handed over; acknowledged holds the versions that were answered 200.
+    """
 
     def __init__(self, seed, control_daemons=("a", "b", "c"), limits=USUAL, size=BODY):
         self.limits, self.size = limits, size
@@ -145,7 +147,8 @@
 
 def missed(simulator, name, count, every, wiped=False, meanwhile=0.25):
     """One member misses `count` changes and comes back under further ones; (seconds until it lacks
-    two entries at most, bytes sent to it, or None where it never did within 120 s)."""
+    two entries at most, bytes sent to it, or None where it never did within 120 s).
+    """
     simulator.kill(name)
     simulator.stream(count, every)
     if wiped:
--- a/src/pinepitch/simulation/checks.py
+++ b/src/pinepitch/simulation/checks.py
@@ -1,5 +1,6 @@
 """History checks, written apart from the code that they check: they see only what
-callers were answered and what workers did. Each returns a list of faults in words."""
+callers were answered and what workers did. Each returns a list of faults in words.
+"""
 
 from ..model.queue_settings import merged
 
@@ -21,7 +22,7 @@
 
 
 def ended_well(ends):
-    """task -> when it first ended well."""
+    """Task -> when it first ended well."""
     well = {}
     for (ref, _), over in ends.items():
         for when, how, _ in over:
@@ -32,7 +33,8 @@
 
 def never_twice(worker_history, repeating=()):
     """No task runs twice at once, none starts again after it has ended well. An end that
-    its worker took along when it died is excused for the jobs in `repeating` alone."""
+    its worker took along when it died is excused for the jobs in `repeating` alone.
+    """
     starts, ends = starts_and_ends(worker_history)
     unsaid = {
         (event[4], event[5])
@@ -77,7 +79,8 @@
 def attempts_kept(worker_history, documents, queue_settings, withdrawn=()):
     """No task but a feed starts again after as many failures as it may have: an end that
     failed, a run over its time limit, or one lost with its worker, unless an operator gave
-    his word that the machine is withdrawn."""
+    his word that the machine is withdrawn.
+    """
     starts, ends = starts_and_ends(worker_history)
     faults = []
     for pushed_job, document in documents.items():
@@ -101,7 +104,8 @@
 def limits_kept(worker_history, documents, changes, within=2.0):
     """No queue starts work beyond its limit later than `within` after the change that set
     it was acknowledged. Changes, in order of version: (asked, acknowledged or None, {queue:
-    limit})."""
+    limit}).
+    """
     queue_of = {pushed_job: document["queue"] for pushed_job, document in documents.items()}
     _, ends = starts_and_ends(worker_history)
     moments = []
@@ -151,7 +155,8 @@
 
 def never_forgotten(caller_history, within=3.0):
     """No accepted job is unknown to a read more than `within` after acceptance, and a
-    final state never changes."""
+    final state never changes.
+    """
     accepted, final, faults = {}, {}, []
     for event in caller_history:
         if event[0] == "accepted":
@@ -182,7 +187,8 @@
 
 def cancelled_truly(caller_history, worker_history, away=(), starts_within=3.0, runs_within=5.0):
     """After a cancel nothing starts for long, and nothing keeps running for long. Nothing
-    is owed of a worker while it was away, as (worker, from, to): cut off, frozen or down."""
+    is owed of a worker while it was away, as (worker, from, to): cut off, frozen or down.
+    """
     starts, ends = starts_and_ends(worker_history)
     cancelled = {event[2]: event[1] for event in reversed(caller_history) if event[0] == "cancelled"}
     faults = []
@@ -222,7 +228,8 @@
 
 def closed_kept(worker_history, spans, zones):
     """No closed worker gets new work 2 s after it was closed, no emptied zone 5 s after.
-    Spans: (kind, subject, from, to or None); zones: worker -> zone."""
+    Spans: (kind, subject, from, to or None); zones: worker -> zone.
+    """
     faults = []
     for kind, subject, begun, ended in spans:
         grace = 2.0 if kind == "minion" else 5.0
@@ -239,7 +246,8 @@
 def queue_configurations_kept(histories, documents, changes, refused):
     """Every acknowledged change is in the history that each front daemon tells, holds just its own
     change, and nothing of a refused one is there. Documents: version -> queue configuration; changes:
-    (asked, acknowledged, version, manner, document, base or None, reason)."""
+    (asked, acknowledged, version, manner, document, base or None, reason).
+    """
     faults = []
     if any(one != histories[0] for one in histories):
         faults.append("verges tell different histories")
@@ -252,8 +260,7 @@
         if (
             version not in stored
             or stored[version]["why"] != reason
-            or base is not None
-            and stored[version]["base"] != base
+            or (base is not None and stored[version]["base"] != base)
         ):
             faults.append(f"acknowledged version {version} is missing at day's end")
             continue
--- a/src/pinepitch/simulation/fault_scenarios/load.py
+++ b/src/pinepitch/simulation/fault_scenarios/load.py
@@ -102,7 +102,8 @@
 
 def crowds_ten(simulator: Simulator, operator: Operator) -> None:
     """Ten times the traffic against a small bound: shed at once, come back, nothing lost,
-    urgent work hardly later."""
+    urgent work hardly later.
+    """
     operator.change({"queues": {"default": {"pending": 60}}})
     begun = operator.now()
     simulator.callers["caller"].rate = 10.0
--- a/src/pinepitch/simulation/fault_scenarios/members.py
+++ b/src/pinepitch/simulation/fault_scenarios/members.py
@@ -22,7 +22,8 @@
 
 def replaced(simulator: Simulator, operator: Operator) -> None:
     """A control daemon dies for good; an empty one at a new address takes its place; twice.
-    Seeds of later daemons name the new machines."""
+    Seeds of later daemons name the new machines.
+    """
     for turn in range(2):
         name = simulator.draw.choice(
             [one for one in daemon_names(simulator, "accord") if simulator.nodes[one].core is not None]
--- a/src/pinepitch/simulation/fleet/faults.py
+++ b/src/pinepitch/simulation/fleet/faults.py
@@ -163,7 +163,8 @@
 
 async def replace_control_daemon(fleet: Fleet) -> dict[str, Any]:
     """A control daemon is gone for good; an empty one at a new address takes its place, with other
-    seeds; then the front daemons start anew with seeds that name the new one."""
+    seeds; then the front daemons start anew with seeds that name the new one.
+    """
     place = (await _leader_place(fleet) + 1) % len(fleet.control_daemons)
     zone = fleet.control_daemons[place][0]
     fleet.kill(f"accord{place}")
--- a/src/pinepitch/simulation/fleet/fleet_operator.py
+++ b/src/pinepitch/simulation/fleet/fleet_operator.py
@@ -13,7 +13,8 @@
 
 class FleetOperator:
     """A stand-in operator of a fleet. Invariants: as of Operator: what is acknowledged is
-    kept, with when it was, for the checks that both share."""
+    kept, with when it was, for the checks that both share.
+    """
 
     def __init__(self, fleet: "Fleet") -> None:
         self.fleet = fleet
--- a/src/pinepitch/simulation/fleet/forecasts.py
+++ b/src/pinepitch/simulation/fleet/forecasts.py
@@ -19,7 +19,8 @@
 
 async def forecast(one: Fleet, queue: str, before: int, after: int, seconds: float) -> dict[str, Any]:
     """A draft from one limit to another is rehearsed and put in force by the emergency way;
-    its forecast beside the waits that callers and workers then saw."""
+    its forecast beside the waits that callers and workers then saw.
+    """
     one.plan.queue_configuration["queues"][queue].update(share=before, limit=before)
     one.start_all()
     try:
@@ -82,7 +83,8 @@
 
 def forecasts(seconds: float = 20) -> None:
     """Prints, for each deployment, what rehearsal forecast of a good and of a bad draft and
-    what was then seen."""
+    what was then seen.
+    """
     for plan, queue, narrow, wide in FORECASTS:
         for before, after in ((narrow, wide), (wide, narrow)):
             with tempfile.TemporaryDirectory(prefix="pinepitch-") as folder:
--- a/src/pinepitch/simulation/fleet/processes.py
+++ b/src/pinepitch/simulation/fleet/processes.py
@@ -34,7 +34,8 @@
 
 class Fleet:
     """Invariants: processes holds every process started and not yet reaped, by name; each
-    is stopped by its own number."""
+    is stopped by its own number.
+    """
 
     def __init__(self, plan: Plan, folder: str, level: str = "warning", data: str | None = None) -> None:
         self.plan, self.folder, self.level = plan, folder, level
--- a/src/pinepitch/simulation/fleet/runs.py
+++ b/src/pinepitch/simulation/fleet/runs.py
@@ -32,6 +32,7 @@
         seconds: how long jobs come.
         rate: times the brief's traffic.
         fault: what to do half way; `pinepitch disturbances` runs all.
+
     """
     folder = folder or tempfile.mkdtemp(prefix="pinepitch-")
     os.makedirs(folder, exist_ok=True)
@@ -81,6 +82,7 @@
         plans: names of plans, parted by commas.
         only: names of faults, parted by commas; all when empty.
         seconds: how long jobs come in each run.
+
     """
     names = [one for one in (only.split(",") if isinstance(only, str) else only) if one] or list(FLEET_FAULTS)
     failed = 0
--- a/src/pinepitch/simulation/guarantees.py
+++ b/src/pinepitch/simulation/guarantees.py
@@ -1,5 +1,6 @@
 """The registry behind docs/proof.md: each guarantee of the brief crossed with what it says
-fails. `pinepitch proof` writes the page; a feature sees that it is whole and up to date."""
+fails. `pinepitch proof` writes the page; a feature sees that it is whole and up to date.
+"""
 
 from typing import NamedTuple
 
@@ -11,7 +12,8 @@
 
 class Guarantee(NamedTuple):
     """One line of what must never happen. Invariant: each injected fault breaks just this guarantee's
-    ground, and a check of it finds it."""
+    ground, and a check of it finds it.
+    """
 
     line: str
     checks: tuple
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -1,5 +1,6 @@
 """Injected faults: each breaks one guarantee in the code under trial, so that the checks can
-be seen to find it. An injected fault is a list of (owner, attribute, replacement)."""
+be seen to find it. An injected fault is a list of (owner, attribute, replacement).
+"""
 
 import contextlib
 from unittest import mock
--- a/src/pinepitch/simulation/isolation/checks.py
+++ b/src/pinepitch/simulation/isolation/checks.py
@@ -14,7 +14,8 @@
 def reads_fresh(orders):
     """No read tells an older version than one that was acknowledged before the read was sent, nor,
     if a newer one was acknowledged meanwhile, comes later than calls are held; one that the leader
-    itself decided before it was stopped doesn't come after the newer one at all."""
+    itself decided before it was stopped doesn't come after the newer one at all.
+    """
     acknowledged = [order for order in _of(orders, "configure") if order.status == 200]
     faults = []
     for read in _of(orders, "configuration"):
@@ -36,7 +37,8 @@
 def changes_kept(orders, final):
     """What was acknowledged is behind the version in force at the end, what was refused is not, no
     two acknowledged ones build on one version, a change sent again is not refused, and one on the
-    version in force is refused only when another took its place."""
+    version in force is refused only when another took its place.
+    """
     faults, attempts, bases = [], {}, {}
     for order in _of(orders, "configure"):
         attempts.setdefault(order.subject, []).append(order)
@@ -59,14 +61,15 @@
         successor = successors.get(tries[0].base)
         for order in tries:
             early = successor is None or successor.sent > (order.answered or 0.0)
-            if order.status == 400 or order.status == 412 and early:
+            if order.status == 400 or (order.status == 412 and early):
                 faults.append(f"version {version} was refused, though {order.base} was still in force")
     return faults
 
 
 def evacuations_kept(orders):
     """What was acknowledged is listed from then on, what was answered as not taken never is, and
-    nothing takes effect once its caller had been given up."""
+    nothing takes effect once its caller had been given up.
+    """
     faults, lists = [], [order for order in _of(orders, "evacuations") if order.status == 200]
     listed = {}
     for one in lists:
--- a/src/pinepitch/simulation/isolation/fleet.py
+++ b/src/pinepitch/simulation/isolation/fleet.py
@@ -13,7 +13,8 @@
 
 class Isolation(Tenancy):
     """The tenancy with operators that hang on, and links that may hold back what they carry.
-    Invariant: while `holding`, what a cut keeps is in `kept`, in order, until the cut heals."""
+    Invariant: while `holding`, what a cut keeps is in `kept`, in order, until the cut heals.
+    """
 
     def __init__(self, seed):
         self.holding, self.kept = False, []
--- a/src/pinepitch/simulation/isolation/orders.py
+++ b/src/pinepitch/simulation/isolation/orders.py
@@ -23,7 +23,8 @@
 
 class Operators:
     """Stand-in operators. Invariants: every change has a version of its own, every evacuation a
-    zone of its own, so that each effect is known by the order that it comes from."""
+    zone of its own, so that each effect is known by the order that it comes from.
+    """
 
     def __init__(self, simulator, documents):
         self.simulator, self.documents = simulator, dict(documents)
--- a/src/pinepitch/simulation/isolation/scenarios.py
+++ b/src/pinepitch/simulation/isolation/scenarios.py
@@ -46,7 +46,8 @@
 
 def seeds_swapped(simulator):
     """The machine is cut off, and all are told other seeds meanwhile: it just its own address and
-    one where nobody is, the others one that is cut off."""
+    one where nobody is, the others one that is cut off.
+    """
     control_daemon, front = _machine(simulator)
     seeds = {
         True: (control_daemon.address, "10.9.9.9:7000"),
--- a/src/pinepitch/simulation/jobs/checks.py
+++ b/src/pinepitch/simulation/jobs/checks.py
@@ -1,5 +1,6 @@
 """History checks of jobs under leases, written apart from the code that they check: they see only
-what callers were told and what tenants did. Each returns a list of faults in words."""
+what callers were told and what tenants did. Each returns a list of faults in words.
+"""
 
 from typing import NamedTuple
 
@@ -51,8 +52,9 @@
 
 
 def noted_ends(history):
-    """reference -> [(when it ended, how, run)] of the ends that were taken note of with no
-    lapse of the lease in between."""
+    """Reference -> [(when it ended, how, run)] of the ends that were taken note of with no
+    lapse of the lease in between.
+    """
     listed, lapses, noted = {}, {}, {}
     for event in history:
         if event[0] == "end":
@@ -107,7 +109,7 @@
 
 
 def _first_done(runs):
-    """wave -> task -> when the first run of it that ended done did so."""
+    """Wave -> task -> when the first run of it that ended done did so."""
     done = {}
     for run in runs:
         if run.how == "done":
@@ -276,7 +278,7 @@
 
 
 def _earliest_done(runs):
-    """wave -> task -> when it first ended done."""
+    """Wave -> task -> when it first ended done."""
     done = {}
     for run in runs:
         if run.how == "done":
@@ -286,7 +288,7 @@
 
 
 def _failures(runs):
-    """wave -> [(task, run)] that failed."""
+    """Wave -> [(task, run)] that failed."""
     failed = {}
     for run in runs:
         if run.how == "failed":
--- a/src/pinepitch/simulation/jobs/control_faults.py
+++ b/src/pinepitch/simulation/jobs/control_faults.py
@@ -93,7 +93,8 @@
 
 def add_control(simulator, zone):
     """Starts an empty control daemon at a new address; its node. Its contact points are as the platform
-    names them then: should all of those named before be gone, others are."""
+    names them then: should all of those named before be gone, others are.
+    """
     live = {simulator.nodes[name].address for name in control_names(simulator)}
     if not live & set(simulator.seeds):
         name_seeds(simulator)
@@ -122,7 +123,8 @@
 
 def replace_planned(simulator, name, after=1.0):
     """An empty control daemon comes first, then the old one gets SIGTERM and ends in its grace.
-    Returns the new one's node as soon as neither counts as lost any more."""
+    Returns the new one's node as soon as neither counts as lost any more.
+    """
     begun = simulator.now
     fresh = add_control(simulator, simulator.nodes[name].zone)
     simulator.run(after)
--- a/src/pinepitch/simulation/jobs/control_scenarios/losses.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/losses.py
@@ -28,7 +28,8 @@
 
 def killed_after_acknowledgement(simulator: Tenancy) -> None:
     """Those that have just acknowledged something lose power, as many as may be lost; all are back
-    within some seconds."""
+    within some seconds.
+    """
     for _ in range(3):
         names = _strike_after_acknowledgement(simulator, faults.lose_power)
         simulator.served(f"while {', '.join(names)} were down")
@@ -38,7 +39,8 @@
 
 def wiped_after_acknowledgement(simulator: Tenancy) -> None:
     """Those that have just acknowledged something lose their disks, as many as may be lost, while
-    at times all others, whose disks may be slow, lose power too."""
+    at times all others, whose disks may be slow, lose power too.
+    """
     for turn in range(2):
         slow_some_disks(simulator)
         names = _strike_after_acknowledgement(simulator, faults.wipe)
@@ -55,7 +57,8 @@
 
 def herd_killed(simulator: Tenancy) -> None:
     """All control daemons and fronts lose power at once, right after an acknowledgement or with slow disks,
-    and are started together; again before all is well."""
+    and are started together; again before all is well.
+    """
     for _ in range(3):
         slow_some_disks(simulator)
         faults.run_until_acknowledged(simulator, simulator.draw.choice((CLIENT_CALLS, ORDER_CALLS)))
--- a/src/pinepitch/simulation/jobs/control_scenarios/repairs.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/repairs.py
@@ -53,7 +53,8 @@
 
 def _lose_second(simulator: Tenancy, step: str, node: Node) -> None:
     """One more is lost at a step of a repair: the newcomer, the leader or another, which is back soon;
-    where two may be lost, its disk may be lost too."""
+    where two may be lost, its disk may be lost too.
+    """
     sought = REPAIR_STEPS[step]
     if simulator.until(lambda: sought(simulator, node), STEP_SOUGHT, 0.002) is None:
         return
@@ -94,7 +95,8 @@
 
 def replacement_chain(simulator: Tenancy) -> None:
     """One daemon after another is gone for good, the replacements too, each as soon as the one
-    before no more counts as lost."""
+    before no more counts as lost.
+    """
     last = None
     for _ in range(6):
         names = faults.control_names(simulator)
@@ -109,7 +111,8 @@
 
 def replacement_planned(simulator: Tenancy) -> None:
     """Daemons are replaced as planned, the new one first; another loses power or its disk as soon as
-    the successor no more counts as lost."""
+    the successor no more counts as lost.
+    """
     for _ in range(3):
         name = simulator.draw.choice(faults.control_names(simulator))
         faults.replace_planned(simulator, name)
@@ -134,7 +137,8 @@
 
 def many_changes(simulator: Tenancy) -> None:
     """Hundreds of changes, some large, some acknowledgements lost; then a restart, a lost disk and a
-    replacement among them."""
+    replacement among them.
+    """
     draw, operator = simulator.draw, simulator.orders
     simulator.acknowledgement_loss = 0.2
     strike_at = sorted(draw.sample(range(20, MANY_CHANGES), 3))
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -19,7 +19,8 @@
 
 class Tenancy(Simulator):
     """The simulator with workers of leased jobs. Invariants: workers heartbeat at control daemons, callers
-    call at front daemons; answers get lost or late by chance as answer_loss and late_part say."""
+    call at front daemons; answers get lost or late by chance as answer_loss and late_part say.
+    """
 
     def __init__(self, seed, plan=None):
         self.plan = plan or FleetPlan(
@@ -74,7 +75,8 @@
     # --- calls ------------------------------------------------------------------------
     def send_call(self, source, incarnation, node, call, arguments, patience, answered, late=0.0):
         """A call to one daemon; answered(status, document) is called, with (0, None) in the end. What is
-        acknowledged is taken note of."""
+        acknowledged is taken note of.
+        """
 
         def noted(status, document):
             if status == 200 and call in ACKNOWLEDGED:
@@ -152,7 +154,8 @@
 
     def persist_call(self, kind, call, arguments, decided, seconds):
         """An operator's call, sent again unchanged to one daemon after another until it is clearly
-        answered: decided(status, document) is told once, or never when `seconds` are over."""
+        answered: decided(status, document) is told once, or never when `seconds` are over.
+        """
         until, turns = self.now + seconds, itertools.count(self.draw.randrange(10))
         nodes = [node for node in self.nodes.values() if node.kind == kind]
 
@@ -233,7 +236,8 @@
 
     def agreement(self):
         """Beside the cluster states, the leased job states: alike where as much is applied, and as
-        their image says; and the invariants of placing, which each control daemon checks itself."""
+        their image says; and the invariants of placing, which each control daemon checks itself.
+        """
         faults, leased_jobs_of = super().agreement(), {}
         for node in self.nodes.values():
             if node.kind != "accord" or node.core is None or node.core.consensus is None:
--- a/src/pinepitch/simulation/jobs/operator_traffic.py
+++ b/src/pinepitch/simulation/jobs/operator_traffic.py
@@ -10,7 +10,8 @@
 
 class OperatorTraffic:
     """Gives orders through the stand-in operators without waiting for their answers. Invariants: at
-    most UNDER_WAY_MOST changes have no answer; one zone at a time is evacuated, and taken back."""
+    most UNDER_WAY_MOST changes have no answer; one zone at a time is evacuated, and taken back.
+    """
 
     def __init__(self, simulator):
         self.simulator = simulator
--- a/src/pinepitch/simulation/jobs/plans.py
+++ b/src/pinepitch/simulation/jobs/plans.py
@@ -7,7 +7,8 @@
 
 class FleetPlan(NamedTuple):
     """Invariant: with any `machines_lost` of the control daemons down, or where that is 0 with any
-    one zone down, the others go on serving."""
+    one zone down, the others go on serving.
+    """
 
     areas: tuple  # one for each control daemon
     mode: str  # of the quorums
--- a/src/pinepitch/simulation/jobs/replays.py
+++ b/src/pinepitch/simulation/jobs/replays.py
@@ -98,7 +98,8 @@
 
 def frames_replayed(simulator):
     """Frames come again while control daemons and fronts are started again, the leader too, and
-    while zones are evacuated and taken back."""
+    while zones are evacuated and taken back.
+    """
     with frames_again(simulator):
         for turn in range(4):
             span = simulator.operator_stand_in.evacuate(simulator.draw.choice(("a", "b", "c")))
--- a/src/pinepitch/simulation/jobs/scenarios.py
+++ b/src/pinepitch/simulation/jobs/scenarios.py
@@ -1,5 +1,6 @@
 """Fault scenarios of the simulated fleet that runs jobs. Each is a function of the simulator;
-the registry at the end names them."""
+the registry at the end names them.
+"""
 
 import functools
 
@@ -50,7 +51,8 @@
 
 def leader_killed(simulator):
     """The leader dies, again and again, right after something was acknowledged; without it jobs
-    are taken soon."""
+    are taken soon.
+    """
     for _ in range(3):
         run_until_accepted(simulator)
         leader = simulator.leader()
@@ -75,7 +77,8 @@
 
 def leader_stops(simulator):
     """The leader is asked to stop, at times while a machine is cut off or another stops too, and comes
-    back with its disk; jobs are taken all the time."""
+    back with its disk; jobs are taken all the time.
+    """
     for _ in range(4):
         leader = simulator.leader()
         if leader is not None:
@@ -165,7 +168,8 @@
 def disks_lost_in_outage(simulator):
     """As many control daemons as may lose their disks do, right after something was acknowledged, while
     every other daemon loses power at the same moment, those without a disk too; jobs are taken soon after.
-    At times the followers' disks stand still before: nothing may be acknowledged then."""
+    At times the followers' disks stand still before: nothing may be acknowledged then.
+    """
     for _ in range(3):
         run_until_accepted(simulator)
         if simulator.draw.random() < STILL_PART:
@@ -195,7 +199,8 @@
 
 def workers_crash(simulator):
     """Tenants crash and come back under new identities at their addresses; some while a frozen
-    control daemon still holds heartbeats of their former incarnation."""
+    control daemon still holds heartbeats of their former incarnation.
+    """
     for turn in range(12):
         names = simulator.draw.sample(tenant_names(simulator), 2)
         frozen = simulator.draw.choice(control_daemon_names(simulator)) if turn % 3 == 2 else None
@@ -258,7 +263,8 @@
 
 def heartbeats_stale(simulator):
     """Heartbeats come seconds late, some to a leader that has not yet heard of their tenant, while
-    tenants are cut off and run on, zones are evacuated and the leader dies."""
+    tenants are cut off and run on, zones are evacuated and the leader dies.
+    """
     for _ in range(3):
         simulator.late_part, simulator.late_most = 0.4, 9.0
         simulator.run(simulator.draw.uniform(1.5, 3))
@@ -280,7 +286,8 @@
 
 def incarnations_mixed(simulator):
     """Tenants crash and come back while heartbeats of their former incarnations are still under way; these
-    come when the new incarnations, that have work, are cut off and run on."""
+    come when the new incarnations, that have work, are cut off and run on.
+    """
     draw = simulator.draw
     for _ in range(4):
         names = draw.sample(tenant_names(simulator), 4)
--- a/src/pinepitch/simulation/jobs/stand_in_client.py
+++ b/src/pinepitch/simulation/jobs/stand_in_client.py
@@ -10,7 +10,8 @@
 class StandInClient:
     """A stand-in caller of jobs, a decider: it sends the same job again until it is clearly
     answered, reads the state of what was accepted until it is final and once more, and cancels
-    some. Invariant: the history is only added to. Effects: ("call", draw, call, arguments, tag)."""
+    some. Invariant: the history is only added to. Effects: ("call", draw, call, arguments, tag).
+    """
 
     def __init__(self, seed):
         self.random = random.Random(f"patron-{seed}")
@@ -52,11 +53,8 @@
             return "job"
         if job["final"] is not None:
             return "job-read" if job["looks"] > 0 else None
-        cancels = (
-            job["cancel_at"] is not None
-            and now >= job["cancel_at"]
-            or self.stopped
-            and job["kind"] == "lasting"
+        cancels = (job["cancel_at"] is not None and now >= job["cancel_at"]) or (
+            self.stopped and job["kind"] == "lasting"
         )
         if cancels and job["cancelled"] is None:
             job["cancel_sent"] = job["cancel_sent"] or now
@@ -135,6 +133,6 @@
     def quiet(self):
         """Whether every job has ended and nothing is to be sent again."""
         return all(
-            job["refused"] is not None or job["final"] is not None and job["looks"] <= 0
+            job["refused"] is not None or (job["final"] is not None and job["looks"] <= 0)
             for job in self.jobs.values()
         )
--- a/src/pinepitch/simulation/jobs/stand_in_operator.py
+++ b/src/pinepitch/simulation/jobs/stand_in_operator.py
@@ -21,7 +21,8 @@
 
 class Change:
     """A change of the configuration. Invariants: document is what is in force once it is taken;
-    answers holds what was clearly answered, (sent, answered, status)."""
+    answers holds what was clearly answered, (sent, answered, status).
+    """
 
     def __init__(self, call, base, document, arguments):
         self.call, self.base, self.document, self.arguments = call, base, document, arguments
@@ -40,7 +41,8 @@
 
 class ZoneOrder:
     """An order for a zone, sent until it is acknowledged, the time `until` has come or another one
-    follows. Invariant: once it is over, no attempt of it is under way, and none will be made."""
+    follows. Invariant: once it is over, no attempt of it is under way, and none will be made.
+    """
 
     def __init__(self, zone, begun, until):
         self.zone, self.begun, self.until = zone, begun, until
@@ -50,7 +52,8 @@
 
 class StandInOperator:
     """Stand-in operators. Invariants: no two changes are equal; spans holds acknowledged
-    evacuations as [zone, acknowledged, taken back or None]."""
+    evacuations as [zone, acknowledged, taken back or None].
+    """
 
     def __init__(self, simulator):
         self.simulator = simulator
--- a/src/pinepitch/simulation/link_rates.py
+++ b/src/pinepitch/simulation/link_rates.py
@@ -9,7 +9,8 @@
     """Invariants: free_at tells when all that was sent from one daemon to another by one of its
     two connections has left the sender; frames of one connection go one after the other, and an
     ordinary one waits beside that only for what the system holds of large ones (LINK_BUFFER);
-    sent counts bytes, largest tells the largest frame."""
+    sent counts bytes, largest tells the largest frame.
+    """
 
     def __init__(self, rate):
         self.rate = rate  # bytes a second of every way
--- a/src/pinepitch/simulation/machines.py
+++ b/src/pinepitch/simulation/machines.py
@@ -12,7 +12,8 @@
     """A control daemon's data folder. Invariants: base and steps are what survives; jobs are not
     durable until done; one job (a batch of saves) is under way at a time, and beside it at
     most one base, which takes the place of the first `covers` steps. While full, nothing
-    becomes durable, but for what a folder's failed sync leaves to chance."""
+    becomes durable, but for what a folder's failed sync leaves to chance.
+    """
 
     def __init__(self):
         self.base, self.steps, self.segments = None, [], {}
@@ -45,7 +46,8 @@
     worker's stays (its history goes on) and down says so; held keeps what
     came while it was frozen, in order; alive counts its incarnations, so that what was meant for
     an earlier incarnation is dropped; unwritten keeps what a step decided when the process was stopped
-    before it carried that out."""
+    before it carried that out.
+    """
 
     def __init__(self, name, kind, zone, address):
         self.name, self.kind, self.zone, self.address = name, kind, zone, address
--- a/src/pinepitch/simulation/model_checker/explore.py
+++ b/src/pinepitch/simulation/model_checker/explore.py
@@ -86,7 +86,8 @@
 ) -> Outcome:
     """Random schedules from `start`, each up to `length` steps; deeper than every state can be visited.
 
-    `weight` says how likely an action is beside the others; 1 for each where left out."""
+    `weight` says how likely an action is beside the others; 1 for each where left out.
+    """
     seen: set[int] = set()
     steps = deepest = 0
     for number in range(walks):
--- a/src/pinepitch/simulation/model_checker/invariants.py
+++ b/src/pinepitch/simulation/model_checker/invariants.py
@@ -98,7 +98,8 @@
 
     `logs` are the decoded disks of all members that still have their disk: any of them may
     stop at any moment, so any mix of what is durable may vote. A wiped member is not there:
-    neither its copies nor its votes count."""
+    neither its copies nor its votes count.
+    """
     if not committed:
         return
     index, term = len(committed), committed[-1][0]
@@ -118,7 +119,8 @@
     every one that may commit, where any two of these meet (with 2 or 4 groups they need not).
 
     `image` is the membership that the change names; the quorums are those of members that
-    have their disks."""
+    have their disks.
+    """
     index, term = len(committed), committed[-1][0]
     holders = {log.identity for log in logs if holds(log, index, term)}
     present = {log.identity for log in logs}
--- a/src/pinepitch/simulation/model_checker/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -152,7 +152,8 @@
 
 class Replica:
     """A daemon of the model. Invariants: `disk` is the payload of a base file that holds all
-    that is durable; `queue` are the writes under way; a wiped daemon has another identity."""
+    that is durable; `queue` are the writes under way; a wiped daemon has another identity.
+    """
 
     def __init__(
         self, identity: str, zone: str, members: dict[str, str], mode: str, draw: Draw = SHORTEST
--- a/src/pinepitch/simulation/model_checker/schedule.py
+++ b/src/pinepitch/simulation/model_checker/schedule.py
@@ -114,7 +114,8 @@
 
     def serves_again(self, lost: int) -> bool | None:
         """Whether a proposal is committed once all is well again but for one machine that stays away,
-        by its number; None if those that are left can't elect a leader."""
+        by its number; None if those that are left can't elect a leader.
+        """
         self.happen(Event("heal anew", 0, 0, 0))
         self.happen(Event("thaw", 0, 0, 0))
         away = self.identity(lost)
--- a/src/pinepitch/simulation/model_checker/script.py
+++ b/src/pinepitch/simulation/model_checker/script.py
@@ -39,7 +39,8 @@
 
 def quiet_without(*lost: str) -> Line:
     """A line of a script: delivers and saves until nothing is under way; what the lost ones send or
-    would get is lost."""
+    would get is lost.
+    """
 
     def line(state: ModelState) -> ModelState:
         for _ in range(MAX_STEPS):
--- a/src/pinepitch/simulation/model_checker/search.py
+++ b/src/pinepitch/simulation/model_checker/search.py
@@ -52,7 +52,8 @@
     """Searches models at length and prints what was seen; the steps to whatever breaks.
 
     `model` is a name of the registry, "all", or "schedules": random ones of fleets with clocks,
-    as many as `walks`."""
+    as many as `walks`.
+    """
     if model == "schedules":
         with injected(fault):
             _print_schedules(walks)
@@ -73,7 +74,7 @@
     print(f"{name}: {every.states} states, {every.steps} steps, depth {every.depth} {until}, {lasted:.0f} s")
     if wandered is not None:
         print(f"  walks: {wandered.states} states, up to {wandered.depth} steps deep")
-    broken = every.found or wandered and wandered.found
+    broken = every.found or (wandered and wandered.found)
     if broken:
         print(f"  BROKEN: {broken.why}")
         for action in broken.steps:
--- a/src/pinepitch/simulation/model_checker/state.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -50,7 +50,8 @@
     """A state without time.
 
     Invariants: `leaders` names at most one leader a term; `committed[i]` is what every
-    replica has, or will have, at index i + 1; messages wait only for daemons that are there."""
+    replica has, or will have, at index i + 1; messages wait only for daemons that are there.
+    """
 
     kinds: dict[str, Callable[[Any, Action], None]] = {}  # below
     ignored: tuple[type[Any], ...] = (
--- a/src/pinepitch/simulation/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -70,7 +70,8 @@
 
 class ZoneOperator:
     """One operator of one zone. Invariants: one order is under way at a time; standing is what
-    the newest acknowledged one says, None while an order is under way or none was acknowledged."""
+    the newest acknowledged one says, None while an order is under way or none was acknowledged.
+    """
 
     def __init__(self, fleet, zone):
         self.fleet, self.zone = fleet, zone
@@ -150,7 +151,8 @@
 
 class ChangeOperators:
     """Operators of versions, who send each change until it is clearly answered, to one daemon after
-    another, and now and then once more. Faults are told by faults()."""
+    another, and now and then once more. Faults are told by faults().
+    """
 
     def __init__(self, fleet):
         self.fleet = fleet
--- a/src/pinepitch/simulation/order_rules.py
+++ b/src/pinepitch/simulation/order_rules.py
@@ -14,7 +14,8 @@
 
 class Order(NamedTuple):
     """A change as an operator sends it. Two orders are the same if all of this is equal;
-    `body` is JSON with its members in sorted order, so that the order of members doesn't count."""
+    `body` is JSON with its members in sorted order, so that the order of members doesn't count.
+    """
 
     kind: str
     base: str
@@ -70,7 +71,8 @@
 
 class Reference:
     """What the rules say of a series of orders. Invariants: taken[n] follows on taken[n - 1];
-    document is what the last of them brought; the newest `remembered` are surely recognised."""
+    document is what the last of them brought; the newest `remembered` are surely recognised.
+    """
 
     def __init__(self, remembered):
         self.remembered = remembered
--- a/src/pinepitch/simulation/outage.py
+++ b/src/pinepitch/simulation/outage.py
@@ -37,7 +37,8 @@
 
 def measure(seed, watched=WATCHED, down=DOWN):
     """One outage, with all that the seed draws: `down` seconds from the kill to the first start,
-    watched for some seconds from the last one."""
+    watched for some seconds from the last one.
+    """
     simulator = Tenancy(seed)
     simulator.client_stand_in.rate = JOB_RATE
     simulator.begin()
--- a/src/pinepitch/simulation/pushed_job_trial.py
+++ b/src/pinepitch/simulation/pushed_job_trial.py
@@ -168,6 +168,7 @@
         fleet: three, five, bare, nine (for dynamic mode) or all (the first three in turn).
         mode: quorum mode, static or dynamic.
         injected_fault: a fault put into the code, to see the checks find it.
+
     """
     work = [
         (name, seed, IN_TURN[seed % len(IN_TURN)] if fleet == "all" else fleet, mode, injected_fault)
--- a/src/pinepitch/simulation/rates.py
+++ b/src/pinepitch/simulation/rates.py
@@ -1,5 +1,6 @@
 """How often a rehearsal errs: drafts that change nothing real, and drafts with a known
-effect on one column, each on made traffic of its own; both counted by verdict."""
+effect on one column, each on made traffic of its own; both counted by verdict.
+"""
 
 import collections
 import json
@@ -58,7 +59,8 @@
 
 def blocks(seed, busy=False):
     """Traffic in blocks as the sample tells it; `busy` fills the capacity now and then, so that
-    urgency matters."""
+    urgency matters.
+    """
     draw, made = random.Random(f"rates-{seed}"), []
     for _ in range(12):
         arrivals = []
@@ -107,7 +109,7 @@
 
 
 def measured(idle, known):
-    """kind -> right verdict -> counts of verdicts found."""
+    """Kind -> right verdict -> counts of verdicts found."""
     work = [("idle", {}, IDLE[seed % len(IDLE)], "no difference", seed) for seed in range(idle)]
     work += [
         (column, besides, patch, right, 10_000 + seed)
--- a/src/pinepitch/simulation/scale/costs.py
+++ b/src/pinepitch/simulation/scale/costs.py
@@ -23,7 +23,8 @@
 
 class Alone:
     """A cluster of one control daemon on a virtual clock, whose disk takes no time. Invariant: what it
-    saves is durable at the end of the step that asked for it."""
+    saves is durable at the end of the step that asked for it.
+    """
 
     def __init__(self):
         self.core = ControlDaemon("alone", "127.0.0.1:1", "a", (), bootstrap_members=1, seed=0)
@@ -228,7 +229,8 @@
 
 def _gang_cost(alone, assignments, leased_jobs):
     """A round that seats a gang of 64, one that seats 64 single tasks, and one at which some
-    gangs wait that are one seat short."""
+    gangs wait that are one seat short.
+    """
     found = {}
     for name, waits, gang, short in (
         ("gang of 64", 1, True, False),
--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -32,7 +32,8 @@
 
 class Hollow:
     """One process's hollow workers and callers, with one address. Invariants: calls holds every
-    call not yet answered, by its token; jobs every job handed in, as the checks read them."""
+    call not yet answered, by its token; jobs every job handed in, as the checks read them.
+    """
 
     def __init__(self, control_daemons, load, seed):
         self.load, self.accords, self.random = load, control_daemons, random.Random(f"scale-{seed}")
@@ -153,8 +154,7 @@
             for worker in self.workers:
                 now = time.monotonic()
                 if (
-                    worker.out is None
-                    and now >= worker.next_at
+                    (worker.out is None and now >= worker.next_at)
                     or worker.ticked is None
                     or now - worker.ticked >= (ADVANCE if worker.running else 1.0)
                 ):
--- a/src/pinepitch/simulation/scale/measuring.py
+++ b/src/pinepitch/simulation/scale/measuring.py
@@ -137,7 +137,7 @@
 
 
 def _roles(names, before, after, lasted):
-    """role -> what the daemon in that role spent in the window, per second."""
+    """Role -> what the daemon in that role spent in the window, per second."""
     roles, followers = {}, 0
     for name in names:
         if name.startswith("verge"):
@@ -174,7 +174,7 @@
 
 
 def _frames_by_kind(before, after, lasted):
-    """kind -> [frames, bytes] per second of the window."""
+    """Kind -> [frames, bytes] per second of the window."""
     by_kind = {}
     for kind, (count, size) in after.items():
         count_before, size_before = before.get(kind, (0, 0))
@@ -184,7 +184,8 @@
 
 def measure(load, seconds=8.0, seed=0, folder=None):
     """One run of real daemons under a load; what it saw. Records lie under TMPDIR: how long a disk
-    takes to sync is no slope of a daemon, so a file system in memory tells most."""
+    takes to sync is no slope of a daemon, so a file system in memory tells most.
+    """
     folder = folder or tempfile.mkdtemp(prefix="pinepitch-scale-")
     with tempfile.TemporaryDirectory(
         prefix="pinepitch-scale-", dir=DATA if os.path.isdir(DATA) else folder
--- a/src/pinepitch/simulation/scale/sweep.py
+++ b/src/pinepitch/simulation/scale/sweep.py
@@ -26,7 +26,8 @@
 def slopes(field, points):
     """{role: {figure: (slope, intercept, worst residual, points used)}} over a sweep, by a field of
     the load or a figure of the point. A point at
-    which some daemon, or the hollow process, spent all it can is no point of a line."""
+    which some daemon, or the hollow process, spent all it can is no point of a line.
+    """
     fits = {}
     usable = [
         one
@@ -54,6 +55,7 @@
         seconds: how long each size is measured.
         most: leaves larger sizes out.
         out: a file for all points.
+
     """
     kept = {}
     for name in sweep if isinstance(sweep, (tuple, list)) else str(sweep).split(","):
--- a/src/pinepitch/simulation/second_loss/planned_stops.py
+++ b/src/pinepitch/simulation/second_loss/planned_stops.py
@@ -37,7 +37,8 @@
 
 def seat_handed_on(seed: int) -> LossTrial:
     """A voter stops beside a spare of its zone: the spare votes before the process ends, and the loss of
-    another voter right then stops nothing."""
+    another voter right then stops nothing.
+    """
     zone = "abc"[seed % 3]
     trial, spare = with_spare(seed, zone)
     node = next(one for one in trial.control_nodes() if one.zone == zone and one is not spare)
@@ -54,7 +55,8 @@
 
 def rolling_restart(seed: int) -> LossTrial:
     """Each machine in turn stops and comes back with its disk; without a spare that may have it, be it in
-    another zone, no seat changes hands."""
+    another zone, no seat changes hands.
+    """
     trial = begun(seed) if seed % 2 == 0 else with_spare(seed, "b", mode="single")[0]
     before, changes = trial.voters(), trial.event_count(JOINT)
     for node in [one for one in trial.control_nodes() if one.zone in "ac"]:
@@ -73,7 +75,8 @@
 
 def only_copy_leaves(seed: int) -> LossTrial:
     """A leader that alone holds what it was told last stops beside a spare of its zone: others are slow
-    or stalled, and no list counts as agreed on before all earlier entries lie on quorums of both."""
+    or stalled, and no list counts as agreed on before all earlier entries lie on quorums of both.
+    """
     trial, spare = with_spare(seed, "a")
     for node in trial.control_nodes():
         if node is not trial.leader():
--- a/src/pinepitch/simulation/second_loss/replacements.py
+++ b/src/pinepitch/simulation/second_loss/replacements.py
@@ -24,7 +24,8 @@
 
 def replaced_in_time(seed: int) -> LossTrial:
     """A machine is gone for good and its successor starts at once: once it has had its time to catch up,
-    another loss stops nothing."""
+    another loss stops nothing.
+    """
     trial = begun(seed)
     node = trial.leader() if seed % 2 else followers(trial)[0]
     fresh = replace(trial, node.name, "fresh")
@@ -39,7 +40,8 @@
 
 def replaced_in_other_zone(seed: int) -> LossTrial:
     """A machine is gone for good and its successor starts in another zone, which has its voter: once it
-    has had its time, another loss stops nothing; a machine of the lost zone then votes again."""
+    has had its time, another loss stops nothing; a machine of the lost zone then votes again.
+    """
     fleet, mode = OTHER_ZONES[seed % len(OTHER_ZONES)]
     trial = begun(seed, fleet, mode=mode)
     node = next(one for one in trial.control_nodes() if one.zone == "a")
@@ -89,7 +91,8 @@
 
 def spare_lost_too(seed: int) -> LossTrial:
     """A voter and the spare that was to replace it are lost at once; the others serve on, and one that
-    comes back empty votes again."""
+    comes back empty votes again.
+    """
     trial, spare = with_spare(seed, "b")
     node = next(one for one in trial.control_nodes() if one.zone == "b" and one is not spare)
     trial.kill(node.name)
--- a/src/pinepitch/simulation/second_loss/strikes.py
+++ b/src/pinepitch/simulation/second_loss/strikes.py
@@ -70,14 +70,16 @@
 
 def change_struck(seed: int) -> LossTrial:
     """In each step of a change of members the leader, the newcomer or another voter loses power for a
-    while: one too many. Nothing acknowledged is lost, and the change ends."""
+    while: one too many. Nothing acknowledged is lost, and the change ends.
+    """
     steps = itertools.product((JOINT, COMMITTED, DONE), STRUCK)
     return _first_faulty(_replacement_struck(seed, step, 1, kind, 0) for step, kind in steps)
 
 
 def snapshot_struck(seed: int) -> LossTrial:
     """While a snapshot is sent and as it is installed, its sender, its receiver or another voter loses
-    power for a while: one too many."""
+    power for a while: one too many.
+    """
     with mock.patch.multiple(constants, **SNAPSHOTS_SOON):
         steps = itertools.product(SNAPSHOT_STEPS, STRUCK)
         return _first_faulty(_replacement_struck(seed, *step, kind, CHANGES) for step, kind in steps)
--- a/src/pinepitch/simulation/second_loss/trial.py
+++ b/src/pinepitch/simulation/second_loss/trial.py
@@ -21,7 +21,8 @@
 
 class LossTrial(Simulator):
     """A fleet without workers. Invariants: faults is only added to; acknowledged holds every change of
-    the queue configuration that was; a hook runs once, right after the step in which its event was told."""
+    the queue configuration that was; a hook runs once, right after the step in which its event was told.
+    """
 
     def __init__(
         self, seed: int, control_daemons: Sequence[str] = ("a", "b", "c"), slow: bool = False, **more: Any
@@ -78,7 +79,8 @@
     # --- steps --------------------------------------------------------------------------
     def on(self, step: Step, act: Callable[[Node], object], count: int = 1) -> None:
         """Calls act(node) right after a step comes the count-th time: an event's number that a node tells,
-        or the kind of a message of consensus that reaches a node."""
+        or the kind of a message of consensus that reaches a node.
+        """
         self.hooks.append([step, act, count])
 
     def _step_came(self, step: Step, node: Node) -> None:
@@ -144,7 +146,8 @@
 
     def _check_joint(self, node: Node) -> None:
         """A joint list that counts as committed lies, with all before it, on the disks of a commit quorum
-        of the old list and of one of the new."""
+        of the old list and of one of the new.
+        """
         consensus = node.core.consensus
         index = consensus.commit
         while consensus.entry(index)[2][0] != "members":
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -64,7 +64,8 @@
 
 class Simulator:
     """Invariants: events are handled in order of (time, number); now never falls; every
-    draw is from self.draw."""
+    draw is from self.draw.
+    """
 
     def __init__(
         self,
@@ -276,7 +277,8 @@
 
     def reset_connections(self, name, share):
         """A share of a daemon's connections is reset: what is on its way to it is lost, and whoever
-        waits for its answer knows nothing of what became of the call."""
+        waits for its answer knows nothing of what became of the call.
+        """
         kept = []
         for moment, number, event in self.events:
             carried = event[0] == "give" and event[1] == name and event[3][0] not in OF_THE_MACHINE
--- a/src/pinepitch/simulation/stand_in_client.py
+++ b/src/pinepitch/simulation/stand_in_client.py
@@ -94,7 +94,8 @@
 
 class StandInClient:
     """Invariants: a key is used for one body; accepted maps a job to (key, when,
-    document); history is only added to."""
+    document); history is only added to.
+    """
 
     def __init__(self, name, traffic, seed=0, rate=1.0, fail=0.03, poll=0.5, cancels=0.0):
         self.name, self.traffic, self.rate, self.fail, self.poll = name, traffic, rate, fail, poll
--- a/src/pinepitch/simulation/stand_in_lease_worker.py
+++ b/src/pinepitch/simulation/stand_in_lease_worker.py
@@ -28,7 +28,8 @@
     by number, every end that no answer has reached; at most one heartbeat is out; the history is only
     added to; nothing runs past hold_until on its own clock; fence never falls in one incarnation.
 
-    `gangs` is shared by all: (job, time, step, run) -> the gang's standing."""
+    `gangs` is shared by all: (job, time, step, run) -> the gang's standing.
+    """
 
     def __init__(
         self, name, zone, address, capacity, labels, guards, seed, history, service, control_daemons, gangs
@@ -261,7 +262,7 @@
         capacity = tuple(what["room"])
         used = [sum(one["room"][place] for one in self.running.values()) for place in range(3)]
         full = any(used[place] + capacity[place] > self.capacity[place] for place in range(3))
-        if run <= self.barred.get(reference, 0) or self.guards and full:
+        if run <= self.barred.get(reference, 0) or (self.guards and full):
             self._list_end(key, "refused", "", now)
             return
         self.history.append(
--- a/src/pinepitch/simulation/stand_in_operator.py
+++ b/src/pinepitch/simulation/stand_in_operator.py
@@ -176,7 +176,8 @@
 
     def check_queue_configurations(self):
         """Faults in what is read at day's end: every acknowledged change, its content, and
-        nothing of a refused one, the same at every front daemon."""
+        nothing of a refused one, the same at every front daemon.
+        """
         histories = []
         for place in range(sum(node.kind == "verge" for node in self.simulator.nodes.values())):
             status, history = self.simulator.ask("GET", "/v1/setup/versions", front=place)
--- a/src/pinepitch/simulation/stand_in_worker.py
+++ b/src/pinepitch/simulation/stand_in_worker.py
@@ -11,7 +11,8 @@
 
 class StandInWorker:
     """Invariants: running holds what it runs now; ended holds what no one acknowledged;
-    the history is only added to. An unguarded one starts whatever it is told."""
+    the history is only added to. An unguarded one starts whatever it is told.
+    """
 
     def __init__(self, name, zone, address, capacity, labels=(), guards=True, seed=0, history=None):
         self.name, self.zone, self.address, self.capacity = name, zone, address, capacity
--- a/src/pinepitch/simulation/steady.py
+++ b/src/pinepitch/simulation/steady.py
@@ -29,7 +29,8 @@
 
 class Day(ControlCluster):
     """Invariants: one member at most is lost at a time; back holds (whether wiped, seconds until
-    it lacked two entries at most and was a member) of each that came back."""
+    it lacked two entries at most and was a member) of each that came back.
+    """
 
     def __init__(self, seed, size=BODY // 2):
         super().__init__(seed, limits=Limits(296_000_000, 128_000_000), size=size)
--- a/src/pinepitch/simulation/worker_program.py
+++ b/src/pinepitch/simulation/worker_program.py
@@ -14,7 +14,8 @@
 
 class WorkerHost:
     """Runs stand-in workers. Invariant: only its own tasks touch a worker, each to the end
-    of a step before another may."""
+    of a step before another may.
+    """
 
     def __init__(self, workers, fronts, history_path):
         self.workers, self.fronts = workers, fronts
--- a/src/pinepitch/state/archive.py
+++ b/src/pinepitch/state/archive.py
@@ -39,7 +39,8 @@
     that went since the newest snapshot base, which may still be asked for;
     place[number of a job - place_from] is the number of the segment that holds the job, 0 for
     none; keys maps the hash of a client's key to a segment; count and states are of all jobs in
-    the segments."""
+    the segments.
+    """
 
     def __init__(self, lines: Iterable[Iterable[Any]] = (), segments: dict[int, bytes] | None = None) -> None:
         self.lines: collections.deque[Line] = collections.deque()
@@ -69,7 +70,8 @@
 
     def seal(self, jobs: list[PushedJob], time: float) -> tuple[int, bytes]:
         """Takes finished jobs, the newest of which ended at `time`, into the next segment;
-        (its number, its bytes). What they had as work is left out."""
+        (its number, its bytes). What they had as work is left out.
+        """
         number = self.sealed + 1
         plain = [
             job._replace(tasks={name: task._replace(work=None) for name, task in job.tasks.items()})
@@ -128,7 +130,8 @@
 
     def prune(self, before: float) -> None:
         """Lets go of the oldest segments whose jobs all ended before `before`, down to
-        FINISHED_KEPT jobs."""
+        FINISHED_KEPT jobs.
+        """
         while (
             self.lines
             and self.lines[0].ended < before
--- a/src/pinepitch/state/change_watermarks.py
+++ b/src/pinepitch/state/change_watermarks.py
@@ -29,7 +29,8 @@
     """Which changes were made already.
 
     Invariants: outcomes holds the newest MARKS_KEPT marks, oldest first; forgotten holds, for the
-    MARKS_KEPT forwarders of which a mark was dropped last, the highest number dropped."""
+    MARKS_KEPT forwarders of which a mark was dropped last, the highest number dropped.
+    """
 
     def __init__(
         self,
@@ -54,7 +55,8 @@
 
     def keep(self, mark: str, outcome: Outcome, track_forgotten: bool) -> None:
         """Remembers an outcome and drops the oldest; `track_forgotten` says whether it is noted
-        up to which number, as it is once all members know level 3."""
+        up to which number, as it is once all members know level 3.
+        """
         self.outcomes[mark] = outcome
         while len(self.outcomes) > constants.MARKS_KEPT:
             oldest = next(iter(self.outcomes))
--- a/src/pinepitch/state/cluster_state.py
+++ b/src/pinepitch/state/cluster_state.py
@@ -53,7 +53,8 @@
 
     Not in the image: sealed, the (number, bytes) of segments sealed since the daemon took them;
     and what derive() builds from the rest: queue_settings (queue -> QueueSettings), progress,
-    reservations and ready_queue, whose invariants audit() checks."""
+    reservations and ready_queue, whose invariants audit() checks.
+    """
 
     actions: ClassVar[dict[str, Action]] = ACTIONS
     levels: ClassVar[dict[str, int]] = LEVELS
@@ -163,7 +164,8 @@
 
     def promote_due_units(self, time: float) -> float | None:
         """Makes the start units ready whose time has come by `time`; when the next one's comes,
-        or None. Not part of the agreed state: it moves with who asks."""
+        or None. Not part of the agreed state: it moves with who asks.
+        """
         return self.ready_queue.promote(time)
 
     # --- reading ----------------------------------------------------------------------
@@ -214,7 +216,8 @@
 
     def job_refusal(self, plain: dict[str, Any], unplaceable: str = "") -> Outcome | None:
         """Why a checked document can't be taken now, or None; the leader asks it first.
-        `unplaceable` says why no worker known to the leader could take it, or nothing."""
+        `unplaceable` says why no worker known to the leader could take it, or nothing.
+        """
         return pushed_job_operations.job_refusal(self, plain, unplaceable)
 
     def known(self, key: str, digest: str) -> Outcome | None:
@@ -224,52 +227,52 @@
     # --- what the components hold -----------------------------------------------------
     @property
     def reserved(self) -> dict[str, dict[str, int]]:
-        """worker -> {reference: units} of the tasks placed there."""
+        """Worker -> {reference: units} of the tasks placed there."""
         return self.reservations.reserved
 
     @property
     def used_units(self) -> dict[str, int]:
-        """queue -> units of its placed tasks."""
+        """Queue -> units of its placed tasks."""
         return self.reservations.used_units
 
     @property
     def outstanding_credits(self) -> dict[str, int]:
-        """queue -> credits it has lent, to others or itself."""
+        """Queue -> credits it has lent, to others or itself."""
         return self.reservations.outstanding_credits
 
     @property
     def yielding(self) -> dict[str, int]:
-        """reference -> attempt of placed tasks that are to stop."""
+        """Reference -> attempt of placed tasks that are to stop."""
         return self.reservations.yielding
 
     @property
     def waiting_counts(self) -> dict[str, int]:
-        """queue -> waiting tasks, without those of unplaceable jobs."""
+        """Queue -> waiting tasks, without those of unplaceable jobs."""
         return self.progress.waiting_counts
 
     @property
     def unplaceable(self) -> dict[str, int]:
-        """queue -> waiting tasks of unplaceable jobs."""
+        """Queue -> waiting tasks of unplaceable jobs."""
         return self.progress.unplaceable
 
     @property
     def live_counts(self) -> dict[str, int]:
-        """queue -> live pushed jobs."""
+        """Queue -> live pushed jobs."""
         return self.progress.live_counts
 
     @property
     def unfinished_predecessors(self) -> dict[str, dict[str, int]]:
-        """job -> {task: predecessors not done}."""
+        """Job -> {task: predecessors not done}."""
         return self.progress.unfinished_predecessors
 
     @property
     def unfinished_counts(self) -> dict[str, int]:
-        """job -> tasks not final."""
+        """Job -> tasks not final."""
         return self.progress.unfinished_counts
 
     @property
     def ready_units(self) -> dict[str, dict[int, dict[Shape, list[Entry]]]]:
-        """queue -> urgency -> shape -> start units that may start, in the order of their turn."""
+        """Queue -> urgency -> shape -> start units that may start, in the order of their turn."""
         return self.ready_queue.ready_units
 
     @property
--- a/src/pinepitch/state/configuration_history.py
+++ b/src/pinepitch/state/configuration_history.py
@@ -11,7 +11,8 @@
 
 def difference(before: dict[str, Any], after: dict[str, Any]) -> dict[str, Any] | None:
     """The merge patch (RFC 7396) that makes `after` of `before`, or None where a null stands in
-    the way, which no patch can say."""
+    the way, which no patch can say.
+    """
     patch: dict[str, Any] = {member: None for member in before if member not in after}
     for member, value in after.items():
         old = before.get(member)
@@ -54,7 +55,8 @@
 
     Invariants: lines has one line a version, from 1 on without a gap; since the last whole one
     there are fewer than QUEUE_CONFIGURATION_FULL_EVERY patches, and they hold fewer bytes than a
-    whole one. Lines are only added."""
+    whole one. Lines are only added.
+    """
 
     def __init__(self, lines: Iterable[Iterable[Any]] = ()) -> None:
         self.lines = [Line._make(one) for one in lines]
--- a/src/pinepitch/state/job_progress.py
+++ b/src/pinepitch/state/job_progress.py
@@ -11,7 +11,8 @@
 
     Invariants: waiting_counts[queue] counts the waiting tasks of a queue but those of
     unplaceable jobs, which unplaceable[queue] counts; live_counts[queue] counts its live jobs;
-    the maps by job have an entry for each live job and no other."""
+    the maps by job have an entry for each live job and no other.
+    """
 
     __slots__ = (
         "live_counts",
@@ -54,7 +55,8 @@
 
     def task_done(self, identity: str, name: str) -> Iterator[str]:
         """A task has ended well; gives the tasks for which it was the last predecessor, each as
-        soon as it is counted."""
+        soon as it is counted.
+        """
         unfinished_predecessors = self.unfinished_predecessors[identity]
         for other in self.successors[identity].get(name, ()):
             unfinished_predecessors[other] -= 1
--- a/src/pinepitch/state/pushed_job_operations.py
+++ b/src/pinepitch/state/pushed_job_operations.py
@@ -86,7 +86,8 @@
 
 def job_refusal(state: "ClusterState", plain: dict[str, Any], unplaceable: str) -> Outcome | None:
     """Why a checked document can't be taken now, or None. `unplaceable` says why no worker
-    known to the leader could take it, or nothing."""
+    known to the leader could take it, or nothing.
+    """
     queue_settings = state.queue_settings.get(plain["queue"])
     if queue_settings is None:
         return ("invalid", (("queue", f"no queue {plain['queue']!r}"),))
@@ -127,7 +128,8 @@
     state: "ClusterState", plain: dict[str, Any], queue_settings: QueueSettings, unplaceable: str
 ) -> str:
     """Why the queue can't take more waiting tasks, or ''. Unplaceable jobs have a part of its
-    bound of their own, so that they don't keep out those that could run."""
+    bound of their own, so that they don't keep out those that could run.
+    """
     queue, count = plain["queue"], len(plain["tasks"])
     if not unplaceable:
         waiting = state.progress.waiting_counts.get(queue, 0)
--- a/src/pinepitch/state/ready_queue.py
+++ b/src/pinepitch/state/ready_queue.py
@@ -44,7 +44,8 @@
     Invariants: slots holds every unit whose predecessors are all done. One whose time had come
     by promoted_until is in ready_units[queue][urgency][shape], a list in the order of the
     entries; no list or map in there is empty. The others are in future_units, a heap by time
-    that may also hold units that have gone or moved."""
+    that may also hold units that have gone or moved.
+    """
 
     __slots__ = ("future_units", "promoted_until", "ready_units", "slots")
 
@@ -96,7 +97,8 @@
 
     def promote(self, time: float) -> float | None:
         """Moves the units whose time has come by `time` to the ready ones; when the next one's
-        time comes, or None if no unit waits for its time."""
+        time comes, or None if no unit waits for its time.
+        """
         self.promoted_until = max(self.promoted_until, time)
         last = None
         while self.future_units:
--- a/src/pinepitch/state/reservations.py
+++ b/src/pinepitch/state/reservations.py
@@ -10,7 +10,8 @@
     Invariants: a task's reservation on a worker stands exactly while it is placed;
     outstanding_credits[queue] is the sum of credits lent by a queue to placed tasks;
     used_units[queue] is the sum of the units of its placed tasks; yielding holds the attempts
-    that are placed and to stop."""
+    that are placed and to stop.
+    """
 
     __slots__ = ("outstanding_credits", "reserved", "used_units", "yielding")
 
--- a/src/pinepitch/state/traffic_sample.py
+++ b/src/pinepitch/state/traffic_sample.py
@@ -20,7 +20,8 @@
     Invariants: arrivals maps the numbers of the jobs that came from start to end, to
     what a replay needs of each once it is final, and to None before; end is the
     block's length unless more jobs came than are kept: then it was cut when full;
-    running counts what ran at its start, as (queue, kind, units, labels, count)."""
+    running counts what ran at its start, as (queue, kind, units, labels, count).
+    """
 
     start: float
     end: float
@@ -32,7 +33,8 @@
     """The blocks that are kept.
 
     Invariants: blocks lie within the window; the newest SAMPLE_NEWEST are all kept, of
-    older ones SAMPLE_EACH a stratum, those of the lowest rank."""
+    older ones SAMPLE_EACH a stratum, those of the lowest rank.
+    """
 
     def __init__(self, blocks: Iterable[Any] = ()) -> None:
         self.blocks: immutables.Map[int, Block] = immutables.Map(
@@ -113,7 +115,8 @@
 def arrival(job: PushedJob) -> tuple[Any, ...]:
     """(accepted, queue, kind, urgency or -1, seconds to due or 0, tasks) of a job; a task
     is (name, units, labels, after, seconds to its time, gang, attempts asked, limit,
-    seconds it took or None, failures, seconds lost by them)."""
+    seconds it took or None, failures, seconds lost by them).
+    """
     tasks = []
     for name, task in job.tasks.items():
         standing = job.standings[name]
--- a/src/pinepitch/storage/folder_lock.py
+++ b/src/pinepitch/storage/folder_lock.py
@@ -11,11 +11,13 @@
 
 class FolderLock:
     """Invariant: from `since` (seconds on the steady clock) until this process ends no other process
-    owns the folder, and one that owned it before had ended by then."""
+    owns the folder, and one that owned it before had ended by then.
+    """
 
     def __init__(self, folder: str) -> None:
         """Takes the lock of a folder, which is made if there is none; BlockingIOError if another
-        process owns it."""
+        process owns it.
+        """
         os.makedirs(folder, exist_ok=True)
         # the folder's own descriptor bears the lock: no file of another version's folder is touched
         self.descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
--- a/src/pinepitch/storage/store.py
+++ b/src/pinepitch/storage/store.py
@@ -32,7 +32,8 @@
 
 class Loaded(NamedTuple):
     """What a data folder holds: the payload of the newest snapshot base (None if there is none), those
-    of the steps after it in order, and by number the segments that the base stands on."""
+    of the steps after it in order, and by number the segments that the base stands on.
+    """
 
     base: Any
     steps: list[Any]
@@ -62,7 +63,8 @@
 
     def load(self, shrunk: Callable[[Any], Any] = lambda payload: payload) -> Loaded | Damaged:
         """What the folder, which is made if there is none, holds. Each step passes through `shrunk`
-        before the next one is read."""
+        before the next one is read.
+        """
         os.makedirs(self.folder, exist_ok=True)
         found = self._names()
         base_version = max(found["base"], default=0)
@@ -78,7 +80,7 @@
         return Loaded(base, steps, segments)
 
     def _names(self) -> dict[str, dict[int, str]]:
-        """kind -> number -> name of each file; what was never finished is removed."""
+        """Kind -> number -> name of each file; what was never finished is removed."""
         found: dict[str, dict[int, str]] = {"base": {}, "step": {}, "segment": {}}
         for name in os.listdir(self.folder):
             match = NAME.match(name)
@@ -112,7 +114,8 @@
 
     def write_step(self, payload: Any) -> None:
         """Makes the next version durable; returns only once it is. After an OSError the
-        version is the same as before, and may be written again, with more in it or not."""
+        version is the same as before, and may be written again, with more in it or not.
+        """
         self._write(f"step-{self.version + 1:016d}", payload)
         self.version += 1
 
@@ -123,7 +126,8 @@
     def write_base(self, payload: Any, version: int) -> None:
         """Puts a snapshot base in the place of every file up to `version`, and of every segment older
         than those it stands on; the payload's last part is (first, last) of them. OSError if the base
-        can't be made durable: what it was to replace is still there."""
+        can't be made durable: what it was to replace is still there.
+        """
         self._write(f"base-{version:016d}", payload)
         first, _ = payload[-1]
         # file kind -> the first number that is kept
--- a/src/pinepitch/transport/forwarder.py
+++ b/src/pinepitch/transport/forwarder.py
@@ -25,21 +25,22 @@
 class Call:
     """A request that is forwarded. Invariants: its token is the same at every attempt; open holds the
     numbers of the attempts that were neither answered nor refused, so that an empty one means that
-    nobody took it."""
+    nobody took it.
+    """
 
     __slots__ = (
-        "request",
-        "call",
         "arguments",
-        "key",
-        "begun",
-        "until",
-        "retry_at",
-        "to",
         "attempts",
-        "open",
+        "begun",
+        "call",
         "doubtful",
+        "key",
+        "open",
+        "request",
+        "retry_at",
         "term",
+        "to",
+        "until",
     )
 
     def __init__(self, request: int, call: str, arguments: Sequence[Any], begun: float, until: float) -> None:
@@ -57,7 +58,8 @@
 class Forwarder:
     """Forwards the requests of one daemon. Invariants: a request leaves `calls` with its one reply;
     `incarnation` names one run of one daemon, so that no token is ever used for two requests; an answer
-    is given to none but the request it is about. Times are seconds of the daemon's steady clock."""
+    is given to none but the request it is about. Times are seconds of the daemon's steady clock.
+    """
 
     def __init__(self, incarnation: str, address: str, event: Callable[..., None]) -> None:
         self.incarnation, self.address = incarnation, address
@@ -75,7 +77,8 @@
 
     def sent(self, token: str, address: str | None, now: float, end: ClockBound | None = None) -> int:
         """Notes an attempt to send a request to `address`, or to nobody when it is None, to be taken only
-        until `end` on the leader's clock; the number of the attempt."""
+        until `end` on the leader's clock; the number of the attempt.
+        """
         call = self.calls[token]
         call.to, call.term = address, end.term if end else None
         if address is None:
@@ -88,7 +91,8 @@
 
     def due(self, now: float, leaderless_for: float = 0.0) -> tuple[list[str], list[Effect]]:
         """(tokens to be sent again, effects that reply to those given up). Once no leader has been heard
-        for OUTAGE_SHORT or longer, requests are given up sooner, so that their callers may come back."""
+        for OUTAGE_SHORT or longer, requests are given up sooner, so that their callers may come back.
+        """
         due: list[str] = []
         effects: list[Effect] = []
         for token, call in list(self.calls.items()):
@@ -106,7 +110,8 @@
     def _end(self, call: Call, leaderless_for: float) -> float:
         """When a request is given up. In an outage that a restart may end it waits all its time, as nothing
         serves its caller sooner. In a long one it ends soon if nobody can have taken it, so that its caller
-        can be told when to come back; else later, as callers send again at once what may have been taken."""
+        can be told when to come back; else later, as callers send again at once what may have been taken.
+        """
         if leaderless_for < constants.OUTAGE_SHORT:
             return call.until
         if self._may_be_taken(call):
@@ -148,7 +153,8 @@
     ) -> tuple[Effect, ...]:
         """Effects of the answer (status, document, Retry-After or None) to a request, that tells by its
         key what it is about; it may be written until the request's patience is over, or until `until`
-        if that is sooner."""
+        if that is sooner.
+        """
         call = self.waiting(token, key)
         if call is None:
             return ()
--- a/src/pinepitch/transport/framing.py
+++ b/src/pinepitch/transport/framing.py
@@ -41,7 +41,8 @@
 
 async def read_frame(stream: Any) -> bytes | Refused:
     """The body of the next frame of a curio stream, or Refused when it is larger than MAX_FRAME_BYTES;
-    EOFError or OSError when the stream ends before it is complete."""
+    EOFError or OSError when the stream ends before it is complete.
+    """
     head: bytes = await stream.read_exactly(LENGTH.size)
     (length,) = LENGTH.unpack(head)
     if length > constants.MAX_FRAME_BYTES:
--- a/src/pinepitch/transport/http.py
+++ b/src/pinepitch/transport/http.py
@@ -18,7 +18,8 @@
 
 class Request(NamedTuple):
     """A request as it came. Invariant: body holds at most MAX_BODY_BYTES bytes; headers have names in
-    lower case."""
+    lower case.
+    """
 
     method: str
     target: str
@@ -28,7 +29,8 @@
 
 class Response(NamedTuple):
     """An answer. Invariant: document is what json can write, or a plain text; headers are pairs of plain
-    texts."""
+    texts.
+    """
 
     status: int
     document: Any
@@ -107,7 +109,8 @@
 
     async def _read(self, begun: float | None) -> bytes | None:
         """The next bytes, or None if none came in time: within MAX_CONNECTION_IDLE before a request has
-        begun, within what is left of MAX_REQUEST_SECONDS afterwards."""
+        begun, within what is left of MAX_REQUEST_SECONDS afterwards.
+        """
         if self.connection.they_are_waiting_for_100_continue:
             go_on = h11.InformationalResponse(status_code=100, headers=[])
             await self.socket.sendall(self.connection.send(go_on))
@@ -140,7 +143,8 @@
 
     async def refuse(self, fault: Fault) -> None:
         """Tells a caller whose request can't be read so, and lets it read that: a connection that is
-        closed with bytes unread is reset, which may take the answer away with it."""
+        closed with bytes unread is reset, which may take the answer away with it.
+        """
         if not fault.status:
             return
         await self.answer(refusal(fault.status, fault.code, "the request can't be read"))
@@ -186,7 +190,8 @@
 
     def _spoiled(self) -> bool:
         """Whether the open connection holds what no call asked for, or has ended: what came
-        beside one call's answer would be taken for the next one's."""
+        beside one call's answer would be taken for the next one's.
+        """
         unread = select.poll()
         unread.register(self.socket.fileno(), select.POLLIN)
         return bool(self.connection.trailing_data[0]) or bool(unread.poll(0))
--- a/src/pinepitch/transport/indexed_forwarder.py
+++ b/src/pinepitch/transport/indexed_forwarder.py
@@ -25,7 +25,8 @@
 
 class IndexedForwarder:
     """Invariants: a request in `waiting` has been sent to nobody; `pause` is how long (seconds) the
-    daemon was stopped last, if that was longer than CONFIRM_PAUSE, and `paused` when it went on."""
+    daemon was stopped last, if that was longer than CONFIRM_PAUSE, and `paused` when it went on.
+    """
 
     def __init__(self, forwarder: Forwarder) -> None:
         self.forwarder = forwarder
@@ -59,7 +60,8 @@
         self, token: str, answer: Sequence[Any], key: Sequence[str], now: float, until: float | None = None
     ) -> tuple[Effect, ...]:
         """Effects of an answer to any forwarded request, as Forwarder.answered() has them. Once its index
-        is known, a request is due to be forwarded."""
+        is known, a request is due to be forwarded.
+        """
         question = self.forwarder.calls.get(token)
         if token not in self.waiting or question is None or question.key != tuple(key) or answer[0] != 200:
             return self.forwarder.answered(token, answer, key, now, until)
--- a/src/pinepitch/transport/link.py
+++ b/src/pinepitch/transport/link.py
@@ -1,5 +1,6 @@
 """The connections from one daemon to another: one for ordinary frames, one for large ones, so
-that a heartbeat never waits behind a large frame on a slow link."""
+that a heartbeat never waits behind a large frame on a slow link.
+"""
 
 import collections
 from collections.abc import Awaitable, Callable
@@ -28,7 +29,8 @@
     """One connection. Invariants: frames leave in the order they came; size is the sum of the bytes
     that wait; the oldest frames are dropped while more than LINK_QUEUE of them or `most` bytes wait,
     but never the newest; a broken socket loses the batch that was being sent; each of `attempts`
-    belongs to the frame at the same place of `frames`, none of which has gone out yet."""
+    belongs to the frame at the same place of `frames`, none of which has gone out yet.
+    """
 
     def __init__(self, address: str, undelivered: Undelivered, most: int, buffer: int | None = None) -> None:
         self.address = address
@@ -43,7 +45,8 @@
 
     async def put(self, frame: bytes, attempt: Attempt | None = None) -> None:
         """Adds a frame; `attempt` names the request in it, if there is one. A request does not wait for a
-        peer that could not be reached last: it only makes the connection be tried again."""
+        peer that could not be reached last: it only makes the connection be tried again.
+        """
         if attempt is not None and self.down:
             await self.filled.set()
             await self.undelivered([attempt])
@@ -51,14 +54,15 @@
         self.frames.append(frame)
         self.attempts.append(attempt)
         self.size += len(frame)
-        while len(self.frames) > constants.LINK_QUEUE or self.size > self.most and len(self.frames) > 1:
+        while len(self.frames) > constants.LINK_QUEUE or (self.size > self.most and len(self.frames) > 1):
             self.size -= len(self.frames.popleft())
             self.attempts.popleft()
         await self.filled.set()
 
     def _batch(self) -> bytes:
         """The frames to be sent next, of LINK_SLICE bytes or one frame at least; empty where it was
-        only to connect again."""
+        only to connect again.
+        """
         batch: list[bytes] = []
         size = 0
         while self.frames and size < constants.LINK_SLICE:
@@ -129,7 +133,8 @@
 
 class Link:
     """The connections to one daemon. Invariant: frames of LINK_BULK bytes or more keep their order among
-    themselves, and so do all others; between the two there is none."""
+    themselves, and so do all others; between the two there is none.
+    """
 
     def __init__(self, address: str, undelivered: Undelivered, limits: Limits = USUAL) -> None:
         self.ordinary = Lane(address, undelivered, limits.link)
@@ -142,7 +147,8 @@
 
     async def run(self) -> None:
         """Serves both connections and never returns; the one for large frames is opened by the first of
-        them."""
+        them.
+        """
         async with curio.TaskGroup(wait=None) as lanes:
             await lanes.spawn(self.bulk.run)
             await self.ordinary.run()
--- a/src/pinepitch/transport/request_key.py
+++ b/src/pinepitch/transport/request_key.py
@@ -6,7 +6,8 @@
 
 class CallKey(NamedTuple):
     """Invariant: requests that differ in what they ask of whom have different keys; a request sent
-    again has the same one."""
+    again has the same one.
+    """
 
     call: str
     subject: str
