--- a/features/steps/pushed_job_trials.py
+++ b/features/steps/pushed_job_trials.py
@@ -83,7 +83,7 @@
 import hashlib, sys
 from pinepitch.simulation import pushed_job_trial
 _, simulator = pushed_job_trial.trial(sys.argv[1], int(sys.argv[2]))
-print(hashlib.sha256(repr((simulator.minion_history, simulator.callers["caller"].history,
+print(hashlib.sha256(repr((simulator.worker_history, simulator.callers["caller"].history,
                            simulator.trace)).encode()).hexdigest())
 """
 
