--- a/src/pinepitch/scheduling/configuration.py
+++ b/src/pinepitch/scheduling/configuration.py
@@ -1,4 +1,6 @@
-"""The routes and services in force: checked, replaced whole or by named items, looked up."""
+"""The configuration of routes, services and tenants: validation, replacement as a whole or by named items,
+and lookup of routes.
+"""
 
 import collections
 import hashlib
@@ -13,13 +15,13 @@
 from ..model.validation import shaped
 from ..model.validation import whole_number as _whole_number
 from .plain_types import Document, Faults, Image, Outcome
-from .tenants import TENANT, Tenants, shared_keys, with_keys
+from .tenants import TENANT_SCHEMA, Tenants, listed_tenants, shared_key_faults
 
 _NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_NAME_LENGTH))
 _PREFIX = voluptuous.All(
     str, voluptuous.Length(min=1, max=constants.MAX_PREFIX_LENGTH), voluptuous.Match(r"^/")
 )
-ROUTE = {
+ROUTE_SCHEMA = {
     voluptuous.Required("name"): _NAME,
     voluptuous.Required("host"): _NAME,
     voluptuous.Required("prefix"): _PREFIX,
@@ -31,142 +33,153 @@
     voluptuous.Optional("stretch"): _number(0, constants.MAX_NUMBER),
     voluptuous.Extra: object,
 }
-SERVICE = {
+SERVICE_SCHEMA = {
     voluptuous.Required("name"): _NAME,
     voluptuous.Optional("guards"): bool,
     voluptuous.Extra: object,
 }
-SHAPE = voluptuous.Schema(
+CONFIGURATION_SCHEMA = voluptuous.Schema(
     {
         voluptuous.Required("version"): _whole_number(1, constants.MAX_NUMBER),
-        voluptuous.Required("routes"): [ROUTE],
-        voluptuous.Required("services"): [SERVICE],
+        voluptuous.Required("routes"): [ROUTE_SCHEMA],
+        voluptuous.Required("services"): [SERVICE_SCHEMA],
         voluptuous.Extra: object,
     }
 )
-LISTS = ("routes", "services")
-PUBLIC_SHAPE = voluptuous.Schema(
+LISTS = ("routes", "services")  # the members of a configuration that are lists of named items
+PUBLIC_ROUTES_SCHEMA = voluptuous.Schema(
     {
         voluptuous.Required("routes"): [{voluptuous.Optional("public"): bool, voluptuous.Extra: object}],
         voluptuous.Extra: object,
     }
 )
-TENANTS_SHAPE = voluptuous.Schema({voluptuous.Optional("tenants"): [TENANT], voluptuous.Extra: object})
+TENANTS_SCHEMA = voluptuous.Schema(
+    {voluptuous.Optional("tenants"): [TENANT_SCHEMA], voluptuous.Extra: object}
+)
+
 
+def faults_of(document: Any, with_tenants: bool = False, keeps_tenants: bool = False) -> Faults:
+    """The faults of a whole configuration, () if it may come into force.
 
-def checked(document: Any, with_tenants: bool = False, keeps_tenants: bool = False) -> Faults:
-    """Faults of a whole configuration, () when it may come into force. Tenants, and which routes are public,
-    are looked at only where the entry of the log says so: what older versions took without a look stays
-    taken, also by a change that keeps the tenants in force.
+    The tenants, and which routes are public, are validated only if the log entry says so (`with_tenants`).
+    What older versions accepted without validation stays accepted, even by a change that leaves the tenants
+    as they are (`keeps_tenants`).
     """
-    faults: Faults = shaped(SHAPE, document)[1]
+    faults: Faults = shaped(CONFIGURATION_SCHEMA, document)[1]
     if not faults and with_tenants:
-        faults = shaped(PUBLIC_SHAPE, document)[1]
+        faults = shaped(PUBLIC_ROUTES_SCHEMA, document)[1]
     with_tenants = with_tenants and not keeps_tenants
     if not faults and with_tenants:
-        faults = shaped(TENANTS_SHAPE, document)[1]
+        faults = shaped(TENANTS_SCHEMA, document)[1]
     if faults:
         return faults
-    found: list[tuple[str, str]] = []
-    places: dict[tuple[str, str], str] = {}
+    item_faults: list[tuple[str, str]] = []
+    routes_by_address: dict[tuple[str, str], str] = {}  # (host, prefix) -> name of its route
     services = {service["name"] for service in document["services"]}
     tenants = document.get("tenants", ()) if with_tenants else ()
-    found.extend(shared_keys(tenants))
+    item_faults.extend(shared_key_faults(tenants))
     for kind in (*LISTS, "tenants") if tenants else LISTS:
         counts = collections.Counter(item["name"] for item in document[kind])
-        found.extend((f"{kind}.{name}", "named twice") for name in sorted(counts) if counts[name] > 1)
+        item_faults.extend((f"{kind}.{name}", "named twice") for name in sorted(counts) if counts[name] > 1)
     for route in document["routes"]:
-        place = (route["host"].lower(), route["prefix"])
+        address = (route["host"].lower(), route["prefix"])
         if route["service"] not in services:
-            found.append((f"routes.{route['name']}.service", f"no service {route['service']!r}"))
-        if place in places:
-            found.append(
-                (f"routes.{route['name']}", f"{route['host']}{route['prefix']} is that of {places[place]}")
+            item_faults.append((f"routes.{route['name']}.service", f"no service {route['service']!r}"))
+        if address in routes_by_address:
+            item_faults.append(
+                (
+                    f"routes.{route['name']}",
+                    f"{route['host']}{route['prefix']} is that of {routes_by_address[address]}",
+                )
             )
-        places[place] = route["name"]
+        routes_by_address[address] = route["name"]
         if route.get("timeout_ms", 1) == 0:
-            found.append((f"routes.{route['name']}.timeout_ms", "0 leaves no time"))
-    return tuple(found)
+            item_faults.append((f"routes.{route['name']}.timeout_ms", "0 leaves no time"))
+    return tuple(item_faults)
 
 
-def _named(items: object) -> bool:
-    """Whether something is a list of items that each have a name."""
+def _is_named_list(items: object) -> bool:
+    """Whether a value is a list of items that each have a name."""
     return isinstance(items, list) and all(
-        isinstance(one, dict) and isinstance(one.get("name"), str) for one in items
+        isinstance(item, dict) and isinstance(item.get("name"), str) for item in items
     )
 
 
 def amended(
     document: Document, version: Any, upserts: dict[str, Any], removes: dict[str, Any]
 ) -> tuple[Any, Faults]:
-    """(the document with named items put in and taken out, ()) or (None, faults)."""
+    """(the document with named items added, replaced and removed, ()) or (None, faults)."""
     changed: Document = {**document, "version": version}
     for part, items in upserts.items():
-        if not _named(items):
+        if not _is_named_list(items):
             return None, ((f"upserts.{part}", "expected a list of named items"),)
-        fresh = {item["name"]: item for item in items}
-        if len(fresh) < len(items):
+        new_items = {item["name"]: item for item in items}
+        if len(new_items) < len(items):
             return None, ((f"upserts.{part}", "an item is named twice"),)
-        before = changed.get(part, [])
-        if not _named(before):
+        current = changed.get(part, [])
+        if not _is_named_list(current):
             return None, ((f"upserts.{part}", "not a list of named items"),)
-        changed[part] = [fresh.pop(one["name"], one) for one in before] + list(fresh.values())
+        changed[part] = [new_items.pop(old["name"], old) for old in current] + list(new_items.values())
     for part, names in removes.items():
-        if not isinstance(names, list) or not _named(changed.get(part)):
+        if not isinstance(names, list) or not _is_named_list(changed.get(part)):
             return None, ((f"removes.{part}", "expected names out of a list of named items"),)
-        changed[part] = [one for one in changed[part] if one["name"] not in names]
+        changed[part] = [old for old in changed[part] if old["name"] not in names]
     return changed, ()
 
 
 def digest_of(value: object) -> str:
-    """What tells two calls with one version apart."""
+    """A digest that distinguishes different calls with the same version: 16 hexadecimal digits."""
     return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()[:16]
 
 
 class Configuration:
-    """What is in force, and which calls brought earlier versions. Invariants: version is that
-    of document, 0 while there is none; taken holds the digest of the call behind each of the
-    newest CONFIGURATIONS_KEPT versions; places lists each host's routes, longest prefix first.
+    """The configuration in force, and the digests of the calls that made it and earlier versions.
+
+    Invariants: `version` is that of `document`, 0 while there is none. `taken` contains, for each of the
+    newest CONFIGURATIONS_KEPT versions, the digest of the call that made it. `routes_by_host` lists the
+    routes of each host, those with the longest prefixes first.
     """
 
     def __init__(self, document: Document | None = None, taken: Iterable[tuple[int, str]] = ()) -> None:
-        self.taken = dict(taken)
-        self._put(document)
+        self.taken = dict(taken)  # version -> digest of its call
+        self._set_document(document)
 
-    def _put(self, document: Document | None) -> None:
+    def _set_document(self, document: Document | None) -> None:
         self.document = document
         self.version: int = document["version"] if document else 0
-        self.places: dict[str, list[tuple[str, Document]]] = {}  # host -> (prefix, route)s, longest first
+        self.routes_by_host: dict[str, list[tuple[str, Document]]] = {}  # host -> [(prefix, route)]
         self.routes: dict[str, Document] = {}  # by name
         self.services: dict[str, Document] = {}  # by name
         if document:
             for route in document["routes"]:
-                self.places.setdefault(route["host"].lower(), []).append((route["prefix"], route))
+                self.routes_by_host.setdefault(route["host"].lower(), []).append((route["prefix"], route))
                 self.routes[route["name"]] = route
-            for places in self.places.values():
-                places.sort(key=lambda one: -len(one[0]))
+            for routes in self.routes_by_host.values():
+                routes.sort(key=lambda prefix_and_route: -len(prefix_and_route[0]))
             self.services = {service["name"]: service for service in document["services"]}
         self.tenants = Tenants(document)
 
     def image(self) -> Image:
-        """A value of which the same is made again."""
+        """The state as plain values, for a snapshot. Configuration(*image) rebuilds it."""
         return (self.document, tuple(self.taken.items()))
 
     def find(self, host: str, path: str) -> tuple[Document, str] | None:
-        """(route, the rest of the path) of the longest prefix that fits, or None."""
-        for prefix, route in self.places.get(host.lower(), ()):
+        """(route, rest of the path) of the route with the longest prefix that matches, or None."""
+        for prefix, route in self.routes_by_host.get(host.lower(), ()):
             if path.startswith(prefix):
                 return route, path[len(prefix) :]
         return None
 
     def _forgotten_below(self) -> int:
-        """The version below which calls may have been taken and forgotten, 0 if none is forgotten."""
+        """The version below which an accepted call may have been forgotten, 0 if none can have been."""
         return next(iter(self.taken)) if len(self.taken) >= constants.CONFIGURATIONS_KEPT else 0
 
     def _earlier_outcome(self, base: int, version: Any, digest: str) -> Outcome | None:
-        """The outcome of a call that was taken before or comes too late, or None: it may be taken.
+        """The outcome of a call that was accepted before or whose base is not in force, or None if it may be
+        accepted.
 
-        A call older than all that is remembered may have been taken, so it is not refused.
+        A call older than all that are remembered may have been accepted, so its outcome is "forgotten", which
+        does not say that it was refused.
         """
         is_number = type(version) is int
         if is_number and self.taken.get(version) == digest:
@@ -177,7 +190,7 @@
             return ("forgotten", version)
         return ("stale", self.version)
 
-    def take(
+    def replace(
         self,
         base: int,
         document: Document,
@@ -185,21 +198,22 @@
         with_tenants: bool = False,
         keeps_tenants: bool = False,
     ) -> Outcome:
-        """Brings a whole configuration into force in place of version `base`: ("configured", version). Else
-        ("stale", version in force), ("forgotten", version) or ("invalid", faults).
+        """Replaces version `base` by a whole configuration. Outcomes: ("configured", version), ("stale",
+        version in force), ("forgotten", version) or ("invalid", faults). The other arguments are those of
+        faults_of.
         """
-        version: Any = document.get("version")  # of any type, as it isn't checked yet
+        version: Any = document.get("version")  # of any type, as it is not validated yet
         earlier_outcome = self._earlier_outcome(base, version, digest)
         if earlier_outcome is not None and earlier_outcome[0] != "forgotten":
             return earlier_outcome
-        faults = checked(document, with_tenants, keeps_tenants)
+        faults = faults_of(document, with_tenants, keeps_tenants)
         if not faults and earlier_outcome is not None:
             return earlier_outcome
         if not faults and version <= self.version:
             faults = (("version", f"{version} is not above {self.version}"),)
         if faults:
             return ("invalid", faults)
-        self._put(document)
+        self._set_document(document)
         self.taken[version] = digest
         while len(self.taken) > constants.CONFIGURATIONS_KEPT:
             del self.taken[next(iter(self.taken))]
@@ -214,8 +228,9 @@
         digest: str,
         with_tenants: bool = False,
     ) -> Outcome:
-        """The same for named items: `upserts` by list, `removes` names by list (the users' page on
-        configuration).
+        """Changes named items of version `base`, with the outcomes of replace(). `upserts` maps the name of a
+        list to the items to add or replace in it, and `removes` to the names of the items to remove (see the
+        users' page on configuration).
         """
         earlier_outcome = self._earlier_outcome(base, version, digest)
         if earlier_outcome is not None:
@@ -226,5 +241,5 @@
         if faults:
             return ("invalid", faults)
         names_tenants = "tenants" in upserts or "tenants" in removes
-        keeps_tenants = not names_tenants and with_keys(self.document) is None
-        return self.take(base, document, digest, with_tenants, keeps_tenants)
+        keeps_tenants = not names_tenants and listed_tenants(self.document) is None
+        return self.replace(base, document, digest, with_tenants, keeps_tenants)
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -433,8 +433,8 @@
     def configure(
         self, now: float, base: int, document: Document, digest: str, with_tenants: bool = False
     ) -> Outcome:
-        """A whole configuration, as Configuration.take has it."""
-        return self.configuration.take(base, document, digest, with_tenants)
+        """A whole configuration, as Configuration.replace has it."""
+        return self.configuration.replace(base, document, digest, with_tenants)
 
     def amend(
         self,
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -191,7 +191,7 @@
 
 
 def configured(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer once Configuration.take or amend had this outcome."""
+    """The answer once Configuration.replace or amend had this outcome."""
     if outcome[0] == "configured":
         return Answer(200, {"version": outcome[1]})
     if outcome[0] == "stale":
--- a/src/pinepitch/scheduling/tenant_calls.py
+++ b/src/pinepitch/scheduling/tenant_calls.py
@@ -1,4 +1,4 @@
-"""What operators are told of tenants: reading calls, answered by the leader. No key is ever told."""
+"""Read-only calls of operators about tenants, answered by the leader. No answer contains a key."""
 
 import collections
 import math
@@ -11,11 +11,15 @@
 from .leased_job_state import LeasedJobState
 from .plain_types import Arguments, Document
 from .resources import NO_RESOURCES, Resources
-from .tenants import LIMITED_RESOURCES, Tenant, without_keys
+from .tenants import LIMITED_RESOURCES, Tenant, with_fingerprints
 
 
 class _JobCounts:
-    """The open jobs of tenants. Invariant: each count is by the name of a tenant, 0 where there are none."""
+    """Counts of the open jobs of each tenant.
+
+    Invariant: `open`, `excess` (jobs beyond the tenant's weight) and `waiting` (jobs with tasks that are
+    ready and due) are keyed by the tenant's name, and are 0 for a tenant without such jobs.
+    """
 
     def __init__(self, leased_jobs: LeasedJobState, excess: Set[str], time: float) -> None:
         self.open: collections.Counter[str] = collections.Counter()
@@ -29,8 +33,8 @@
                 self.waiting[job.tenant] += job.identity in due
 
 
-class _Reading:
-    """What is read for one answer."""
+class _TenantsReport:
+    """The data from which one answer about tenants is made."""
 
     def __init__(self, core: Daemon, now: float) -> None:
         assigner = core.assignments.assigner
@@ -39,16 +43,16 @@
         self.at_maximum = assigner.tenants_at_maximum(self.leased_jobs)
 
     def names(self) -> list[str]:
-        """The tenants in force, and those that still have jobs or runs."""
+        """The names of the tenants in force, and of those that still have jobs or runs."""
         in_force = self.leased_jobs.tenants.by_name
         return sorted({*in_force, *self.leased_jobs.used_by_tenant, *self.counts.open})
 
     def fingerprints(self, name: str) -> list[str]:
-        """Of the keys of a tenant."""
+        """The fingerprints of a tenant's keys."""
         return self.leased_jobs.tenants.fingerprints(name)
 
     def figures(self, name: str) -> Document:
-        """All that is told of a tenant but its keys."""
+        """The fields that are shown of a tenant, except those about its keys."""
         tenant = self.leased_jobs.tenants.by_name.get(name)
         return {
             "tenant": name,
@@ -67,33 +71,33 @@
 
 
 def _maximum(tenant: Tenant) -> Document:
-    """A tenant's maximum by resource, None for what is not limited."""
+    """The name of each resource -> a tenant's maximum, None if the resource is not limited."""
     limits = [limit if math.isfinite(limit) else None for limit in tenant.maximum]
     return dict(zip(LIMITED_RESOURCES, limits, strict=True))
 
 
 def tenants(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
-    """Each tenant, with how many keys it has."""
-    reading = _Reading(core, now)
-    listed = [{**reading.figures(name), "keys": len(reading.fingerprints(name))} for name in reading.names()]
+    """Shows every tenant, with the number of its keys."""
+    report = _TenantsReport(core, now)
+    listed = [{**report.figures(name), "keys": len(report.fingerprints(name))} for name in report.names()]
     return Answer(200, {"tenants": listed})
 
 
 def tenant(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
-    """One tenant, with a fingerprint of each of its keys."""
-    name, reading = arguments[0], _Reading(core, now)
-    if name not in reading.names():
+    """Shows one tenant, with the fingerprints of its keys."""
+    name, report = arguments[0], _TenantsReport(core, now)
+    if name not in report.names():
         return problem(404, "unknown_tenant", f"no tenant {name!r}")
-    return Answer(200, {**reading.figures(name), "fingerprints": reading.fingerprints(name)})
+    return Answer(200, {**report.figures(name), "fingerprints": report.fingerprints(name)})
 
 
-def configuration_shown(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
-    """The configuration in force, with fingerprints in place of keys."""
+def show_configuration(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
+    """Shows the configuration in force, with fingerprints instead of keys."""
     document = core.cluster_state.leased_jobs.configuration.document
     if document is None:
         return problem(503, "unconfigured", "no configuration is in force yet", constants.RETRY_AFTER)
-    return Answer(200, without_keys(document))
+    return Answer(200, with_fingerprints(document))
 
 
-# name on the wire -> how it is handled; part of control/requests/registry.py
-CALLS = {"tenants": tenants, "tenant": tenant, "configuration-shown": configuration_shown}
+# Name of a call on the wire -> its handler; control/requests/registry.py includes these.
+CALLS = {"tenants": tenants, "tenant": tenant, "configuration-shown": show_configuration}
--- a/src/pinepitch/scheduling/tenants.py
+++ b/src/pinepitch/scheduling/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants: by which keys their callers are known, and what each may have running at once."""
+"""Tenants: the keys that identify their callers, and the resources that each may use at once."""
 
 import hashlib
 import math
@@ -16,44 +16,44 @@
 _NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_NAME_LENGTH))
 _KEY = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_KEY_LENGTH))
 _LIMIT = _number(0, constants.MAX_NUMBER)
-MAXIMUM = {
+MAXIMUM_SCHEMA = {
     voluptuous.Optional("cpu"): _LIMIT,
     voluptuous.Optional("mem_mb"): _LIMIT,
     voluptuous.Optional("gpu"): _LIMIT,
     voluptuous.Extra: object,
 }
-TENANT = {
+TENANT_SCHEMA = {
     voluptuous.Required("name"): _NAME,
     voluptuous.Required("keys"): [_KEY],
     voluptuous.Optional("weight"): _number(0, constants.MAX_NUMBER),
-    voluptuous.Optional("maximum"): voluptuous.Any(None, MAXIMUM),
+    voluptuous.Optional("maximum"): voluptuous.Any(None, MAXIMUM_SCHEMA),
     voluptuous.Extra: object,
 }
-TENANTS = voluptuous.Schema([TENANT])
-FINGERPRINT_DIGITS = 8  # hexadecimal digits of a key's digest
+TENANT_LIST_SCHEMA = voluptuous.Schema([TENANT_SCHEMA])
+FINGERPRINT_DIGITS = 8  # the number of hexadecimal digits of a key's digest that make its fingerprint
 LIMITED_RESOURCES = ("cpu", "mem_mb", "gpu")  # in the order of resources.Resources
 
 
 class Tenant(NamedTuple):
-    """One tenant. Invariant: maximum has infinity for what is not limited."""
+    """One tenant. Invariant: `maximum` is infinite for resources that are not limited."""
 
     name: str
-    weight: float  # jobs a second; also its share once a service is full. 0 where it has none
+    weight: float  # jobs per second; also its share of a service that is full. 0 if it has no weight
     maximum: Amount  # thousandths of a core, megabytes, accelerators
 
     @property
     def is_limited(self) -> bool:
-        """Whether anything that it may have running is limited."""
-        return any(math.isfinite(one) for one in self.maximum)
+        """Whether any resource that the tenant may use is limited."""
+        return any(math.isfinite(limit) for limit in self.maximum)
 
-    def admits(self, used: Resources, asked: Resources) -> bool:
-        """Whether it may have `asked` running beside what it uses already."""
-        after = more(used, asked)
-        return all(after[kind] <= self.maximum[kind] or not asked[kind] for kind in RESOURCE_KINDS)
+    def admits(self, used: Resources, requested: Resources) -> bool:
+        """Whether the tenant may use `requested` in addition to `used`."""
+        total = more(used, requested)
+        return all(total[kind] <= self.maximum[kind] or not requested[kind] for kind in RESOURCE_KINDS)
 
     def admits_task(self, used: Resources, task: Resources) -> bool:
-        """The same for a single task; one that asks for more of a resource than the maximum runs where
-        nothing else takes of that resource.
+        """As admits(), for a single task: a task that needs more of a resource than the maximum is admitted
+        if the tenant uses nothing else of that resource.
         """
         return all(
             used[kind] + task[kind] <= self.maximum[kind] or not (task[kind] and used[kind])
@@ -61,56 +61,64 @@
         )
 
 
-def shared_keys(tenants: Iterable[Document]) -> Faults:
-    """A fault for each tenant with a key that an earlier one has. No key is named in it."""
+def shared_key_faults(tenants: Iterable[Document]) -> Faults:
+    """A fault for each tenant that has a key of an earlier one. The faults do not contain the keys."""
     faults: list[tuple[str, str]] = []
     owners: dict[str, str] = {}
     for tenant in tenants:
         others = {owners[key] for key in tenant["keys"] if owners.get(key, tenant["name"]) != tenant["name"]}
         faults.extend(
-            (f"tenants.{tenant['name']}.keys", f"shares a key with {one}") for one in sorted(others)
+            (f"tenants.{tenant['name']}.keys", f"shares a key with {other}") for other in sorted(others)
         )
         owners.update(dict.fromkeys(tenant["keys"], tenant["name"]))
     return tuple(faults)
 
 
 class Tenants:
-    """The tenants of the configuration in force. Invariants: keys are held as digests, so that looking one
-    up takes no time that tells of others; a configuration that names tenants and their keys asks for one on
-    every route that is not public, even when its list is empty.
+    """The tenants of the configuration in force.
+
+    Invariants: keys are looked up by their digests, so that the time that a lookup takes reveals nothing
+    about other keys. If a configuration has a valid list of tenants, even an empty one, a key is required on
+    every route that is not public.
     """
 
     def __init__(self, document: Document | None) -> None:
-        listed = with_keys(document)
+        listed = listed_tenants(document)
         self.keys_required = listed is not None
         self.by_name: dict[str, Tenant] = {}
-        self._names: dict[bytes, str] = {}  # digest of a key -> name of its tenant
+        self._names_by_digest: dict[bytes, str] = {}  # digest of a key -> name of its tenant
         for tenant in listed or ():
-            self.by_name[tenant["name"]] = _tenant_of(tenant)
-            self._names.update({_digest(key): tenant["name"] for key in tenant["keys"]})
+            self.by_name[tenant["name"]] = _parse_tenant(tenant)
+            self._names_by_digest.update({_digest(key): tenant["name"] for key in tenant["keys"]})
 
     def owner(self, key: str) -> str | None:
         """The name of the tenant that a key belongs to, or None."""
-        return self._names.get(_digest(key))
+        return self._names_by_digest.get(_digest(key))
 
     def fingerprints(self, name: str) -> list[str]:
-        """The first digits of the digest of each key of a tenant: they tell keys apart, and are none."""
-        return sorted(_fingerprint(digest) for digest, owner in self._names.items() if owner == name)
+        """The fingerprints of a tenant's keys: the first digits of their digests, which distinguish the keys
+        without revealing them.
+        """
+        return sorted(
+            _fingerprint(digest) for digest, owner in self._names_by_digest.items() if owner == name
+        )
 
     def limited(self, name: str) -> Tenant | None:
-        """The tenant of that name if it is limited in what it may have running, else None."""
+        """The tenant of that name if any resource that it may use is limited, else None."""
         tenant = self.by_name.get(name)
         return tenant if tenant is not None and tenant.is_limited else None
 
 
-def without_keys(document: Document) -> Document:
-    """A configuration with the fingerprint of each key in the key's place; without its tenants where they are
-    in a form in which keys can't be told.
+def with_fingerprints(document: Document) -> Document:
+    """A configuration in which every key is replaced by its fingerprint. If its tenants are not a valid list,
+    so that keys cannot be recognized in it, they are left out.
     """
-    listed = with_keys(document)
+    listed = listed_tenants(document)
     if listed is None:
-        return {part: one for part, one in document.items() if part != "tenants"}
-    tenants = [{**one, "keys": [_fingerprint(_digest(key)) for key in one["keys"]]} for one in listed]
+        return {part: value for part, value in document.items() if part != "tenants"}
+    tenants = [
+        {**tenant, "keys": [_fingerprint(_digest(key)) for key in tenant["keys"]]} for tenant in listed
+    ]
     return {**document, "tenants": tenants}
 
 
@@ -122,24 +130,24 @@
     return hashlib.sha256(key.encode("utf-8", "surrogatepass")).digest()
 
 
-def with_keys(document: Document | None) -> list[Document] | None:
-    """The tenants that a configuration lists with their keys; None where it lists none, or in a form that
-    only versions took which did not look at tenants.
+def listed_tenants(document: Document | None) -> list[Document] | None:
+    """The list of tenants in a configuration. None if there is no such list, or if it is not valid: versions
+    that did not validate tenants accepted any value there.
     """
     tenants: list[Document] | None = (document or {}).get("tenants")
-    return None if shaped(TENANTS, tenants)[1] else tenants
+    return None if shaped(TENANT_LIST_SCHEMA, tenants)[1] else tenants
 
 
-def _tenant_of(document: Document) -> Tenant:
-    """A tenant of its part of a checked configuration."""
+def _parse_tenant(document: Document) -> Tenant:
+    """Makes a tenant from its item in a valid configuration."""
     limits = document.get("maximum") or {}
-    cpu, memory, accelerators = (limits.get(one) or math.inf for one in LIMITED_RESOURCES)
+    cpu, memory, accelerators = (limits.get(resource) or math.inf for resource in LIMITED_RESOURCES)
     return Tenant(document["name"], document.get("weight", 0), (cpu, memory, accelerators))
 
 
 class TenantCapacity:
-    """What tenants may still be given in the round under way. Invariant: as long as no more is charged than
-    was allowed, the state admits it.
+    """The capacity that tenants may still be given in the current scheduling round. Invariant: as long as
+    only allowed tasks are charged, LeasedJobState.assign admits them.
     """
 
     def __init__(self, tenants: Tenants, used: dict[str, Amount]) -> None:
@@ -147,7 +155,7 @@
         self.used = dict(used)  # name of a tenant -> resources of its placements
 
     def allowance(self, name: str, task: Resources, wanted: int) -> int:
-        """How many of `wanted` alike tasks a tenant may be given."""
+        """How many of `wanted` identical tasks the tenant may be given."""
         tenant = self.tenants.limited(name)
         if tenant is None:
             return wanted
@@ -162,10 +170,10 @@
         return min([wanted, *counts])
 
     def copy(self) -> Self:
-        """The same, to be charged by itself."""
+        """A copy that can be charged independently."""
         return type(self)(self.tenants, self.used)
 
     def charge(self, name: str, resources: Resources) -> None:
-        """Resources that a tenant is given."""
+        """Counts resources that a tenant is given as used."""
         if name:
             self.used[name] = more(self.used.get(name, NO_RESOURCES), resources)
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -180,7 +180,7 @@
 def _taken_forgotten(self, document=None, taken=()):
     """Forgets which calls brought earlier versions whenever it is decoded."""
     self.taken = {}
-    self._put(document)
+    self._set_document(document)
 
 
 def _boundless(*names):
--- a/src/pinepitch/simulation/isolation/injected_faults.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -71,8 +71,8 @@
         (constants, "CHECK_QUORUM", 15.0),
     ],
     "doubt-unsaid": [(Forwarder, "_given_up", _never_in_doubt)],
-    "refused-at-will": [(Configuration, "take", _refusing(Configuration.take))],
-    "taken-forgotten": [(Configuration, "take", _forgetting(Configuration.take))],
+    "refused-at-will": [(Configuration, "replace", _refusing(Configuration.replace))],
+    "taken-forgotten": [(Configuration, "replace", _forgetting(Configuration.replace))],
 }
 
 
--- a/src/pinepitch/simulation/jobs/control_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/control_injected_faults.py
@@ -52,14 +52,14 @@
 
 
 original_save, original_durable = Simulator._save, Simulator._durable
-original_take, original_amend = Configuration.take, Configuration.amend
+original_take, original_amend = Configuration.replace, Configuration.amend
 original_admission, original_evacuate = MembershipChanges._admission, LeasedJobState.evacuate
 CONTROL_INJECTED_FAULTS = {
     "committed-alone": [(Membership, "commits", lambda self, identities, leader: leader in identities)],
     "saved-early": [(Simulator, "_save", _saved_early)],
     "durable-when-full": [(Simulator, "_durable", _durable_when_full)],
     "versions-forgotten": [
-        (Configuration, "take", _sent_again_unknown),
+        (Configuration, "replace", _sent_again_unknown),
         (Configuration, "amend", _amended_again_unknown),
     ],
     "clock-of-its-own": [(ClusterClock, "read", _own_clock)],
--- a/src/pinepitch/simulation/jobs/key_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/key_injected_faults.py
@@ -41,11 +41,11 @@
 
 
 original_caller, original_admitted = requests._caller, requests._admitted
-original_amend, original_put = Configuration.amend, Configuration._put
+original_amend, original_put = Configuration.amend, Configuration._set_document
 KEY_INJECTED_FAULTS = {
     "key-unchecked": [(requests, "_caller", _key_unchecked)],
     "missing-key-unchecked": [(requests, "_caller", _missing_key_unchecked)],
     "keys-not-renewed": [(Configuration, "amend", _keys_not_renewed)],
-    "keys-one-version-late": [(Configuration, "_put", _keys_from_version_before)],
+    "keys-one-version-late": [(Configuration, "_set_document", _keys_from_version_before)],
     "owner-unheeded": [(requests, "_admitted", _owner_unheeded)],
 }
--- a/src/pinepitch/simulation/order_injected_faults.py
+++ b/src/pinepitch/simulation/order_injected_faults.py
@@ -82,7 +82,7 @@
     "taken-not-in-snapshots": [(Configuration, "image", _forgets_at_restart)],
     "order-of-members-counts": [(configuration, "digest_of", _member_order_counts)],
     "old-changes-refused": [(Configuration, "_forgotten_below", _old_is_refused)],
-    "faults-unseen": [(configuration, "checked", lambda *document: ())],
+    "faults-unseen": [(configuration, "faults_of", lambda *document: ())],
     # A late order is stopped by the end that its carried copy bears, too: without both it is taken.
     "late-orders-taken": [
         *LATE_ORDERS,
