--- a/features/steps/leased_jobs.py
+++ b/features/steps/leased_jobs.py
@@ -526,7 +526,7 @@
     def take(self, leased_jobs, record):
         _, identity, queue, plain = super().take(leased_jobs, record)
         spec, steps, *when = plain
-        place = jobs.FIELDS.index("mem_mb")
+        place = jobs.STEP_FIELDS.index("mem_mb")
         changed = []
         for step in steps:
             fields = list(step)
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -1,5 +1,5 @@
-"""Why jobs are where they are, which workers there are, what is in force: reading calls for
-operators, answered from the cluster state and from what the leader has gathered.
+"""Read-only calls for operators: the state of a job and why its tasks are waiting, the workers, and the
+evacuated zones. They are answered from the cluster state and from what the leader has gathered in memory.
 """
 
 from typing import Any
@@ -22,26 +22,26 @@
     return dict(zip(RESOURCE_NAMES, resources, strict=False))
 
 
-def _taken(placements: Placements) -> Amount:
-    """The capacity of placements, added up."""
-    taken = NO_RESOURCES
+def _used(placements: Placements) -> Amount:
+    """The sum of the resources of placements."""
+    used = NO_RESOURCES
     for placement in placements.values():
-        taken = more(taken, placement.resources)
-    return taken
+        used = more(used, placement.resources)
+    return used
 
 
-def _free(leased_jobs: LeasedJobState, worker: Worker) -> Amount:
-    """What is left of a worker's capacity beside its placements; below 0 where they take more."""
-    return less(worker.capacity, _taken(leased_jobs.placements.get(worker.identity, {})))
+def _free_capacity(leased_jobs: LeasedJobState, worker: Worker) -> Amount:
+    """A worker's capacity minus the resources of its placements; below 0 if these exceed the capacity."""
+    return less(worker.capacity, _used(leased_jobs.placements.get(worker.identity, {})))
 
 
 # --- jobs ----------------------------------------------------------------------------
 def job(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
-    """A job's waves and placements, and why what waits does."""
+    """Shows a job with its batches of tasks and its placements, and why tasks are waiting."""
     identity, leased_jobs = arguments[0], core.cluster_state.leased_jobs
-    found = leased_jobs.jobs.get(identity)
-    if found is not None:
-        return Answer(200, _open_job(core, found, now))
+    open_job = leased_jobs.jobs.get(identity)
+    if open_job is not None:
+        return Answer(200, _open_job(core, open_job, now))
     final = leased_jobs.final.get(identity)
     if final is not None:
         return Answer(200, _final_job(core, identity, final))
@@ -49,7 +49,7 @@
 
 
 def _final_job(core: Daemon, identity: str, final: FinalJob) -> Document:
-    """A job that is over: runs of it may still stand whose ends are not proven."""
+    """A job that is over. It may still have placements: those of runs whose ends are not proven yet."""
     return {
         "job": identity,
         "state": final.state,
@@ -62,77 +62,78 @@
     }
 
 
-def _open_job(core: Daemon, found: LeasedJob, now: float) -> Document:
+def _open_job(core: Daemon, open_job: LeasedJob, now: float) -> Document:
     """A job that is not over."""
     time = core.cluster_time(now)
-    # what is not done comes first, so that a page's bound leaves out what is of least interest
-    waves = sorted(found.waves.values(), key=lambda wave: (not wave.left, wave.time, wave.number))
+    # Batches that are not done come first, so that the limit of a page leaves out those of least interest.
+    waves = sorted(open_job.waves.values(), key=lambda wave: (not wave.left, wave.time, wave.number))
     listed_waves = [_wave(core, wave, time, now) for wave in waves[: constants.MAX_PAGE_ROWS]]
     return {
-        "job": found.identity,
-        "state": core.cluster_state.leased_jobs.state(found.identity),
-        "queue": found.queue,
-        **_tenant(found.tenant),
-        **_beyond_weight(core, found),
-        "service": found.service,
-        "priority": found.priority,
-        "attempts": found.attempts,
-        "accepted": found.accepted,
+        "job": open_job.identity,
+        "state": core.cluster_state.leased_jobs.state(open_job.identity),
+        "queue": open_job.queue,
+        **_tenant(open_job.tenant),
+        **_beyond_weight(core, open_job),
+        "service": open_job.service,
+        "priority": open_job.priority,
+        "attempts": open_job.attempts,
+        "accepted": open_job.accepted,
         "ended": None,
         "waves": listed_waves,
         "more_waves": len(waves) - len(listed_waves),
-        "placements": _placements(core, found.identity),
+        "placements": _placements(core, open_job.identity),
     }
 
 
 def _tenant(name: str) -> Document:
-    """The tenant of a job, as part of its explanation; nothing for a job of none."""
+    """The field with the tenant of a job; no field for a job without one."""
     return {"tenant": name} if name else {}
 
 
-def _beyond_weight(core: Daemon, found: LeasedJob) -> Document:
-    """Whether a job of a tenant lies beyond the tenant's weight, as this leader judges it."""
-    return {"beyond_weight": core.assignments.assigner.shares.is_excess(found)} if found.tenant else {}
+def _beyond_weight(core: Daemon, open_job: LeasedJob) -> Document:
+    """The field that shows whether a tenant's job is beyond the tenant's weight, as this leader judges it."""
+    return {"beyond_weight": core.assignments.assigner.shares.is_excess(open_job)} if open_job.tenant else {}
 
 
 def _wave(core: Daemon, wave: Wave, time: float, now: float) -> Document:
+    """A batch of tasks with the number of its tasks in each state."""
     states = {WAITING: 0, PLACED: 0, DONE: 0}
     for task in wave.tasks:
         states[task.state] += 1
-    each = [task.failures for task in wave.tasks]
-    line = {
+    failures = [task.failures for task in wave.tasks]
+    shown = {
         "time": wave.time,
         "step": wave.number,
         "due": wave.due,
         "since": wave.since,
         **states,
         "gang": wave.step.gang,
-        "failures": wave.failures if wave.step.gang else sum(each),
-        "most_failures": wave.failures if wave.step.gang else max(each),
-        "why": _why(core, wave, time),
+        "failures": wave.failures if wave.step.gang else sum(failures),
+        "most_failures": wave.failures if wave.step.gang else max(failures),
+        "why": _waiting_reason(core, wave, time),
     }
     if states[WAITING] and not wave.blocked and wave.due <= time:
-        line["candidates"] = _candidates(core, wave, now)
-    return line
+        shown["candidates"] = _candidates(core, wave, now)
+    return shown
 
 
-def _why(core: Daemon, wave: Wave, time: float) -> str:
-    """What a wave waits for, or "" when none of it waits."""
+def _waiting_reason(core: Daemon, wave: Wave, time: float) -> str:
+    """What the waiting tasks of a batch wait for, or "" if none is waiting."""
     if not wave.waiting:
         return ""
     if wave.blocked:
-        steps = [one for one in wave.step.after if wave.job.waves[(wave.time, one)].left]
-        return "waits for " + ", ".join(f"step {one}" for one in steps)
+        steps = [number for number in wave.step.after if wave.job.waves[(wave.time, number)].left]
+        return "waits for " + ", ".join(f"step {number}" for number in steps)
     if wave.due > time:
         return f"not before {wave.due:.3f}"
-    if wave.breaking():
+    if wave.is_partly_placed():
         return "waits for the ends of the rest of its gang"
-    why = core.assignments.assigner.why.get(wave.key(), "not yet looked at by a round")
-    return why + _over_maximum(core, wave) if why == REASON_TENANT_AT_MAXIMUM else why
+    reason = core.assignments.assigner.why.get(wave.key(), "not yet looked at by a round")
+    return reason + _over_maximum(core, wave) if reason == REASON_TENANT_AT_MAXIMUM else reason
 
 
 def _over_maximum(core: Daemon, wave: Wave) -> str:
-    """What a tenant uses and may use of each resource of which a wave asks for too much."""
+    """The use and the maximum of a tenant, for each resource of which a batch asks for too much."""
     leased_jobs, step = core.cluster_state.leased_jobs, wave.step
     tenant = leased_jobs.tenants.limited(wave.job.tenant)
     if tenant is None:
@@ -148,22 +149,25 @@
 
 
 def _candidates(core: Daemon, wave: Wave, now: float) -> dict[str, int]:
-    """How many workers of the job's service each reason rules out."""
+    """Reason -> how many workers of the job's service it excludes; "open" counts those that it does not."""
     counts: dict[str, int] = {}
     for worker in core.assignments.workers.values():
         if worker.service == wave.job.service:
-            why = _ruled_out(core, worker, wave, now)
-            counts[why] = counts.get(why, 0) + 1
+            reason = _exclusion_reason(core, worker, wave, now)
+            counts[reason] = counts.get(reason, 0) + 1
     return counts
 
 
-def _ruled_out(core: Daemon, worker: Worker, wave: Wave, now: float) -> str:
-    """What keeps a worker from one more task of a wave, or "open"."""
+def _exclusion_reason(core: Daemon, worker: Worker, wave: Wave, now: float) -> str:
+    """Why a worker cannot get one more task of a batch, or "open" if it can."""
     leased_jobs, step = core.cluster_state.leased_jobs, wave.step
     placements = leased_jobs.placements.get(worker.identity, {})
     lacking = sorted(set(step.needs) - worker.labels)
-    free = _free(leased_jobs, worker)
-    of_step = sum((one.job, one.number) == (wave.job.identity, wave.number) for one in placements.values())
+    free = _free_capacity(leased_jobs, worker)
+    of_step = sum(
+        (placement.job, placement.number) == (wave.job.identity, wave.number)
+        for placement in placements.values()
+    )
     closed = _closed(leased_jobs, worker, now)
     if closed:
         return closed
@@ -171,7 +175,7 @@
         return "runs what is not placed there"
     if lacking:
         return "lacks " + ", ".join(lacking)
-    if any(wants > left for wants, left in zip(step.resources, free, strict=False)):
+    if any(needed > available for needed, available in zip(step.resources, free, strict=False)):
         return "no room"
     if step.apart and of_step >= step.apart:
         return f"has {of_step} of the step, apart {step.apart}"
@@ -181,7 +185,7 @@
 
 
 def _closed(leased_jobs: LeasedJobState, worker: Worker, now: float) -> str:
-    """Why a worker gets no new work of any kind, or ""."""
+    """Why a worker gets no new work at all, or "" if it may get some."""
     if worker.unresponsive(now):
         return "silent"
     if worker.state != READY:
@@ -194,43 +198,43 @@
 
 
 def _placements(core: Daemon, identity: str) -> list[Document]:
-    """Every run of a job whose end is not proven, as agreed on and as its worker lists it."""
+    """The placements of a job, each with what its worker's newest heartbeat lists of the run."""
     listed = []
     for worker_id, placements in core.cluster_state.leased_jobs.placements.items():
         worker = core.assignments.workers.get(worker_id)
-        for (reference, run), one in placements.items():
-            if one.job == identity:
-                seen = worker.running.get((reference, run)) if worker else None
+        for (reference, run), placement in placements.items():
+            if placement.job == identity:
+                saved_and_percent = worker.running.get((reference, run)) if worker else None
                 listed.append(
                     {
                         "task": reference,
                         "run": run,
                         "minion": worker_id,
-                        "since": one.since,
-                        "epoch": one.epoch,
-                        "stop": one.stop,
-                        "running": seen is not None,
-                        "percent": seen[1] if seen else None,
+                        "since": placement.since,
+                        "epoch": placement.epoch,
+                        "stop": placement.stop,
+                        "running": saved_and_percent is not None,
+                        "percent": saved_and_percent[1] if saved_and_percent else None,
                     }
                 )
-    return sorted(listed, key=lambda one: (one["task"], one["run"]))
+    return sorted(listed, key=lambda shown: (shown["task"], shown["run"]))
 
 
 # --- workers, evacuations ------------------------------------------------------------
 def workers(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
-    """Each worker this leader knows, and those that only placements name."""
+    """Shows every worker that this leader has heartbeats of, and every other worker that has placements."""
     known, leased_jobs = core.assignments.workers, core.cluster_state.leased_jobs
     listed = []
     for identity in sorted(set(known) | set(leased_jobs.placements)):
-        line = _unheard(identity, len(leased_jobs.placements.get(identity, {})))
+        shown = _unreported_worker(identity, len(leased_jobs.placements.get(identity, {})))
         if identity in known:
-            line.update(_heard(leased_jobs, known[identity], now))
-        listed.append(line)
+            shown.update(_reported_fields(leased_jobs, known[identity], now))
+        listed.append(shown)
     return Answer(200, {"workers": listed})
 
 
-def _unheard(identity: str, placed: int) -> Document:
-    """A worker that only placements name."""
+def _unreported_worker(identity: str, placed: int) -> Document:
+    """A worker that has placements, but sent this leader no heartbeat."""
     return {
         "minion": identity,
         "service": None,
@@ -250,8 +254,8 @@
     }
 
 
-def _heard(leased_jobs: LeasedJobState, worker: Worker, now: float) -> Document:
-    """What a worker's heartbeats tell of it, in the fields that _unheard lists."""
+def _reported_fields(leased_jobs: LeasedJobState, worker: Worker, now: float) -> Document:
+    """The fields of _unreported_worker that follow from a worker's heartbeats."""
     return {
         "service": worker.service,
         "zone": worker.zone,
@@ -259,7 +263,7 @@
         "state": worker.state,
         "closed": _closed(leased_jobs, worker, now),
         "room": _resources_of(worker.capacity),
-        "free": _resources_of(_free(leased_jobs, worker)),
+        "free": _resources_of(_free_capacity(leased_jobs, worker)),
         "running": len(worker.running),
         "silent": worker.unresponsive(now),
         "wary": now < worker.avoided_until,
@@ -270,7 +274,7 @@
 
 
 def evacuations(core: Daemon, token: Any, arguments: Arguments, now: float) -> Answer:
-    """The zones that get no new work, and since when."""
+    """Shows the evacuated zones, which get no new work, and since when they are evacuated."""
     return Answer(
         200,
         {
@@ -282,5 +286,5 @@
     )
 
 
-# name on the wire -> how it is handled; part of control/requests/registry.py
+# Name of a call on the wire -> its handler; control/requests/registry.py includes these.
 CALLS = {"job-explain": job, "workers": workers, "evacuations": evacuations}
--- a/src/pinepitch/scheduling/leased_job.py
+++ b/src/pinepitch/scheduling/leased_job.py
@@ -1,4 +1,4 @@
-"""A job: steps of like tasks, run once or at given times. What a caller hands in, checked."""
+"""A leased job: steps of identical tasks, run once or at given times. Also validates submitted jobs."""
 
 import hashlib
 import json
@@ -14,19 +14,19 @@
 from .plain_types import Faults, Image
 from .resources import Amount
 
-# What tells waves apart: (identity of the job, time, number of the step).
+# The key of a batch of tasks: (identity of the job, index of the time, number of the step).
 WaveKey = tuple[str, int, int]
-# A job as it is handed in, checked and plain: (spec, steps, first_ms, every_ms, times).
+# A submitted job, validated and made of plain values: (spec, steps, first_ms, every_ms, times).
 PlainJob = tuple[Any, ...]
-# What a job's queue says of it: (service, attempts, priority, latency target in ms, stretch).
-Terms = tuple[str, int, int, float, float]
+# The settings that a job takes from its route: (service, attempts, priority, latency target in ms, stretch).
+RouteSettings = tuple[str, int, int, float, float]
 
 
-def _short(most: int) -> voluptuous.All:
-    return voluptuous.All(str, voluptuous.Length(max=most))
+def _text_up_to(max_length: int) -> voluptuous.All:
+    return voluptuous.All(str, voluptuous.Length(max=max_length))
 
 
-STEP = {
+STEP_SCHEMA = {
     voluptuous.Required("count", default=1): _whole_number(1, constants.MAX_STEP_TASKS),
     voluptuous.Optional("cpu", default=0): _whole_number(0, constants.MAX_NUMBER),
     voluptuous.Optional("mem_mb", default=0): _whole_number(0, constants.MAX_NUMBER),
@@ -36,18 +36,18 @@
     voluptuous.Optional("gang", default=False): bool,
     voluptuous.Optional("tight", default=False): bool,
     voluptuous.Optional("needs", default=None): voluptuous.Any(None, str, [str]),
-    voluptuous.Optional("near", default=""): _short(constants.MAX_NAME_LENGTH),
+    voluptuous.Optional("near", default=""): _text_up_to(constants.MAX_NAME_LENGTH),
     voluptuous.Optional("apart", default=0): _whole_number(0, constants.MAX_NUMBER),
     voluptuous.Optional("saves", default=False): bool,
     voluptuous.Optional("twice", default=False): bool,
     voluptuous.Optional("lasts", default=False): bool,
     voluptuous.Extra: object,
 }
-SHAPE = voluptuous.Schema(
+JOB_SCHEMA = voluptuous.Schema(
     {
-        voluptuous.Optional("spec", default=""): _short(constants.MAX_SPEC_LENGTH),
+        voluptuous.Optional("spec", default=""): _text_up_to(constants.MAX_SPEC_LENGTH),
         voluptuous.Required("steps"): voluptuous.All(
-            [STEP], voluptuous.Length(min=1, max=constants.MAX_STEPS)
+            [STEP_SCHEMA], voluptuous.Length(min=1, max=constants.MAX_STEPS)
         ),
         voluptuous.Optional("first_ms", default=0): _number(0, constants.MAX_NUMBER),
         voluptuous.Optional("every_ms", default=0): _number(0, constants.MAX_NUMBER),
@@ -56,41 +56,39 @@
         voluptuous.Extra: object,
     }
 )
-# the order in which a plain step holds its fields: that of STEP
-FIELDS = tuple(str(key) for key in STEP if key is not voluptuous.Extra)
+# The fields of a plain step, in the order of STEP_SCHEMA.
+STEP_FIELDS = tuple(str(key) for key in STEP_SCHEMA if key is not voluptuous.Extra)
 
 
 def checked(document: object) -> tuple[PlainJob | None, Faults]:
-    """(plain job, ()) or (None, faults). Plain: (spec, steps, first_ms, every_ms, times), a step
-    being a tuple in the order of FIELDS.
+    """Validates a submitted job: (the job as plain values, ()) or (None, faults). In the plain form, each
+    step is a tuple in the order of STEP_FIELDS.
     """
-    plain, faults = shaped(SHAPE, document)
+    job, faults = shaped(JOB_SCHEMA, document)
     if faults:
         return None, faults
     steps = []
-    for place, step in enumerate(plain["steps"]):
-        if any(one >= place for one in step["after"]):
-            return None, ((f"steps.{place}.after", "names no earlier step"),)
+    for number, step in enumerate(job["steps"]):
+        if any(earlier >= number for earlier in step["after"]):
+            return None, ((f"steps.{number}.after", "names no earlier step"),)
         needs = step["needs"] or ()
         step["needs"] = (needs,) if isinstance(needs, str) else tuple(sorted(needs))
         step["after"] = tuple(sorted(set(step["after"])))
-        step["lasts"] = step["lasts"] or plain["lasts"]
-        steps.append(tuple(step[field] for field in FIELDS))
-    total = sum(step[0] for step in steps) * max(1, plain["times"])
+        step["lasts"] = step["lasts"] or job["lasts"]
+        steps.append(tuple(step[field] for field in STEP_FIELDS))
+    total = sum(step[0] for step in steps) * max(1, job["times"])
     if total > constants.MAX_JOB_TASKS:
         return None, (("steps", f"{total} tasks, over the {constants.MAX_JOB_TASKS} of one job"),)
-    return (plain["spec"], tuple(steps), plain["first_ms"], plain["every_ms"], plain["times"]), ()
+    return (job["spec"], tuple(steps), job["first_ms"], job["every_ms"], job["times"]), ()
 
 
 def digest_of(plain: PlainJob) -> str:
-    """What tells two jobs under one name apart."""
+    """A digest that distinguishes two jobs with the same name: 16 hexadecimal digits."""
     return hashlib.sha256(json.dumps(plain).encode()).hexdigest()[:16]
 
 
 class Step:
-    """One step of a job. Invariants: after names earlier steps only; a gang's tasks start, run
-    and end together.
-    """
+    """One step of a job. Invariant: `after` contains only numbers of earlier steps."""
 
     __slots__ = (
         "after",
@@ -107,18 +105,18 @@
         "twice",
     )
 
-    count: int  # tasks of one wave
+    count: int  # number of tasks that run at each of the job's times
     resources: Amount  # of one task
-    est_ms: float  # what the caller expects one task to take on a usual worker, milliseconds
-    after: tuple[int, ...]  # the numbers of the steps that must be done before
+    est_ms: float  # the caller's estimate of how long one task takes on an average worker, milliseconds
+    after: tuple[int, ...]  # numbers of the steps that must be done before this one starts
     gang: bool  # all of its tasks start, run and end together
-    tight: bool  # a gang that wants all of its tasks in one rack
+    tight: bool  # a gang whose tasks should all run in one rack
     needs: tuple[str, ...]  # labels that a worker must have
-    near: str  # label of the workers near its data, "" where it has none
-    apart: int  # most tasks of this step on one worker, 0 for any number
-    saves: bool  # its tasks save their progress, so that another run goes on from there
-    twice: bool  # a second run of a task beside the first does no harm
-    lasts: bool  # its tasks have no end of their own (a feed)
+    near: str  # label of the workers near its data, "" if the step is near none
+    apart: int  # maximum number of its tasks on one worker, 0 for no limit
+    saves: bool  # its tasks save their progress, so that another run continues from there
+    twice: bool  # running a task twice at the same time does no harm
+    lasts: bool  # its tasks run until they are stopped (a feed)
 
     def __init__(self, image: Image) -> None:
         (
@@ -141,16 +139,18 @@
         self.after, self.needs = tuple(after), tuple(needs)
 
 
-# The state of a task, as it is stored and as operators are told it.
+# The states of a task, as they are stored and shown to operators.
 WAITING = "waiting"
 PLACED = "placed"
 DONE = "done"
 
 
 class Task:
-    """One task of a wave. Invariants: state is WAITING, PLACED or DONE; run is the
-    highest run number ever given to it; a run in open_runs was let go without its end being
-    heard, so that its end, should it come, still counts once.
+    """One task of a batch.
+
+    Invariants: `state` is WAITING, PLACED or DONE. `run` is the highest run number that the task was ever
+    given. `open_runs` contains the runs that were given up before their worker reported an end: if the report
+    comes later, it still counts, once.
     """
 
     __slots__ = ("failures", "open_runs", "run", "saved", "state", "worker_id")
@@ -168,7 +168,7 @@
         self.worker_id, self.open_runs = worker_id, set(open_runs)
 
     def image(self) -> Image:
-        """A value of which the same is made again."""
+        """The fields as plain values, for a snapshot. Task(*image) rebuilds the task."""
         return (
             self.state,
             self.run,
@@ -180,10 +180,12 @@
 
 
 class Wave:
-    """The tasks of one step at one of the job's times. Invariants: blocked counts the steps
-    before it that are not all done; left counts its tasks not done; waiting holds the indices
-    of its waiting tasks; of a gang either all wait, all are placed, or it is breaking: then
-    the rest is stopped until all wait again.
+    """A batch of tasks: the tasks of one step at one of the job's times.
+
+    Invariants: `blocked` is the number of earlier steps that it waits for and that are not done. `left` is
+    the number of its tasks that are not done. `waiting` contains the indices of its waiting tasks. The tasks
+    of a gang are either all waiting or all placed, or the gang is partly placed because some of its runs have
+    ended; then the other runs are stopped until all tasks are waiting again.
     """
 
     __slots__ = (
@@ -207,34 +209,39 @@
         self.waiting = set(range(self.step.count))
         self.left = self.step.count
         self.blocked = len(self.step.after)
-        self.failed_runs: set[int] = set()  # of a gang: the runs that count as failed
-        self.since = due  # time of the cluster state, seconds; when it could first start, as far as known
+        self.failed_runs: set[int] = set()  # only for a gang: the runs that count as failed
+        # Time of the cluster state, seconds: since when its waiting tasks could have started, as far as
+        # known.
+        self.since = due
 
     @property
     def failures(self) -> int:
-        """Of a gang: how many of its runs have failed."""
+        """The number of failed runs of a gang; 0 for other batches, which count failures for each task."""
         return len(self.failed_runs)
 
     def key(self) -> WaveKey:
-        """What tells this wave apart from all others."""
+        """The key of this batch, unique in the cluster state."""
         return (self.job.identity, self.time, self.number)
 
     def reference(self, index: int) -> str:
-        """The reference of one of its tasks, as workers and operators are told it."""
+        """The reference of one of its tasks, as it is sent to workers and shown to operators."""
         return f"{self.job.identity}.{self.time}.{self.number}.{index}"
 
-    def breaking(self) -> bool:
-        """Whether some but not all members of a gang are placed."""
+    def is_partly_placed(self) -> bool:
+        """Whether this is a gang of which some but not all unfinished members are placed."""
         return bool(self.step.gang and 0 < len(self.waiting) < self.left)
 
     def image(self) -> Image:
-        """A value of which the same is made again."""
+        """The stored fields as plain values, for a snapshot. LeasedJob.from_image reads them."""
         return (tuple(sorted(self.failed_runs)), self.since, tuple(task.image() for task in self.tasks))
 
 
 class LeasedJob:
-    """A job accepted and not yet final. Invariants: times below 1 mean once, under time 0;
-    waves has one entry for each time and step; begun is whether any task was ever placed.
+    """A job that was accepted and is not over.
+
+    Invariants: if `times` is below 1, the job runs once, with time index 0. `waves` has one entry for each
+    time and step. `begun` is whether any of its tasks was ever placed. `open_batches` is the number of
+    entries of `waves` that are not done.
     """
 
     __slots__ = (
@@ -246,7 +253,7 @@
         "first_ms",
         "identity",
         "latency_target_ms",
-        "left",
+        "open_batches",
         "plain",
         "priority",
         "queue",
@@ -260,11 +267,17 @@
     )
 
     def __init__(
-        self, identity: str, queue: str, terms: Terms, plain: PlainJob, accepted: float, tenant: str = ""
+        self,
+        identity: str,
+        queue: str,
+        route_settings: RouteSettings,
+        plain: PlainJob,
+        accepted: float,
+        tenant: str = "",
     ) -> None:
         self.identity, self.queue, self.accepted = identity, queue, accepted
-        self.tenant = tenant  # its name, "" for a job of none
-        self.service, self.attempts, self.priority, self.latency_target_ms, self.stretch = terms
+        self.tenant = tenant  # the name of its tenant, "" for a job without one
+        self.service, self.attempts, self.priority, self.latency_target_ms, self.stretch = route_settings
         self.plain = plain
         self.spec, steps, self.first_ms, self.every_ms, self.times = plain
         self.steps = [Step(step) for step in steps]
@@ -274,19 +287,21 @@
             due = (self.first_ms + time * self.every_ms) / 1000 if self.times else 0.0
             for number in range(len(self.steps)):
                 self.waves[(time, number)] = Wave(self, time, number, due)
-        self.left = len(self.waves)
+        self.open_batches = len(self.waves)
         self.digest = digest_of(plain)
 
-    def terms(self) -> Terms:
-        """What the job's queue said of it when it was accepted."""
+    def route_settings(self) -> RouteSettings:
+        """The settings of the job's route when the job was accepted."""
         return (self.service, self.attempts, self.priority, self.latency_target_ms, self.stretch)
 
     def image(self) -> Image:
-        """A value of which the same is made again; a job of no tenant has none, as before there were any."""
+        """The job as plain values, for a snapshot. from_image() rebuilds the job from them. A job without a
+        tenant has no field for it, so that its image is the same as in versions that do not know tenants.
+        """
         image: Image = (
             self.identity,
             self.queue,
-            self.terms(),
+            self.route_settings(),
             self.plain,
             self.accepted,
             self.begun,
@@ -296,17 +311,17 @@
 
     @classmethod
     def from_image(cls, image: Image) -> Self:
-        """The job that an image was made of."""
-        identity, queue, terms, plain, accepted, begun, waves, *tenant = image
-        job = cls(identity, queue, tuple(terms), tuple(plain), accepted, *tenant)
+        """Rebuilds the job from the values that image() returned."""
+        identity, queue, route_settings, plain, accepted, begun, waves, *tenant = image
+        job = cls(identity, queue, tuple(route_settings), tuple(plain), accepted, *tenant)
         job.begun = begun
         for time, number, (failed_runs, since, tasks) in waves:
             wave = job.waves[(time, number)]
             wave.failed_runs, wave.since = set(failed_runs), since
             wave.tasks = [Task(*task) for task in tasks]
-            wave.waiting = {place for place, task in enumerate(wave.tasks) if task.state == WAITING}
+            wave.waiting = {index for index, task in enumerate(wave.tasks) if task.state == WAITING}
             wave.left = sum(task.state != DONE for task in wave.tasks)
-        job.left = sum(bool(wave.left) for wave in job.waves.values())
+        job.open_batches = sum(bool(wave.left) for wave in job.waves.values())
         for wave in job.waves.values():
-            wave.blocked = sum(bool(job.waves[(wave.time, one)].left) for one in wave.step.after)
+            wave.blocked = sum(bool(job.waves[(wave.time, earlier)].left) for earlier in wave.step.after)
         return job
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -1,8 +1,9 @@
-"""What is agreed on about leased jobs: the jobs, their placements, the configuration of routes and services
-and the evacuated zones. A deterministic part of the cluster state.
+"""The replicated state of leased jobs: the jobs, their placements, the configuration of routes and services,
+and the evacuated zones. It is a deterministic part of the cluster state.
 
-Every operation is an entry of the log; what it decides is the same at every control daemon. Its outcome is
-a tuple: a word, and what belongs to it. Times are those of the cluster state, seconds.
+Every operation is an entry of the replicated log and has the same outcome at every control daemon. An outcome
+is a tuple: its kind, followed by the values that belong to this kind. All times are in seconds, by the time
+of the cluster state.
 """
 
 import itertools
@@ -19,95 +20,110 @@
 from .run_stop import StopItem
 from .tenants import Tenants
 
-# The state of a job, as callers are told it.
+# The states of a job, as they are reported to callers.
 JOB_QUEUED = "queued"  # no task was ever placed
 JOB_RUNNING = "running"
 JOB_COMPLETED = "completed"
 JOB_FAILED = "failed"  # a task or a gang has used up its attempts
 JOB_CANCELLED = "cancelled"
 
-# What followed from a run's end, as the operation "job-ended" tells it, item by item, and event 155 logs it.
+# The consequences of a run's end. The outcome of the operation "job-ended" lists one for each of its items,
+# and event 155 logs it.
 END_DONE = "done"  # the task, or its whole gang, is done
-END_COMPLETED = "completed"  # and with it the job
-END_FAILED = "failed"  # it was the last attempt: the job has failed
-END_AGAIN = "again"  # the task waits for another run
-END_STALE = "stale"  # it was known already, or says nothing any more
-END_LATE = "late"  # the job is over or was never known
-END_UNKNOWN = "unknown"  # the job has no such task
-
-# An item of the operation "job-assign": (job, time, number of the step, ((index of a task, worker), ...)).
+END_COMPLETED = "completed"  # the task or gang is done, and so is the whole job
+END_FAILED = "failed"  # it was the last attempt, so the job has failed
+END_REQUEUED = "again"  # the task waits for another run
+END_STALE = "stale"  # the end was known already, or changes nothing any more
+END_JOB_NOT_OPEN = "late"  # the job is over, or was never accepted
+END_NO_SUCH_TASK = "unknown"  # the job has no such task
+
+# An item of the operation "job-assign":
+# (job, index of the time, number of the step, ((index of a task, worker), ...)).
 WaveAssignment = tuple[str, int, int, tuple[tuple[int, str], ...]]
 
 
 class FinalJob(NamedTuple):
-    """What is kept of a job that is over, for FINAL_LASTS seconds at the most."""
+    """The record of a job that is over. It is dropped when a later job ends, once it is FINAL_LASTS seconds
+    old or there are more than MAX_FINAL_JOBS records.
+    """
 
     state: str  # JOB_COMPLETED, JOB_FAILED or JOB_CANCELLED
     ended: float  # time of the cluster state, seconds
     queue: str
-    digest: str  # tells two jobs under one name apart
-    tenant: str = ""  # its name, "" for a job of none
+    digest: str  # distinguishes two jobs with the same name
+    tenant: str = ""  # the name of its tenant, "" for a job without one
 
     def image(self) -> Image:
-        """A value of which the same is made again; as LeasedJob.image for a job of no tenant."""
+        """The fields as plain values, for a snapshot. As in LeasedJob.image, a job without a tenant has no
+        field for it.
+        """
         return tuple(self) if self.tenant else tuple(self)[:-1]
 
 
 class LeasedJobState:
-    """Invariants: jobs holds those not final, final the state of those that are, oldest end
-    first; taken, used and used_by_tenant are the sums of the placements' resources, and no placement takes
-    a tenant over its maximum (Tenant.admits_task); ready holds every wave with
-    waiting tasks whose earlier steps are all done and that is not breaking;
-    placements[worker] holds each run given to it whose end is not proven.
+    """The state to which operations on leased jobs are applied.
+
+    Invariants:
+    - `jobs` contains the jobs that are not over, and `final` the records of those that are, ordered by when
+      they ended.
+    - `taken`, `used` and `used_by_tenant` are sums of the resources of the placements. No placement takes its
+      tenant over the tenant's maximum (Tenant.admits_task).
+    - `ready` contains every batch of tasks that has waiting tasks, whose earlier steps are all done, and that
+      is not a partly placed gang.
+    - `placements[worker]` contains every run assigned to the worker whose end is not proven.
     """
 
     def __init__(self) -> None:
         self.jobs: dict[str, LeasedJob] = {}
-        self.final: dict[str, FinalJob] = {}  # by identity
+        self.final: dict[str, FinalJob] = {}  # identity of a job -> its record
         self.placements: dict[str, Placements] = {}  # worker -> {(reference, run): Placement}
         # worker -> [thousandths of a core, megabytes, accelerators] of its placements
         self.taken: dict[str, list[float]] = {}
-        self.used: dict[Level, list[float]] = {}  # (service, priority) -> the same of all placements
-        self.used_by_tenant: dict[str, Amount] = {}  # name of a tenant -> the same of its placements
+        self.used: dict[Level, list[float]] = {}  # (service, priority) -> resources of all its placements
+        self.used_by_tenant: dict[str, Amount] = {}  # name of a tenant -> resources of its placements
         self.configuration = Configuration()
         self.evacuations = Evacuations()
-        self.ready: dict[WaveKey, Wave] = {}  # by key
-        self.counts: dict[str, int] = {}  # queue -> jobs not yet begun
+        self.ready: dict[WaveKey, Wave] = {}
+        self.counts: dict[str, int] = {}  # queue -> number of its jobs of which no task was ever placed
 
     # --- image ------------------------------------------------------------------------
     def image(self) -> Image:
-        """A value of which the same is made again."""
+        """The state as plain values, for a snapshot. from_image() rebuilds the state from them."""
         return (
             tuple(job.image() for job in self.jobs.values()),
             tuple((identity, *final.image()) for identity, final in self.final.items()),
-            tuple(one.image() for placements in self.placements.values() for one in placements.values()),
+            tuple(
+                placement.image()
+                for placements in self.placements.values()
+                for placement in placements.values()
+            ),
             self.configuration.image(),
             self.evacuations.image(),
         )
 
     @classmethod
     def from_image(cls, image: Image) -> Self:
-        """The state that an image was made of."""
+        """Rebuilds the state from the values that image() returned."""
         leased_jobs = cls()
         jobs, final, placements, configuration, evacuations = image
         leased_jobs.configuration = Configuration(*configuration)
         leased_jobs.evacuations = Evacuations(*evacuations)
-        leased_jobs.final = {identity: FinalJob(*rest) for identity, *rest in final}
-        for one in placements:
-            placement = Placement(*one)
+        leased_jobs.final = {identity: FinalJob(*fields) for identity, *fields in final}
+        for placement_image in placements:
+            placement = Placement(*placement_image)
             leased_jobs._add_placement(placement)
-        for one in jobs:
-            job = LeasedJob.from_image(one)
+        for job_image in jobs:
+            job = LeasedJob.from_image(job_image)
             leased_jobs.jobs[job.identity] = job
             if not job.begun:
                 leased_jobs.counts[job.queue] = leased_jobs.counts.get(job.queue, 0) + 1
             for wave in job.waves.values():
-                leased_jobs._index(wave)
+                leased_jobs._update_ready(wave)
         return leased_jobs
 
     @property
     def evacuated(self) -> dict[str, float]:
-        """The zones that are evacuated, and since when."""
+        """The zones that are evacuated -> when their evacuation began, seconds."""
         return self.evacuations.since
 
     @property
@@ -115,15 +131,15 @@
         """The tenants of the configuration in force."""
         return self.configuration.tenants
 
-    def _index(self, wave: Wave) -> None:
-        """Puts a wave among the ready, or takes it out."""
-        if wave.waiting and not wave.blocked and not wave.breaking():
+    def _update_ready(self, wave: Wave) -> None:
+        """Adds a batch of tasks to those that are ready, or removes it."""
+        if wave.waiting and not wave.blocked and not wave.is_partly_placed():
             self.ready[wave.key()] = wave
         else:
             self.ready.pop(wave.key(), None)
 
     def _add_placement(self, placement: Placement) -> None:
-        """Counts the resources of a run that is placed."""
+        """Records the placement of a run and counts its resources as used."""
         self.placements.setdefault(placement.worker_id, {})[(placement.reference(), placement.run)] = (
             placement
         )
@@ -135,7 +151,9 @@
             self.used_by_tenant[placement.tenant] = more(used, placement.resources)
 
     def _remove_placement(self, worker_id: str, key: RunKey) -> Placement | None:
-        """A run takes nothing any more; its placement, or None when there was none."""
+        """Removes the placement of a run and counts its resources as free. Returns the placement, or None
+        when there was none.
+        """
         placements = self.placements.get(worker_id, {})
         placement = placements.pop(key, None)
         if placement is None:
@@ -143,25 +161,26 @@
         level = (placement.service, placement.priority)
         self.used[level] = list(less(self.used[level], placement.resources))
         if placement.tenant:
-            self._take_back(placement.tenant, placement.resources)
+            self._release_from_tenant(placement.tenant, placement.resources)
         if placements:
             self.taken[worker_id] = list(less(self.taken[worker_id], placement.resources))
         else:
             del self.placements[worker_id], self.taken[worker_id]
         return placement
 
-    def _take_back(self, tenant: str, resources: Resources) -> None:
-        """A tenant uses so much less; one that uses nothing is not listed."""
-        left = less(self.used_by_tenant[tenant], resources)
-        if any(left):
-            self.used_by_tenant[tenant] = left
+    def _release_from_tenant(self, tenant: str, resources: Resources) -> None:
+        """Subtracts resources from what a tenant uses. A tenant that uses nothing has no entry."""
+        still_used = less(self.used_by_tenant[tenant], resources)
+        if any(still_used):
+            self.used_by_tenant[tenant] = still_used
         else:
             del self.used_by_tenant[tenant]
 
-    # --- reading ----------------------------------------------------------------------
-    def may_name(self, tenant: str, identity: str, route: Document | None) -> bool:
-        """Whether a tenant, or nobody as "", may name a job at a route: its own, one of no tenant (handed in
-        where no key was asked for), or one of this very route where it is public.
+    # --- queries ----------------------------------------------------------------------
+    def may_access(self, tenant: str, identity: str, route: Document | None) -> bool:
+        """Whether a tenant may read, cancel or submit again a job at a route; a caller without a tenant is
+        "". Allowed are the tenant's own jobs, jobs without a tenant (submitted where no key was required),
+        jobs of this same route if it is public, and identities that no stored job has.
         """
         job = self.jobs.get(identity) or self.final.get(identity)
         if job is None or job.tenant in ("", tenant):
@@ -177,7 +196,7 @@
         return final.state if final else None
 
     def task(self, placement: Placement) -> tuple[Wave, Task] | None:
-        """(wave, task) that a placement still stands for, or None."""
+        """The (batch of tasks, task) whose current run has this placement, or None if it is outdated."""
         job = self.jobs.get(placement.job)
         wave = job.waves.get((placement.time, placement.number)) if job else None
         if wave is None:
@@ -188,15 +207,15 @@
         return None
 
     def wanted(self, placement: Placement) -> bool:
-        """Whether a placed run should start, or go on."""
+        """Whether a placed run should start, or continue."""
         if placement.stop:
             return False
-        found = self.task(placement)
-        return found is not None and not found[0].breaking()
+        current = self.task(placement)
+        return current is not None and not current[0].is_partly_placed()
 
     def over_maximum(self, placement: Placement) -> bool:
-        """Whether a placement's tenant has more placed of what the placement takes than it may have running
-        by now, its maximum having been lowered.
+        """Whether the resources of a placement take its tenant over the tenant's present maximum, which may
+        have been lowered since the run was placed.
         """
         tenant = self.tenants.limited(placement.tenant)
         if tenant is None:
@@ -208,38 +227,42 @@
     def accept(
         self, now: float, identity: str, queue: str, plain: PlainJob, tenant: str | None = None
     ) -> Outcome:
-        """A job is handed in at a queue: ("accepted", identity), ("known", identity), ("missing", queue)
-        where no such route is in force, or ("full", queue) at MAX_LEASED_JOBS. With the name of the tenant
-        that hands it in also ("foreign", identity) where the job is another's, and ("unknown_tenant", tenant)
-        where it is not in force any more.
+        """Accepts a job that was submitted at a queue. Outcomes: ("accepted", identity); ("known", identity)
+        for a job that is stored already; ("missing", queue) if no such route is in force; ("full", queue) at
+        MAX_LEASED_JOBS.
+
+        `tenant` is the name of the tenant that submits the job, "" for a caller without one, and None in
+        operations that do not check tenants. If it is given, the outcome may also be ("foreign", identity)
+        for a job that the tenant may not access, and ("unknown_tenant", tenant) for a tenant that is no
+        longer in force.
         """
         route = self.configuration.routes.get(queue)
         if identity in self.jobs or identity in self.final:
-            is_known = tenant is None or self.may_name(tenant, identity, route)
-            return ("known" if is_known else "foreign", identity)
+            may_access = tenant is None or self.may_access(tenant, identity, route)
+            return ("known" if may_access else "foreign", identity)
         if tenant and tenant not in self.tenants.by_name:
             return ("unknown_tenant", tenant)
         if route is None:
             return ("missing", queue)
         if len(self.jobs) >= constants.MAX_LEASED_JOBS:
             return ("full", queue)
-        terms = (
+        route_settings = (
             route["service"],
             max(1, route.get("attempts", 1)),
             route.get("priority", 0),
             route.get("aim_ms", 0),
             route.get("stretch", 1),
         )
-        job = self.jobs[identity] = LeasedJob(identity, queue, terms, plain, now, tenant or "")
+        job = self.jobs[identity] = LeasedJob(identity, queue, route_settings, plain, now, tenant or "")
         self.counts[queue] = self.counts.get(queue, 0) + 1
         for wave in job.waves.values():
             wave.since = max(wave.due, now)
-            self._index(wave)
+            self._update_ready(wave)
         return ("accepted", identity)
 
     def cancel(self, now: float, identity: str) -> Outcome:
-        """Nothing more of a job starts; what runs is stopped. ("cancelled", identity), ("final", state) of a
-        job that is over, or ("missing", identity).
+        """Cancels a job: none of its tasks starts any more, and its runs are stopped. Outcomes: ("cancelled",
+        identity), ("final", state) for a job that is over, or ("missing", identity).
         """
         job = self.jobs.get(identity)
         if job is None:
@@ -249,6 +272,7 @@
         return ("cancelled", identity)
 
     def _finish(self, now: float, job: LeasedJob, state: str) -> None:
+        """Replaces a job by its final record, and drops final records that are too old or too many."""
         del self.jobs[job.identity]
         if not job.begun:
             self.counts[job.queue] -= 1
@@ -261,36 +285,44 @@
             del self.final[identity]
 
     def assign(self, now: float, epoch: int, items: Sequence[WaveAssignment]) -> tuple[Placement, ...]:
-        """Places runs. Items: (job, time, number, ((index, worker), ...)); of a gang all or none."""
-        placed = []
+        """Places waiting tasks on workers and returns their placements. Each item is (job, time, number,
+        ((index, worker), ...)). The tasks of a gang are placed all together or not at all.
+        """
+        placements = []
         for identity, time, number, pairs in items:
             job = self.jobs.get(identity)
             if job is None:
                 continue
             wave = job.waves.get((time, number))
-            if wave is None or wave.blocked or wave.breaking() or now < wave.due:
+            if wave is None or wave.blocked or wave.is_partly_placed() or now < wave.due:
                 continue
-            group = [(index, worker_id) for index, worker_id in dict(pairs).items() if index in wave.waiting]
-            if wave.step.gang and (len(group) != wave.left or not self._admits(wave, len(group))):
+            assigned = [
+                (index, worker_id) for index, worker_id in dict(pairs).items() if index in wave.waiting
+            ]
+            if wave.step.gang and (
+                len(assigned) != wave.left or not self._tenant_admits(wave, len(assigned))
+            ):
                 continue
-            placed.extend(self._place(now, epoch, wave, group))
-            if not job.begun and group:
+            placements.extend(self._place_tasks(now, epoch, wave, assigned))
+            if not job.begun and assigned:
                 job.begun = True
                 self.counts[job.queue] -= 1
-            self._index(wave)
-        return tuple(placed)
-
-    def _place(self, now: float, epoch: int, wave: Wave, group: list[tuple[int, str]]) -> list[Placement]:
-        """Places some of a wave's waiting tasks, each on its worker; the placements. The members of a gang
-        get one run number, that of the gang.
+            self._update_ready(wave)
+        return tuple(placements)
+
+    def _place_tasks(
+        self, now: float, epoch: int, wave: Wave, assigned: list[tuple[int, str]]
+    ) -> list[Placement]:
+        """Places waiting tasks of one batch and returns their placements; `assigned` lists (index of a task,
+        worker). All members of a gang get the same new run number.
         """
-        job, step, placed = wave.job, wave.step, []
+        job, step, placements = wave.job, wave.step, []
         gang_run = max(task.run for task in wave.tasks) + 1
-        for index, worker_id in group:
+        for index, worker_id in assigned:
             task = wave.tasks[index]
             if not step.lasts and not step.gang and task.failures >= job.attempts:
                 continue
-            if not step.gang and not self._admits(wave, 1):
+            if not step.gang and not self._tenant_admits(wave, 1):
                 break
             task.run = gang_run if step.gang else task.run + 1
             task.state, task.worker_id = PLACED, worker_id
@@ -310,11 +342,11 @@
                 tenant=job.tenant,
             )
             self._add_placement(placement)
-            placed.append(placement)
-        return placed
+            placements.append(placement)
+        return placements
 
-    def _admits(self, wave: Wave, count: int) -> bool:
-        """Whether a wave's tenant may have so many more of its tasks running at once."""
+    def _tenant_admits(self, wave: Wave, count: int) -> bool:
+        """Whether the maximum of a batch's tenant admits `count` more of its tasks beside those placed."""
         tenant = self.tenants.limited(wave.job.tenant)
         if tenant is None:
             return True
@@ -324,24 +356,25 @@
         return tenant.admits_task(used, wave.step.resources)
 
     def stop(self, now: float, items: Sequence[StopItem]) -> Outcome:
-        """Runs that are to end. Items: (worker, reference, run, why)."""
-        for worker_id, reference, run, why in items:
+        """Marks runs as to be stopped. Each item is (worker, reference, run, reason)."""
+        for worker_id, reference, run, reason in items:
             placement = self.placements.get(worker_id, {}).get((reference, run))
             if placement is not None and not placement.stop:
-                placement.stop = why
+                placement.stop = reason
         return ("ok",)
 
     def end(self, now: float, items: Sequence[RunEndItem]) -> Outcome:
-        """Proven ends. Items: (worker, reference, run, how, saved, heard): heard says that the
-        worker itself told it, so that it can't come again; what follows is told by item.
+        """Applies proven ends of runs. Each item is (worker, reference, run, how it ended, saved progress,
+        whether the worker reported the end itself). An end that the worker reported is not reported again.
+        The outcome is ("ended", one END_... constant for each item).
         """
         outcomes = []
-        for worker_id, reference, run, how, saved, heard in items:
+        for worker_id, reference, run, how, saved, reported in items:
             placement = self._remove_placement(worker_id, (reference, run))
-            outcomes.append(self._ended(now, placement, reference, run, how, saved, heard))
+            outcomes.append(self._apply_end(now, placement, reference, run, how, saved, reported))
         return ("ended", tuple(outcomes))
 
-    def _ended(
+    def _apply_end(
         self,
         now: float,
         placement: Placement | None,
@@ -349,52 +382,52 @@
         run: int,
         how: str,
         saved: str,
-        heard: bool,
+        reported: bool,
     ) -> str:
-        """What follows from the end of one run, whose placement is gone by now: an END_... word."""
-        identity, *rest = reference.split(".")
+        """Applies the end of one run, whose placement was removed before. Returns an END_... constant."""
+        identity, *indices = reference.split(".")
         job = self.jobs.get(identity)
         if job is None:
-            return END_LATE
-        time, number, index = map(int, rest)
+            return END_JOB_NOT_OPEN
+        time, number, index = map(int, indices)
         wave = job.waves.get((time, number))
         if wave is None or index >= len(wave.tasks):
-            return END_UNKNOWN
+            return END_NO_SUCH_TASK
         task = wave.tasks[index]
-        current = placement is not None and task.state == PLACED and task.run == run
-        if not current:
-            if run not in task.open_runs or not heard:
+        is_current = placement is not None and task.state == PLACED and task.run == run
+        if not is_current:
+            if run not in task.open_runs or not reported:
                 return END_STALE
             task.open_runs.discard(run)
-        elif not heard and how != RUN_NEVER_STARTED:
+        elif not reported and how != RUN_NEVER_STARTED:
             task.open_runs.add(run)
-        self._keep_saved(wave, task, run, saved)
+        self._store_saved_progress(wave, task, run, saved)
         if task.state == DONE:
             return END_STALE
         if how == RUN_DONE and not wave.step.lasts:
-            return self._done(now, job, wave, index)
-        if how == RUN_FAILED and not wave.step.lasts and self._out_of_attempts(wave, task, run):
+            return self._complete_task(now, job, wave, index)
+        if how == RUN_FAILED and not wave.step.lasts and self._count_failure(wave, task, run):
             self._finish(now, job, JOB_FAILED)
             return END_FAILED
-        if current:
-            self._wait_again(now, wave, index)
-        return END_AGAIN
+        if is_current:
+            self._requeue_task(now, wave, index)
+        return END_REQUEUED
 
-    def _keep_saved(self, wave: Wave, task: Task, run: int, saved: str) -> None:
-        """Keeps the progress that a run saved, for the whole gang where there is one, unless a newer run
-        may have saved more.
+    def _store_saved_progress(self, wave: Wave, task: Task, run: int, saved: str) -> None:
+        """Stores the progress that a run saved, in a gang for every member. It is ignored if a newer run may
+        have saved more.
         """
         if not saved or task.state == DONE or run + 1 < task.run:
             return
-        gang = wave.step.gang
-        if gang and any(one.state == PLACED and one.run > run for one in wave.tasks):
+        is_gang = wave.step.gang
+        if is_gang and any(member.state == PLACED and member.run > run for member in wave.tasks):
             return
-        for one in wave.tasks if gang else (task,):
-            one.saved = saved
+        for member in wave.tasks if is_gang else (task,):
+            member.saved = saved
 
-    def _out_of_attempts(self, wave: Wave, task: Task, run: int) -> bool:
-        """Counts a failed run, a gang's once however many of its members tell it; whether it was the last
-        that the job's attempts allow.
+    def _count_failure(self, wave: Wave, task: Task, run: int) -> bool:
+        """Counts a failed run. The failure of a gang's run counts once, however many members report it.
+        Returns whether the attempts that the job allows are used up.
         """
         if not wave.step.gang:
             task.failures += 1
@@ -402,30 +435,32 @@
         wave.failed_runs.add(run)
         return wave.failures >= wave.job.attempts
 
-    def _wait_again(self, now: float, wave: Wave, index: int) -> None:
-        """A task whose newest run has ended waits for another."""
+    def _requeue_task(self, now: float, wave: Wave, index: int) -> None:
+        """Lets a task whose newest run has ended wait for another run."""
         task = wave.tasks[index]
         task.state, task.worker_id = WAITING, ""
         wave.waiting.add(index)
         wave.since = now
-        self._index(wave)
-
-    def _done(self, now: float, job: LeasedJob, wave: Wave, index: int) -> str:
-        """A task, or with one member the whole gang, has ended well."""
-        for place in range(len(wave.tasks)) if wave.step.gang else (index,):
-            if wave.tasks[place].state != DONE:
-                wave.tasks[place].state = DONE
-                wave.waiting.discard(place)
+        self._update_ready(wave)
+
+    def _complete_task(self, now: float, job: LeasedJob, wave: Wave, index: int) -> str:
+        """Marks a task as done, and with one member of a gang the whole gang. Completes the job if it was the
+        last one. Returns END_DONE or END_COMPLETED.
+        """
+        for done_index in range(len(wave.tasks)) if wave.step.gang else (index,):
+            if wave.tasks[done_index].state != DONE:
+                wave.tasks[done_index].state = DONE
+                wave.waiting.discard(done_index)
                 wave.left -= 1
-        self._index(wave)
+        self._update_ready(wave)
         if not wave.left:
-            job.left -= 1
+            job.open_batches -= 1
             for other in job.waves.values():
                 if other.time == wave.time and wave.number in other.step.after:
                     other.blocked -= 1
                     other.since = max(other.due, now)
-                    self._index(other)
-            if not job.left:
+                    self._update_ready(other)
+            if not job.open_batches:
                 self._finish(now, job, JOB_COMPLETED)
                 return END_COMPLETED
         return END_DONE
@@ -433,7 +468,7 @@
     def configure(
         self, now: float, base: int, document: Document, digest: str, with_tenants: bool = False
     ) -> Outcome:
-        """A whole configuration, as Configuration.replace has it."""
+        """Replaces the whole configuration, with the arguments of Configuration.replace."""
         return self.configuration.replace(base, document, digest, with_tenants)
 
     def amend(
@@ -446,13 +481,15 @@
         digest: str,
         with_tenants: bool = False,
     ) -> Outcome:
-        """Named items of the configuration, as Configuration.amend has them."""
+        """Changes named items of the configuration, with the arguments of Configuration.amend."""
         return self.configuration.amend(base, version, upserts, removes, digest, with_tenants)
 
     def evacuate(
         self, now: float, zone: str, begun: bool, index: int, confirmed: int | None = None
     ) -> Outcome:
-        """An order for a zone at entry `index`; `confirmed` as Evacuations.take wants it."""
+        """Applies an order that begins or ends the evacuation of a zone, from the log entry `index`.
+        `confirmed` is described at Evacuations.take; members of level 2 propose orders without it.
+        """
         if confirmed is None:
             return self.evacuations.take_unconfirmed(index, now, zone, begun)
         return self.evacuations.take(index, now, zone, begun, confirmed)
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -1,6 +1,6 @@
-"""Requests about leased jobs, heartbeats and the configuration, for control/requests/registry.py.
+"""Handlers of requests about leased jobs, heartbeats and the configuration, for control/requests/registry.py.
 
-Each is answered by a leader whose lease stands, so that what it reads is the newest.
+Only a leader whose lease is valid answers requests, so that the state it reads is the newest one.
 """
 
 from collections.abc import Sequence
@@ -15,23 +15,24 @@
 from .leased_job_state import LeasedJobState
 from .plain_types import Arguments, Document
 
-UNFINISHED = ("queued", "running")  # states of a job
+OPEN_STATES = ("queued", "running")  # the states of a job that is not over
 
 
-def _unready(core: Daemon) -> Answer | None:
+def _unconfigured(core: Daemon) -> Answer | None:
+    """The answer that refuses a request while no configuration is in force, else None."""
     if not core.cluster_state.leased_jobs.configuration.version:
         return problem(503, "unconfigured", "no configuration is in force yet", constants.RETRY_AFTER)
     return None
 
 
-def _route(core: Daemon, host: str, path: str) -> tuple[Document, str] | None:
-    """(route, rest of the path), or None where no route fits."""
+def _find_route(core: Daemon, host: str, path: str) -> tuple[Document, str] | None:
+    """(route, rest of the path), or None if no route matches."""
     return core.cluster_state.leased_jobs.configuration.find(host, path)
 
 
-def _caller(leased_jobs: LeasedJobState, route: Document, key: Sequence[str]) -> str | None:
-    """The name of the tenant that calls at a route with a key or none, "" for nobody's call that may pass;
-    None where it may not.
+def _calling_tenant(leased_jobs: LeasedJobState, route: Document, key: Sequence[str]) -> str | None:
+    """The name of the tenant that calls a route; "" for a call without a tenant's key, if the route allows
+    that; None if the call is refused. `key` contains the key of the call, if there is one.
     """
     tenants = leased_jobs.tenants
     owner = tenants.owner(key[0]) if key else None
@@ -44,31 +45,33 @@
     return problem(401, "unknown_key", "the key is missing, or no tenant's")
 
 
-def _foreign() -> Answer:
+def _foreign_job() -> Answer:
     return problem(403, "foreign_job", "the job is another tenant's")
 
 
-def _admitted(core: Daemon, host: str, path: str, key: Sequence[str]) -> tuple[Document, str] | Answer:
-    """(route, rest of the path) of a call at a queue that may pass, or the answer that refuses it."""
-    found = _route(core, host, path)
-    if found is None:
-        return _unready(core) or problem(404, "no_queue", "no route fits")
-    route, identity = found
+def _authorized_route(
+    core: Daemon, host: str, path: str, key: Sequence[str]
+) -> tuple[Document, str] | Answer:
+    """(route, identity of the job) of a call at a queue that is allowed, or the answer that refuses it."""
+    match = _find_route(core, host, path)
+    if match is None:
+        return _unconfigured(core) or problem(404, "no_queue", "no route fits")
+    route, identity = match
     leased_jobs = core.cluster_state.leased_jobs
-    caller = _caller(leased_jobs, route, key)
-    if caller is None:
+    tenant = _calling_tenant(leased_jobs, route, key)
+    if tenant is None:
         return _unknown_key()
-    return found if leased_jobs.may_name(caller, identity, route) else _foreign()
+    return match if leased_jobs.may_access(tenant, identity, route) else _foreign_job()
 
 
 def submit(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """Hands a job in at the queue whose route fits; one that is known already is answered with its state."""
+    """Submits a job at the queue whose route matches. The answer for a known job is its state."""
     host, path, document, *key = arguments
-    found = _admitted(core, host, path, key)
-    if isinstance(found, Answer):
-        return found
-    route, identity = found
-    if not jobs_name(identity):
+    authorized = _authorized_route(core, host, path, key)
+    if isinstance(authorized, Answer):
+        return authorized
+    route, identity = authorized
+    if not is_job_name(identity):
         return problem(400, "name", "a job is named by 16 hex digits")
     plain, faults = jobs.checked(document)
     if faults:
@@ -79,32 +82,32 @@
     if state is not None:
         return Answer(200, {"state": state})
     core.trace(186, job=identity, queue=route["name"])
-    return Propose(_submission(core, identity, route, plain, key), "job")
+    return Propose(_job_operation(core, identity, route, plain, key), "job")
 
 
-def _submission(
+def _job_operation(
     core: Daemon, identity: str, route: Document, plain: jobs.PlainJob, key: Sequence[str]
 ) -> tuple[Any, ...]:
-    """The operation that takes a job in; a tenant's only once all members know of tenants."""
+    """The operation that accepts a job. It names the job's tenant once all members know "tenant-job"."""
     operation: tuple[Any, ...] = ("job", identity, route["name"], plain)
     leased_jobs = core.cluster_state.leased_jobs
-    if not leased_jobs.tenants.keys_required or not _known_to_all(core, "tenant-job"):
+    if not leased_jobs.tenants.keys_required or not _all_members_know(core, "tenant-job"):
         return operation
-    return ("tenant-job", *operation[1:], _caller(leased_jobs, route, key))
+    return ("tenant-job", *operation[1:], _calling_tenant(leased_jobs, route, key))
 
 
-def _known_to_all(core: Daemon, operation: str) -> bool:
-    """Whether every member knows an operation."""
+def _all_members_know(core: Daemon, operation: str) -> bool:
+    """Whether every member of the cluster knows an operation."""
     return core.cluster_state.levels[operation] <= core.common_level()
 
 
-def jobs_name(identity: str) -> bool:
-    """Whether a text may name a job."""
-    return len(identity) == 16 and all(one in "0123456789abcdefABCDEF" for one in identity)
+def is_job_name(identity: str) -> bool:
+    """Whether a text is a valid name of a job: 16 hexadecimal digits."""
+    return len(identity) == 16 and all(digit in "0123456789abcdefABCDEF" for digit in identity)
 
 
-def submitted(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer once LeasedJobState.accept had this outcome."""
+def answer_submitted(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to a submitted job, from the outcome of LeasedJobState.accept."""
     if outcome[0] in ("accepted", "known"):
         return Answer(200, {"state": core.cluster_state.leased_jobs.state(outcome[1]) or "completed"})
     if outcome[0] == "missing":
@@ -112,52 +115,52 @@
     if outcome[0] == "unknown_tenant":
         return _unknown_key()
     if outcome[0] == "foreign":
-        return _foreign()
+        return _foreign_job()
     return problem(429, "full", "too many jobs are open", constants.RETRY_AFTER)
 
 
 def read(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """The state of a job, or with an empty name how many wait at the queue."""
+    """Reads the state of a job or, if the path names no job, the number of queued jobs at the route."""
     host, path, *key = arguments
-    found = _admitted(core, host, path, key)
-    if isinstance(found, Answer):
-        return found
-    route, identity = found
+    authorized = _authorized_route(core, host, path, key)
+    if isinstance(authorized, Answer):
+        return authorized
+    route, identity = authorized
     leased_jobs = core.cluster_state.leased_jobs
     if not identity:
         return Answer(200, {"waiting": leased_jobs.counts.get(route["name"], 0)})
     state = leased_jobs.state(identity)
     if state is None:
         return problem(410, "no_job", "no such job")
-    if state not in UNFINISHED:
+    if state not in OPEN_STATES:
         core.trace(190, job=identity, state=state)
     return Answer(200, {"state": state})
 
 
 def cancel(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """Cancels a job; one that is over is answered with its state."""
+    """Cancels a job. If the job is over, the answer is its state."""
     host, path, *key = arguments
-    found = _admitted(core, host, path, key)
-    if isinstance(found, Answer):
-        return found
-    identity = found[1]
+    authorized = _authorized_route(core, host, path, key)
+    if isinstance(authorized, Answer):
+        return authorized
+    identity = authorized[1]
     state = core.cluster_state.leased_jobs.state(identity)
     if state is None:
         return problem(410, "no_job", "no such job")
-    if state not in UNFINISHED:
+    if state not in OPEN_STATES:
         return Answer(200, {"state": state})
     return Propose(("job-cancel", identity), "job-cancel")
 
 
-def cancelled(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer once LeasedJobState.cancel had this outcome."""
+def answer_cancelled(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to a cancellation, from the outcome of LeasedJobState.cancel."""
     if outcome[0] == "missing":
         return problem(410, "no_job", "no such job")
     return Answer(200, {"state": "cancelled" if outcome[0] == "cancelled" else outcome[1]})
 
 
 def heartbeat(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """A worker's heartbeat: checked here, taken by the assignment manager."""
+    """Validates a worker's heartbeat. The assignment manager processes it and answers it, possibly later."""
     identity, document = arguments
     if not workers.checked(document):
         return problem(400, "beat", "the beat can't be read")
@@ -165,18 +168,18 @@
 
 
 def leave(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """A worker says that it ends now."""
+    """Processes the report of a worker that it leaves."""
     core.assignments.leave(arguments[0], now)
     return Answer(200, {})
 
 
 def configure(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """Brings a whole configuration into force."""
+    """Replaces the whole configuration."""
     base, document = arguments
     if not isinstance(document, dict):
         return problem(400, "invalid", "expected an object")
     fields = (base, document, configuration.digest_of([base, document]))
-    if _known_to_all(core, "configure-tenants"):
+    if _all_members_know(core, "configure-tenants"):
         return Propose(("configure-tenants", *fields, True), "configured")
     return Propose(("configure", *fields), "configured")
 
@@ -185,13 +188,13 @@
     """Changes named items of the configuration."""
     base, version, upserts, removes = arguments
     fields = (base, version, upserts, removes, configuration.digest_of([base, version, upserts, removes]))
-    if _known_to_all(core, "amend-tenants"):
+    if _all_members_know(core, "amend-tenants"):
         return Propose(("amend-tenants", *fields, True), "configured")
     return Propose(("amend", *fields), "configured")
 
 
-def configured(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer once Configuration.replace or amend had this outcome."""
+def answer_configured(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to a change of the configuration, from the outcome of Configuration.replace or amend."""
     if outcome[0] == "configured":
         return Answer(200, {"version": outcome[1]})
     if outcome[0] == "stale":
@@ -201,13 +204,15 @@
     return faulty(outcome[1], "the configuration has faults", 400)
 
 
-def configuration_read(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """The configuration in force."""
-    return _unready(core) or Answer(200, core.cluster_state.leased_jobs.configuration.document)
+def read_configuration(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
+    """Reads the configuration in force."""
+    return _unconfigured(core) or Answer(200, core.cluster_state.leased_jobs.configuration.document)
 
 
 def evacuate(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
-    """An order for a zone, with the index of the log that was confirmed as it came."""
+    """Begins or ends the evacuation of a zone. `confirmed` is the index of the log that the leader confirmed
+    while the caller was waiting (see scheduling/evacuation.py).
+    """
     zone, begun, confirmed = arguments
     if not 0 < len(zone) <= constants.MAX_NAME_LENGTH:
         return problem(400, "zone", f"a zone has a name of 1 to {constants.MAX_NAME_LENGTH} characters")
@@ -217,17 +222,17 @@
     return Propose(operation, "evacuated")
 
 
-def evacuated(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer once Evacuations.take had this outcome."""
+def answer_evacuated(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
+    """The answer to an order for a zone, from the outcome of Evacuations.take."""
     if outcome[0] == "superseded":
-        why = "another order for the zone came first; this one was not taken, send it again"
-        return problem(503, "superseded", why, constants.RETRY_AFTER)
+        message = "another order for the zone came first; this one was not taken, send it again"
+        return problem(503, "superseded", message, constants.RETRY_AFTER)
     if outcome[0] == "full":
         return problem(429, "full", "too many zones are evacuated", constants.RETRY_AFTER)
     return Answer(200, {})
 
 
-# name on the wire -> how it is handled; part of control/requests/registry.py
+# Name of a call on the wire -> its handler; control/requests/registry.py includes these.
 CALLS = {
     "job": submit,
     "job-read": read,
@@ -236,14 +241,15 @@
     "beat-leave": leave,
     "configure": configure,
     "amend": amend,
-    "configuration": configuration_read,
+    "configuration": read_configuration,
     "evacuate": evacuate,
     **explain.CALLS,
     **tenant_calls.CALLS,
 }
+# Name of an outcome answer (Propose.outcome_answer) -> the function that makes the answer.
 OUTCOME_ANSWERS = {
-    "job": submitted,
-    "job-cancel": cancelled,
-    "configured": configured,
-    "evacuated": evacuated,
+    "job": answer_submitted,
+    "job-cancel": answer_cancelled,
+    "configured": answer_configured,
+    "evacuated": answer_evacuated,
 }
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -102,7 +102,7 @@
 
 
 original_assign, original_orders = AssignmentManager._assign, AssignmentManager._orders
-original_ended, original_index = LeasedJobState._ended, LeasedJobState._index
+original_ended, original_index = LeasedJobState._apply_end, LeasedJobState._update_ready
 original_seats, original_heartbeat = assigner.candidate_workers, Worker.take_heartbeat
 INJECTED_FAULTS = {
     **CONTROL_INJECTED_FAULTS,
@@ -125,13 +125,13 @@
     "ends-noted-early": [(Worker, "acknowledged", lambda self: self.seen)],
     "levels-forgotten": [(Proposals, "common_level", _notified_levels_alone)],
     "evacuation-in-word": [(LeasedJobState, "evacuate", lambda self, *order: ("ok",))],
-    "failures-forgotten": [(LeasedJobState, "_ended", _failures_forgotten)],
+    "failures-forgotten": [(LeasedJobState, "_apply_end", _failures_forgotten)],
     "room-given-early": [(assigner, "candidate_workers", _capacity_twice)],
     "cancel-in-word": [(LeasedJobState, "cancel", _cancel_in_word)],
     "stops-forgotten": [(LeasedJobState, "wanted", lambda self, placement: True)],
     "leaves-are-ends": [(Worker, "leave", lambda self: True)],
     "drain-unseen": [(Worker, "take_heartbeat", _always_ready)],
-    "order-unheeded": [(LeasedJobState, "_index", _after_unheeded)],
+    "order-unheeded": [(LeasedJobState, "_update_ready", _after_unheeded)],
     "answers-unchecked": [(Forwarder, "waiting", lambda self, token, key: self.calls.get(token))],
     # No fault but a condition under which nothing may break: the log is compacted all the time.
     "frequent-snapshots": [
--- a/src/pinepitch/simulation/jobs/key_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/key_injected_faults.py
@@ -28,7 +28,7 @@
     """Lets every tenant at every job."""
     found = original_admitted(core, host, path, key)
     if isinstance(found, Answer) and found.status == FOREIGN_JOB:
-        return requests._route(core, host, path)
+        return requests._find_route(core, host, path)
     return found
 
 
@@ -40,12 +40,12 @@
         self.tenants = type(self.tenants)(before)
 
 
-original_caller, original_admitted = requests._caller, requests._admitted
+original_caller, original_admitted = requests._calling_tenant, requests._authorized_route
 original_amend, original_put = Configuration.amend, Configuration._set_document
 KEY_INJECTED_FAULTS = {
-    "key-unchecked": [(requests, "_caller", _key_unchecked)],
-    "missing-key-unchecked": [(requests, "_caller", _missing_key_unchecked)],
+    "key-unchecked": [(requests, "_calling_tenant", _key_unchecked)],
+    "missing-key-unchecked": [(requests, "_calling_tenant", _missing_key_unchecked)],
     "keys-not-renewed": [(Configuration, "amend", _keys_not_renewed)],
     "keys-one-version-late": [(Configuration, "_set_document", _keys_from_version_before)],
-    "owner-unheeded": [(requests, "_admitted", _owner_unheeded)],
+    "owner-unheeded": [(requests, "_authorized_route", _owner_unheeded)],
 }
--- a/src/pinepitch/simulation/jobs/quota_trial.py
+++ b/src/pinepitch/simulation/jobs/quota_trial.py
@@ -191,7 +191,7 @@
     for placements in self.placements.values():
         for placement in placements.values():
             if placement.job == job.identity and placement.tenant:
-                self._take_back(placement.tenant, placement.resources)
+                self._release_from_tenant(placement.tenant, placement.resources)
                 placement.tenant = ""
 
 
@@ -210,7 +210,7 @@
 original_from_image = LeasedJobState.from_image
 INJECTED_FAULTS = {
     "maximum-unchecked": [
-        (LeasedJobState, "_admits", _admits_all),
+        (LeasedJobState, "_tenant_admits", _admits_all),
         (LeasedJobState, "over_maximum", _over_nothing),
         (tenant_rules.TenantCapacity, "allowance", _allows_all),
     ],
