--- a/features/steps/platform_adapters.py
+++ b/features/steps/platform_adapters.py
@@ -558,7 +558,9 @@
     assert not isinstance(context.made, Response), context.made
     call, arguments, _ = context.made
     identity, context.heartbeat = framed(arguments)
-    assert (call, identity) == ("beat", "i-7f3a91c2") and worker.checked(context.heartbeat), context.made
+    assert (call, identity) == ("beat", "i-7f3a91c2") and worker.is_valid_heartbeat(context.heartbeat), (
+        context.made
+    )
     context.worker = worker.Worker(identity, 10.0)
     assert context.worker.take_heartbeat(context.heartbeat, 10.0)
 
--- a/src/pinepitch/scheduling/__init__.py
+++ b/src/pinepitch/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs under leases: what is agreed on about them, and what the leader decides."""
+"""Leased jobs, which workers run under leases: their replicated state and how the leader schedules them."""
--- a/src/pinepitch/scheduling/daemon_interface.py
+++ b/src/pinepitch/scheduling/daemon_interface.py
@@ -1,4 +1,6 @@
-"""What this package needs of the daemon that leads. The control daemon is one; a test may use another."""
+"""The interface that this package requires of the daemon whose replica leads. The control daemon implements
+it; a test may use another implementation.
+"""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, Protocol
@@ -11,59 +13,61 @@
 
 
 class ClusterStateView(Protocol):
-    """What is read of the replicated state; it changes only as entries of the log are applied."""
+    """The part of the replicated state that this package reads. It changes only when entries of the log are
+    applied.
+    """
 
     @property
     def leased_jobs(self) -> LeasedJobState:
-        """What is agreed on about jobs under leases."""
+        """The replicated state of leased jobs."""
 
     @property
     def levels(self) -> Mapping[str, int]:
-        """Operation -> the level of members that know it, for those above level 1."""
+        """Operation -> the lowest level of a member that knows it, for operations above level 1."""
 
 
 class Daemon(Protocol):
-    """The daemon whose replica leads. All times are seconds; `now` is always the daemon's own clock, which
-    only moves forward and tells nothing of other machines.
+    """The daemon whose replica leads. All times are in seconds. `now` is always the daemon's own monotonic
+    clock, which cannot be compared with the clocks of other machines.
     """
 
     assignments: "AssignmentManager"
     address: str  # where its clients reach it
-    lease_duration: float  # seconds that a worker may go on after the heartbeat that its lease answers
-    far: float  # times as long that a task takes away from its data
-    tenant_burst: float  # seconds that jobs may come before the weight of their tenant has them due
+    lease_duration: float  # seconds that a worker may continue after a heartbeat answered with a lease
+    far: float  # how long a task takes on a worker that is not near its data, as a multiple of the usual time
+    tenant_burst: float  # seconds by which a tenant's jobs may come early at the rate of its weight
     step_at: float  # `now` of the message that is being handled
 
     @property
     def cluster_state(self) -> ClusterStateView:
-        """The replicated state, as this daemon has applied it."""
+        """The replicated state, as far as this daemon has applied the log."""
 
     @property
     def epoch(self) -> int:
-        """Of its claim to place; 0 without one. It fences out orders of earlier leaders."""
+        """The epoch of this daemon's claim to place tasks, 0 without one; it fences off older epochs."""
 
     def cluster_time(self, now: float) -> float:
-        """The cluster's time, seconds: the median of the members' clocks, never behind the cluster state."""
+        """The cluster's time, seconds: the median of the members' clocks, never behind the state's."""
 
     def leased(self, now: float) -> bool:
-        """Whether what this daemon says as a leader can be relied on now."""
+        """Whether this daemon's lease as the leader is valid, so that the state it reads is the newest."""
 
     def common_level(self) -> int:
-        """The level of operations that every member knows."""
+        """The highest level whose operations every member knows."""
 
     def propose(self, operation: tuple[Any, ...], waiting: Any, now: float) -> None:
-        """Puts an operation into the log; `waiting`, if not None, is told the outcome. Operations of a level
-        that some member does not know are held back.
+        """Proposes an operation for the log. `waiting`, if not None, gets the outcome. An operation of a
+        level that some member does not know is not proposed.
         """
 
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
-        """Proposes, and returns the index of the entry; None where the operation is held back."""
+        """Proposes an operation and returns the index of its entry, or None if it was not proposed."""
 
     def answer(self, address: str, token: Any, answer: Answer) -> None:
-        """Answers a request that is pending; nothing happens if it is not pending any more."""
+        """Answers a pending request. Does nothing if the request is not pending any more."""
 
     def event(self, number: int, **fields: Any) -> None:
         """Logs a numbered event (common/events.py)."""
 
     def trace(self, number: int, **fields: Any) -> None:
-        """Logs an event for a timeline of jobs: there are many, so only where the log keeps them."""
+        """Logs an event for timelines of jobs, if tracing is on. There are many such events."""
--- a/src/pinepitch/scheduling/plain_types.py
+++ b/src/pinepitch/scheduling/plain_types.py
@@ -1,16 +1,16 @@
-"""Types of the plain values that cross the edge of this package: they are encoded as they are, in frames, in
-the log and in snapshots, so they stay tuples, lists and dicts.
+"""Types of the plain values that this package exchanges with others. They are encoded without conversion in
+frames, in the log and in snapshots, so they consist of tuples, lists and dicts.
 """
 
 from typing import Any
 
-# An object as JSON has it; its keys are those of the users' pages.
+# A JSON object, with the keys that the users' pages describe.
 Document = dict[str, Any]
-# A value that is stored in a snapshot and of which the same object is made again.
+# The state of an object as it is stored in a snapshot; the object can be rebuilt from it.
 Image = tuple[Any, ...]
-# What an operation on the cluster state led to: a word, and what belongs to it.
+# The outcome of an operation on the cluster state: its kind, followed by the values that belong to this kind.
 Outcome = tuple[Any, ...]
-# What is wrong with a document from outside: (path in it, message) pairs.
+# The faults of a received document, as (path in the document, message).
 Faults = tuple[tuple[str, str], ...]
-# The arguments of a call, in the order of the contract of calls.
+# The arguments of a call, in the order in which the caller sends them.
 Arguments = tuple[Any, ...]
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -162,7 +162,7 @@
 def heartbeat(core: Daemon, token: Any, arguments: Arguments, now: float) -> Decision:
     """Validates a worker's heartbeat. The assignment manager processes it and answers it, possibly later."""
     identity, document = arguments
-    if not workers.checked(document):
+    if not workers.is_valid_heartbeat(document):
         return problem(400, "beat", "the beat can't be read")
     return DeferHeartbeat(identity, document)
 
--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -1,4 +1,4 @@
-"""A worker as the leader knows it from its heartbeats. Not stored: a new leader learns it anew."""
+"""A worker as the leader knows it from its heartbeats. It is not replicated: a new leader learns it again."""
 
 import math
 from typing import Any, NamedTuple
@@ -7,94 +7,106 @@
 from .placement import RunKey
 from .plain_types import Document
 
-READY = "ready"  # the state of a worker that takes new work; in any other it takes none
+READY = "ready"  # the state of a worker that accepts new work; in any other state it accepts none
 DRAINING = "draining"
 
 
 class Progress(NamedTuple):
-    """How far a run is, and since when. Times are the leader's, seconds."""
+    """The progress of a run, as reported in heartbeats. Times are by the leader's clock, seconds."""
 
     percent: float
-    changed_at: float  # when a heartbeat first told this percent
+    changed_at: float  # when a heartbeat first reported this percentage
     first_at: float  # when a heartbeat first listed the run
 
 
-# What an assigning round reads of a worker's newest heartbeat: while it stays the same, so does what it would
-# decide. (heard twice, late, service, zone, state, labels, capacity, runs), made for every heartbeat and so a
-# plain tuple.
+# The part of a worker's newest heartbeat that a scheduling round reads. While it stays the same, so do the
+# decisions of a round about the worker: (whether there were at least two heartbeats, whether the newest is
+# stale, service, zone, state, labels, capacity, runs). It is built for every heartbeat, so it is a plain
+# tuple.
 SchedulingState = tuple[
     bool, bool, str, str, str, frozenset[str], tuple[float, ...], frozenset[tuple[str, int]]
 ]
 
 
 class Worker:
-    """One incarnation of a worker: after a crash it has another identity, and nothing of the old one runs.
+    """One incarnation of a worker. After a crash, the worker has another identity, and nothing that the old
+    incarnation started still runs.
 
-    Invariants: sequence is that of the newest heartbeat taken; leased_from is when the newest heartbeat
-    arrived that was answered with a lease, so that nothing it runs outlives leased_from and the
-    length of a lease; pending holds the numbers of its ends that are proposed and not yet agreed on.
+    Invariants: `sequence` is that of the newest heartbeat that was accepted. `leased_from` is when the newest
+    of the heartbeats arrived that were answered with a lease, so nothing on the worker runs for longer than
+    one lease after it. `pending` contains the numbers of the ends that are proposed and not yet committed.
     """
 
     def __init__(self, identity: str, now: float) -> None:
         self.identity = identity
         self.sequence = -1
-        self.heartbeats = 0  # taken: the first may be a late one of an incarnation that is over
+        # Number of accepted heartbeats. The first may be a delayed one, of an incarnation that is over.
+        self.heartbeats = 0
         self.heard_at = now
         self.leased_from: float | None = None
-        # least of own time less the worker's clock, milliseconds, slackened with time
-        self.offset: float | None = None
-        self.offset_at = now
+        # The minimum of the leader's time minus the worker's clock, milliseconds. It grows over time by the
+        # clock drift that is allowed for.
+        self.clock_offset: float | None = None
+        self.clock_offset_at = now
+        # whether the newest heartbeat took over HEARTBEAT_STALE seconds longer to arrive than the fastest one
         self.stale = False
         self.scheduling_state: SchedulingState | None = None  # by the newest heartbeat
         self.previous_scheduling_state: SchedulingState | None = None  # by the one before
         self.service = self.address = self.zone = self.state = ""
         self.labels: frozenset[str] = frozenset()
         self.rack = ""
-        # all it has, whatever runs: thousandths of a core, megabytes, accelerators
+        # the total capacity, whatever runs: thousandths of a core, megabytes, accelerators
         self.capacity: tuple[float, ...] = (0, 0, 0)
         self.leaves_at: float | None = None
-        self.left = False  # whether it said that it leaves, and not before that it drains
-        self.running: dict[RunKey, tuple[str, float]] = {}  # (reference, run) -> (saved, percent)
-        self.listed: set[RunKey] = set()  # (reference, run) of all it listed as ended
+        # whether it reported that it leaves without having reported before that it drains
+        self.left_undrained = False
+        self.running: dict[RunKey, tuple[str, float]] = {}  # (reference, run) -> (saved progress, percent)
+        # (reference, run) of the runs that its newest heartbeat lists as ended
+        self.listed: set[RunKey] = set()
         self.pending: set[int] = set()
-        self.blocked: set[int] = set()  # numbers of ends that wait for another entry about the same run
-        self.seen = 0  # the highest number of an end it has told
+        # numbers of ends that wait until another end of the same run is committed
+        self.blocked: set[int] = set()
+        self.seen = 0  # the highest number of an end that the worker has reported
         self.progress: dict[RunKey, Progress] = {}  # (reference, run) -> Progress
-        self.avoided_until = -1e9  # no new work before: it refused, stalled or failed some
-        self.failing = 0.0  # failure rate of late, of ends that say something about it
-        self.speed = 1.0  # times as long as usual that its work takes
+        # It gets no new work before this time, because it refused a run or a run stalled on it.
+        self.avoided_until = -1e9
+        self.failing = 0.0  # recent failure rate, of the ends that say something about the worker itself
+        self.speed = 1.0  # the time that its work takes, as a multiple of the usual time
 
     def leave(self) -> bool:
-        """Takes its word that it leaves; whether that proves that it ends now. One that never said that it
-        drains serves on for as long as if it had: it gets no more work, and what it runs goes on.
+        """Processes the worker's report that it leaves. Returns whether this proves that it ends now. A
+        worker that never reported that it drains is treated as draining: it gets no more work, and its runs
+        continue.
         """
-        if self.state != READY and not self.left:
+        if self.state != READY and not self.left_undrained:
             return True
-        self.left, self.state = True, DRAINING
+        self.left_undrained, self.state = True, DRAINING
         return False
 
     def take_heartbeat(self, heartbeat: Document, now: float) -> bool:
-        """Takes a heartbeat, checked, that arrived at `now`; False when it is older than one taken."""
+        """Processes a valid heartbeat that arrived at `now`; False if it is older than an accepted one."""
         if heartbeat["sequence"] <= self.sequence:
             return False
         self.previous_scheduling_state = self.scheduling_state
         self.sequence, self.heard_at = heartbeat["sequence"], now
         self.heartbeats += 1
         offset = now * 1000 - heartbeat["clock_ms"]
-        if self.offset is None:
-            self.offset = offset
-        slack = (now - self.offset_at) * constants.CLOCK_DRIFT * 1000
-        self.offset, self.offset_at = min(self.offset + slack, offset), now
-        self.stale = offset - self.offset > constants.HEARTBEAT_STALE * 1000
+        if self.clock_offset is None:
+            self.clock_offset = offset
+        drift = (now - self.clock_offset_at) * constants.CLOCK_DRIFT * 1000
+        self.clock_offset, self.clock_offset_at = min(self.clock_offset + drift, offset), now
+        self.stale = offset - self.clock_offset > constants.HEARTBEAT_STALE * 1000
         self.service, self.address, self.zone = heartbeat["service"], heartbeat["address"], heartbeat["zone"]
-        self.state = DRAINING if self.left else heartbeat["state"]
+        self.state = DRAINING if self.left_undrained else heartbeat["state"]
         self.labels = frozenset(heartbeat["labels"])
         self.rack = heartbeat["labels"][-1] if heartbeat["labels"] else ""
         self.capacity = tuple(heartbeat["room"])
-        leaves = heartbeat["leaves_ms"]
-        self.leaves_at = now + leaves / 1000 if leaves is not None and self.state != READY else None
-        self.running = {(ref, run): (saved, percent) for ref, run, saved, percent in heartbeat["running"]}
-        self.listed = {(ref, run) for _, ref, run, _, _ in heartbeat["ended"]}
+        leaves_ms = heartbeat["leaves_ms"]
+        self.leaves_at = now + leaves_ms / 1000 if leaves_ms is not None and self.state != READY else None
+        self.running = {
+            (reference, run): (saved, percent) for reference, run, saved, percent in heartbeat["running"]
+        }
+        self.listed = {(reference, run) for _, reference, run, _, _ in heartbeat["ended"]}
         self.scheduling_state = (
             self.heartbeats >= 2,
             self.stale,
@@ -109,55 +121,58 @@
         return True
 
     def _track_progress(self, now: float) -> None:
-        """Learns when each run was first listed, and when its progress last changed."""
+        """Records when each run was first listed and when its progress last changed."""
         for key, (_, percent) in self.running.items():
-            known = self.progress.get(key)
-            if known is None or percent != known.percent:
-                self.progress[key] = Progress(percent, now, known.first_at if known else now)
+            previous = self.progress.get(key)
+            if previous is None or percent != previous.percent:
+                self.progress[key] = Progress(percent, now, previous.first_at if previous else now)
         for key in [key for key in self.progress if key not in self.running]:
             del self.progress[key]
 
     def acknowledged(self) -> int:
-        """The number up to which all its ends are agreed on."""
-        open_ends = self.pending | self.blocked
-        return min(open_ends) - 1 if open_ends else self.seen
+        """The number up to which all ends that the worker reported are committed."""
+        uncommitted = self.pending | self.blocked
+        return min(uncommitted) - 1 if uncommitted else self.seen
 
     def unresponsive(self, now: float) -> bool:
-        """Whether nothing was heard of it for WORKER_TIMEOUT seconds."""
+        """Whether no heartbeat arrived for more than WORKER_TIMEOUT seconds."""
         return now - self.heard_at > constants.WORKER_TIMEOUT
 
     def pace(self, ratio: float, weight: float) -> None:
-        """Learns from one run's length beside that of its like."""
+        """Updates `speed` with the duration of a run, as a multiple of the duration of similar runs."""
         ratio = min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, ratio))
         self.speed += (ratio - self.speed) * weight
 
-    def judge(self, well: bool) -> None:
-        """One more end that says something about the worker itself."""
-        self.failing += ((0.0 if well else 1.0) - self.failing) / constants.LIVENESS_HALF
+    def judge(self, succeeded: bool) -> None:
+        """Updates the failure rate with the end of a run that says something about the worker itself."""
+        self.failing += ((0.0 if succeeded else 1.0) - self.failing) / constants.LIVENESS_HALF
 
 
-def checked(heartbeat: Any) -> bool:
-    """Whether a heartbeat from outside has the form that Worker.take_heartbeat takes."""
+def is_valid_heartbeat(heartbeat: Any) -> bool:
+    """Whether a received heartbeat has the form that Worker.take_heartbeat expects."""
     try:
         return (
             all(isinstance(heartbeat[field], str) for field in ("service", "address", "zone", "state"))
             and _is_integer(heartbeat["sequence"])
             and _is_number(heartbeat["clock_ms"])
             and (heartbeat["leaves_ms"] is None or _is_number(heartbeat["leaves_ms"]))
-            and all(isinstance(one, str) for one in heartbeat["labels"])
+            and all(isinstance(label, str) for label in heartbeat["labels"])
             and len(heartbeat["room"]) == 3
             and all(map(_is_number, heartbeat["room"]))
             and all(
-                isinstance(ref, str) and _is_integer(run) and isinstance(saved, str) and _is_number(percent)
-                for ref, run, saved, percent in heartbeat["running"]
+                isinstance(reference, str)
+                and _is_integer(run)
+                and isinstance(saved, str)
+                and _is_number(percent)
+                for reference, run, saved, percent in heartbeat["running"]
             )
             and all(
                 _is_integer(number)
-                and isinstance(ref, str)
+                and isinstance(reference, str)
                 and _is_integer(run)
                 and isinstance(how, str)
                 and isinstance(saved, str)
-                for number, ref, run, how, saved in heartbeat["ended"]
+                for number, reference, run, how, saved in heartbeat["ended"]
             )
         )
     except (KeyError, TypeError, ValueError):
