--- a/features/assigning.feature
+++ b/features/assigning.feature
@@ -87,7 +87,7 @@
 
   Scenario: each mechanism can be switched off by itself, and no rule depends on it
     When the same comes to 8 workers with each mechanism switched off by itself
-    Then no worker ran more than it has capacity for, and work starves without keep_seats and yielding, no other
+    Then no worker ran more than it has capacity for, and work starves without reserve_for_waiting and preempt, no other
 
   Scenario: a task that asks for nothing that its tenant is limited in is placed
     Given 2 workers of 8 accelerators, and tenant acme that may run 4 accelerators
--- a/features/steps/assigning.py
+++ b/features/steps/assigning.py
@@ -260,17 +260,19 @@
     assert not any(sum(one.values()) for one in counts.values()), counts
 
 
-def _nothing_kept(self, wave, seats, indices):
-    """Takes no seat that is kept for the wave."""
-    return original_take(self, wave, [seat for seat in seats if seat.kept is not wave], indices)
+def _without_reserved(self, wave, candidates, indices):
+    """Places no task on a candidate that is reserved for the wave."""
+    return original_place_on(
+        self, wave, [candidate for candidate in candidates if candidate.reserved_for is not wave], indices
+    )
 
 
-original_take = Assigner._take
+original_place_on = Assigner._place_on
 FAULTS = {
-    "a wave may not take what is kept for it": [(Assigner, "_take", _nothing_kept)],
+    "a wave may not take what is kept for it": [(Assigner, "_place_on", _without_reserved)],
     "every budget is used up": [
         (CapacityBudgets, "allowance", lambda self, wave, wanted: 0),
-        (CapacityBudgets, "keepable", lambda self, wave, kept: 0),
+        (CapacityBudgets, "reservable", lambda self, wave, reserved: 0),
     ],
 }
 
--- a/features/steps/assigning_tenants.py
+++ b/features/steps/assigning_tenants.py
@@ -104,7 +104,7 @@
     assert keys
     for key in keys:
         assert assigner.why[key] == REASON_TENANT_AT_MAXIMUM, assigner.why
-        assert key not in assigner.short
+        assert key not in assigner.short_since
 
 
 @then("the leased job state took all that rounds placed")
--- a/features/steps/progress.py
+++ b/features/steps/progress.py
@@ -108,8 +108,8 @@
     def _look(self):
         stopping = {(f"{JOB}.0.0.{identity[1:]}", 1) for identity in self.stops}
         for stop in self.watch.look(self.workers, self.leased_jobs, stopping, self.now):
-            if stop.why == "stalled":
-                self.stops.setdefault(stop.worker, self.now)
+            if stop.reason == "stalled":
+                self.stops.setdefault(stop.worker_id, self.now)
             else:
                 self.slow.append(stop)
 
@@ -235,7 +235,7 @@
     def _begin(self, placement):
         self.at[placement.index], self.done[placement.index] = placement.worker_id, 0.0
         key = (placement.worker_id, placement.reference(), placement.run)
-        self.watch.pace.start(*key, False, self.now)
+        self.watch.pace.record_start(*key, False, self.now)
 
     def run_of(self, task):
         return self.leased_jobs.jobs[JOB].waves[(0, 0)].tasks[task].run
@@ -253,7 +253,7 @@
                 self.slow.append(stop)
                 task = int(stop.reference.rpartition(".")[2])
                 self.leased_jobs.end(
-                    self.now, ((stop.worker, stop.reference, stop.run, "stopped", "", True),)
+                    self.now, ((stop.worker_id, stop.reference, stop.run, "stopped", "", True),)
                 )
                 self.start(task, other_queue(task))
 
@@ -262,7 +262,7 @@
             worker, reference, run = self.at.pop(task), f"{JOB}.0.0.{task}", self.run_of(task)
             del self.done[task]
             wave = self.leased_jobs.jobs[JOB].waves[(0, 0)]
-            self.watch.pace.end(self.workers[worker], wave, reference, run, "done", self.now)
+            self.watch.pace.record_end(self.workers[worker], wave, reference, run, "done", self.now)
             self.leased_jobs.end(self.now, ((worker, reference, run, "done", "", True),))
             self.watch.ended(worker, reference, run, "done")
 
@@ -292,7 +292,7 @@
 
 @then("that task was stopped as slow once, no other was, and all are done")
 def step_once(context):
-    stopped = [(stop.reference, stop.why) for stop in context.restarts.slow]
+    stopped = [(stop.reference, stop.reason) for stop in context.restarts.slow]
     assert stopped == [(f"{JOB}.0.0.0", "slow")], stopped
     assert context.restarts.leased_jobs.state(JOB) == "completed"
 
@@ -319,7 +319,7 @@
 
 @then("both that run there are stopped, too, and all are done")
 def step_both_stopped(context):
-    stopped = sorted((stop.worker, stop.reference.rpartition(".")[2]) for stop in context.restarts.slow)
+    stopped = sorted((stop.worker_id, stop.reference.rpartition(".")[2]) for stop in context.restarts.slow)
     assert stopped == [("w0", "0"), ("w0", "1"), ("w1", "0"), ("w1", "2")], stopped
     assert context.restarts.leased_jobs.state(JOB) == "completed"
 
@@ -334,12 +334,12 @@
         wave.job.identity = f"{place:016x}"
         jobs_open.append(wave.job.identity)
         reference = f"{wave.job.identity}.0.0.0"
-        pace.start("w0", reference, 1, False, 100.0)
+        pace.record_start("w0", reference, 1, False, 100.0)
         if place % 2:
-            pace.end(Worker("w0", 100.0), wave, reference, 1, "done", 101.0)
+            pace.record_end(Worker("w0", 100.0), wave, reference, 1, "done", 101.0)
         if len(jobs_open) > most:
             jobs_open.popleft()
-        pace.forget(jobs_open)
+        pace.drop_finished(jobs_open)
         context.most = max(context.most, len(pace.waves) + len(pace.started))
     known = {key[0] for key in pace.waves} | {key[1].partition(".")[0] for key in pace.started}
     context.lost = set(jobs_open) - known
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -151,7 +151,9 @@
                     if job in self.leased_jobs.jobs
                     else None
                 )
-                self.assigner.pace.end(self.workers[worker_name], wave, reference, run, how, self.now)
+                self.assigner.estimator.record_end(
+                    self.workers[worker_name], wave, reference, run, how, self.now
+                )
                 outcome = self.leased_jobs.end(self.now, ((*key, how, "", True),))[1][0]
                 if outcome == "completed":
                     self.done[job] = self.now
@@ -165,7 +167,7 @@
         for placement in placed:
             key = (placement.worker_id, placement.reference(), placement.run)
             lasts = self.leased_jobs.task(placement)[0].step.lasts
-            self.assigner.pace.start(*key, False, self.now)
+            self.assigner.estimator.record_start(*key, False, self.now)
             self.ends_at[key] = 1e9 if lasts else self.now + self.lengths[placement.job]
         self.leased_jobs.stop(self.now, stops)
         for worker_name, reference, run, _ in stops:
--- a/features/steps/tenant_shares.py
+++ b/features/steps/tenant_shares.py
@@ -94,7 +94,7 @@
     "{length:d} seconds, with weights unheeded"
 )
 def step_unheeded(context, length):
-    unheeded = policies.DEFAULT._replace(heed_weights=False)
+    unheeded = policies.DEFAULT._replace(enforce_tenant_weights=False)
     context.beside = traffic_by_seed(context, length, unheeded)
 
 
@@ -139,7 +139,7 @@
     for moment in moments.split(", "):
         fleet.now = begun + float(moment)
         fleet.put("scans", 1, 1, 1, tenant="a")
-        context.shares.learn(fleet.leased_jobs)
+        context.shares.judge_new_jobs(fleet.leased_jobs)
 
 
 @then("the jobs beyond its weight are those numbered {numbers}")
@@ -151,7 +151,7 @@
 @then("a leader that learns them all at once from an image judges them alike")
 def step_new_leader(context):
     shares = TenantShares()
-    shares.learn(LeasedJobState.from_image(context.fleet.leased_jobs.image()))
+    shares.judge_new_jobs(LeasedJobState.from_image(context.fleet.leased_jobs.image()))
     assert shares.excess == context.shares.excess and shares.excess
 
 
@@ -166,7 +166,7 @@
 @then("none of them lies beyond a weight")
 def step_all_conform(context):
     shares = TenantShares()
-    shares.learn(context.fleet.leased_jobs)
+    shares.judge_new_jobs(context.fleet.leased_jobs)
     assert not shares.excess, shares.excess
 
 
--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -1,6 +1,6 @@
-"""Which worker gets which waiting task: one assigning round over the ready waves and the candidates.
+"""Assigns waiting tasks to workers: one scheduling round over the ready waves and the candidate workers.
 
-The rules and what was weighed for them: docs/design/sharing.md.
+The rules and the alternatives that were considered: docs/design/sharing.md.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,54 +15,54 @@
 from .leased_job import Step, Wave, WaveKey
 from .leased_job_state import LeasedJobState, WaveAssignment
 from .reservations import PendingStops, Reservations
-from .resources import RESOURCE_KINDS, Resources, tasks_in, times
+from .resources import RESOURCE_KINDS, Resources, fitting_tasks, times
 from .run_speed import Pace
 from .run_stop import StopItem
 from .tenant_shares import TenantShares
 from .tenants import TenantCapacity, Tenants
 from .worker import Worker
 
-# Why a round left tasks waiting, as operators are told it.
+# Why a scheduling round left tasks waiting. Operators see these texts.
 REASON_NO_WORKER = "no minion"
 REASON_NO_CAPACITY = "no room"
-REASON_CAPACITY_KEPT = "room is kept for other work"
+REASON_CAPACITY_RESERVED = "room is kept for other work"
 REASON_OVER_BUDGET = "held back for other work"
 REASON_TENANT_AT_MAXIMUM = "its tenant is at its maximum"
 
-# (index of a task, identity of the worker that it is placed on) for some tasks of a wave.
-Group = list[tuple[int, str]]
+# (index of the task, identity of its worker) for tasks of one wave that were placed.
+TaskAssignments = list[tuple[int, str]]
 
 
 class Assigner:
-    """Decides one round at a time. Where work goes is a guess of the leader's; whether it may run is decided
-    by LeasedJobState.assign, from the log.
+    """Decides one scheduling round at a time. Its decisions are proposals based on the leader's estimates;
+    LeasedJobState.assign decides from the log whether a task may run.
 
-    Invariant: a round gives no candidate more than its free capacity, and places a gang whole or not at
-    all.
+    Invariant: a round gives no candidate more than its free capacity, and places either all members of a
+    gang or none.
     """
 
     def __init__(
         self,
-        pace: Pace,
+        estimator: Pace,
         policy: policies.Policy = policies.DEFAULT,
         tenant_burst: float = constants.TENANT_BURST,
     ) -> None:
-        self.pace, self.policy = pace, policy
-        self.short: dict[WaveKey, float] = {}  # key of a wave -> since when it found no capacity
-        # service -> since when some of its candidates are kept without a break
-        self.kept_since: dict[str, float] = {}
-        # what waves ask of a candidate that no candidate has left in this round
+        self.estimator, self.policy = estimator, policy
+        self.short_since: dict[WaveKey, float] = {}  # key of a wave -> since when it lacks capacity
+        # service -> since when some of its candidates have been reserved without interruption
+        self.reserved_since: dict[str, float] = {}
+        # resource requests that no candidate can satisfy any more in this round
         self.exhausted: set[tuple[Any, ...]] = set()
         self.idle_capacity = IdleCapacityCheck()
-        self.violations: tuple[Violation, ...] = ()  # of the newest round
-        self.near: dict[str, int] = {}  # rack -> tasks of this round that want to be there
+        self.violations: tuple[Violation, ...] = ()  # found by the newest round
+        self.tasks_near: dict[str, int] = {}  # rack -> tasks of this round that prefer it for their data
         self.shares = TenantShares(tenant_burst)
-        self.budgets = CapacityBudgets(pace, policy, self.shares)
-        self.hot_at: float | None = None
-        self.hot: dict[str, float] = {}  # rack -> work of late that wanted to be there
-        self.hottest = 1.0  # the most work that wanted to be in one rack, 1 or more
-        self.why: dict[WaveKey, str] = {}  # key of a wave -> why the newest round left some of it
-        # of the round under way
+        self.budgets = CapacityBudgets(estimator, policy, self.shares)
+        self.demand_decayed_at: float | None = None
+        self.rack_demand: dict[str, float] = {}  # rack -> recent demand of work whose data is near it
+        self.highest_demand = 1.0  # the highest demand for any rack, at least 1
+        self.why: dict[WaveKey, str] = {}  # key of a wave -> why the newest round left tasks of it waiting
+        # state of the current round
         self.tenant_capacity = TenantCapacity(Tenants(None), {})
         self.indices: dict[str, CandidateIndex] = {}  # by service
 
@@ -74,54 +74,55 @@
         now: float,
         time: float,
     ) -> tuple[tuple[WaveAssignment, ...], tuple[StopItem, ...]]:
-        """Places what is due. Returns (assign items, stop items): those of the operations "job-assign" and
-        "job-stop". `now` is the daemon's clock, `time` that of the cluster state, both in seconds.
+        """Runs a scheduling round over the waves that are due. Returns (assign items, stop items) for the
+        operations "job-assign" and "job-stop". `now` is the daemon's clock and `time` the clock of the
+        cluster state, both in seconds.
         """
-        if self.policy.heed_weights:
-            self.shares.learn(leased_jobs)
-        self.budgets.learn(leased_jobs, now)
-        self._forget_hot(now)
-        self.near, self.why, self.exhausted = {}, {}, set()
+        if self.policy.enforce_tenant_weights:
+            self.shares.judge_new_jobs(leased_jobs)
+        self.budgets.update_peaks(leased_jobs, now)
+        self._decay_rack_demand(now)
+        self.tasks_near, self.why, self.exhausted = {}, {}, set()
         self.tenant_capacity = TenantCapacity(leased_jobs.tenants, leased_jobs.used_by_tenant)
-        waves = [wave for wave in leased_jobs.ready.values() if wave.due <= time and self._admitted(wave)]
+        waves = [wave for wave in leased_jobs.ready.values() if wave.due <= time and self._is_admitted(wave)]
         if not waves:
-            self.kept_since.clear()
+            self.reserved_since.clear()
             self.violations = ()
-            self._forget_short(leased_jobs)
+            self._drop_old_shortages(leased_jobs)
             return (), ()
         candidates = candidate_workers(leased_jobs, workers, now)
-        self.budgets.open(leased_jobs, candidates, waves, self.tenant_capacity, time)
+        self.budgets.begin_round(leased_jobs, candidates, waves, self.tenant_capacity, time)
         waves.sort(key=self._rank)
         reservations = Reservations(
             leased_jobs,
             assignments,
             self.budgets,
             candidates,
-            self.kept_since,
+            self.reserved_since,
             self.tenant_capacity,
             time,
             self.policy,
         )
-        stops = reservations.keep(waves, self.short, now) if self.policy.keep_seats else ()
+        stops = reservations.reserve(waves, self.short_since, now) if self.policy.reserve_for_waiting else ()
         self.indices = {
-            service: CandidateIndex(mine, self._suitability, self.shares.priority)
-            for service, mine in candidates.items()
+            service: CandidateIndex(service_candidates, self._suitability, self.shares.priority)
+            for service, service_candidates in candidates.items()
         }
         items, complete = self._place_waves(waves, candidates, reservations, now, time)
-        self._forget_short(leased_jobs)
+        self._drop_old_shortages(leased_jobs)
         if complete:
-            self._check(leased_jobs, candidates, reservations, items, now)
+            self._check_idle_capacity(leased_jobs, candidates, reservations, items, now)
         return tuple(items), tuple(stop.plain() for stop in stops)
 
-    def _admitted(self, wave: Wave) -> bool:
-        """Whether a wave's tenant may have more of it running, all of a gang; what it may not is not short of
-        capacity, and has none kept for it.
+    def _is_admitted(self, wave: Wave) -> bool:
+        """Whether the maximum of a wave's tenant admits one more task of it, or all members of a gang. A wave
+        that is not admitted does not count as short of capacity, and no capacity is reserved for it.
         """
         least = len(wave.waiting) if wave.step.gang else 1
         if self.tenant_capacity.allowance(wave.job.tenant, wave.step.resources, least) >= least:
             return True
         self.why[wave.key()] = REASON_TENANT_AT_MAXIMUM
-        self.short.pop(wave.key(), None)
+        self.short_since.pop(wave.key(), None)
         return False
 
     def _place_waves(
@@ -132,57 +133,61 @@
         now: float,
         time: float,
     ) -> tuple[list[WaveAssignment], bool]:
-        """(assign items, whether every wave was looked at): a round places about MAX_ASSIGNED_TASKS."""
+        """Places tasks of the waves in order. Returns (assign items, whether every wave was processed): a
+        round ends once it has placed MAX_ASSIGNED_TASKS tasks, and exceeds that by one wave at most.
+        """
         items, count = [], 0
         for wave in waves:
             if count >= constants.MAX_ASSIGNED_TASKS:
                 break
-            mine = candidates.get(wave.job.service, ())
-            if not mine:
+            service_candidates = candidates.get(wave.job.service, ())
+            if not service_candidates:
                 self.why.setdefault(wave.key(), REASON_NO_WORKER)
                 continue
-            group = self._group_for(wave, mine, reservations, time)
-            if group:
-                count += len(group)
-                self.tenant_capacity.charge(wave.job.tenant, times(wave.step.resources, len(group)))
-                items.append((wave.job.identity, wave.time, wave.number, tuple(group)))
-            self._remember_short(wave, len(group), reservations, now)
+            assigned = self._assign_wave(wave, service_candidates, reservations, time)
+            if assigned:
+                count += len(assigned)
+                self.tenant_capacity.charge(wave.job.tenant, times(wave.step.resources, len(assigned)))
+                items.append((wave.job.identity, wave.time, wave.number, tuple(assigned)))
+            self._record_shortage(wave, len(assigned), reservations, now)
         return items, count < constants.MAX_ASSIGNED_TASKS
 
-    def _group_for(
+    def _assign_wave(
         self, wave: Wave, candidates: Sequence[CandidateWorker], reservations: Reservations, time: float
-    ) -> Group:
-        """[(index, worker)] for the tasks of a wave that find a worker."""
-        if not self._admitted(wave):
+    ) -> TaskAssignments:
+        """Places the tasks of a wave for which there is a worker."""
+        if not self._is_admitted(wave):
             return []
         if wave.step.gang:
-            return self._gang(wave, candidates, wave.key() in reservations.kept, time)
-        return self._single(wave, candidates, reservations.kept.get(wave.key(), ()), time)
+            return self._place_gang(wave, candidates, wave.key() in reservations.reserved, time)
+        return self._place_single_tasks(wave, candidates, reservations.reserved.get(wave.key(), ()), time)
 
     def tenants_at_maximum(self, leased_jobs: LeasedJobState) -> set[str]:
-        """The tenants of whose work the newest round left some waiting for their maximum."""
-        waiting = [key for key, why in self.why.items() if why == REASON_TENANT_AT_MAXIMUM]
+        """The tenants with tasks that the newest round left waiting because the tenant is at its maximum."""
+        waiting = [key for key, reason in self.why.items() if reason == REASON_TENANT_AT_MAXIMUM]
         return {leased_jobs.ready[key].job.tenant for key in waiting if key in leased_jobs.ready}
 
-    def _remember_short(self, wave: Wave, placed: int, reservations: Reservations, now: float) -> None:
-        """Remembers since when, and why, a wave of which so many tasks were placed is short of capacity."""
+    def _record_shortage(self, wave: Wave, placed: int, reservations: Reservations, now: float) -> None:
+        """Records why a wave has tasks left after `placed` of them were placed, and since when it is short of
+        capacity.
+        """
         left = len(wave.waiting) - placed
         least = left if wave.step.gang else 1
         if left and self.tenant_capacity.allowance(wave.job.tenant, wave.step.resources, least) < least:
             self.why[wave.key()] = REASON_TENANT_AT_MAXIMUM
-            self.short.pop(wave.key(), None)
+            self.short_since.pop(wave.key(), None)
         elif left:
-            self.short.setdefault(wave.key(), now)
-            self.why.setdefault(wave.key(), self._why_left(wave, reservations))
+            self.short_since.setdefault(wave.key(), now)
+            self.why.setdefault(wave.key(), self._shortage_reason(wave, reservations))
         else:
-            self.short.pop(wave.key(), None)
+            self.short_since.pop(wave.key(), None)
 
-    def _forget_short(self, leased_jobs: LeasedJobState) -> None:
-        """Drops the waves of which nothing is ready any more."""
-        for key in [key for key in self.short if key not in leased_jobs.ready]:
-            del self.short[key]
+    def _drop_old_shortages(self, leased_jobs: LeasedJobState) -> None:
+        """Drops the shortage records of waves that are no longer ready."""
+        for key in [key for key in self.short_since if key not in leased_jobs.ready]:
+            del self.short_since[key]
 
-    def _check(
+    def _check_idle_capacity(
         self,
         leased_jobs: LeasedJobState,
         candidates: dict[str, list[CandidateWorker]],
@@ -190,32 +195,36 @@
         items: list[WaveAssignment],
         now: float,
     ) -> None:
-        """Looks whether a whole round left work beside idle capacity."""
-        kept = {key: (leased_jobs.ready[key], mine) for key, mine in reservations.kept.items()}
+        """Checks whether a complete round left work waiting beside idle capacity."""
+        reserved = {
+            key: (leased_jobs.ready[key], reserved_candidates)
+            for key, reserved_candidates in reservations.reserved.items()
+        }
         placed = {item[:3]: len(item[3]) for item in items}
         self.violations = (
-            *self.idle_capacity.after_round(kept, placed, self.short, now),
-            *self.idle_capacity.look(leased_jobs, candidates, self.short, now),
+            *self.idle_capacity.check_reservations(reserved, placed, self.short_since, now),
+            *self.idle_capacity.check_waiting_jobs(leased_jobs, candidates, self.short_since, now),
         )
 
     def _rank(self, wave: Wave) -> tuple[bool, int, float, str]:
-        """What lies within its tenant's weight first, then the more urgent, then what is due sooner: a step
-        wider than a part of its service's capacity is expected to take several turns of it.
+        """Sort key of a wave: jobs within their tenant's weight first, then by priority, then by due time. A
+        step that needs more than WIDE_PART of its service's capacity is expected to take several passes over
+        that capacity, so it is due later.
         """
         job, step = wave.job, wave.step
-        begun = wave.due if job.times else job.accepted
-        wide = len(wave.waiting) * self._largest_share(step, self.budgets.total_capacity.get(job.service))
-        turns = max(1.0, wide / constants.WIDE_PART) if self.policy.rank_by_turns else 1.0
+        ready_at = wave.due if job.times else job.accepted
+        width = len(wave.waiting) * self._largest_share(step, self.budgets.total_capacity.get(job.service))
+        passes = max(1.0, width / constants.WIDE_PART) if self.policy.rank_by_step_width else 1.0
         time_allowed = (
-            job.latency_target_ms / 1000 + job.stretch * turns * step.est_ms / 1000
-            if self.policy.rank_by_due
+            job.latency_target_ms / 1000 + job.stretch * passes * step.est_ms / 1000
+            if self.policy.rank_by_due_time
             else 0
         )
-        return (self.shares.is_excess(job), job.priority, begun + time_allowed, job.identity)
+        return (self.shares.is_excess(job), job.priority, ready_at + time_allowed, job.identity)
 
     def _largest_share(self, step: Step, total: Resources | None) -> float:
-        """The part of a service's capacity that one task of a step takes, of the resource it takes most
-        of.
+        """The fraction of a service's capacity that one task of a step needs, of the resource of which it
+        needs the largest fraction.
         """
         if total is None:
             return 0.0
@@ -223,170 +232,194 @@
             (step.resources[kind] / total[kind] for kind in RESOURCE_KINDS if total[kind]), default=0.0
         )
 
-    def _forget_hot(self, now: float) -> None:
-        """What racks were wanted for counts less with time."""
-        passed = 0 if self.hot_at is None else now - self.hot_at
-        self.hot_at, left = now, 0.5 ** (passed / constants.PEAK_HALF)
-        for rack in self.hot:
-            self.hot[rack] *= left
-        self.hottest = max((1, *self.hot.values()))
+    def _decay_rack_demand(self, now: float) -> None:
+        """Decays the recorded demand for each rack, with a half life of PEAK_HALF seconds."""
+        elapsed = 0 if self.demand_decayed_at is None else now - self.demand_decayed_at
+        self.demand_decayed_at, decay = now, 0.5 ** (elapsed / constants.PEAK_HALF)
+        for rack in self.rack_demand:
+            self.rack_demand[rack] *= decay
+        self.highest_demand = max((1, *self.rack_demand.values()))
 
     def _suitability(self, candidate: CandidateWorker, wave: Wave | None = None) -> Rank:
-        """The better the lower, for a task of a wave, or for one of any that has neither data near a rack nor
-        capacity kept: near its data, then where it leaves least capacity over.
+        """How well a candidate suits a task of `wave`; lower is better. Without `wave`, the rank for tasks
+        that prefer no rack and have no capacity reserved. After reliability, reservations, data locality,
+        demand for the rack and speed, the candidate with the least free capacity is preferred.
         """
         near = wave.step.near if wave is not None else ""
         return (
             candidate.unreliable,
-            candidate.kept is not None and candidate.kept is not wave,
-            self.policy.prefer_near and bool(near) and near not in candidate.labels,
-            0 if near else self._heat_of(candidate.rack),
-            self._slowness_of(candidate),
+            candidate.reserved_for is not None and candidate.reserved_for is not wave,
+            self.policy.prefer_data_locality and bool(near) and near not in candidate.labels,
+            0 if near else self._demand_step_of(candidate.rack),
+            self._slowness_step_of(candidate),
             candidate.free[2],
             candidate.free[0],
             candidate.identity,
         )
 
-    def _heat_of(self, rack: str) -> int:
-        """How much a rack is wanted for its data, in steps beside the rack most wanted."""
-        if not self.hot or not self.policy.avoid_hot_racks:
+    def _demand_step_of(self, rack: str) -> int:
+        """The demand for a rack by work whose data is near it, as one of HOT_STEPS steps up to that of the
+        rack with the highest demand.
+        """
+        if not self.rack_demand or not self.policy.avoid_contended_racks:
             return 0
-        return round(constants.HOT_STEPS * self.hot.get(rack, 0) / self.hottest)
+        return round(constants.HOT_STEPS * self.rack_demand.get(rack, 0) / self.highest_demand)
 
-    def _slowness_of(self, candidate: CandidateWorker) -> int:
-        """A candidate's speed, in steps within which candidates count as alike."""
+    def _slowness_step_of(self, candidate: CandidateWorker) -> int:
+        """A candidate's slowness in steps; candidates within one step rank equal."""
         if not self.policy.prefer_fast_workers:
             return 0
         return round(candidate.worker.speed * constants.SPEED_STEPS)
 
-    def _single(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], kept: Sequence[CandidateWorker], time: float
-    ) -> Group:
-        """[(index, worker)] for tasks of a wave that is no gang: on the candidates kept for it, and on
-        others as far as its budget goes.
+    def _place_single_tasks(
+        self,
+        wave: Wave,
+        candidates: Sequence[CandidateWorker],
+        reserved: Sequence[CandidateWorker],
+        time: float,
+    ) -> TaskAssignments:
+        """Places tasks of a wave that is not a gang: first on the candidates reserved for it, then on others
+        within its budget.
         """
         step, waiting = wave.step, sorted(wave.waiting)
         waiting = waiting[: self.tenant_capacity.allowance(wave.job.tenant, step.resources, len(waiting))]
-        patience = self._patience(wave, candidates, time) if step.near and self.policy.wait_near else 0
+        near_limit = (
+            self._tasks_to_wait_near(wave, candidates, time)
+            if step.near and self.policy.wait_for_data_locality
+            else 0
+        )
         if step.near:
-            self._heat(wave, len(waiting))
-        group = self._take(wave, kept, waiting)
-        self.budgets.charge(wave, len(group))
-        waiting = waiting[len(group) :]
+            self._record_rack_demand(wave, len(waiting))
+        assigned = self._place_on(wave, reserved, waiting)
+        self.budgets.charge(wave, len(assigned))
+        waiting = waiting[len(assigned) :]
         allowed = self.budgets.allowance(wave, len(waiting))
         if allowed < len(waiting):
             self.why[wave.key()] = REASON_OVER_BUDGET
-        near_by = [candidate for candidate in candidates if step.near in candidate.labels] if patience else ()
-        patient = max(0, min(allowed, patience - len(group)))
-        more = self._take(wave, near_by, waiting[:patient])
-        if len(more) == patient:
-            more += self._take_anywhere(wave, candidates, waiting[patient:allowed], usual=not kept)
-        if len(more) < allowed:
-            self.why.pop(wave.key(), None)  # what lacked was capacity
-        self.budgets.charge(wave, len(more))
-        return group + more
-
-    def _heat(self, wave: Wave, count: int) -> None:
-        """So many tasks of a wave want to be in the rack of their data."""
-        near, wanted = wave.step.near, count * max(wave.step.resources[0], 1)
-        if wanted > self.hot.get(near, 0):
-            self.hot[near] = wanted
-            self.hottest = max(self.hottest, wanted)
+        near_candidates = (
+            [candidate for candidate in candidates if step.near in candidate.labels] if near_limit else ()
+        )
+        near_count = max(0, min(allowed, near_limit - len(assigned)))
+        additional = self._place_on(wave, near_candidates, waiting[:near_count])
+        if len(additional) == near_count:
+            additional += self._place_anywhere(
+                wave, candidates, waiting[near_count:allowed], unreserved=not reserved
+            )
+        if len(additional) < allowed:
+            self.why.pop(wave.key(), None)  # the limit was capacity, not the budget
+        self.budgets.charge(wave, len(additional))
+        return assigned + additional
+
+    def _record_rack_demand(self, wave: Wave, count: int) -> None:
+        """Records that `count` tasks of a wave prefer the rack of their data."""
+        near, demand = wave.step.near, count * max(wave.step.resources[0], 1)
+        if demand > self.rack_demand.get(near, 0):
+            self.rack_demand[near] = demand
+            self.highest_demand = max(self.highest_demand, demand)
             for index in self.indices.values():
-                index.forget_order()
-
-    def _take_anywhere(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int], usual: bool
-    ) -> Group:
-        """As _take, of all candidates; waves like one that found too few of them are not tried again.
-        `usual`: whether no capacity is kept for the wave.
+                index.discard_order()
+
+    def _place_anywhere(
+        self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int], unreserved: bool
+    ) -> TaskAssignments:
+        """Places tasks, given by their indices, on any of the candidates. Once a wave has found too few of
+        them, waves with the same request are skipped for the rest of the round. `unreserved`: whether no
+        capacity is reserved for the wave.
         """
         step = wave.step
-        alike = (
-            *self.shares.level(wave.job),
+        request = (
+            *self.shares.priority_class(wave.job),
             step.resources,
             step.needs,
             wave.job.identity if step.apart else None,
         )
-        if alike in self.exhausted:
+        if request in self.exhausted:
             return []
-        if usual and not step.near:
-            group = self._place(wave, self.indices[wave.job.service].order.with_free(step.resources), indices)
+        if unreserved and not step.near:
+            assigned = self._place_ranked(
+                wave, self.indices[wave.job.service].order.with_free_capacity(step.resources), indices
+            )
         else:
-            group = self._take(wave, candidates, indices)
-        if len(group) < len(indices):
-            self.exhausted.add(alike)
-        return group
-
-    def _take(self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int]) -> Group:
-        """[(index, worker)] for the first of some tasks, as many as find a candidate."""
+            assigned = self._place_on(wave, candidates, indices)
+        if len(assigned) < len(indices):
+            self.exhausted.add(request)
+        return assigned
+
+    def _place_on(
+        self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int]
+    ) -> TaskAssignments:
+        """Places as many of the tasks as find a candidate, in the order of their indices."""
         if not indices:
             return []
-        return self._place(wave, self._ranked(wave, candidates), indices)
+        return self._place_ranked(wave, self._ranked(wave, candidates), indices)
 
-    def _place(self, wave: Wave, ranked: Iterable[CandidateWorker], indices: Sequence[int]) -> Group:
-        """As _take, of candidates in the order in which they are preferred."""
+    def _place_ranked(
+        self, wave: Wave, ranked: Iterable[CandidateWorker], indices: Sequence[int]
+    ) -> TaskAssignments:
+        """Places as many of the tasks as find a candidate; `ranked` lists the candidates, best first."""
         chosen = fill(wave, self.shares.priority(wave.job), ranked, len(indices))
-        self.indices[wave.job.service].placed(chosen)
-        return [(index, one.identity) for index, one in zip(indices, chosen, strict=False)]
+        self.indices[wave.job.service].refresh(chosen)
+        return [(index, candidate.identity) for index, candidate in zip(indices, chosen, strict=False)]
 
     def _ranked(self, wave: Wave, candidates: Iterable[CandidateWorker]) -> list[CandidateWorker]:
-        """The candidates that a wave's task may take, the best first."""
+        """The candidates on which a task of a wave may be placed, best first."""
         priority = self.shares.priority(wave.job)
-        able = [candidate for candidate in candidates if candidate.may_place(wave, priority)]
-        return sorted(able, key=lambda candidate: self._suitability(candidate, wave))
+        eligible = [candidate for candidate in candidates if candidate.may_place(wave, priority)]
+        return sorted(eligible, key=lambda candidate: self._suitability(candidate, wave))
 
-    def _why_left(self, wave: Wave, reservations: Reservations) -> str:
-        """Why some of a wave found no candidate."""
-        for key, candidates in reservations.kept.items():
+    def _shortage_reason(self, wave: Wave, reservations: Reservations) -> str:
+        """Why some tasks of a wave found no candidate."""
+        for key, candidates in reservations.reserved.items():
             if key != wave.key() and any(candidate.can_run(wave) for candidate in candidates):
-                return REASON_CAPACITY_KEPT
+                return REASON_CAPACITY_RESERVED
         return REASON_NO_CAPACITY
 
-    def _patience(self, wave: Wave, candidates: Sequence[CandidateWorker], time: float) -> int:
-        """How many of a wave's tasks had better wait for capacity near their data than start far away:
-        those that would be done there sooner, if what stands before them takes as long as they do.
+    def _tasks_to_wait_near(self, wave: Wave, candidates: Sequence[CandidateWorker], time: float) -> int:
+        """How many tasks of a wave should wait for capacity near their data instead of starting far from it:
+        those that would finish sooner by waiting, if the tasks ahead of them take as long as they do.
         """
-        length = self.pace.expected(wave)
-        if time - wave.since > min((self.pace.far - 1) * length, constants.MAX_NEAR_WAIT):
+        length = self.estimator.expected(wave)
+        if time - wave.since > min((self.estimator.far - 1) * length, constants.MAX_NEAR_WAIT):
             return 0
-        turns = sum(
-            tasks_in(candidate.worker.capacity, wave.step.resources) or 0
+        near_capacity = sum(
+            fitting_tasks(candidate.worker.capacity, wave.step.resources) or 0
             for candidate in candidates
             if wave.step.near in candidate.labels
         )
-        ahead = self.near.get(wave.step.near, 0)
-        self.near[wave.step.near] = ahead + len(wave.waiting)
-        return max(0, int(turns * constants.NEAR_PART * (self.pace.far - 1)) - ahead)
-
-    def _gang(self, wave: Wave, candidates: Sequence[CandidateWorker], kept: bool, time: float) -> Group:
-        """Places all members of a gang, in one rack where the step asks for that and it may be had. Where
-        none are kept for it, a gang leaves free what less urgent work is guaranteed.
+        ahead = self.tasks_near.get(wave.step.near, 0)
+        self.tasks_near[wave.step.near] = ahead + len(wave.waiting)
+        return max(0, int(near_capacity * constants.NEAR_PART * (self.estimator.far - 1)) - ahead)
+
+    def _place_gang(
+        self, wave: Wave, candidates: Sequence[CandidateWorker], is_reserved: bool, time: float
+    ) -> TaskAssignments:
+        """Places all members of a gang, in one rack if the step asks for that and it is possible. A gang
+        without reserved candidates leaves free the capacity guaranteed to less urgent work.
         """
         wanted = len(wave.waiting)
-        if not kept and self.budgets.beside_claims(wave, wanted) < wanted:
+        if not is_reserved and self.budgets.allowance_beside_claims(wave, wanted) < wanted:
             self.why[wave.key()] = REASON_OVER_BUDGET
             return []
-        ranked = self._ranked_for_gang(wave, candidates, kept, time)
+        ranked = self._ranked_for_gang(wave, candidates, is_reserved, time)
         if ranked is None:
             return []
-        group = self._place(wave, ranked, sorted(wave.waiting))
+        assigned = self._place_ranked(wave, ranked, sorted(wave.waiting))
         self.budgets.charge(wave, wanted)
-        return group
+        return assigned
 
     def _ranked_for_gang(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], kept: bool, time: float
+        self, wave: Wave, candidates: Sequence[CandidateWorker], is_reserved: bool, time: float
     ) -> Iterable[CandidateWorker] | None:
-        """Candidates that take all of a gang between them, the best first, or None."""
+        """Candidates that together have capacity for all members of a gang, best first, or None."""
         index = self.indices[wave.job.service]
         tight = wave.step.tight and self.policy.gang_in_one_rack
-        rack = index.racks.fullest_for(wave, kept) if tight else None
+        rack = index.racks.fullest_rack_for(wave, is_reserved) if tight else None
         if rack is not None:
             return self._ranked(wave, rack)
         if tight and time - wave.since < constants.RACK_WAIT:
             return None
-        if not index.racks.have_all(wave, kept):
+        if not index.racks.have_capacity_for(wave, is_reserved):
             return None
-        if kept or wave.step.near:
+        if is_reserved or wave.step.near:
             return self._ranked(wave, candidates)
-        return index.order.with_free(wave.step.resources)
+        return index.order.with_free_capacity(wave.step.resources)
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -1,5 +1,5 @@
-"""How much of a service's capacity work of one urgency may take, so that more urgent work finds capacity
-when it comes.
+"""Limits how much of a service's capacity work of each priority may take, so that more urgent work finds
+capacity when it arrives.
 """
 
 import math
@@ -11,63 +11,77 @@
 from .leased_job import Wave
 from .leased_job_state import LeasedJobState
 from .plain_types import Document
-from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Level, Resources, less, more, tasks_in, times
+from .resources import (
+    NO_RESOURCES,
+    RESOURCE_KINDS,
+    Amount,
+    Level,
+    Resources,
+    fitting_tasks,
+    less,
+    more,
+    times,
+)
 from .run_speed import Pace
 from .tenant_shares import EXCESS_PRIORITY, TenantShares
 from .tenants import TenantCapacity
 
 
 def slack(latency_target_ms: float, stretch: float, length: float) -> float:
-    """Seconds that work of so many seconds can lose and still be in time by its queue's terms."""
+    """Seconds by which work that takes `length` seconds can be delayed and still meet its queue's target."""
     return latency_target_ms / 1000 + (stretch - 1) * length
 
 
 class CapacityBudgets:
-    """How much capacity waves may still take in the round under way.
+    """How much more capacity each wave may take in the current scheduling round.
 
-    Capacity is held back for more urgent work by what it took at most of late, from work that would keep the
-    capacity for longer than the urgent work can wait. What is sooner done than that holds nobody up.
+    Capacity equal to the recent peak usage of more urgent work is reserved for that work, from work that
+    would occupy the capacity for longer than the urgent work can wait. Work that finishes sooner delays no
+    urgent work and is not limited.
 
-    And each urgency with work that has waited for as long as it well can is guaranteed
-    MIN_GUARANTEED_SHARE of a service's capacity, and one task in any case: more urgent work leaves free
-    what it lacks of that, and makes nothing of it yield. Only work that some worker could
-    take has such a claim.
+    Each priority with work that has waited for as long as it can is guaranteed MIN_GUARANTEED_SHARE of a
+    service's capacity, and one task in any case. More urgent work leaves free what the priority lacks of that
+    guarantee, and preempts nothing within it. Only work that some worker could run claims the guarantee.
 
-    Jobs beyond the weight of their tenant count as the least urgent work, which is guaranteed nothing.
+    Jobs beyond their tenant's weight count as the least urgent work, to which nothing is guaranteed.
 
-    Invariants: a budget is charged for what a round places, never for what waves ask for, so that
-    a wave that finds no candidate takes nothing from those behind it; a budget that is not used up admits
-    one more task, however large.
+    Invariants: a budget is charged for what a round places, never for what waves ask for, so a wave that
+    finds no candidate takes nothing from the waves after it. A budget that is not used up admits one more
+    task, however large.
     """
 
     def __init__(
-        self, pace: Pace, policy: policies.Policy = policies.DEFAULT, shares: TenantShares | None = None
+        self, estimator: Pace, policy: policies.Policy = policies.DEFAULT, shares: TenantShares | None = None
     ) -> None:
-        self.pace, self.policy = pace, policy
+        self.estimator, self.policy = estimator, policy
         self.shares = shares or TenantShares()
-        self.peaks: dict[Level, list[float]] = {}  # (service, priority) -> the most capacity it used of late
-        self.learnt_at: float | None = None
+        self.peaks: dict[Level, list[float]] = {}  # (service, priority) -> recent peak of the capacity used
+        self.peaks_updated_at: float | None = None
         self.total_capacity: dict[str, list[float]] = {}  # service -> capacity of all its candidates
-        # (service, priority) -> capacity that its work takes, by this round's placements too
+        # (service, priority) -> capacity that its work uses, including placements of this round
         self.used: dict[Level, Amount] = {}
-        # (service, priority) -> seconds that its work can well wait for capacity
-        self.waits: dict[Level, float] = {}
-        # (service, priority) -> capacity that more urgent work leaves to it
+        # (service, priority) -> seconds that its work can wait for capacity and still be in time
+        self.longest_waits: dict[Level, float] = {}
+        # (service, priority) -> capacity that more urgent work must leave to it
         self.claims: dict[Level, Resources] = {}
-        # (service, priority) -> capacity of work as urgent and less; made anew after a charge
-        self.sums: dict[Level, Resources] = {}
+        # (service, priority) -> capacity used by work of this and lower urgency; recomputed after a charge
+        self.cumulative_used: dict[Level, Resources] = {}
 
-    def learn(self, leased_jobs: LeasedJobState, now: float) -> None:
-        """How much capacity the work of each urgency took at most of late."""
-        passed = 0 if self.learnt_at is None else now - self.learnt_at
-        self.learnt_at, left = now, 0.5 ** (passed / constants.PEAK_HALF)
-        used_by_level = self.shares.used(leased_jobs)
-        for key in {*used_by_level, *self.peaks}:
-            used = used_by_level.get(key, NO_RESOURCES)
-            before = self.peaks.get(key, NO_RESOURCES)
-            self.peaks[key] = [max(one, other * left) for one, other in zip(used, before, strict=True)]
+    def update_peaks(self, leased_jobs: LeasedJobState, now: float) -> None:
+        """Updates the recent peak of the capacity used by each priority; a peak halves in PEAK_HALF
+        seconds.
+        """
+        elapsed = 0 if self.peaks_updated_at is None else now - self.peaks_updated_at
+        self.peaks_updated_at, decay = now, 0.5 ** (elapsed / constants.PEAK_HALF)
+        used_by_priority = self.shares.used(leased_jobs)
+        for key in {*used_by_priority, *self.peaks}:
+            used = used_by_priority.get(key, NO_RESOURCES)
+            peak = self.peaks.get(key, NO_RESOURCES)
+            self.peaks[key] = [
+                max(current, earlier * decay) for current, earlier in zip(used, peak, strict=True)
+            ]
 
-    def open(
+    def begin_round(
         self,
         leased_jobs: LeasedJobState,
         candidates: dict[str, list[CandidateWorker]],
@@ -75,210 +89,224 @@
         tenant_capacity: TenantCapacity,
         time: float,
     ) -> None:
-        """Begins a round: candidates by service, the waves that wait at a time of the cluster state, and what
-        their tenants may still be given.
+        """Begins a scheduling round. Takes the candidates by service, the waves that wait, what their tenants
+        may still be given, and the time of the cluster state in seconds.
         """
         self.total_capacity = {
-            service: [sum(candidate.worker.capacity[kind] for candidate in mine) for kind in RESOURCE_KINDS]
-            for service, mine in candidates.items()
+            service: [
+                sum(candidate.worker.capacity[kind] for candidate in service_candidates)
+                for kind in RESOURCE_KINDS
+            ]
+            for service, service_candidates in candidates.items()
         }
-        self.used = self._used_of(leased_jobs, candidates)
-        self.sums = {}
-        self.waits = self._waits(leased_jobs.configuration.routes)
-        self.claims = self._claims(candidates, waves, tenant_capacity.copy(), time)
+        self.used = self._used_on(leased_jobs, candidates)
+        self.cumulative_used = {}
+        self.longest_waits = self._compute_longest_waits(leased_jobs.configuration.routes)
+        self.claims = self._compute_claims(candidates, waves, tenant_capacity.copy(), time)
 
-    def _used_of(
+    def _used_on(
         self, leased_jobs: LeasedJobState, candidates: dict[str, list[CandidateWorker]]
     ) -> dict[Level, Amount]:
-        """(service, priority) -> capacity that its work takes of these candidates. What runs on workers
-        that get no work now, being unresponsive or closed, takes nothing of the capacity that is shared
-        out.
+        """(service, priority) -> capacity that its work uses on these candidates. Runs on workers that get no
+        new work, because they are unresponsive or closed, use none of the capacity that is shared.
         """
-        used = {key: more(taken, NO_RESOURCES) for key, taken in self.shares.used(leased_jobs).items()}
-        shared = {candidate.identity for mine in candidates.values() for candidate in mine}
-        for identity in leased_jobs.placements.keys() - shared:
+        used = {
+            key: more(resources, NO_RESOURCES) for key, resources in self.shares.used(leased_jobs).items()
+        }
+        candidate_ids = {
+            candidate.identity
+            for service_candidates in candidates.values()
+            for candidate in service_candidates
+        }
+        for identity in leased_jobs.placements.keys() - candidate_ids:
             for placement in leased_jobs.placements[identity].values():
-                key = self.shares.level_of(placement)
+                key = self.shares.priority_class_of(placement)
                 used[key] = less(used[key], placement.resources)
         return used
 
     def guaranteed(self, service: str) -> list[float]:
-        """Capacity of a service that each urgency with work that waits has a right to."""
+        """The capacity of a service that is guaranteed to each priority with waiting work."""
         return [
             resources * constants.MIN_GUARANTEED_SHARE
             for resources in self.total_capacity.get(service, NO_RESOURCES)
         ]
 
-    def _claims(
+    def _compute_claims(
         self,
         candidates: dict[str, list[CandidateWorker]],
         waves: list[Wave],
         tenant_capacity: TenantCapacity,
         time: float,
     ) -> dict[Level, Resources]:
-        """(service, priority) -> what an urgency lacks of its guaranteed capacity and has long waited for.
-        Tenants claim no more than they may have running; their capacity is charged for it.
+        """(service, priority) -> the part of its guaranteed capacity that it lacks and has long waited for.
+        Tenants claim no more than they may have running: `tenant_capacity` is charged for each claim.
         """
         claims: dict[Level, Resources] = {}
-        able: dict[tuple[Any, ...], bool] = {}
+        runnable: dict[tuple[Any, ...], bool] = {}
         if not self.policy.guarantee_shares:
             return claims
         for wave in waves:
-            key = self.shares.level(wave.job)
+            key = self.shares.priority_class(wave.job)
             if (
                 key[1] == EXCESS_PRIORITY
                 or key[0] not in candidates
-                or time - wave.since < self._patience(wave)
+                or time - wave.since < self._longest_wait(wave)
             ):
                 continue
-            asks = (
+            request = (
                 key[0],
                 wave.step.resources,
                 wave.step.needs,
                 wave.job.identity if wave.step.apart else None,
             )
-            if asks not in able:
-                able[asks] = any(
+            if request not in runnable:
+                runnable[request] = any(
                     candidate.potential_members(wave, NO_RESOURCES) for candidate in candidates[key[0]]
                 )
-            if able[asks]:
+            if runnable[request]:
                 claimed = claims.get(key, NO_RESOURCES)
-                claim = self._claim(key, wave, claimed, tenant_capacity)
+                claim = self._additional_claim(key, wave, claimed, tenant_capacity)
                 tenant_capacity.charge(wave.job.tenant, claim)
                 claims[key] = more(claimed, claim)
         return claims
 
-    def _claim(self, key: Level, wave: Wave, claimed: Resources, tenant_capacity: TenantCapacity) -> Amount:
-        """What one more wave that waits adds to the claim of an urgency that claims so much already."""
-        had = more(claimed, self.used.get(key, NO_RESOURCES))
-        count = tasks_in(less(self.guaranteed(key[0]), had), wave.step.resources)
-        if not any(had):
+    def _additional_claim(
+        self, key: Level, wave: Wave, claimed: Resources, tenant_capacity: TenantCapacity
+    ) -> Amount:
+        """What a waiting wave adds to the claim of its (service, priority), which is `claimed` so far."""
+        used_or_claimed = more(claimed, self.used.get(key, NO_RESOURCES))
+        count = fitting_tasks(less(self.guaranteed(key[0]), used_or_claimed), wave.step.resources)
+        if not any(used_or_claimed):
             count = max(1, count or 0)
         waiting = tenant_capacity.allowance(wave.job.tenant, wave.step.resources, len(wave.waiting))
         return times(wave.step.resources, waiting if count is None else min(waiting, count))
 
-    def _patience(self, wave: Wave) -> float:
+    def _longest_wait(self, wave: Wave) -> float:
         """Seconds that a wave can wait for capacity and still be in time."""
         job = wave.job
-        return constants.WAIT_PART * slack(job.latency_target_ms, job.stretch, self.pace.expected(wave))
+        return constants.WAIT_PART * slack(job.latency_target_ms, job.stretch, self.estimator.expected(wave))
 
-    def _waits(self, routes: dict[str, Document]) -> dict[Level, float]:
-        """(service, priority) -> seconds that work of each urgency can wait for capacity and still be in
-        time, by the queue that can wait least. A part of its slack.
+    def _compute_longest_waits(self, routes: dict[str, Document]) -> dict[Level, float]:
+        """(service, priority) -> seconds that its work can wait for capacity and still be in time: WAIT_PART
+        of its slack, for the queue with the least.
         """
-        waits: dict[Level, float] = {}
-        for queue, length in self.pace.lengths.items():
+        longest_waits: dict[Level, float] = {}
+        for queue, length in self.estimator.queue_lengths.items():
             route = routes.get(queue)
             if route is None:
                 continue
             wait = constants.WAIT_PART * slack(route.get("aim_ms", 0), route.get("stretch", 1), length)
             key = (route["service"], route.get("priority", 0))
-            waits[key] = min(waits.get(key, math.inf), wait)
-        return waits
+            longest_waits[key] = min(longest_waits.get(key, math.inf), wait)
+        return longest_waits
 
-    def left_by_less_urgent(self, wave: Wave) -> Resources:
-        """Capacity that a wave may take without taking what less urgent work is guaranteed."""
-        service, priority = self.shares.level(wave.job)
-        left: Resources = self.total_capacity[service]
-        for (name, _), used in self.used.items():
-            if name == service:
-                left = less(left, used)
-        for (name, level), claim in self.claims.items():
-            if name == service and level > priority:
-                left = less(left, claim)
-        return left
+    def unclaimed(self, wave: Wave) -> Resources:
+        """The free capacity that a wave may take without taking what is guaranteed to less urgent work."""
+        service, priority = self.shares.priority_class(wave.job)
+        remaining: Resources = self.total_capacity[service]
+        for (other_service, _), used in self.used.items():
+            if other_service == service:
+                remaining = less(remaining, used)
+        for (other_service, other_priority), claim in self.claims.items():
+            if other_service == service and other_priority > priority:
+                remaining = less(remaining, claim)
+        return remaining
 
-    def left(self, wave: Wave) -> Amount:
-        """Capacity that a wave may still take: all but what is held back for more urgent work and what
-        work as urgent as the wave, and less urgent work, takes; these may have BUDGET_PART of all
-        capacity between them, whatever is held back. Gangs are not bound: they hold all they need at
-        once, and waiting costs them most.
+    def remaining(self, wave: Wave) -> Amount:
+        """The capacity that a wave may still take: the total, less what is reserved for more urgent work,
+        less what work of the same and lower urgency uses. That work may in any case use BUDGET_PART of the
+        total. Gangs have no such limit: they need all their capacity at once, and waiting costs them most.
         """
-        return less(self._cap(wave), self._taken(wave))
+        return less(self._limit(wave), self._used_up_to(wave))
 
-    def _cap(self, wave: Wave) -> Resources:
-        """Capacity that work as urgent as a wave, and less urgent work, may take together."""
-        lasts = self._lasts(wave)
-        service, priority = self.shares.level(wave.job)
+    def _limit(self, wave: Wave) -> Resources:
+        """The capacity that work of a wave's urgency and less urgent work may use together."""
+        occupancy = self._expected_occupancy(wave)
+        service, priority = self.shares.priority_class(wave.job)
         reserved: Resources = NO_RESOURCES
         if not self.policy.reserve_for_urgent:
             return self.total_capacity[service]
         for key, peak in self.peaks.items():
             if key[0] == service and key[1] < priority:
-                waits = lasts <= self.waits.get(key, 0)
-                reserved = more(reserved, self.used.get(key, NO_RESOURCES) if waits else peak)
+                can_wait = occupancy <= self.longest_waits.get(key, 0)
+                reserved = more(reserved, self.used.get(key, NO_RESOURCES) if can_wait else peak)
         total = self.total_capacity[service]
         return [
-            max(resources * constants.BUDGET_PART, resources - one)
-            for resources, one in zip(total, reserved, strict=True)
+            max(capacity * constants.BUDGET_PART, capacity - reserved_amount)
+            for capacity, reserved_amount in zip(total, reserved, strict=True)
         ]
 
-    def _lasts(self, wave: Wave) -> float:
-        """Seconds that a task of a wave is likely to keep its capacity."""
+    def _expected_occupancy(self, wave: Wave) -> float:
+        """Seconds that a task of a wave is expected to occupy its capacity."""
         if wave.step.lasts:
             return math.inf
-        return self.pace.expected(wave) * (self.pace.far if wave.step.near else 1)
+        return self.estimator.expected(wave) * (self.estimator.far if wave.step.near else 1)
 
-    def _taken(self, wave: Wave) -> Resources:
-        """Capacity that work as urgent as a wave, and less urgent work, takes by now."""
-        key = self.shares.level(wave.job)
-        if key not in self.sums:
-            taken: Resources = NO_RESOURCES
+    def _used_up_to(self, wave: Wave) -> Resources:
+        """The capacity that work of a wave's urgency and less urgent work uses now."""
+        key = self.shares.priority_class(wave.job)
+        if key not in self.cumulative_used:
+            total: Resources = NO_RESOURCES
             for (service, priority), used in self.used.items():
                 if service == key[0] and priority >= key[1]:
-                    taken = more(taken, used)
-            self.sums[key] = taken
-        return self.sums[key]
+                    total = more(total, used)
+            self.cumulative_used[key] = total
+        return self.cumulative_used[key]
 
     def allowance(self, wave: Wave, wanted: int) -> int:
         """How many of `wanted` tasks a wave may be given."""
-        left, resources = self.left(wave), wave.step.resources
+        remaining, resources = self.remaining(wave), wave.step.resources
         admitted = (
-            math.ceil(max(0, left[kind]) / resources[kind]) for kind in RESOURCE_KINDS if resources[kind]
+            math.ceil(max(0, remaining[kind]) / resources[kind]) for kind in RESOURCE_KINDS if resources[kind]
         )
-        return min(wanted, self.beside_claims(wave, wanted), *admitted)
+        return min(wanted, self.allowance_beside_claims(wave, wanted), *admitted)
 
-    def beside_claims(self, wave: Wave, wanted: int) -> int:
-        """How many of `wanted` tasks of a wave leave free what less urgent work is guaranteed."""
-        service, priority = self.shares.level(wave.job)
-        if not any(name == service and level > priority for name, level in self.claims):
+    def allowance_beside_claims(self, wave: Wave, wanted: int) -> int:
+        """How many of `wanted` tasks a wave may be given so that the capacity guaranteed to less urgent work
+        stays free.
+        """
+        service, priority = self.shares.priority_class(wave.job)
+        if not any(
+            other_service == service and other_priority > priority
+            for other_service, other_priority in self.claims
+        ):
             return wanted
-        count = tasks_in(self.left_by_less_urgent(wave), wave.step.resources)
+        count = fitting_tasks(self.unclaimed(wave), wave.step.resources)
         return wanted if count is None else min(wanted, count)
 
     def charge(self, wave: Wave, count: int) -> None:
-        """So many tasks of a wave were placed."""
-        key = self.shares.level(wave.job)
+        """Charges the budget for `count` tasks of a wave that were placed."""
+        key = self.shares.priority_class(wave.job)
         self.used[key] = more(self.used.get(key, NO_RESOURCES), times(wave.step.resources, count))
-        self.sums.clear()
+        self.cumulative_used.clear()
 
-    def keepable(self, wave: Wave, kept: Resources) -> int:
-        """For how many tasks of a wave capacity may be kept beside the capacity `kept` for waves as
-        urgent: no more than it may use, and not what less urgent work is guaranteed. A gang, which needs
-        all its capacity at once, is not asked what else of its urgency runs, unless less urgent work
-        lacks capacity now.
+    def reservable(self, wave: Wave, reserved: Resources) -> int:
+        """For how many tasks of a wave capacity may be reserved, beside the capacity `reserved` for other
+        waves of its priority: no more than its budget allows, and not what is guaranteed to less urgent work.
+        For a gang, which needs all its capacity at once, what its priority uses already does not count,
+        unless less urgent work lacks capacity now.
         """
-        service, priority = self.shares.level(wave.job)
+        service, priority = self.shares.priority_class(wave.job)
         claims = [
             resources
-            for (name, level), resources in self.claims.items()
-            if name == service and level > priority
+            for (other_service, other_priority), resources in self.claims.items()
+            if other_service == service and other_priority > priority
         ]
-        alone = wave.step.gang and not any(map(any, claims))
-        own = kept if alone else more(kept, self.used.get((service, priority), NO_RESOURCES))
-        if not wave.step.gang and not self._below(own, self._cap(wave), wave.step.resources):
+        exempt = wave.step.gang and not any(map(any, claims))
+        used = reserved if exempt else more(reserved, self.used.get((service, priority), NO_RESOURCES))
+        if not wave.step.gang and not self._is_below(used, self._limit(wave), wave.step.resources):
             return 0
         allowed = less(self.total_capacity[service], times(self.guaranteed(service), len(claims)))
-        most = tasks_in(less(allowed, own), wave.step.resources)
+        most = fitting_tasks(less(allowed, used), wave.step.resources)
         return len(wave.waiting) if most is None else most
 
-    def _below(self, used: Resources, cap: Resources, resources: Resources) -> bool:
-        """Whether less than a cap is used of all that a capacity takes."""
-        return all(used[kind] < cap[kind] for kind in RESOURCE_KINDS if resources[kind])
+    def _is_below(self, used: Resources, limit: Resources, request: Resources) -> bool:
+        """Whether `used` is below `limit` in every resource that a request asks for."""
+        return all(used[kind] < limit[kind] for kind in RESOURCE_KINDS if request[kind])
 
     def is_guaranteed(self, key: Level) -> bool:
-        """Whether all the capacity that a (service, priority) takes is guaranteed to it."""
+        """Whether all the capacity that a (service, priority) uses is guaranteed to it."""
         if key[1] == EXCESS_PRIORITY:
             return False
-        used, right = self.used.get(key, NO_RESOURCES), self.guaranteed(key[0])
-        return all(one <= other for one, other in zip(used, right, strict=True))
+        used, guaranteed = self.used.get(key, NO_RESOURCES), self.guaranteed(key[0])
+        return all(amount <= limit for amount, limit in zip(used, guaranteed, strict=True))
--- a/src/pinepitch/scheduling/candidate_order.py
+++ b/src/pinepitch/scheduling/candidate_order.py
@@ -1,5 +1,6 @@
-"""Which candidates a task is tried on first, and which racks have capacity for a gang: indices over the
-candidates of one service, kept up while a round places, so that waves which ask alike share them.
+"""Indices over the candidates of one service: by rank, to choose the candidate that is tried first, and by
+rack, to find capacity for a gang. They are maintained while a round places tasks, so that waves with the same
+request share them.
 """
 
 import bisect
@@ -11,23 +12,23 @@
 from .leased_job import LeasedJob, Wave
 from .resources import Resources
 
-# How well a candidate suits a task, the least first. Ends with the candidate's identity, so no two are equal.
+# How well a candidate suits a task; lower is better. Ends with the candidate's identity, so no two are equal.
 Rank = tuple[Any, ...]
 
 
 def fill(
     wave: Wave, priority: int, candidates: Iterable[CandidateWorker], count: int
 ) -> list[CandidateWorker]:
-    """Places up to `count` tasks of a wave that shares capacity by a priority on candidates, the first ones
-    first; the candidate of each task.
+    """Places up to `count` tasks of a wave on candidates, in the order given. `priority` is the one by which
+    the wave shares capacity. Returns the candidate of each task placed.
 
-    A task makes its candidate more suitable for the next, having less capacity left over, so that each
-    candidate is filled before the one behind it is tried.
+    Each candidate is filled before the next one is tried: placing a task leaves its candidate less free
+    capacity, which makes it more suitable for the next task.
     """
     chosen: list[CandidateWorker] = []
     for candidate in candidates:
         while len(chosen) < count and candidate.may_place(wave, priority):
-            candidate.place(wave)
+            candidate.add_task(wave)
             chosen.append(candidate)
         if len(chosen) >= count:
             break
@@ -35,9 +36,9 @@
 
 
 class CandidateOrder:
-    """The candidates of one service by rank, for the tasks to which the same one is the best: those that
-    have no data near any rack and no capacity kept for them. Invariant: sorted by `rank`, once `changed`
-    is told each candidate that a task was placed on.
+    """The candidates of one service by rank, for tasks that prefer no rack and have no capacity reserved: for
+    all of them the ranks are the same. Invariant: sorted by `rank`, provided that `update` is called for each
+    candidate on which a task was placed.
     """
 
     def __init__(
@@ -47,8 +48,8 @@
         self._ranks = {candidate.identity: rank(candidate) for candidate in candidates}
         self._sorted = sorted((self._ranks[candidate.identity], candidate) for candidate in candidates)
 
-    def with_free(self, task: Resources) -> list[CandidateWorker]:
-        """The candidates that one task of this size fits into now, the best first."""
+    def with_free_capacity(self, task: Resources) -> list[CandidateWorker]:
+        """The candidates with free capacity for a task that needs these resources, best first."""
         cpu, memory, accelerators = task
         return [
             candidate
@@ -56,66 +57,66 @@
             if cpu <= candidate.free[0] and memory <= candidate.free[1] and accelerators <= candidate.free[2]
         ]
 
-    def changed(self, candidate: CandidateWorker) -> None:
-        """Puts a candidate in its place by the capacity that it has left."""
-        before = self._ranks[candidate.identity]
+    def update(self, candidate: CandidateWorker) -> None:
+        """Moves a candidate to its new position after its free capacity has changed."""
+        earlier_rank = self._ranks[candidate.identity]
         rank = self._ranks[candidate.identity] = self._rank(candidate)
-        del self._sorted[bisect.bisect_left(self._sorted, (before,))]
+        del self._sorted[bisect.bisect_left(self._sorted, (earlier_rank,))]
         bisect.insort(self._sorted, (rank, candidate))
 
 
 class RackIndex:
-    """The candidates of one service by rack, and for how many members of a gang each rack has capacity.
-    Invariant: all of it is true of what the candidates have free, once `changed` is told each candidate that
-    a task was placed on.
+    """The candidates of one service by rack, and the number of gang members for which each rack has capacity.
+    Invariant: consistent with the free capacity of the candidates, provided that `update` is called for each
+    candidate on which a task was placed.
     """
 
     def __init__(
         self, candidates: Iterable[CandidateWorker], priority_of: Callable[[LeasedJob], int]
     ) -> None:
-        self._priority_of = priority_of  # by which a job shares capacity
+        self._priority_of = priority_of  # the priority by which a job shares capacity
         self._racks: dict[str, list[CandidateWorker]] = {}
         for candidate in candidates:
             self._racks.setdefault(candidate.rack, []).append(candidate)
-        self._free_cpu: dict[str, float] = {}  # rack -> thousandths of a core that are free, where known
-        self._members: dict[tuple[Any, ...], dict[str, int]] = {}  # what a gang asks -> rack -> members
-        # what a gang asks, and whether of one rack -> the fewest members that there was no capacity for; as a
-        # round only places, there is none for as many later in it
-        self._refused: dict[tuple[Any, ...], int] = {}
-
-    def changed(self, candidate: CandidateWorker) -> None:
-        """A candidate has less capacity left."""
+        self._free_cpu: dict[str, float] = {}  # rack -> free thousandths of a core, as far as computed
+        self._members: dict[tuple[Any, ...], dict[str, int]] = {}  # request of a gang -> rack -> members
+        # (request of a gang, whether in one rack) -> the fewest members for which capacity was lacking; as
+        # capacity only shrinks during a round, later gangs with as many members find none either
+        self._smallest_refused: dict[tuple[Any, ...], int] = {}
+
+    def update(self, candidate: CandidateWorker) -> None:
+        """Discards what was computed for the rack of a candidate whose free capacity has shrunk."""
         self._free_cpu.pop(candidate.rack, None)
-        for by_rack in self._members.values():
-            by_rack.pop(candidate.rack, None)
+        for members_by_rack in self._members.values():
+            members_by_rack.pop(candidate.rack, None)
 
-    def fullest_for(self, wave: Wave, keeps: bool) -> Sequence[CandidateWorker] | None:
-        """The candidates of the rack with the least capacity free that takes all of a gang, or None. `keeps`:
-        whether capacity is kept for this very gang.
+    def fullest_rack_for(self, wave: Wave, is_reserved: bool) -> Sequence[CandidateWorker] | None:
+        """The candidates of the rack with the least free CPU among those that have capacity for all members
+        of a gang, or None. `is_reserved`: whether candidates are reserved for this gang.
         """
-        wanted, asked = len(wave.waiting), (*self._asked(wave, keeps), True)
-        if wanted >= self._refused.get(asked, math.inf):
+        wanted, key = len(wave.waiting), (*self._request(wave, is_reserved), True)
+        if wanted >= self._smallest_refused.get(key, math.inf):
             return None
-        members = self._members_by_rack(wave, keeps)
-        able = [rack for rack in self._racks if members[rack] >= wanted]
-        if not able:
-            self._refused[asked] = wanted
+        members = self._members_by_rack(wave, is_reserved)
+        large_enough = [rack for rack in self._racks if members[rack] >= wanted]
+        if not large_enough:
+            self._smallest_refused[key] = wanted
             return None
-        return self._racks[min(able, key=self._free_cpu_of)]
+        return self._racks[min(large_enough, key=self._free_cpu_of)]
 
-    def have_all(self, wave: Wave, keeps: bool) -> bool:
-        """Whether the racks have capacity for all of a gang between them."""
-        wanted, asked = len(wave.waiting), (*self._asked(wave, keeps), False)
-        if wanted >= self._refused.get(asked, math.inf):
+    def have_capacity_for(self, wave: Wave, is_reserved: bool) -> bool:
+        """Whether all racks together have capacity for all members of a gang."""
+        wanted, key = len(wave.waiting), (*self._request(wave, is_reserved), False)
+        if wanted >= self._smallest_refused.get(key, math.inf):
             return False
-        if sum(self._members_by_rack(wave, keeps).values()) >= wanted:
+        if sum(self._members_by_rack(wave, is_reserved).values()) >= wanted:
             return True
-        self._refused[asked] = wanted
+        self._smallest_refused[key] = wanted
         return False
 
-    def _members_by_rack(self, wave: Wave, keeps: bool) -> dict[str, int]:
-        """Rack -> for how many members of a gang it has capacity."""
-        members = self._members.setdefault(self._asked(wave, keeps), {})
+    def _members_by_rack(self, wave: Wave, is_reserved: bool) -> dict[str, int]:
+        """Rack -> the number of a gang's members for which it has capacity."""
+        members = self._members.setdefault(self._request(wave, is_reserved), {})
         priority = self._priority_of(wave.job)
         for rack in self._racks.keys() - members.keys():
             members[rack] = sum(
@@ -128,9 +129,9 @@
             self._free_cpu[rack] = sum(candidate.free[0] for candidate in self._racks[rack])
         return self._free_cpu[rack]
 
-    def _asked(self, wave: Wave, keeps: bool) -> tuple[Any, ...]:
-        """What decides how many members of a gang a candidate takes: gangs for which it is the same share
-        it.
+    def _request(self, wave: Wave, is_reserved: bool) -> tuple[Any, ...]:
+        """Everything that determines how many members of a gang a candidate has capacity for; gangs with an
+        equal request share the result.
         """
         step = wave.step
         return (
@@ -139,12 +140,12 @@
             step.needs,
             (wave.job.identity, wave.number) if step.apart else None,
             None if any(step.resources) else len(wave.waiting),
-            wave.key() if keeps else None,
+            wave.key() if is_reserved else None,
         )
 
 
 class CandidateIndex:
-    """Both indices over the candidates of one service, each made when it is first asked for."""
+    """Both indices over the candidates of one service, each created on first use."""
 
     def __init__(
         self,
@@ -170,14 +171,14 @@
             self._racks = RackIndex(self._candidates, self._priority_of)
         return self._racks
 
-    def placed(self, chosen: Iterable[CandidateWorker]) -> None:
-        """Tasks were placed on these candidates."""
-        for candidate in {one.identity: one for one in chosen}.values():
+    def refresh(self, chosen: Iterable[CandidateWorker]) -> None:
+        """Updates the indices after tasks were placed on these candidates, which may be listed repeatedly."""
+        for candidate in {placed_on.identity: placed_on for placed_on in chosen}.values():
             if self._order is not None:
-                self._order.changed(candidate)
+                self._order.update(candidate)
             if self._racks is not None:
-                self._racks.changed(candidate)
+                self._racks.update(candidate)
 
-    def forget_order(self) -> None:
-        """Something else that ranks depend on has changed."""
+    def discard_order(self) -> None:
+        """Discards the order, after something other than free capacity that ranks depend on has changed."""
         self._order = None
--- a/src/pinepitch/scheduling/idle_capacity.py
+++ b/src/pinepitch/scheduling/idle_capacity.py
@@ -1,11 +1,11 @@
-"""Invariants of placing: work does not wait beside capacity that stands idle (docs/design/sharing.md)."""
+"""Checks the placement invariants: no work waits beside idle capacity (docs/design/sharing.md)."""
 
 import collections
 from collections.abc import Sequence
 from typing import NamedTuple
 
 from ..common import constants
-from .candidate_workers import CandidateWorker, in_use
+from .candidate_workers import CandidateWorker, used_fraction
 from .leased_job import PLACED, Wave, WaveKey
 from .leased_job_state import LeasedJobState
 
@@ -14,80 +14,90 @@
 
 
 class Violation(NamedTuple):
-    """One invariant, found broken for one job."""
+    """A violation of one invariant for one job."""
 
     invariant: str
     job: str
     queue: str
-    seconds: float  # that the wave looked at has been short of capacity
+    seconds: float  # how long the wave concerned has been short of capacity
 
 
 class IdleCapacityCheck:
-    """Looks at each round's outcome, and counts what must not be.
+    """Checks the outcome of each scheduling round, and counts violations of two invariants.
 
-    KEPT_UNTAKEN: after a round a wave, no gang, is short of capacity although a candidate kept for it would
-    take one more of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had nothing placed and
-    waited for capacity while its service had capacity for twice what it needs at once and under half of its
-    capacity was in use. A wave whose tenant is at its maximum is not short of capacity.
+    KEPT_UNTAKEN: after a round, a wave that is not a gang is short of capacity although a candidate reserved
+    for it could run one more of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had nothing
+    placed and waited for capacity, while its service had capacity for twice what the job needs at once and
+    less than RESERVE_BUSY of its capacity was in use. A wave whose tenant is at its maximum does not count as
+    short of capacity.
 
-    Invariant: a violation is counted once for each wave and each time that it begins.
+    Invariant: a violation is counted once per wave each time it begins.
     """
 
     def __init__(self) -> None:
         self.counts: collections.Counter[str] = collections.Counter()  # invariant -> violations
-        # (invariant, key of a wave) that were counted and go on
-        self.broken: set[tuple[str, WaveKey]] = set()
-        # key of a wave -> since when its job waits beside ample idle capacity
-        self.since: dict[WaveKey, float] = {}
-        self.looked_at: float | None = None
+        # (invariant, key of a wave) of violations that are counted and continue
+        self.ongoing: set[tuple[str, WaveKey]] = set()
+        # key of a wave -> since when its job has been waiting beside ample idle capacity
+        self.waiting_since: dict[WaveKey, float] = {}
+        self.checked_at: float | None = None
 
-    def after_round(
+    def check_reservations(
         self,
-        kept: dict[WaveKey, tuple[Wave, list[CandidateWorker]]],
+        reserved: dict[WaveKey, tuple[Wave, list[CandidateWorker]]],
         placed: dict[WaveKey, int],
-        short: dict[WaveKey, float],
+        short_since: dict[WaveKey, float],
         now: float,
     ) -> tuple[Violation, ...]:
-        """Violations of KEPT_UNTAKEN. Takes `kept` (key of a wave -> (wave, candidates)), `placed` (key of a
-        wave -> tasks placed in this round) and `short` (key of a wave -> since when).
+        """Returns new violations of KEPT_UNTAKEN. All mappings are by the key of a wave: `reserved` to (wave,
+        candidates), `placed` to the tasks placed in this round, `short_since` to the time since when it has
+        been short of capacity.
         """
-        found = {}
-        for key, (wave, candidates) in kept.items():
-            waits = len(wave.waiting) > placed.get(key, 0) and key in short and not wave.step.gang
-            if waits and any(candidate.may_place(wave, wave.job.priority) for candidate in candidates):
-                found[key] = wave
-        return self._counted(KEPT_UNTAKEN, found, short, now)
+        violating = {}
+        for key, (wave, candidates) in reserved.items():
+            is_short = len(wave.waiting) > placed.get(key, 0) and key in short_since and not wave.step.gang
+            if is_short and any(candidate.may_place(wave, wave.job.priority) for candidate in candidates):
+                violating[key] = wave
+        return self._count_new(KEPT_UNTAKEN, violating, short_since, now)
 
-    def look(
+    def check_waiting_jobs(
         self,
         leased_jobs: LeasedJobState,
         candidates: dict[str, list[CandidateWorker]],
-        short: dict[WaveKey, float],
+        short_since: dict[WaveKey, float],
         now: float,
     ) -> tuple[Violation, ...]:
-        """Violations of IDLE_BESIDE_WORK, looked for once in IDLE_LOOK_EVERY seconds."""
-        if self.looked_at is not None and now - self.looked_at < constants.IDLE_LOOK_EVERY:
+        """Returns new violations of IDLE_BESIDE_WORK; checks once in IDLE_LOOK_EVERY seconds at most."""
+        if self.checked_at is not None and now - self.checked_at < constants.IDLE_LOOK_EVERY:
             return ()
-        self.looked_at = now
-        idle = [service for service, mine in candidates.items() if in_use(mine) < constants.RESERVE_BUSY]
-        beside = {}
-        for key in short:
+        self.checked_at = now
+        idle_services = [
+            service
+            for service, service_candidates in candidates.items()
+            if used_fraction(service_candidates) < constants.RESERVE_BUSY
+        ]
+        waiting = {}
+        for key in short_since:
             wave = leased_jobs.ready.get(key)
             if (
                 wave is not None
-                and wave.job.service in idle
-                and self._ample(wave, candidates[wave.job.service])
+                and wave.job.service in idle_services
+                and self._has_ample_capacity(wave, candidates[wave.job.service])
             ):
-                beside[key] = wave
-        self.since = {key: self.since.get(key, now) for key in beside}
-        found = {key: wave for key, wave in beside.items() if now - self.since[key] > constants.MAX_IDLE_WAIT}
-        return self._counted(IDLE_BESIDE_WORK, found, short, now)
+                waiting[key] = wave
+        self.waiting_since = {key: self.waiting_since.get(key, now) for key in waiting}
+        violating = {
+            key: wave
+            for key, wave in waiting.items()
+            if now - self.waiting_since[key] > constants.MAX_IDLE_WAIT
+        }
+        return self._count_new(IDLE_BESIDE_WORK, violating, short_since, now)
 
-    def _ample(self, wave: Wave, candidates: Sequence[CandidateWorker]) -> bool:
-        """Whether nothing of a wave's job is placed, and there is capacity for twice what it needs at
-        once.
+    def _has_ample_capacity(self, wave: Wave, candidates: Sequence[CandidateWorker]) -> bool:
+        """Whether nothing of a wave's job is placed although there is capacity for twice what the wave needs
+        at once.
         """
-        if any(task.state == PLACED for one in wave.job.waves.values() for task in one.tasks):
+        if any(task.state == PLACED for job_wave in wave.job.waves.values() for task in job_wave.tasks):
             return False
         wanted, count = 2 * (len(wave.waiting) if wave.step.gang else 1), 0
         for candidate in candidates:
@@ -96,16 +106,16 @@
                 return True
         return False
 
-    def _counted(
-        self, invariant: str, found: dict[WaveKey, Wave], short: dict[WaveKey, float], now: float
+    def _count_new(
+        self, invariant: str, violating: dict[WaveKey, Wave], short_since: dict[WaveKey, float], now: float
     ) -> tuple[Violation, ...]:
-        """The violations that are new, once counted."""
-        before = {key for name, key in self.broken if name == invariant}
-        self.broken -= {(invariant, key) for key in before - found.keys()}
-        new = [(key, wave) for key, wave in found.items() if key not in before]
-        self.broken |= {(invariant, key) for key, _ in new}
+        """Counts and returns the violations that are new."""
+        earlier = {key for name, key in self.ongoing if name == invariant}
+        self.ongoing -= {(invariant, key) for key in earlier - violating.keys()}
+        new = [(key, wave) for key, wave in violating.items() if key not in earlier]
+        self.ongoing |= {(invariant, key) for key, _ in new}
         self.counts[invariant] += len(new)
         return tuple(
-            Violation(invariant, wave.job.identity, wave.job.queue, round(now - short.get(key, now), 3))
+            Violation(invariant, wave.job.identity, wave.job.queue, round(now - short_since.get(key, now), 3))
             for key, wave in new
         )
--- a/src/pinepitch/scheduling/leases.py
+++ b/src/pinepitch/scheduling/leases.py
@@ -1,5 +1,5 @@
-"""Which workers run nothing any more though nobody heard an end: leases that
-lapsed, workers that left.
+"""Finds workers whose incarnation is over although no ends of their runs were reported: those whose lease
+expired, and those that left.
 """
 
 from collections.abc import Iterator
@@ -7,50 +7,56 @@
 from ..common import constants
 from .daemon_interface import Daemon
 from .placement import Placements
-from .run_ends import EndIntake
+from .run_ends import RunEndCollector
 from .worker import Worker
 
-# Why a worker is let go, as event 180 tells it.
-LEFT = "left"  # it drained, and said that it ends
-LAPSED = "hold lapsed"
+# Why a worker's incarnation is over, as logged in event 180.
+LEFT = "left"  # it drained and reported that it shuts down
+LAPSED = "hold lapsed"  # its lease expired
 
 
 class LeaseWatch:
-    """Invariant: a lease counts as lapsed only once it is over by the slowest clock a worker may have,
-    counted from the newest heartbeat whose answer may have extended it, by whichever leader.
+    """Watches the leases of all workers with placements.
+
+    Invariant: a lease counts as expired only after it has ended by the slowest clock that a worker may have.
+    It is counted from the newest heartbeat whose answer, by any leader, may have extended it.
     """
 
-    def __init__(self, core: Daemon, since: float) -> None:
-        self.core, self.since = core, since  # since when this daemon leads
-        self.left_at: dict[str, float] = {}  # worker -> when it said that it ends
+    def __init__(self, core: Daemon, leader_since: float) -> None:
+        self.core, self.leader_since = core, leader_since  # when this daemon became leader, seconds
+        self.left_at: dict[str, float] = {}  # worker -> when it reported that it shuts down
 
-    def leave(self, identity: str, now: float) -> None:
-        """A worker that has drained says that it ends now."""
+    def record_leave(self, identity: str, now: float) -> None:
+        """Records that a drained worker reported that it shuts down now."""
         self.left_at.setdefault(identity, now)
 
-    def over(self, workers: dict[str, Worker], ends: EndIntake, now: float) -> Iterator[tuple[str, str]]:
-        """Yields (identity, why) of workers whose incarnation is over; each is to be let go before the
-        next is asked for.
+    def ended_incarnations(
+        self, workers: dict[str, Worker], ends: RunEndCollector, now: float
+    ) -> Iterator[tuple[str, str]]:
+        """Yields (identity, reason) of each worker whose incarnation is over. The caller must remove each
+        worker before it advances the iterator.
         """
-        for identity, at in list(self.left_at.items()):
-            if now - at >= constants.LEAVE_MARGIN:
+        for identity, left_at in list(self.left_at.items()):
+            if now - left_at >= constants.LEAVE_MARGIN:
                 del self.left_at[identity]
                 yield identity, LEFT
         for identity, placements in list(self.core.cluster_state.leased_jobs.placements.items()):
             if ends.all_proposed(identity, placements):
                 continue
-            if now - self._leased_from(workers.get(identity), placements) > self._span():
+            if now - self._leased_from(workers.get(identity), placements) > self._longest_lease():
                 yield identity, LAPSED
 
-    def _span(self) -> float:
-        """Seconds after which a lease is over, whatever the worker's clock."""
+    def _longest_lease(self) -> float:
+        """Seconds after which a lease has expired even by the slowest clock that a worker may have."""
         return self.core.lease_duration * (1 + constants.CLOCK_DRIFT) + constants.LAPSE_MARGIN
 
     def _leased_from(self, worker: Worker | None, placements: Placements) -> float:
-        """When the newest lease on what a worker runs may have begun."""
+        """The latest time at which the lease that covers a worker's runs may have begun."""
         if worker is not None and worker.leased_from is not None:
             return worker.leased_from
-        if worker is not None and all(one.epoch == self.core.epoch for one in placements.values()):
-            # no answer ever told it of any of these
-            return worker.heard_at + constants.WORKER_TIMEOUT - self._span()
-        return self.since + constants.ELECTION_TIMEOUT
+        if worker is not None and all(
+            placement.epoch == self.core.epoch for placement in placements.values()
+        ):
+            # no answer has ever ordered the worker to start any of these runs
+            return worker.heard_at + constants.WORKER_TIMEOUT - self._longest_lease()
+        return self.leader_since + constants.ELECTION_TIMEOUT
--- a/src/pinepitch/scheduling/placement.py
+++ b/src/pinepitch/scheduling/placement.py
@@ -1,27 +1,30 @@
-"""A placement: one run of a task on one worker, from its assignment to its proven end."""
+"""A placement: one run of a task on one worker, from its assignment until its end is proven."""
 
 from ..common import document
 from .plain_types import Image
 from .resources import Resources
 
-# A run of a task: (reference of the task, number of the run).
+# Identifies a run of a task: (reference of the task, number of the run).
 RunKey = tuple[str, int]
-# The same at a worker: (identity of the worker, reference, run).
+# Identifies a run on a worker: (identity of the worker, reference of the task, number of the run).
 WorkerRun = tuple[str, str, int]
-# An item of the operation "job-ended", as run_ends.RunEnd has it.
+# An item of the operation "job-ended", with the fields of run_ends.RunEnd.
 RunEndItem = tuple[str, str, int, str, str, bool]
 
-# How a run ended: told in a worker's heartbeat, or by the leader, in the operation "job-ended" and event 155.
+# How a run ended: reported in a worker's heartbeat or determined by the leader, and used in the operation
+# "job-ended" and in event 155.
 RUN_DONE = "done"
 RUN_FAILED = "failed"
-RUN_REFUSED = "refused"  # the worker would not start it
-RUN_NEVER_STARTED = "unsent"  # it never started: by an absence in a fresh heartbeat
-RUN_LAPSED = "lapsed"  # its lease is over, and nobody heard an end
+RUN_REFUSED = "refused"  # the worker refused to start it
+RUN_NEVER_STARTED = "unsent"  # proven by its absence from a heartbeat that is not stale
+RUN_LAPSED = "lapsed"  # its lease expired, and no end was reported
 
 
 class Placement:
-    """Invariants: it stands until an end of the run is proven, whatever becomes of the job
-    meanwhile, so that its resources stay counted; stop is why the run is to end, or "".
+    """A run that counts as using its worker's resources.
+
+    Invariants: a placement exists until the end of its run is proven, whatever happens to the job, so that
+    its resources stay counted. `stop` is the reason why the run is to be stopped, or "".
     """
 
     __slots__ = (
@@ -59,14 +62,16 @@
         self.job, self.time, self.number, self.index = job, time, number, index
         self.run, self.worker_id, self.resources, self.service = run, worker_id, tuple(resources), service
         self.priority, self.since, self.epoch, self.stop = priority, since, epoch, stop
-        self.tenant = tenant  # of its job; kept here as the job may be over before the run is
+        self.tenant = tenant  # of its job; stored here because the job may be final before the run has ended
 
     def reference(self) -> str:
-        """The reference of its task, as Wave.reference has it."""
+        """The reference of its task, equal to that of Wave.reference."""
         return f"{self.job}.{self.time}.{self.number}.{self.index}"
 
     def image(self) -> Image:
-        """A value of which the same is made again; as LeasedJob.image for a job of no tenant."""
+        """A plain value from which an equal object can be created. As in LeasedJob.image, the tenant is left
+        out if there is none.
+        """
         image: Image = (
             self.job,
             self.time,
@@ -84,12 +89,12 @@
         return (*image, self.tenant) if self.tenant else image
 
 
-# the placements at one worker
+# The placements on one worker.
 Placements = dict[RunKey, Placement]
 
 
-def parsed(reference: str) -> tuple[str, int, int, int] | None:
-    """(job, time, number, index) of a task's reference, or None."""
+def parse_reference(reference: str) -> tuple[str, int, int, int] | None:
+    """(job, time, number of the step, index of the task) of a task's reference; None if it is malformed."""
     parts = reference.split(".")
     if len(parts) != 4:
         return None
--- a/src/pinepitch/scheduling/resources.py
+++ b/src/pinepitch/scheduling/resources.py
@@ -1,35 +1,35 @@
-"""Arithmetic of resources: what a worker has, what a task asks for, what a service has left."""
+"""Arithmetic on amounts of resources: capacity of workers, requests of tasks, usage of services."""
 
 from collections.abc import Sequence
 
-# Amounts of thousandths of a core, megabytes and accelerators, in this order.
+# Thousandths of a core, megabytes and accelerators, in this order.
 Resources = Sequence[float]
 Amount = tuple[float, float, float]
-# Work of one urgency: (service, priority). Priority 0 is the most urgent.
+# (service, priority); priority 0 is the most urgent.
 Level = tuple[str, int]
 
 NO_RESOURCES: Amount = (0, 0, 0)
 RESOURCE_KINDS = range(3)  # indices of the resources in an amount
 
 
-def less(one: Resources, other: Resources) -> Amount:
-    """What is left of `one` without `other`; below 0 where it is not enough."""
-    return (one[0] - other[0], one[1] - other[1], one[2] - other[2])
+def less(total: Resources, deducted: Resources) -> Amount:
+    """`total` minus `deducted`; negative for each resource of which more is deducted than there is."""
+    return (total[0] - deducted[0], total[1] - deducted[1], total[2] - deducted[2])
 
 
-def more(one: Resources, other: Resources) -> Amount:
-    """Both added up."""
-    return (one[0] + other[0], one[1] + other[1], one[2] + other[2])
+def more(first: Resources, second: Resources) -> Amount:
+    """The sum of two amounts."""
+    return (first[0] + second[0], first[1] + second[1], first[2] + second[2])
 
 
 def times(resources: Resources, count: int) -> Amount:
-    """The resources of so many alike tasks."""
+    """The resources of `count` tasks that need `resources` each."""
     return (resources[0] * count, resources[1] * count, resources[2] * count)
 
 
-def tasks_in(resources: Resources, task: Resources) -> int | None:
-    """How many whole tasks that ask for `task` fit into `resources`, 0 or more; None where nothing is asked
-    for, so that any number fits.
+def fitting_tasks(resources: Resources, task: Resources) -> int | None:
+    """How many tasks that need `task` each fit into `resources`, 0 or more; None if a task needs nothing, so
+    that any number fits.
     """
     fewest: float | None = None
     for kind in RESOURCE_KINDS:
--- a/src/pinepitch/scheduling/run_stop.py
+++ b/src/pinepitch/scheduling/run_stop.py
@@ -1,24 +1,26 @@
-"""An order that a run ends while its job goes on, and the reasons for one."""
+"""The order to stop a run while its job continues, and the reasons for such orders."""
 
 from typing import NamedTuple
 
-# Why a run is to end: told in the operation "job-stop", in event 183 and in the metric of stops.
-STALLED = "stalled"  # its progress stands still
-SLOW = "slow"  # a new start on another worker would be done sooner
-YIELDS = "yields"  # its capacity is kept for more urgent work
+# Why a run is stopped, as used in the operation "job-stop", in event 183 and in the metric that counts stops.
+STALLED = "stalled"  # its progress does not change
+SLOW = "slow"  # a restart on another worker would finish sooner
+PREEMPTED = "yields"  # its capacity is reserved for more urgent work
 
-# An item of the operation "job-stop", as RunStop has it.
+# An item of the operation "job-stop", with the fields of RunStop.
 StopItem = tuple[str, str, int, str]
 
 
 class RunStop(NamedTuple):
-    """A run that is to end while its job goes on, and why."""
+    """An order to stop a run while its job continues."""
 
-    worker: str  # its identity
+    worker_id: str
     reference: str  # of the task
     run: int
-    why: str
+    reason: str  # STALLED, SLOW or PREEMPTED
 
     def plain(self) -> StopItem:
-        """The same as a plain tuple, as other replicas decode it: it is measured and encoded at less cost."""
-        return (self.worker, self.reference, self.run, self.why)
+        """The same fields as a plain tuple, as other replicas decode it. A plain tuple is cheaper to measure
+        and encode.
+        """
+        return (self.worker_id, self.reference, self.run, self.reason)
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -27,7 +27,7 @@
             if (
                 placement.epoch != self.core.epoch
                 or not self.leased_jobs.wanted(placement)
-                or not self._open_for(worker)
+                or not self._accepts_starts(worker)
             ):
                 self.ends.propose(worker.identity, reference, run, "unsent", "", False)
 
@@ -54,7 +54,7 @@
 
     with mock.patch.object(self.core, "propose", proposed):
         original_assign(self, now)
-    self.assigned.clear()
+    self.unapplied_runs.clear()
 
 
 def _orders_early(self, worker, taken, now):
@@ -101,7 +101,7 @@
     original_index(self, wave)
 
 
-original_assign, original_orders = AssignmentManager._assign, AssignmentManager._orders
+original_assign, original_orders = AssignmentManager._assign, AssignmentManager._heartbeat_answer
 original_ended, original_index = LeasedJobState._ended, LeasedJobState._index
 original_seats, original_heartbeat = assigner.candidate_workers, Worker.take_heartbeat
 INJECTED_FAULTS = {
@@ -109,7 +109,7 @@
     **KEY_INJECTED_FAULTS,
     # An old heartbeat is stopped by the end that its carried copy bears, too: without both it proves.
     "absence-at-once": [
-        (AssignmentManager, "_take_absences", _absent_at_once),
+        (AssignmentManager, "_propose_never_started", _absent_at_once),
         (ForwardedRequests, "_in_time", lambda self, end, now: True),
     ],
     "hold-not-waited-out": [(constants, "LAPSE_MARGIN", -3.5)],
@@ -120,7 +120,7 @@
     "copies-told-early": [(Consensus, "after_flush", lambda self: self.saved_sequence)],
     "starts-proposed": [
         (AssignmentManager, "_assign", _starts_proposed),
-        (AssignmentManager, "_orders", _orders_early),
+        (AssignmentManager, "_heartbeat_answer", _orders_early),
     ],
     "ends-noted-early": [(Worker, "acknowledged", lambda self: self.seen)],
     "levels-forgotten": [(Proposals, "common_level", _notified_levels_alone)],
--- a/src/pinepitch/simulation/jobs/quota_trial.py
+++ b/src/pinepitch/simulation/jobs/quota_trial.py
@@ -206,7 +206,7 @@
 
 
 FREQUENT_SNAPSHOTS = injected_faults.INJECTED_FAULTS["frequent-snapshots"]
-original_copy, original_finish = AssignmentManager._copy_what_may_run_twice, LeasedJobState._finish
+original_copy, original_finish = AssignmentManager._release_repeatable_runs, LeasedJobState._finish
 original_from_image = LeasedJobState.from_image
 INJECTED_FAULTS = {
     "maximum-unchecked": [
@@ -214,7 +214,7 @@
         (LeasedJobState, "over_maximum", _over_nothing),
         (tenant_rules.TenantCapacity, "allowance", _allows_all),
     ],
-    "twice-let-go": [(AssignmentManager, "_copy_what_may_run_twice", _unlimited_to_the_watch)],
+    "twice-let-go": [(AssignmentManager, "_release_repeatable_runs", _unlimited_to_the_watch)],
     "cancelled-uncounted": [(LeasedJobState, "_finish", _finish_uncounted)],
     "lowered-unheeded": [(LeasedJobState, "over_maximum", _over_nothing)],
     "counts-lost-on-restart": [
