--- a/src/pinepitch/storage/files.py
+++ b/src/pinepitch/storage/files.py
@@ -1,6 +1,6 @@
-"""The calls on a data folder that the store makes, and the folder of the file system that carries them out.
+"""The file operations of the store, as an interface and as a folder of the file system.
 
-They stand apart so that the simulator can run the store on a folder that loses power between any two.
+The interface lets the simulator run the store on a folder that can lose power between any two operations.
 """
 
 import contextlib
@@ -10,31 +10,31 @@
 
 
 class Files(Protocol):
-    """A folder of files. A name that was made, renamed or removed is durable only once `sync` returned."""
+    """A folder of files. A created, renamed or removed name is durable only after `sync` has returned."""
 
     def make(self) -> None:
-        """Makes the folder if there is none."""
+        """Creates the folder if it does not exist."""
 
     def names(self) -> list[str]:
-        """The names of all files."""
+        """The names of all files in the folder."""
 
     def exists(self, name: str) -> bool:
-        """Whether there is a file of that name."""
+        """Whether a file of that name exists."""
 
     def read(self, name: str) -> bytes:
-        """What a file holds."""
+        """The content of a file."""
 
     def write(self, name: str, parts: Iterable[bytes]) -> None:
-        """Makes a file of these parts, its content durable; OSError if it can't be."""
+        """Writes `parts` to a file and makes its content durable; raises OSError on failure."""
 
     def rename(self, name: str, to: str) -> None:
-        """Gives a file another name, in the place of any file that has it."""
+        """Renames a file; replaces any file with the new name."""
 
     def remove(self, name: str) -> None:
         """Removes a file."""
 
     def sync(self) -> None:
-        """Makes the names of the folder durable; OSError if they can't be."""
+        """Makes the names in the folder durable; raises OSError on failure."""
 
 
 class FolderFiles:
@@ -44,33 +44,33 @@
         self.folder = folder
 
     def make(self) -> None:
-        """Makes the folder if there is none."""
+        """Creates the folder if it does not exist."""
         os.makedirs(self.folder, exist_ok=True)
 
     def names(self) -> list[str]:
-        """The names of all files."""
+        """The names of all files in the folder."""
         return os.listdir(self.folder)
 
     def exists(self, name: str) -> bool:
-        """Whether there is a file of that name."""
+        """Whether a file of that name exists."""
         return os.path.exists(self._path(name))
 
     def read(self, name: str) -> bytes:
-        """What a file holds."""
+        """The content of a file."""
         with open(self._path(name), "rb") as file:
             return file.read()
 
     def write(self, name: str, parts: Iterable[bytes]) -> None:
-        """Makes a file of these parts, its content durable; OSError if it can't be."""
-        with _opened(self._path(name), os.O_WRONLY | os.O_CREAT | os.O_TRUNC) as descriptor:
+        """Writes `parts` to a file and makes its content durable; raises OSError on failure."""
+        with _open_descriptor(self._path(name), os.O_WRONLY | os.O_CREAT | os.O_TRUNC) as descriptor:
             for part in parts:
-                rest = memoryview(part)
-                while rest:
-                    rest = rest[os.write(descriptor, rest) :]
+                remaining = memoryview(part)
+                while remaining:
+                    remaining = remaining[os.write(descriptor, remaining) :]
             os.fsync(descriptor)
 
     def rename(self, name: str, to: str) -> None:
-        """Gives a file another name, in the place of any file that has it."""
+        """Renames a file; replaces any file with the new name."""
         os.replace(self._path(name), self._path(to))
 
     def remove(self, name: str) -> None:
@@ -78,8 +78,8 @@
         os.unlink(self._path(name))
 
     def sync(self) -> None:
-        """Makes the names of the folder durable; OSError if they can't be."""
-        with _opened(self.folder, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
+        """Makes the names in the folder durable; raises OSError on failure."""
+        with _open_descriptor(self.folder, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
             os.fsync(descriptor)
 
     def _path(self, name: str) -> str:
@@ -87,8 +87,8 @@
 
 
 @contextlib.contextmanager
-def _opened(path: str, flags: int) -> Iterator[int]:
-    """A descriptor of a file or folder, closed at the end."""
+def _open_descriptor(path: str, flags: int) -> Iterator[int]:
+    """Opens a file or folder; its descriptor is closed when the context ends."""
     descriptor = os.open(path, flags, 0o644)
     try:
         yield descriptor
--- a/src/pinepitch/storage/folder_lock.py
+++ b/src/pinepitch/storage/folder_lock.py
@@ -1,7 +1,7 @@
-"""The lock on a data folder: one process at a time owns it, until it ends.
+"""The lock on a data folder, which one process at a time owns until it ends.
 
-It is taken before the rest of a program is loaded, so it imports next to nothing: a voter that
-was started anew waits for the leases that its earlier incarnation may have given, counted from here.
+The lock is taken before most of a program is loaded, so this module imports little. A restarted voter waits
+for leases that its earlier incarnation may have granted, and counts that wait from when it got the lock.
 """
 
 import fcntl
@@ -10,20 +10,20 @@
 
 
 class FolderLock:
-    """Invariant: from `since` (seconds on the steady clock) until this process ends no other process
-    owns the folder, and one that owned it before had ended by then.
+    """An exclusive lock on a data folder.
+
+    Invariant: from `since` (seconds on the steady clock) until this process ends, no other process owns the
+    folder; any earlier owner had ended by `since`.
     """
 
     def __init__(self, folder: str) -> None:
-        """Takes the lock of a folder, which is made if there is none; BlockingIOError if another
-        process owns it.
-        """
+        """Locks the folder, creating it if needed; raises BlockingIOError if another process owns it."""
         os.makedirs(folder, exist_ok=True)
-        # the folder's own descriptor bears the lock: no file of another version's folder is touched
+        # Lock the folder itself and not a file in it, so that no file of another version is touched.
         self.descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             fcntl.flock(self.descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self.descriptor)
             raise
-        self.since = time.clock_gettime(time.CLOCK_BOOTTIME)  # as runtime.clocks.steady_clock() tells
+        self.since = time.clock_gettime(time.CLOCK_BOOTTIME)  # the clock of runtime.clocks.steady_clock()
