--- a/features/steps/quorum.py
+++ b/features/steps/quorum.py
@@ -164,7 +164,7 @@
 class PrintedWalk(Quorum):
     """Algorithm 2's caller as printed: the groups of the next leaders replace the others."""
 
-    def _walk(self, replies, term, leader, leader_term):
+    def _check_intermediate_terms(self, replies, term, leader, leader_term):
         every = self.groups()
         possible = {self.group_of(leader)}
         explored, terminal = set(possible), set(possible)
@@ -172,17 +172,19 @@
         while explored != set(every):
             for group in possible:
                 if 2 * len(every[group] & set(replies)) <= len(every[group]):
-                    return self._counted(replies, every, len(every))._replace(satisfied=False, possible=True)
+                    return self._count_grants(replies, every, len(every))._replace(
+                        satisfied=False, possible=True
+                    )
             later = [one for reply in replies.values() for one in reply.history if step < one < term]
             terminal |= possible
             if not later:
-                return self._all(replies, terminal)
+                return self._count_all_groups(replies, terminal)
             step = min(later)
             winners = self._potential_winners(step, possible, replies)
             if winners:
                 possible = {self.group_of(one) for one in winners}
                 explored |= possible
-        return self._counted(replies, every, len(every))
+        return self._count_grants(replies, every, len(every))
 
 
 def play(seed, kind):
--- a/src/pinepitch/consensus/acknowledgements.py
+++ b/src/pinepitch/consensus/acknowledgements.py
@@ -40,7 +40,7 @@
     commitment.advance(replica, now)
     reads.check_round(replica, now)
     if replica.handover is not None:
-        leadership_transfer.try_handover(replica, now)
+        leadership_transfer.try_complete(replica, now)
     if replica.role == LEADER and sender in replica.followers and follower.next <= replica.last_index():
         replication.replicate(replica, sender, now)
 
--- a/src/pinepitch/consensus/commitment.py
+++ b/src/pinepitch/consensus/commitment.py
@@ -27,7 +27,7 @@
         holders = {identity for identity, match in matches.items() if match >= index}
         if replica.membership.commits(holders, replica.identity):
             commit_to(replica, index, now)
-            known_leader.remember(replica, replica.identity, replica.term)
+            known_leader.record(replica, replica.identity, replica.term)
             break
 
 
@@ -84,4 +84,4 @@
     if gone:
         replica.event(132, members=sorted(members))
     if replica.identity not in members:
-        replica.follow(replica.term, now, "no longer a member")
+        replica.become_follower(replica.term, now, "no longer a member")
--- a/src/pinepitch/consensus/election.py
+++ b/src/pinepitch/consensus/election.py
@@ -29,10 +29,10 @@
 
 
 # --- the candidate's part -------------------------------------------------------------
-def campaign(replica: Consensus, role: Role, now: float, released: int = 0) -> None:
+def campaign(replica: Consensus, role: Role, now: float, released_term: int = 0) -> None:
     """Begins an election; `released` is the term whose leader gave up its lease for it, if one did."""
-    replica.role, replica.replies, replica.released = role, {}, released
-    replica.reset_election(now)
+    replica.role, replica.replies, replica.released_term = role, {}, released_term
+    replica.reset_election_timer(now)
     term = replica.term + 1
     replica.following = None
     if role == CANDIDATE:
@@ -40,16 +40,16 @@
         replica.history[term] = replica.identity
         replica.hard_dirty = True
     replica.event(121 if role == CANDIDATE else 120, campaign=term)
-    replica.replies[replica.identity] = _reply(replica, True)
-    ask_votes(replica, now)
+    replica.replies[replica.identity] = _make_reply(replica, True)
+    request_votes(replica, now)
     count_votes(replica, now)
 
 
-def ask_votes(replica: Consensus, now: float) -> None:
+def request_votes(replica: Consensus, now: float) -> None:
     """Asks for what the campaign under way needs, and again until the time-out: a request or its
     answer may get lost, and a voter that still waits for a lease to end grants a moment later.
     """
-    replica.ask_at = now + constants.VOTE_AGAIN * (0.5 + replica.random.random())
+    replica.next_vote_request_at = now + constants.VOTE_AGAIN * (0.5 + replica.random.random())
     request = _vote_request(replica)
     for identity in replica.membership.members():
         if identity != replica.identity:
@@ -61,8 +61,8 @@
     last_term = replica.term_at(last_index)
     assert last_term is not None
     term = replica.term if replica.role == CANDIDATE else replica.term + 1
-    if replica.released:
-        return TakeoverRequest(term, last_index, last_term, replica.released)
+    if replica.released_term:
+        return TakeoverRequest(term, last_index, last_term, replica.released_term)
     if replica.role == CANDIDATE:
         return VoteRequest(term, last_index, last_term)
     return PreVoteRequest(term, last_index, last_term)
@@ -93,7 +93,7 @@
     replica.role = LEADER
     replica.following = replica.identity
     if known_leader.counts_at_once(replica):
-        known_leader.remember(replica, replica.identity, replica.term)
+        known_leader.record(replica, replica.identity, replica.term)
     replica.hard_dirty = True
     replica.followers = {
         identity: Follower(replica.last_index(), now)
@@ -105,7 +105,7 @@
     replica.event(122, groups=len(replica.membership.now.groups()))
     replica.effects.append(BecomeLeader(replica.term))
     log_changes.append(replica, [(replica.term, 0.0, ("noop",))], replica.last_index() + 1)
-    learners = replica.inherited_learners if replica.released else {}
+    learners = replica.inherited_learners if replica.released_term else {}
     replica.inherited_learners = {}
     for identity, zone in learners.items():
         membership_change.learn(replica, identity, zone, now)
@@ -115,16 +115,16 @@
 def on_pre_vote_reply(replica: Consensus, sender: str, message: PreVoteReply, now: float) -> None:
     """Counts a reply to the pre-vote under way."""
     if replica.role == PRE_CANDIDATE and message.term == replica.term + 1:
-        _take_reply(replica, sender, message, now)
+        _count_reply(replica, sender, message, now)
 
 
 def on_vote_reply(replica: Consensus, sender: str, message: VoteReply, now: float) -> None:
     """Counts a reply to the election under way."""
     if replica.role == CANDIDATE and message.term == replica.term:
-        _take_reply(replica, sender, message, now)
+        _count_reply(replica, sender, message, now)
 
 
-def _take_reply(replica: Consensus, sender: str, message: PreVoteReply | VoteReply, now: float) -> None:
+def _count_reply(replica: Consensus, sender: str, message: PreVoteReply | VoteReply, now: float) -> None:
     _, granted, leader, leader_term, history = message
     replica.replies[sender] = Reply(granted, leader, leader_term, dict(history))
     count_votes(replica, now)
@@ -133,24 +133,24 @@
 def on_newer_term(replica: Consensus, sender: str, message: NewerTerm, now: float) -> None:
     """Another replica's term is newer than what this one sent."""
     if message.term > replica.term:
-        replica.follow(message.term, now, "behind")
+        replica.become_follower(message.term, now, "behind")
 
 
 def on_removed(replica: Consensus, sender: str, message: RemovedNotice, now: float) -> None:
     """A member that serves under a leader says that this one was replaced."""
-    knows = sender in replica.membership.members() and message.commit > replica.membership_index
-    if knows and replica.role != LEADER:
+    sender_is_current = sender in replica.membership.members() and message.commit > replica.membership_index
+    if sender_is_current and replica.role != LEADER:
         replica.removed = True
         if replica.role != FOLLOWER:
-            replica.follow(replica.term, now, "stranger")
+            replica.become_follower(replica.term, now, "stranger")
 
 
 # --- the voter's part -----------------------------------------------------------------
-def _reply(replica: Consensus, granted: bool) -> Reply:
+def _make_reply(replica: Consensus, granted: bool) -> Reply:
     return Reply(granted, replica.last_known_leader, replica.last_known_term, dict(replica.history))
 
 
-def is_current(replica: Consensus, last_index: int, last_term: int) -> bool:
+def is_up_to_date(replica: Consensus, last_index: int, last_term: int) -> bool:
     """Whether a log that ends so holds all that this one may have committed."""
     own_index = replica.last_index()
     own_term = replica.term_at(own_index)
@@ -161,15 +161,15 @@
 def on_pre_vote(replica: Consensus, sender: str, message: PreVoteRequest, now: float) -> None:
     """Says whether a vote would be given; not while a leader is near."""
     term, last_index, last_term = message
-    near = replica.leader_near(now)
-    if near and sender not in replica.membership.members():
+    leader_recent = replica.leader_near(now)
+    if leader_recent and sender not in replica.membership.members():
         replica.send(sender, RemovedNotice(replica.term, replica.commit))
         return
     if term <= replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
         return
-    granted = is_current(replica, last_index, last_term) and not near
-    replica.send(sender, PreVoteReply(term, *_reply(replica, granted)), replica.hard_sequence)
+    granted = is_up_to_date(replica, last_index, last_term) and not leader_recent
+    replica.send(sender, PreVoteReply(term, *_make_reply(replica, granted)), replica.hard_sequence)
 
 
 def on_vote(replica: Consensus, sender: str, message: VoteRequest, now: float) -> None:
@@ -187,11 +187,11 @@
     """A vote asked for by a candidate whom the leader of the term `released` named: that leader, and
     every older one, relies on its lease no more; a newer one may.
     """
-    term, last_index, last_term, released = message
+    term, last_index, last_term, released_term = message
     if term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
         return
-    if replica.leader_near(now) and known_leader.newest_term(replica) > released:
+    if replica.leader_near(now) and known_leader.newest_term(replica) > released_term:
         return
     _answer_vote(replica, sender, term, last_index, last_term, now)
 
@@ -200,14 +200,16 @@
     replica: Consensus, sender: str, term: int, last_index: int, last_term: int, now: float
 ) -> None:
     if term > replica.term:
-        replica.follow(term, now, "newer term")
-    choice = replica.history.get(term)
-    led = known_leader.newest_term(replica) >= term
-    granted = not led and is_current(replica, last_index, last_term) and choice in (None, sender)
-    if granted and choice is None:
+        replica.become_follower(term, now, "newer term")
+    voted_for = replica.history.get(term)
+    leader_known = known_leader.newest_term(replica) >= term
+    granted = (
+        not leader_known and is_up_to_date(replica, last_index, last_term) and voted_for in (None, sender)
+    )
+    if granted and voted_for is None:
         replica.history[term] = sender
         replica.hard_dirty = True
-        replica.reset_election(now)
+        replica.reset_election_timer(now)
         replica.event(124, candidate=sender)
-    durable_at = max(replica.after_flush() if replica.hard_dirty else 0, replica.hard_sequence)
-    replica.send(sender, VoteReply(term, *_reply(replica, granted)), durable_at)
+    save_sequence = max(replica.after_flush() if replica.hard_dirty else 0, replica.hard_sequence)
+    replica.send(sender, VoteReply(term, *_make_reply(replica, granted)), save_sequence)
--- a/src/pinepitch/consensus/following.py
+++ b/src/pinepitch/consensus/following.py
@@ -12,17 +12,17 @@
     from .replica import Consensus
 
 
-def hear_leader(replica: Consensus, sender: str, term: int, now: float) -> None:
+def accept_leader(replica: Consensus, sender: str, term: int, now: float) -> None:
     """Takes `sender` for the leader of `term`."""
     if term > replica.term or replica.role != FOLLOWER:
-        replica.follow(term, now, "leader heard")
+        replica.become_follower(term, now, "leader heard")
     replica.following = sender
     replica.removed = False
-    replica.heard_leader = now
-    replica.reset_election(now)
-    replica.heard_term = term
+    replica.leader_heard_at = now
+    replica.reset_election_timer(now)
+    replica.newest_heard_term = term
     if known_leader.counts_at_once(replica):
-        known_leader.remember(replica, sender, term)
+        known_leader.record(replica, sender, term)
 
 
 def on_append(replica: Consensus, sender: str, message: AppendEntries, now: float) -> None:
@@ -31,7 +31,7 @@
     if term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
         return
-    hear_leader(replica, sender, term, now)
+    accept_leader(replica, sender, term, now)
     if previous == 0 and previous_term == 0 and not entries and commit == 0:
         replica.send(sender, AppendReply(term, True, None, heartbeat), replica.hard_wait())
         return
@@ -54,7 +54,7 @@
     up_to = min(commit, last)
     if up_to > replica.committed:
         commitment.commit_to(replica, up_to, now)
-    known_leader.remember_committed(replica, sender, term)
+    known_leader.record_if_committed(replica, sender, term)
 
 
 def _acknowledge(replica: Consensus, sender: str, last: int, heartbeat: int) -> None:
--- a/src/pinepitch/consensus/known_leader.py
+++ b/src/pinepitch/consensus/known_leader.py
@@ -19,26 +19,30 @@
     return replica.membership.now.mode != "dynamic"
 
 
-def remember(replica: Consensus, leader: str, term: int) -> None:
+def record(replica: Consensus, leader: str, term: int) -> None:
     """Notes the leader of a term. Votes of terms up to this one are needed no more (change 6)."""
     if replica.last_known_term < term:
         replica.last_known_leader, replica.last_known_term = leader, term
-        replica.history = {past: choice for past, choice in replica.history.items() if past > term}
+        replica.history = {past: voted_for for past, voted_for in replica.history.items() if past > term}
         replica.hard_dirty = True
 
 
-def remember_committed(replica: Consensus, leader: str, term: int) -> None:
+def record_if_committed(replica: Consensus, leader: str, term: int) -> None:
     """The same, if an entry of that term is known to be committed."""
     if replica.last_known_term < term and replica.term_at(replica.committed) == term:
-        remember(replica, leader, term)
+        record(replica, leader, term)
 
 
 def newest_term(replica: Consensus) -> int:
     """The term of the newest leader heard or known."""
-    return max(replica.last_known_term, replica.heard_term)
+    return max(replica.last_known_term, replica.newest_heard_term)
 
 
 def is_newest(replica: Consensus, leader: str, term: int) -> bool:
     """Whether that is the newest leader heard or known."""
-    newest = replica.following if replica.heard_term > replica.last_known_term else replica.last_known_leader
+    newest = (
+        replica.following
+        if replica.newest_heard_term > replica.last_known_term
+        else replica.last_known_leader
+    )
     return term == newest_term(replica) and leader == newest
--- a/src/pinepitch/consensus/leadership_transfer.py
+++ b/src/pinepitch/consensus/leadership_transfer.py
@@ -13,7 +13,7 @@
     from .replica import Consensus
 
 
-class Handover(NamedTuple):
+class PendingTransfer(NamedTuple):
     """A leader's intent to let `target` lead. Until then it leads on; after `until` it just stands down.
 
     Invariant: leadership, and with it the lease, is given up before the target hears of it.
@@ -27,17 +27,17 @@
     """Chooses a successor among `candidates`; with none stands down at once."""
     target = _successor(replica, candidates, now)
     if target is None:
-        replica.follow(replica.term, now, "stopping")
+        replica.become_follower(replica.term, now, "stopping")
         return
-    replica.handover = Handover(target, now + constants.HANDOVER_WITHIN)
+    replica.handover = PendingTransfer(target, now + constants.HANDOVER_WITHIN)
     replication.replicate_all(replica, now)
-    try_handover(replica, now)
+    try_complete(replica, now)
 
 
 def _successor(replica: Consensus, candidates: set[str], now: float) -> str | None:
     """The voter of every list in force, heard lately, that holds most of the log; None without one."""
     quorums = replica.membership.quorums()
-    able = [
+    eligible = [
         (follower.match, identity)
         for identity, follower in replica.followers.items()
         if identity in candidates
@@ -45,10 +45,10 @@
         and now - follower.heard_at <= constants.LEADER_LEASE
         and not follower.forgot
     ]
-    return max(able)[1] if able else None
+    return max(eligible)[1] if eligible else None
 
 
-def try_handover(replica: Consensus, now: float) -> None:
+def try_complete(replica: Consensus, now: float) -> None:
     """Gives leadership up in favour of the successor once it holds all, and all is committed."""
     assert replica.handover is not None
     target, last = replica.handover.target, replica.last_index()
@@ -56,7 +56,7 @@
     if follower is None or follower.match < last or replica.commit < last:
         return
     learners = dict(replica.learners)
-    replica.follow(replica.term, now, "handed over")
+    replica.become_follower(replica.term, now, "handed over")
     replica.send(target, LeadershipTransfer(replica.term, learners), replica.hard_sequence)
 
 
@@ -65,4 +65,4 @@
     newest = known_leader.is_newest(replica, sender, message.term)
     if message.term == replica.term and newest and replica.may_campaign(now) and replica.role == FOLLOWER:
         replica.inherited_learners = dict(message.learners)
-        election.campaign(replica, CANDIDATE, now, released=message.term)
+        election.campaign(replica, CANDIDATE, now, released_term=message.term)
--- a/src/pinepitch/consensus/messages.py
+++ b/src/pinepitch/consensus/messages.py
@@ -46,7 +46,7 @@
     term: int
     last_index: int
     last_term: int
-    released: int
+    released_term: int
 
 
 class VoteReply(NamedTuple):
--- a/src/pinepitch/consensus/quorum.py
+++ b/src/pinepitch/consensus/quorum.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-GROUPINGS_KEPT = 64  # of lists of members; a cluster has a few at a time
+GROUPS_CACHE_SIZE = 64  # of lists of members; a cluster has a few at a time
 
 
 class Reply(NamedTuple):
@@ -38,14 +38,14 @@
 UNDECIDED = Result(False, True)
 
 
-@functools.lru_cache(maxsize=GROUPINGS_KEPT)
+@functools.lru_cache(maxsize=GROUPS_CACHE_SIZE)
 def _groups(members: tuple[tuple[str, str], ...], mode: str) -> Groups:
     """Group -> identities in it, for members as pairs. Kept: a leader asks for it at every call it takes."""
     quorum = Quorum(dict(members), mode)
     groups: dict[str, set[str]] = {}
     for identity in sorted(quorum.members):
         groups.setdefault(quorum.group_of(identity), set()).add(identity)
-    return {group: frozenset(inside) for group, inside in groups.items()}
+    return {group: frozenset(group_members) for group, group_members in groups.items()}
 
 
 class Quorum(NamedTuple):
@@ -81,8 +81,12 @@
 
     def majorities(self, identities: Iterable[str]) -> set[str]:
         """The groups in which `identities` hold a majority."""
-        found = set(identities)
-        return {group for group, inside in self.groups().items() if 2 * len(inside & found) > len(inside)}
+        identity_set = set(identities)
+        return {
+            group
+            for group, group_members in self.groups().items()
+            if 2 * len(group_members & identity_set) > len(group_members)
+        }
 
     def commits(self, identities: Iterable[str], leader: str) -> bool:
         """Whether `identities` are a commit quorum under `leader`."""
@@ -99,16 +103,16 @@
         if leader_term >= term:
             return Result(False, False)  # somebody leads this term, or a later one, already
         if self.mode != "dynamic":
-            return self._counted(replies, self.groups(), self.elect_count())
-        every = self.groups()
-        pessimistic = self._counted(replies, every, len(every))
+            return self._count_grants(replies, self.groups(), self.elect_count())
+        all_groups = self.groups()
+        pessimistic = self._count_grants(replies, all_groups, len(all_groups))
         if pessimistic.satisfied or leader is None or leader not in self.members:
             return pessimistic
         if term == leader_term + 1:
-            return self._all(replies, {self.group_of(leader)})
-        return self._walk(replies, term, leader, leader_term)
+            return self._count_all_groups(replies, {self.group_of(leader)})
+        return self._check_intermediate_terms(replies, term, leader, leader_term)
 
-    def _walk(self, replies: Replies, term: int, leader: str, leader_term: int) -> Result:
+    def _check_intermediate_terms(self, replies: Replies, term: int, leader: str, leader_term: int) -> Result:
         """Lines 14 to 35 of Algorithm 1, with Algorithm 2 inside.
 
         Changed from the print: the groups a leader may be in add up instead of being
@@ -116,53 +120,62 @@
         that it lost, so the next winner may have come through the older groups; with
         the print's replacement its votes there would go unread (docs/flexiraft.md).
         """
-        every = self.groups()
+        all_groups = self.groups()
         possible = {self.group_of(leader)}
-        step = leader_term
-        while possible != set(every):
+        examined_term = leader_term
+        while possible != set(all_groups):
             for group in possible:
-                if 2 * len(every[group] & set(replies)) <= len(every[group]):
+                if 2 * len(all_groups[group] & set(replies)) <= len(all_groups[group]):
                     return UNDECIDED  # WAITING_FOR_MORE_VOTES
-            later = [voted for reply in replies.values() for voted in reply.history if step < voted < term]
-            if not later:  # ALL_INTERMEDIATE_TERMS_DEFUNCT
-                return self._all(replies, possible)
-            step = min(later)
-            for winner in self._potential_winners(step, possible, replies):
+            later_terms = [
+                voted_term
+                for reply in replies.values()
+                for voted_term in reply.history
+                if examined_term < voted_term < term
+            ]
+            if not later_terms:  # ALL_INTERMEDIATE_TERMS_DEFUNCT
+                return self._count_all_groups(replies, possible)
+            examined_term = min(later_terms)
+            for winner in self._potential_winners(examined_term, possible, replies):
                 if winner not in self.members:  # of the other list of a joint change
-                    return self._counted(replies, every, len(every))
+                    return self._count_grants(replies, all_groups, len(all_groups))
                 possible = possible | {self.group_of(winner)}
-        return self._counted(replies, every, len(every))
+        return self._count_grants(replies, all_groups, len(all_groups))
 
     def _potential_winners(self, term: int, possible: set[str], replies: Replies) -> set[str]:
         """Whoever may have won `term`, counting each unheard member as its voter."""
-        every = self.groups()
+        all_groups = self.groups()
         winners: set[str] = set()
         for group in possible:
-            inside = every[group]
-            unheard = len(inside - set(replies))
+            group_members = all_groups[group]
+            unheard = len(group_members - set(replies))
             votes: dict[str, int] = {}
-            for identity in inside & set(replies):
-                choice = replies[identity].history.get(term)
-                if choice is not None:
-                    votes[choice] = votes.get(choice, 0) + 1
-            for choice, count in votes.items():
-                if 2 * (count + unheard) > len(inside):
-                    winners.add(choice)
+            for identity in group_members & set(replies):
+                voted_for = replies[identity].history.get(term)
+                if voted_for is not None:
+                    votes[voted_for] = votes.get(voted_for, 0) + 1
+            for voted_for, count in votes.items():
+                if 2 * (count + unheard) > len(group_members):
+                    winners.add(voted_for)
         return winners
 
-    def _counted(self, replies: Replies, groups: Groups, wanted: int) -> Result:
+    def _count_grants(self, replies: Replies, groups: Groups, needed: int) -> Result:
         """Majority of grants in `wanted` of `groups`."""
         satisfied = possible = 0
-        for inside in groups.values():
-            granted = sum(1 for one in inside if one in replies and replies[one].granted)
-            refused = sum(1 for one in inside if one in replies and not replies[one].granted)
-            satisfied += 2 * granted > len(inside)
-            possible += 2 * (len(inside) - refused) > len(inside)
-        return Result(satisfied >= wanted, possible >= wanted)
-
-    def _all(self, replies: Replies, groups: set[str]) -> Result:
-        every = self.groups()
-        return self._counted(replies, {group: every[group] for group in groups}, len(groups))
+        for group_members in groups.values():
+            granted = sum(
+                1 for identity in group_members if identity in replies and replies[identity].granted
+            )
+            refused = sum(
+                1 for identity in group_members if identity in replies and not replies[identity].granted
+            )
+            satisfied += 2 * granted > len(group_members)
+            possible += 2 * (len(group_members) - refused) > len(group_members)
+        return Result(satisfied >= needed, possible >= needed)
+
+    def _count_all_groups(self, replies: Replies, groups: set[str]) -> Result:
+        all_groups = self.groups()
+        return self._count_grants(replies, {group: all_groups[group] for group in groups}, len(groups))
 
 
 class Membership(NamedTuple):
@@ -201,9 +214,11 @@
         """Algorithm 1 over every quorum in force; replies of others than members don't count."""
         results = []
         for quorum in self.quorums():
-            own = {one: reply for one, reply in replies.items() if one in quorum.members}
-            results.append(quorum.elects(own, term, leader, leader_term))
-        return Result(all(one.satisfied for one in results), all(one.possible for one in results))
+            member_replies = {
+                identity: reply for identity, reply in replies.items() if identity in quorum.members
+            }
+            results.append(quorum.elects(member_replies, term, leader, leader_term))
+        return Result(all(result.satisfied for result in results), all(result.possible for result in results))
 
     def image(self) -> list[Any]:
         """What goes on the wire and on disk."""
--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -100,21 +100,21 @@
     def _init_elections(self) -> None:
         self.role = FOLLOWER
         self.following: str | None = None  # the leader of this term as heard
-        self.heard_term = 0  # of the newest leader heard in this incarnation
+        self.newest_heard_term = 0  # of the newest leader heard in this incarnation
         self.replies: dict[str, Reply] = {}
-        self.heard_leader = LONG_AGO
+        self.leader_heard_at = LONG_AGO
         self.begun_at: float | None = None  # when this incarnation began, after any earlier one had ended
         self.election_at: float | None = None  # None before the first input
-        self.ask_at = LONG_AGO  # when votes are asked for again
+        self.next_vote_request_at = LONG_AGO  # when votes are asked for again
         self.disk_cooldown_until = LONG_AGO
         self.removed = False  # whether a member said that this replica is none
         self.inherited_learners: dict[str, str] = {}  # those of the leader that handed over: identity -> zone
-        self.released = 0  # the term whose leader gave its lease up in favour of this candidate
+        self.released_term = 0  # the term whose leader gave its lease up in favour of this candidate
 
     def _init_leadership(self) -> None:
         self.followers: dict[str, Follower] = {}
         self.learners: dict[str, str] = {}  # identity -> zone
-        self.handover: leadership_transfer.Handover | None = None  # under way while leading
+        self.handover: leadership_transfer.PendingTransfer | None = None  # under way while leading
         self.heartbeat = 0  # the number of the newest heartbeat
         self.heartbeat_at = LONG_AGO
         self.heartbeat_times: dict[int, float] = {}  # number -> when sent, newest LEADER_HEARTBEATS_KEPT
@@ -182,7 +182,7 @@
         if self.role == LEADER:
             commitment.advance(self, now)
             if self.handover is not None:
-                leadership_transfer.try_handover(self, now)
+                leadership_transfer.try_complete(self, now)
         elif self.role == CANDIDATE:
             election.count_votes(self, now)
         return self.done(now)
@@ -240,13 +240,13 @@
             self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
         if self.role == LEADER:
             self._tick_leader(stalled, now)
-        elif self.role != FOLLOWER and self.ask_at <= now < self.election_at:
-            election.ask_votes(self, now)
+        elif self.role != FOLLOWER and self.next_vote_request_at <= now < self.election_at:
+            election.request_votes(self, now)
         elif now >= self.election_at:
             if self.may_campaign(now):
                 election.campaign(self, PRE_CANDIDATE, now)
             else:
-                self.reset_election(now)
+                self.reset_election_timer(now)
         return self.done(now)
 
     def _tick_leader(self, stalled: bool, now: float) -> None:
@@ -258,11 +258,11 @@
         } | {self.identity}
         if stalled:
             self.event(125)
-            self.follow(self.term, now, "disk stalled")
+            self.become_follower(self.term, now, "disk stalled")
         elif self.handover is not None and now >= self.handover.until:
-            self.follow(self.term, now, "stopping")
+            self.become_follower(self.term, now, "stopping")
         elif not self.membership.commits(heard, self.identity):
-            self.follow(self.term, now, "commit quorum not heard")
+            self.become_follower(self.term, now, "commit quorum not heard")
         elif now - self.heartbeat_at >= constants.HEARTBEAT:
             replication.broadcast(self, now)
 
@@ -275,8 +275,8 @@
             return
         since = now if self.begun_at is None else min(now, self.begun_at)
         lease_over = since + constants.LEADER_LEASE * constants.LEASE_STRETCH
-        self.heard_leader = max(self.heard_leader, lease_over - constants.ELECTION_TIMEOUT)
-        self.reset_election(now)
+        self.leader_heard_at = max(self.leader_heard_at, lease_over - constants.ELECTION_TIMEOUT)
+        self.reset_election_timer(now)
         if self.last_index() > 0:
             self.election_at = max(now, lease_over) + constants.RESTART_JITTER * self.random.random()
 
@@ -284,16 +284,16 @@
         """A disk that refuses to write is no leader's."""
         self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
         if self.role != FOLLOWER:
-            self.follow(self.term, now, "disk refuses to write")
+            self.become_follower(self.term, now, "disk refuses to write")
         return self.done(now)
 
     # --- roles ------------------------------------------------------------------------
-    def reset_election(self, now: float) -> None:
+    def reset_election_timer(self, now: float) -> None:
         """Puts the next election off by a time-out with jitter."""
         factor = 1 + self.random.random() * constants.ELECTION_JITTER
         self.election_at = now + constants.ELECTION_TIMEOUT * factor
 
-    def follow(self, term: int, now: float, why: str) -> None:
+    def become_follower(self, term: int, now: float, why: str) -> None:
         """Becomes a follower of `term`."""
         if term > self.term:
             self.term = term
@@ -305,7 +305,7 @@
             self.following = None
             self.reads_now, self.reads_next, self.round = [], [], None
         if self.role != FOLLOWER:
-            self.reset_election(now)
+            self.reset_election_timer(now)
         self.role = FOLLOWER
         self.handover = None
         self.followers, self.learners, self.heartbeat_times = {}, {}, {}
@@ -317,7 +317,7 @@
 
     def leader_near(self, now: float) -> bool:
         """Whether a leader was heard within the time-out (then no pre-vote is granted)."""
-        return self.role == LEADER or now - self.heard_leader < constants.ELECTION_TIMEOUT
+        return self.role == LEADER or now - self.leader_heard_at < constants.ELECTION_TIMEOUT
 
     def serving(self) -> bool:
         """Whether an entry of the own term is committed, so that reads may be answered."""
@@ -390,6 +390,6 @@
         self._begin_incarnation(now)
         kind = type(message)
         if kind in ANSWERS and message.term > self.term:
-            self.follow(message.term, now, "newer term")
+            self.become_follower(message.term, now, "newer term")
         HANDLERS[kind](self, sender, message, now)
         return self.done(now)
--- a/src/pinepitch/consensus/snapshot_receiver.py
+++ b/src/pinepitch/consensus/snapshot_receiver.py
@@ -20,7 +20,7 @@
     if message.term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
         return
-    following.hear_leader(replica, sender, message.term, now)
+    following.accept_leader(replica, sender, message.term, now)
     stored = replica.archive.sealed if replica.archive is not None else 0
     if message.last_index <= replica.commit:
         _answer(replica, sender, message, COMPLETE_OFFSET, stored, replica.hard_wait())
@@ -41,16 +41,16 @@
     replica.incoming = None
     replica.base_image, replica.base_segments = received.image, received.segments_span
     _replace_log(replica, message)
-    known_leader.remember_committed(replica, sender, message.term)
+    known_leader.record_if_committed(replica, sender, message.term)
     _save_base(replica, message.last_index, received.segments, now)
     _answer(replica, sender, message, message.total, stored, replica.sequence)
 
 
 def _answer(
-    replica: Consensus, sender: str, message: SnapshotChunk, offset: int, stored: int, durable_at: int
+    replica: Consensus, sender: str, message: SnapshotChunk, offset: int, stored: int, save_sequence: int
 ) -> None:
     reply = ChunkReply(message.term, message.last_index, offset, stored, message.heartbeat)
-    replica.send(sender, reply, durable_at)
+    replica.send(sender, reply, save_sequence)
 
 
 def _goes_on(incoming: IncomingSnapshot | None, message: SnapshotChunk) -> bool:
--- a/src/pinepitch/simulation/model_checker/faults.py
+++ b/src/pinepitch/simulation/model_checker/faults.py
@@ -139,14 +139,14 @@
 def _no_wait_after_restart(self: Consensus, now: float) -> None:
     """Votes at once in a new incarnation, whatever the former one acknowledged."""
     if self.election_at is None:
-        self.reset_election(now)
+        self.reset_election_timer(now)
 
 
 def _step_before_incarnation(self: Consensus, sender: str, message: Any, now: float) -> list[Effect]:
     """Takes messages before the wait of a new incarnation has begun, as before this was repaired."""
     kind = type(message)
     if kind in ANSWERS and message.term > self.term:
-        self.follow(message.term, now, "newer term")
+        self.become_follower(message.term, now, "newer term")
     HANDLERS[kind](self, sender, message, now)
     return self.done(now)
 
@@ -225,7 +225,7 @@
     "vote-before-saved": Fault(((election, "on_vote", _vote_before_saved),), ("unsaved-votes",)),
     "votes-twice": Fault(((election, "on_vote", _votes_again),), ("election",)),
     "votes-for-older-log": Fault(
-        ((election, "is_current", lambda replica, last_index, last_term: True),), ("two-terms",)
+        ((election, "is_up_to_date", lambda replica, last_index, last_term: True),), ("two-terms",)
     ),
     "change-at-once": Fault(((Consensus, "change_members", _change_at_once),), ("second-change",)),
     "coming-voter-ignored": Fault(
@@ -257,7 +257,7 @@
     ),
     "read-without-round": Fault(((reads, "check_round", _check_round_at_once),), ("reads",)),
     "handover-keeps-lease": Fault(
-        ((leadership_transfer, "try_handover", _hands_over_and_leads),), ("lease-handover",)
+        ((leadership_transfer, "try_complete", _hands_over_and_leads),), ("lease-handover",)
     ),
     "lease-by-new-list": Fault(((Consensus, "leased", _leased_by_new_list),), ("lease-change",)),
     "lease-from-answer": Fault(
--- a/src/pinepitch/simulation/model_checker/invariants.py
+++ b/src/pinepitch/simulation/model_checker/invariants.py
@@ -122,7 +122,7 @@
         last = candidate.last_index()
         last_term = candidate.term_at(last)
         assert last_term is not None
-        voters = frozenset(voter.identity for voter in logs if election.is_current(voter, last, last_term))
+        voters = frozenset(voter.identity for voter in logs if election.is_up_to_date(voter, last, last_term))
         if _can_win(candidate, [voter for voter in logs if voter.identity in voters]):
             raise Violation(f"{candidate.identity} can be elected and lacks committed entry {index}")
 
--- a/src/pinepitch/simulation/model_checker/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -226,7 +226,7 @@
     def forget_times(self, now: float) -> None:
         """Takes time out of the state: any time-out may have passed, any wait may be over."""
         consensus = self.consensus
-        consensus.heard_leader = consensus.heartbeat_at = consensus.ask_at = LONG_AGO
+        consensus.leader_heard_at = consensus.heartbeat_at = consensus.next_vote_request_at = LONG_AGO
         consensus.election_at = 0.0
         consensus.heartbeat, consensus.heartbeat_times = 0, {}
         for follower in consensus.followers.values():
@@ -267,13 +267,20 @@
             for identity, follower in sorted(one.followers.items())
         )
         return (
-            (one.term, one.role, one.following, one.last_known_leader, one.last_known_term, one.heard_term),
+            (
+                one.term,
+                one.role,
+                one.following,
+                one.last_known_leader,
+                one.last_known_term,
+                one.newest_heard_term,
+            ),
             (one.commit, one.removed),
             (one.first, one.base_index, one.base_term, one.durable, one.membership_index),
             frozen(one.history),
             frozen_entries(one.entries),
             frozen(one.learners),
-            (frozen(one.inherited_learners), one.released, one.handover),
+            (frozen(one.inherited_learners), one.released_term, one.handover),
             frozen(one.replies),
             followers,
             one.sequence - sequence,
--- a/src/pinepitch/simulation/model_checker/state.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -232,7 +232,7 @@
         self._forget_times(replica)
         consensus, now = replica.consensus, self.now(action.subject)
         if consensus.role == LEADER:
-            consensus.follow(consensus.term, now, "commit quorum not heard")
+            consensus.become_follower(consensus.term, now, "commit quorum not heard")
         election.campaign(consensus, CANDIDATE, now)
         self._apply_effects(replica, consensus.done(now))
 
--- a/src/pinepitch/simulation/model_checker/timed.py
+++ b/src/pinepitch/simulation/model_checker/timed.py
@@ -69,11 +69,16 @@
             for one, follower in sorted(consensus.followers.items())
         )
         return (
-            round(max(consensus.heard_leader, 0.0), 3),
+            round(max(consensus.leader_heard_at, 0.0), 3),
             None if consensus.election_at is None else round(consensus.election_at, 3),
             round(max(consensus.heartbeat_at, 0.0), 3),
             round(max(consensus.disk_cooldown_until, 0.0), 3),
-            (consensus.heartbeat, consensus.handover, consensus.begun_at, max(consensus.ask_at, 0.0)),
+            (
+                consensus.heartbeat,
+                consensus.handover,
+                consensus.begun_at,
+                max(consensus.next_vote_request_at, 0.0),
+            ),
             followers,
             tuple((number, round(sent, 3)) for number, sent in sorted(consensus.heartbeat_times.items())),
             (consensus.round, tuple(consensus.reads_now), tuple(consensus.reads_next)),
--- a/src/pinepitch/simulation/second_loss/injected_faults.py
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -28,7 +28,7 @@
 def _stands_down(self: Any, candidates: Any, now: float) -> Any:
     """Gives leadership up without a successor."""
     if self.role == "leader":
-        self.follow(self.term, now, "stopping")
+        self.become_follower(self.term, now, "stopping")
     return self.done(now)
 
 
@@ -82,7 +82,7 @@
 original_wanted = MembershipChanges._wanted_members
 original_append_reply = acknowledgements.on_append_reply
 INJECTED_FAULTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "serves-on": [(leadership_transfer, "try_handover", _serves_on)],
+    "serves-on": [(leadership_transfer, "try_complete", _serves_on)],
     "no-successor": [(Consensus, "transfer_leadership", _stands_down)],
     "old-list-alone": [(Membership, "commits", _old_list_alone)],
     "no-heir": [(membership, "successor", _no_heir)],
