--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -15,7 +15,7 @@
 from pinepitch.common import constants, packed_operations
 from pinepitch.common.effects import PostOrder, Rehearse, Reply
 from pinepitch.consensus import messages
-from pinepitch.consensus.log import measured
+from pinepitch.consensus.log import packed_with_size
 from pinepitch.control import requests
 from pinepitch.control.daemon import ControlDaemon
 from pinepitch.front import routes
@@ -152,7 +152,7 @@
 def operation_again(data):
     """An operation decoded, held as the log holds it, and encoded again."""
     return packed_operations.dumps(
-        measured(packed_operations.unpacked(packed_operations.Packed("", data)))[0]
+        packed_with_size(packed_operations.unpacked(packed_operations.Packed("", data)))[0]
     )
 
 
--- a/features/steps/backlog.py
+++ b/features/steps/backlog.py
@@ -7,7 +7,7 @@
 from pinepitch.common import constants
 from pinepitch.common.effects import SaveChange
 from pinepitch.consensus.effects import CommitEntries, LogEvent, SendMessage
-from pinepitch.consensus.log import measured
+from pinepitch.consensus.log import packed_with_size
 from pinepitch.consensus.messages import AppendEntries
 from pinepitch.consensus.replica import Consensus
 
@@ -90,7 +90,7 @@
     # every slice but one of a single entry keeps both bounds
     for applied in restarted.applied.values():
         for entries in applied:
-            size = sum(measured(operation)[1] for _, _, operation in entries)
+            size = sum(packed_with_size(operation)[1] for _, _, operation in entries)
             small = len(entries) <= constants.COMMIT_ENTRIES and size <= constants.COMMIT_BYTES
             assert small or len(entries) == 1, (len(entries), size)
     # followers hear of each slice with a heartbeat
--- a/features/steps/lease.py
+++ b/features/steps/lease.py
@@ -116,7 +116,7 @@
     assert leader.role == "leader"
     replication.broadcast(leader, context.now)
     for follower in ("b", "c"):
-        reply = AppendReply(4, True, leader.last_index(), leader.heartbeat)
+        reply = AppendReply(4, True, leader.last_index(), leader.heartbeat_number)
         leader.step(follower, reply, context.now + 0.05)
 
 
@@ -207,7 +207,7 @@
 @when("it hands over while its successor lacks an entry")
 def step_hands_over(context):
     leader, now = context.leader, context.now + 0.06
-    context.heartbeats = leader.heartbeat
+    context.heartbeats = leader.heartbeat_number
     _, effects = leader.propose([("noop",)], 0.0, now)
     effects += leader.saved(leader.sequence, now)
     effects += leader.transfer_leadership({"b", "c"}, now)
@@ -219,7 +219,7 @@
     leader, now = context.leader, context.now + 0.07
     assert context.observed == [[], "leader", True], context.observed
     target = leader.handover.target
-    effects = leader.step(target, AppendReply(4, True, leader.last_index(), leader.heartbeat), now)
+    effects = leader.step(target, AppendReply(4, True, leader.last_index(), leader.heartbeat_number), now)
     assert answers(effects, LeadershipTransfer) == [LeadershipTransfer(4, {})], effects
     kinds = [type(effect) for effect in effects]
     assert kinds.index(StepDown) < kinds.index(SendMessage), kinds
--- a/features/steps/log.py
+++ b/features/steps/log.py
@@ -16,7 +16,7 @@
 from pinepitch.common.packed_operations import Packed, dumps, unpacked
 from pinepitch.consensus import election
 from pinepitch.consensus.effects import SendMessage
-from pinepitch.consensus.log import measured
+from pinepitch.consensus.log import packed_with_size
 from pinepitch.consensus.messages import ChunkReply, SnapshotChunk
 from pinepitch.consensus.replica import Consensus
 from pinepitch.simulation import leased_job_trial
@@ -285,7 +285,7 @@
 
 @then("only the large one is packed, and both give the same frame and file as they would unpacked")
 def step_same_bytes(context):
-    large, small = (measured(one)[0] for one in context.operations)
+    large, small = (packed_with_size(one)[0] for one in context.operations)
     assert type(large) is Packed and small is context.operations[1]
     plain = [(1, 2.0, one) for one in context.operations]
     stored = [(1, 2.0, large), (1, 2.0, small)]
@@ -296,7 +296,7 @@
 @then("decoding the large one gives the operation back")
 def step_decoded(context):
     large = context.operations[0]
-    assert unpacked(measured(large)[0]) == large
+    assert unpacked(packed_with_size(large)[0]) == large
 
 
 @given("a day of jobs under leases that is calm, of seed {seed:d}")
@@ -397,9 +397,9 @@
     leader.tick(100.0)
     leader.term = 4
     election.become_leader(leader, 110.0)
-    leader.done(110.0)
+    leader.take_effects(110.0)
     leader.saved(leader.sequence, 110.0)
-    leader.followers["b"].next = 1
+    leader.followers["b"].next_index = 1
     context.now = 110.2
     asked = chunks_of(leader.tick(context.now))
     assert [one.offset for one in asked] == [-1], asked
@@ -501,5 +501,8 @@
 
 @then("it has the same size as its plain form, and as its form on the wire")
 def step_same_size(context):
-    sizes = {measured(context.operation)[1], measured(cbor2.loads(cbor2.dumps(context.operation)))[1]}
+    sizes = {
+        packed_with_size(context.operation)[1],
+        packed_with_size(cbor2.loads(cbor2.dumps(context.operation)))[1],
+    }
     assert len(sizes) == 1, sizes
--- a/features/steps/snapshot_incarnations.py
+++ b/features/steps/snapshot_incarnations.py
@@ -47,7 +47,7 @@
         self.leader.log.clear(SNAPSHOT_INDEX + 1)
         self.leader.role = "leader"
         self.leader.followers = {"follower": Follower(SNAPSHOT_INDEX, self.now)}
-        self.leader.followers["follower"].next = 1
+        self.leader.followers["follower"].next_index = 1
         self.follower = member("follower", 5)
 
     def run(self, effects, chunks=1_000):
@@ -73,7 +73,7 @@
         """The leader sends again what was not answered."""
         self.now += 2 * constants.APPEND_RESEND
         replication.replicate(self.leader, "follower", self.now)
-        return self.leader.done(self.now)
+        return self.leader.take_effects(self.now)
 
 
 @given("a leader that sends a follower a snapshot in {chunks}, without the segments that it holds")
@@ -107,4 +107,4 @@
     assert transfer.installed is not None, "nothing was installed"
     stored = {number: SEGMENTS[number] for number in range(1, transfer.follower.archive.sealed + 1)}
     assert {**stored, **transfer.installed.segments} == SEGMENTS, transfer.installed
-    assert transfer.leader.followers["follower"].match == SNAPSHOT_INDEX
+    assert transfer.leader.followers["follower"].match_index == SNAPSHOT_INDEX
--- a/src/pinepitch/consensus/acknowledgements.py
+++ b/src/pinepitch/consensus/acknowledgements.py
@@ -21,43 +21,43 @@
     if replica.role != LEADER or term != replica.term or follower is None:
         return
     follower.heard_at = now
-    follower.heartbeat = max(follower.heartbeat, heartbeat)
+    follower.answered_heartbeat = max(follower.answered_heartbeat, heartbeat)
     if index is None:  # a heartbeat alone, beside a snapshot
         reads.check_round(replica, now)
         return
     if success:
         follower.denials = 0
-    elif index < follower.match:
-        _denied(replica, sender, follower, index)
-    if follower.forgot:
+    elif index < follower.match_index:
+        _note_lost_entries(replica, sender, follower, index)
+    if follower.lost_entries:
         return
     if success:
-        _take_success(follower, index, now)
+        _record_success(follower, index, now)
     else:
         follower.probing = True
-        follower.next = max(follower.match + 1, min(follower.next - 1, index + 1), 1)
+        follower.next_index = max(follower.match_index + 1, min(follower.next_index - 1, index + 1), 1)
         follower.flow.clear()
     commitment.advance(replica, now)
     reads.check_round(replica, now)
     if replica.handover is not None:
         leadership_transfer.try_complete(replica, now)
-    if replica.role == LEADER and sender in replica.followers and follower.next <= replica.last_index():
+    if replica.role == LEADER and sender in replica.followers and follower.next_index <= replica.last_index():
         replication.replicate(replica, sender, now)
 
 
-def _denied(replica: Consensus, sender: str, follower: Follower, index: int) -> None:
+def _note_lost_entries(replica: Consensus, sender: str, follower: Follower, index: int) -> None:
     """A follower lacks what it acknowledged; once or twice may be an answer overtaken by a newer one."""
     follower.denials += 1
     if follower.denials == constants.DENIALS:
-        replica.event(128, follower=sender, acknowledged=follower.match, holds=index)
-        follower.forgot = True  # its disk lost what it acknowledged: nothing it says counts
-        follower.match = 0
+        replica.event(128, follower=sender, acknowledged=follower.match_index, holds=index)
+        follower.lost_entries = True  # its disk lost what it acknowledged: nothing it says counts
+        follower.match_index = 0
 
 
-def _take_success(follower: Follower, index: int, now: float) -> None:
-    follower.flow.answered(index, now)
-    follower.match = max(follower.match, index)
-    follower.next = max(follower.next, follower.match + 1)
+def _record_success(follower: Follower, index: int, now: float) -> None:
+    follower.flow.acknowledge(index, now)
+    follower.match_index = max(follower.match_index, index)
+    follower.next_index = max(follower.next_index, follower.match_index + 1)
     follower.probing = False
 
 
@@ -67,6 +67,6 @@
     if replica.role != LEADER or message.term != replica.term or follower is None:
         return
     follower.heard_at = now
-    follower.heartbeat = max(follower.heartbeat, message.heartbeat)
-    if snapshot_sender.take_answer(replica, follower, message, now):
+    follower.answered_heartbeat = max(follower.answered_heartbeat, message.heartbeat)
+    if snapshot_sender.take_reply(replica, follower, message, now):
         replication.replicate(replica, sender, now)
--- a/src/pinepitch/consensus/cluster_clock.py
+++ b/src/pinepitch/consensus/cluster_clock.py
@@ -15,12 +15,12 @@
 
     def __init__(self) -> None:
         self.offset: float | None = None  # seconds; cluster time less monotonic time
-        self.carried = True  # whether offset comes from the cluster state, not from clocks
+        self.from_agreed = True  # whether offset comes from the cluster state, not from clocks
         self.readings: dict[
             str, tuple[float, float]
         ] = {}  # member -> (its clock less our monotonic time, when heard)
-        self.last = 0.0
-        self.moved: float | None = None  # the monotonic time of the newest read
+        self.newest = 0.0
+        self.read_at: float | None = None  # the monotonic time of the newest read
 
     def hear(self, member: str, clock: float, now: float) -> None:
         """A member's wall clock, heard at monotonic `now`."""
@@ -31,24 +31,24 @@
         `needed` a majority of the members.
         """
         fresh = sorted(
-            offset for offset, heard in self.readings.values() if now - heard <= constants.CLOCK_FRESH
+            offset for offset, heard_at in self.readings.values() if now - heard_at <= constants.CLOCK_FRESH
         )
         if self.offset is None:
             self.offset = agreed - now
         elif now + self.offset < agreed:
-            self.carried = self.carried or now + self.offset < agreed - constants.TIME_BEHIND
+            self.from_agreed = self.from_agreed or now + self.offset < agreed - constants.TIME_BEHIND
             self.offset = agreed - now
         if len(fresh) >= needed:
             lower, upper = fresh[(len(fresh) - 1) // 2], fresh[len(fresh) // 2]
-            if self.carried:
+            if self.from_agreed:
                 if lower >= self.offset:
-                    self.offset, self.carried = lower, False
+                    self.offset, self.from_agreed = lower, False
             else:
-                assert self.moved is not None
+                assert self.read_at is not None
                 # of two middle clocks the one that has not jumped
                 median = upper if abs(upper - self.offset) < abs(lower - self.offset) else lower
-                most = min(1.0, max(0.0, now - self.moved)) * constants.SLEW  # a freeze earns no leap
-                self.offset += max(-most, min(most, median - self.offset))
-        self.moved = now
-        self.last = max(self.last, now + self.offset)
-        return self.last
+                max_step = min(1.0, max(0.0, now - self.read_at)) * constants.SLEW  # a freeze earns no leap
+                self.offset += max(-max_step, min(max_step, median - self.offset))
+        self.read_at = now
+        self.newest = max(self.newest, now + self.offset)
+        return self.newest
--- a/src/pinepitch/consensus/commitment.py
+++ b/src/pinepitch/consensus/commitment.py
@@ -16,16 +16,16 @@
 def advance(replica: Consensus, now: float) -> None:
     """Moves commit to the newest own-term entry that a commit quorum holds."""
     matches = {
-        identity: follower.match
+        identity: follower.match_index
         for identity, follower in replica.followers.items()
         if identity not in replica.learners
     }
-    matches[replica.identity] = replica.durable
+    matches[replica.identity] = replica.durable_index
     for index in sorted(set(matches.values()), reverse=True):
         if index <= replica.committed or replica.term_at(index) != replica.term:
             break
-        holders = {identity for identity, match in matches.items() if match >= index}
-        if replica.membership.commits(holders, replica.identity):
+        acknowledged_by = {identity for identity, match in matches.items() if match >= index}
+        if replica.membership.commits(acknowledged_by, replica.identity):
             commit_to(replica, index, now)
             known_leader.record(replica, replica.identity, replica.term)
             break
@@ -33,13 +33,13 @@
 
 def commit_to(replica: Consensus, index: int, now: float) -> None:
     """Takes an entry and all before it for committed. A backlog that is under way goes on by ticks."""
-    committing = replica.commit < replica.committed
+    delivering = replica.commit < replica.committed
     replica.committed = max(replica.committed, index)
-    if not committing:
-        commit_slice(replica, now)
+    if not delivering:
+        deliver_slice(replica, now)
 
 
-def commit_slice(replica: Consensus, now: float) -> None:
+def deliver_slice(replica: Consensus, now: float) -> None:
     """Commits as much as one step may take: a restarted member has all since its base to apply, and
     must go on sending heartbeats and answering meanwhile, or others take its place.
     """
@@ -59,7 +59,7 @@
     if replica.membership.coming is not None:
         _leave_joint_membership(replica, replica.membership.coming, now)
     else:
-        _end_change(replica, now)
+        _finish_change(replica, now)
 
 
 def _leave_joint_membership(replica: Consensus, quorum: Quorum, now: float) -> None:
@@ -71,17 +71,17 @@
     replication.replicate_all(replica, now)
 
 
-def _end_change(replica: Consensus, now: float) -> None:
+def _finish_change(replica: Consensus, now: float) -> None:
     """The membership is committed alone: who is not in it is sent nothing more."""
     members = replica.membership.members()
-    gone = [
+    removed_members = [
         identity
         for identity in replica.followers
         if identity not in members and identity not in replica.learners
     ]
-    for identity in gone:
+    for identity in removed_members:
         del replica.followers[identity]
-    if gone:
+    if removed_members:
         replica.event(132, members=sorted(members))
     if replica.identity not in members:
         replica.become_follower(replica.term, now, "no longer a member")
--- a/src/pinepitch/consensus/effects.py
+++ b/src/pinepitch/consensus/effects.py
@@ -51,7 +51,7 @@
 class StepDown(NamedTuple):
     """The replica leads no more."""
 
-    why: str
+    reason: str
 
 
 class ReadConfirmed(NamedTuple):
@@ -60,7 +60,7 @@
     """
 
     token: Any
-    commit: int
+    read_index: int
 
 
 class LogEvent(NamedTuple):
--- a/src/pinepitch/consensus/election.py
+++ b/src/pinepitch/consensus/election.py
@@ -38,7 +38,7 @@
     if role == CANDIDATE:
         replica.term = term
         replica.history[term] = replica.identity
-        replica.hard_dirty = True
+        replica.hard_state_dirty = True
     replica.event(121 if role == CANDIDATE else 120, campaign=term)
     replica.replies[replica.identity] = _make_reply(replica, True)
     request_votes(replica, now)
@@ -53,7 +53,7 @@
     request = _vote_request(replica)
     for identity in replica.membership.members():
         if identity != replica.identity:
-            replica.send(identity, request, replica.after_flush())
+            replica.send(identity, request, replica.flush_sequence())
 
 
 def _vote_request(replica: Consensus) -> PreVoteRequest | VoteRequest | TakeoverRequest:
@@ -79,7 +79,7 @@
     if result.satisfied:
         if replica.role == PRE_CANDIDATE:
             campaign(replica, CANDIDATE, now)
-        elif replica.hard_sequence <= replica.saved_sequence and not replica.hard_dirty:
+        elif replica.hard_state_sequence <= replica.saved_sequence and not replica.hard_state_dirty:
             become_leader(replica, now)
     elif replica.role == CANDIDATE and not result.possible:
         # the votes were split: nobody may have won, so it asks for pre-votes anew soon
@@ -94,21 +94,21 @@
     replica.following = replica.identity
     if known_leader.counts_at_once(replica):
         known_leader.record(replica, replica.identity, replica.term)
-    replica.hard_dirty = True
+    replica.hard_state_dirty = True
     replica.followers = {
         identity: Follower(replica.last_index(), now)
         for identity in replica.membership.members()
         if identity != replica.identity
     }
-    replica.heartbeat = 0
-    replica.reads_now, replica.reads_next, replica.round = [], [], None
+    replica.heartbeat_number = 0
+    replica.confirming_reads, replica.queued_reads, replica.read_round = [], [], None
     replica.event(122, groups=len(replica.membership.now.groups()))
     replica.effects.append(BecomeLeader(replica.term))
     log_changes.append(replica, [(replica.term, 0.0, ("noop",))], replica.last_index() + 1)
     learners = replica.inherited_learners if replica.released_term else {}
     replica.inherited_learners = {}
     for identity, zone in learners.items():
-        membership_change.learn(replica, identity, zone, now)
+        membership_change.add_learner(replica, identity, zone, now)
     replication.broadcast(replica, now)
 
 
@@ -138,7 +138,9 @@
 
 def on_removed(replica: Consensus, sender: str, message: RemovedNotice, now: float) -> None:
     """A member that serves under a leader says that this one was replaced."""
-    sender_is_current = sender in replica.membership.members() and message.commit > replica.membership_index
+    sender_is_current = (
+        sender in replica.membership.members() and message.commit_index > replica.membership_index
+    )
     if sender_is_current and replica.role != LEADER:
         replica.removed = True
         if replica.role != FOLLOWER:
@@ -166,17 +168,17 @@
         replica.send(sender, RemovedNotice(replica.term, replica.commit))
         return
     if term <= replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
     granted = is_up_to_date(replica, last_index, last_term) and not leader_recent
-    replica.send(sender, PreVoteReply(term, *_make_reply(replica, granted)), replica.hard_sequence)
+    replica.send(sender, PreVoteReply(term, *_make_reply(replica, granted)), replica.hard_state_sequence)
 
 
 def on_vote(replica: Consensus, sender: str, message: VoteRequest, now: float) -> None:
     """Answers a vote request; not beside a leader that was heard."""
     term, last_index, last_term = message
     if term < replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
     if replica.leader_near(now) and sender != replica.following:
         return  # it won its pre-vote before the leader was heard again, whose lease stands on that
@@ -189,7 +191,7 @@
     """
     term, last_index, last_term, released_term = message
     if term < replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
     if replica.leader_near(now) and known_leader.newest_term(replica) > released_term:
         return
@@ -208,8 +210,10 @@
     )
     if granted and voted_for is None:
         replica.history[term] = sender
-        replica.hard_dirty = True
+        replica.hard_state_dirty = True
         replica.reset_election_timer(now)
         replica.event(124, candidate=sender)
-    save_sequence = max(replica.after_flush() if replica.hard_dirty else 0, replica.hard_sequence)
+    save_sequence = max(
+        replica.flush_sequence() if replica.hard_state_dirty else 0, replica.hard_state_sequence
+    )
     replica.send(sender, VoteReply(term, *_make_reply(replica, granted)), save_sequence)
--- a/src/pinepitch/consensus/flow_control.py
+++ b/src/pinepitch/consensus/flow_control.py
@@ -5,15 +5,15 @@
 
 from ..common import constants
 
-PATIENCE_FACTOR = 4  # times as slow as seen before: so long an answer to a large message is waited for
+SLOWDOWN_FACTOR = 4  # times as slow as seen before: so long an answer to a large message is waited for
 
 
-class Sent(NamedTuple):
+class InFlightMessage(NamedTuple):
     """One append or chunk without an answer yet: its last index (0 for a chunk), bytes, seconds."""
 
-    last: int
+    last_index: int
     size: int
-    at: float
+    sent_at: float
 
 
 class Flow:
@@ -25,54 +25,54 @@
     """
 
     def __init__(self) -> None:
-        self.in_flight: collections.deque[Sent] = collections.deque()
+        self.in_flight: collections.deque[InFlightMessage] = collections.deque()
         self.budget = constants.APPEND_START
         self.rate: float | None = None  # bytes a second of the last large message that was answered
         self.progress_at = -1e9
         self.losses = 0  # in a row
 
-    def bulky(self) -> bool:
+    def large_in_flight(self) -> bool:
         """Whether a large message is under way."""
         in_flight = self.in_flight
         return bool(in_flight) and in_flight[0].size >= constants.BULK_BYTES
 
-    def begin(self, last: int, size: int, now: float) -> None:
+    def record_sent(self, last_index: int, size: int, now: float) -> None:
         """A message whose answer says `last` or more is sent."""
-        self.in_flight.append(Sent(last, size, now))
+        self.in_flight.append(InFlightMessage(last_index, size, now))
 
-    def answered(self, upto: int, now: float) -> None:
+    def acknowledge(self, acknowledged_index: int, now: float) -> None:
         """All up to `upto` has arrived and is durable."""
         in_flight = self.in_flight
-        while in_flight and (in_flight[0].last <= upto or not in_flight[0].size):
+        while in_flight and (in_flight[0].last_index <= acknowledged_index or not in_flight[0].size):
             sent = in_flight.popleft()
             self.progress_at = now
             if sent.size >= constants.MIN_APPEND_BYTES:
-                self._learn(sent, now)
+                self._adapt_budget(sent, now)
 
-    def _learn(self, sent: Sent, now: float) -> None:
+    def _adapt_budget(self, sent: InFlightMessage, now: float) -> None:
         self.losses = 0
-        took = max(now - sent.at, 1e-3)
-        self.rate = sent.size / took
-        if took < constants.HEARTBEAT:
+        duration = max(now - sent.sent_at, 1e-3)
+        self.rate = sent.size / duration
+        if duration < constants.HEARTBEAT:
             self.budget = min(constants.APPEND_BYTES, self.budget * 2)
-        elif took > 2 * constants.HEARTBEAT:
+        elif duration > 2 * constants.HEARTBEAT:
             self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
 
     def overdue(self, now: float) -> bool:
         """Whether what is under way must be taken for lost."""
         if not self.in_flight:
             return False
-        since = max(self.in_flight[0].at, self.progress_at)
+        since = max(self.in_flight[0].sent_at, self.progress_at)
         size = self.in_flight[0].size
-        patience = constants.APPEND_RESEND
+        timeout = constants.APPEND_RESEND
         if size >= constants.BULK_BYTES:
-            rate = constants.LINK_SLOWEST if self.rate is None else self.rate / PATIENCE_FACTOR
-            patience += (1 + self.losses) * size / rate
-        return now - since > patience
+            rate = constants.LINK_SLOWEST if self.rate is None else self.rate / SLOWDOWN_FACTOR
+            timeout += (1 + self.losses) * size / rate
+        return now - since > timeout
 
-    def lost(self) -> None:
+    def discard_lost(self) -> None:
         """Nothing under way is waited for any longer."""
-        if self.bulky():
+        if self.large_in_flight():
             self.losses = min(self.losses + 1, constants.MAX_LOSSES)
             self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
             if self.rate is not None:
--- a/src/pinepitch/consensus/follower.py
+++ b/src/pinepitch/consensus/follower.py
@@ -11,16 +11,16 @@
     """
 
     def __init__(self, last_index: int, now: float) -> None:
-        self.match = 0
-        self.next = last_index + 1
+        self.match_index = 0
+        self.next_index = last_index + 1
         self.probing = True
         self.flow = Flow()
         self.heard_at = now  # seconds of the steady clock
-        self.heartbeat = 0  # the number of the newest heartbeat that it answered
+        self.answered_heartbeat = 0  # the number of the newest heartbeat that it answered
         self.transfer: Transfer | None = None  # the snapshot that it is being sent
         self.denials = 0  # answers in a row that lack what was acknowledged
-        self.forgot = False  # whether it lacks what it acknowledged in this leader's time
+        self.lost_entries = False  # whether it lacks what it acknowledged in this leader's time
 
     def needed_from(self) -> int:
         """The first entry that it will need, after the snapshot that it is being sent."""
-        return (self.transfer.snapshot.last_index if self.transfer else self.match) + 1
+        return (self.transfer.snapshot.last_index if self.transfer else self.match_index) + 1
--- a/src/pinepitch/consensus/following.py
+++ b/src/pinepitch/consensus/following.py
@@ -27,65 +27,65 @@
 
 def on_append(replica: Consensus, sender: str, message: AppendEntries, now: float) -> None:
     """Takes entries that fit the log; acknowledges what is durable, later what is not durable yet."""
-    term, previous, previous_term, entries, commit, heartbeat = message
+    term, previous_index, previous_term, entries, leader_commit, heartbeat = message
     if term < replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
     accept_leader(replica, sender, term, now)
-    if previous == 0 and previous_term == 0 and not entries and commit == 0:
-        replica.send(sender, AppendReply(term, True, None, heartbeat), replica.hard_wait())
+    if previous_index == 0 and previous_term == 0 and not entries and leader_commit == 0:
+        replica.send(sender, AppendReply(term, True, None, heartbeat), replica.hard_state_save_sequence())
         return
-    last = previous + len(entries)
+    last = previous_index + len(entries)
     if last <= replica.base_index:
         _acknowledge(replica, sender, last, heartbeat)
         return
-    if previous < replica.base_index:
-        entries = entries[replica.base_index - previous :]
-        previous, previous_term = replica.base_index, replica.base_term
-    stored = replica.term_at(previous)
-    if stored is None or stored != previous_term:
-        hint = _agreeing_index(replica, previous, stored)
-        replica.send(sender, AppendReply(term, False, hint, heartbeat), replica.hard_wait())
+    if previous_index < replica.base_index:
+        entries = entries[replica.base_index - previous_index :]
+        previous_index, previous_term = replica.base_index, replica.base_term
+    stored_term = replica.term_at(previous_index)
+    if stored_term is None or stored_term != previous_term:
+        hint = _next_index_hint(replica, previous_index, stored_term)
+        replica.send(sender, AppendReply(term, False, hint, heartbeat), replica.hard_state_save_sequence())
         return
-    if _take_entries(replica, previous, entries):
-        replica.send(sender, AppendReply(term, True, last, heartbeat), replica.after_flush())
+    if _store_entries(replica, previous_index, entries):
+        replica.send(sender, AppendReply(term, True, last, heartbeat), replica.flush_sequence())
     else:
         _acknowledge(replica, sender, last, heartbeat)
-    up_to = min(commit, last)
-    if up_to > replica.committed:
-        commitment.commit_to(replica, up_to, now)
+    commit_limit = min(leader_commit, last)
+    if commit_limit > replica.committed:
+        commitment.commit_to(replica, commit_limit, now)
     known_leader.record_if_committed(replica, sender, term)
 
 
 def _acknowledge(replica: Consensus, sender: str, last: int, heartbeat: int) -> None:
     """Acknowledges what is durable of the entries up to `last`."""
-    reply = AppendReply(replica.term, True, min(last, replica.durable), heartbeat)
-    replica.send(sender, reply, replica.hard_wait())
+    reply = AppendReply(replica.term, True, min(last, replica.durable_index), heartbeat)
+    replica.send(sender, reply, replica.hard_state_save_sequence())
 
 
-def _agreeing_index(replica: Consensus, previous: int, stored: int | None) -> int:
+def _next_index_hint(replica: Consensus, previous_index: int, stored_term: int | None) -> int:
     """An entry before `previous` for the leader to try next; a term that conflicts is passed over whole."""
-    hint = min(previous - 1, replica.last_index())
-    if stored is not None:
-        while hint > replica.commit and replica.term_at(hint) == stored:
+    hint = min(previous_index - 1, replica.last_index())
+    if stored_term is not None:
+        while hint > replica.commit and replica.term_at(hint) == stored_term:
             hint -= 1
     return max(hint, replica.commit)
 
 
-def _take_entries(replica: Consensus, previous: int, entries: Any) -> bool:
+def _store_entries(replica: Consensus, previous_index: int, entries: Any) -> bool:
     """Adds what the log lacks of the entries after `previous`, in place of what conflicts; whether it
     lacked any. Entries from the wire are lists.
     """
     for position, entry in enumerate(entries):
-        index = previous + 1 + position
-        own = replica.term_at(index)
-        if own is not None and own == entry[0]:
+        index = previous_index + 1 + position
+        own_term = replica.term_at(index)
+        if own_term is not None and own_term == entry[0]:
             continue
-        if own is not None:
+        if own_term is not None:
             if index <= replica.committed:
                 raise AssertionError(f"entry {index} is committed and conflicts")
             log_changes.truncate(replica, index)
-        fresh = [(term, time, tuple(operation)) for term, time, operation in entries[position:]]
-        log_changes.append(replica, fresh, index)
+        new_entries = [(term, time, tuple(operation)) for term, time, operation in entries[position:]]
+        log_changes.append(replica, new_entries, index)
         return True
     return False
--- a/src/pinepitch/consensus/handlers.py
+++ b/src/pinepitch/consensus/handlers.py
@@ -13,7 +13,7 @@
 Handler = Callable[["Consensus", str, Any, float], None]
 
 # Answers that only a leader or a candidate asks for; a newer term in one ends its own.
-ANSWERS = (messages.VoteReply, messages.AppendReply, messages.ChunkReply)
+REPLIES = (messages.VoteReply, messages.AppendReply, messages.ChunkReply)
 
 
 def ignore(replica: Consensus, sender: str, message: messages.UnknownMessage, now: float) -> None:
--- a/src/pinepitch/consensus/known_leader.py
+++ b/src/pinepitch/consensus/known_leader.py
@@ -24,7 +24,7 @@
     if replica.last_known_term < term:
         replica.last_known_leader, replica.last_known_term = leader, term
         replica.history = {past: voted_for for past, voted_for in replica.history.items() if past > term}
-        replica.hard_dirty = True
+        replica.hard_state_dirty = True
 
 
 def record_if_committed(replica: Consensus, leader: str, term: int) -> None:
--- a/src/pinepitch/consensus/leader_clock.py
+++ b/src/pinepitch/consensus/leader_clock.py
@@ -25,25 +25,25 @@
 
     def __init__(self) -> None:
         self.term = 0
-        self.seconds = self.heard = 0.0
+        self.seconds = self.heard_at = 0.0
 
     def hear(self, reading: tuple[int, float] | None, now: float) -> None:
         """Takes a reading told by the leader, or relayed by a daemon that heard it."""
         if reading is None:
             return
         term, seconds = reading
-        if term > self.term or (term == self.term and seconds > self._passed(now)):
-            self.term, self.seconds, self.heard = term, seconds, now
+        if term > self.term or (term == self.term and seconds > self._lower_bound(now)):
+            self.term, self.seconds, self.heard_at = term, seconds, now
 
     def floor(self, now: float) -> Reading | None:
         """The Reading that the leader's clock has passed by now, None before any was heard."""
-        return Reading(self.term, self._passed(now)) if self.term else None
+        return Reading(self.term, self._lower_bound(now)) if self.term else None
 
     def end(self, until: float, now: float) -> Reading | None:
         """The Reading after which the leader may not take a request that is given up here at `until`."""
         if not self.term:
             return None
-        return Reading(self.term, self._passed(now) + (until - now) * (1 - constants.CLOCK_DRIFT))
+        return Reading(self.term, self._lower_bound(now) + (until - now) * (1 - constants.CLOCK_DRIFT))
 
-    def _passed(self, now: float) -> float:
-        return self.seconds + (now - self.heard) * (1 - constants.CLOCK_DRIFT)
+    def _lower_bound(self, now: float) -> float:
+        return self.seconds + (now - self.heard_at) * (1 - constants.CLOCK_DRIFT)
--- a/src/pinepitch/consensus/leadership_transfer.py
+++ b/src/pinepitch/consensus/leadership_transfer.py
@@ -38,12 +38,12 @@
     """The voter of every list in force, heard lately, that holds most of the log; None without one."""
     quorums = replica.membership.quorums()
     eligible = [
-        (follower.match, identity)
+        (follower.match_index, identity)
         for identity, follower in replica.followers.items()
         if identity in candidates
         and all(identity in quorum.members for quorum in quorums)
         and now - follower.heard_at <= constants.LEADER_LEASE
-        and not follower.forgot
+        and not follower.lost_entries
     ]
     return max(eligible)[1] if eligible else None
 
@@ -53,11 +53,11 @@
     assert replica.handover is not None
     target, last = replica.handover.target, replica.last_index()
     follower = replica.followers.get(target)
-    if follower is None or follower.match < last or replica.commit < last:
+    if follower is None or follower.match_index < last or replica.commit < last:
         return
     learners = dict(replica.learners)
     replica.become_follower(replica.term, now, "handed over")
-    replica.send(target, LeadershipTransfer(replica.term, learners), replica.hard_sequence)
+    replica.send(target, LeadershipTransfer(replica.term, learners), replica.hard_state_sequence)
 
 
 def on_transfer(replica: Consensus, sender: str, message: LeadershipTransfer, now: float) -> None:
--- a/src/pinepitch/consensus/log.py
+++ b/src/pinepitch/consensus/log.py
@@ -18,7 +18,7 @@
 # (term, time in seconds, operation)
 Entry = tuple[int, float, Operation]
 
-ENTRY = 64  # bytes; of an entry beside its operation
+ENTRY_OVERHEAD = 64  # bytes; of an entry beside its operation
 MARSHAL_VERSION = 2  # the newest that writes each value out wherever it stands
 
 
@@ -28,37 +28,37 @@
     has the size of the plain one that other replicas decode.
     """
     try:
-        return ENTRY + len(marshal.dumps(operation, MARSHAL_VERSION))
+        return ENTRY_OVERHEAD + len(marshal.dumps(operation, MARSHAL_VERSION))
     except ValueError:  # a subclass of a plain type
-        return ENTRY + len(marshal.dumps(_plain(operation), MARSHAL_VERSION))
+        return ENTRY_OVERHEAD + len(marshal.dumps(_plain(operation), MARSHAL_VERSION))
 
 
 def _plain(value: Any) -> Any:
     """The same value with plain tuples in the place of named ones."""
     if isinstance(value, tuple):
-        return tuple([_plain(one) for one in value])
+        return tuple([_plain(item) for item in value])
     if isinstance(value, list):
-        return [_plain(one) for one in value]
+        return [_plain(item) for item in value]
     if isinstance(value, dict):
-        return {key: _plain(one) for key, one in value.items()}
+        return {key: _plain(item) for key, item in value.items()}
     return value
 
 
-def measured(operation: Operation) -> tuple[Operation, int]:
+def packed_with_size(operation: Operation) -> tuple[Operation, int]:
     """(the operation, packed if it is large, its size in bytes)."""
     if type(operation) is not Packed:
         size = _size(operation)
         if size < constants.MIN_PACKED_BYTES:
             return operation, size
         operation = Packed(operation[0], cbor2.dumps(operation))
-    return operation, ENTRY + len(operation.data)
+    return operation, ENTRY_OVERHEAD + len(operation.data)
 
 
 def packed_step(payload: list[Any]) -> list[Any]:
     """What a step file held, its large operations packed."""
     for kind, change in payload:
         if kind == "raft" and isinstance(change, list):
-            change[3] = [(term, time, measured(operation)[0]) for term, time, operation in change[3]]
+            change[3] = [(term, time, packed_with_size(operation)[0]) for term, time, operation in change[3]]
     return payload
 
 
@@ -82,7 +82,7 @@
     def append(self, entries: Iterable[Entry]) -> None:
         """Adds entries at the end; large operations are packed."""
         for term, time, operation in entries:
-            operation, size = measured(operation)
+            operation, size = packed_with_size(operation)
             self.entries.append((term, time, operation))
             self.sizes.append(size)
             self.size += size
@@ -114,25 +114,25 @@
         """Bytes of the entries from `start` to `end`, both included."""
         return sum(self.sizes[max(0, start - self.first) : max(0, end + 1 - self.first)])
 
-    def slice_from(self, index: int, most_entries: int, most_bytes: int) -> tuple[list[Entry], int]:
+    def slice_from(self, index: int, max_entries: int, max_bytes: int) -> tuple[list[Entry], int]:
         """(entries from `index` on, their bytes): one at least, as many as both bounds allow."""
         position = index - self.first
         if position == len(self.entries) - 1:
             return self.entries[position:], self.sizes[position]
         end, size = position, 0
-        for entry_size in self.sizes[position : position + most_entries]:
-            if end > position and size + entry_size > most_bytes:
+        for entry_size in self.sizes[position : position + max_entries]:
+            if end > position and size + entry_size > max_bytes:
                 break
             size += entry_size
             end += 1
         return self.entries[position:end], size
 
-    def tail_start(self, index: int, most_entries: int, most_bytes: int) -> int:
+    def tail_start(self, index: int, max_entries: int, max_bytes: int) -> int:
         """The lowest index so that the entries from it to `index` keep both bounds."""
         size, start = 0, index + 1
-        while start > self.first and index + 1 - start < most_entries:
+        while start > self.first and index + 1 - start < max_entries:
             size += self.sizes[start - 1 - self.first]
-            if size > most_bytes:
+            if size > max_bytes:
                 break
             start -= 1
         return start
--- a/src/pinepitch/consensus/log_changes.py
+++ b/src/pinepitch/consensus/log_changes.py
@@ -41,10 +41,10 @@
 def truncate(replica: Consensus, index: int) -> None:
     """Drops entries from `index` on."""
     replica.log.truncate(index)
-    replica.truncate = index if replica.truncate is None else min(replica.truncate, index)
+    replica.truncate_from = index if replica.truncate_from is None else min(replica.truncate_from, index)
     if replica.dirty_from is not None and replica.dirty_from >= index:
         replica.dirty_from = None
-    replica.durable = min(replica.durable, index - 1)
+    replica.durable_index = min(replica.durable_index, index - 1)
     for save in replica.saving:
         save.last_index = min(save.last_index, index - 1)
     find_membership(replica)
@@ -55,6 +55,6 @@
     of what is on disk or on its way there only what is committed stays true.
     """
     replica.log.clear(first)
-    replica.durable = min(replica.durable, replica.commit)
+    replica.durable_index = min(replica.durable_index, replica.commit)
     for save in replica.saving:
         save.last_index = min(save.last_index, replica.commit)
--- a/src/pinepitch/consensus/membership_change.py
+++ b/src/pinepitch/consensus/membership_change.py
@@ -34,14 +34,14 @@
     return replica.propose([("members", joint.image())], time, now)
 
 
-def learn(replica: Consensus, identity: str, zone: str, now: float) -> None:
+def add_learner(replica: Consensus, identity: str, zone: str, now: float) -> None:
     """Starts to replicate to one that is no member yet."""
     if replica.role == LEADER and identity not in replica.followers:
         replica.learners[identity] = zone
         replica.followers[identity] = Follower(replica.last_index(), now)
 
 
-def forget_learner(replica: Consensus, identity: str) -> None:
+def remove_learner(replica: Consensus, identity: str) -> None:
     """Ends replicating to one that is no member."""
     if replica.learners.pop(identity, None) is not None:
         replica.followers.pop(identity, None)
@@ -53,6 +53,6 @@
     if follower is None or follower.probing or follower.transfer is not None:
         return False
     last = replica.last_index()
-    if follower.match + constants.CAUGHT_UP < last:
+    if follower.match_index + constants.CAUGHT_UP < last:
         return False
-    return replica.log.bytes_between(follower.match + 1, last) <= constants.CAUGHT_UP_BYTES
+    return replica.log.bytes_between(follower.match_index + 1, last) <= constants.CAUGHT_UP_BYTES
--- a/src/pinepitch/consensus/messages.py
+++ b/src/pinepitch/consensus/messages.py
@@ -1,11 +1,11 @@
 """The messages between replicas, and their form on the wire.
 
-On the wire a message is a tuple of its kind, a word, and its fields in the order declared here. `encode` and
-`decode` are the only places that know the words; they are called where the daemon sends and receives.
+On the wire a message is a tuple of its kind, a string, and its fields in the order declared here. Only
+`encode` and `decode` know the kinds; the daemon calls them when it sends and receives.
 
-Terms and indexes are those of the log; `heartbeat` is the number of the leader's newest heartbeat, which an
-answer tells back; sizes and offsets are in bytes. `leader`, `leader_term` and `history` of a reply are the
-extra state of FlexiRaft (section 5.1), see `quorum.Reply`.
+Terms and indexes are those of the log. `heartbeat` is the number of the leader's newest heartbeat, which a
+reply repeats. Sizes and offsets are in bytes. `leader`, `leader_term` and `history` of a reply are the extra
+state of FlexiRaft (section 5.1), see `quorum.Reply`.
 """
 
 from collections.abc import Sequence
@@ -15,15 +15,15 @@
 
 
 class PreVoteRequest(NamedTuple):
-    """Asks whether a vote would be given in `term`; no one's term changes (section 8)."""
+    """Asks whether the receiver would vote for the sender in `term`; changes no term (section 8)."""
 
     term: int
-    last_index: int  # of the newest entry of the pre-candidate
+    last_index: int  # index of the sender's newest entry
     last_term: int
 
 
 class PreVoteReply(NamedTuple):
-    """The answer to a pre-vote request of `term`."""
+    """The reply to a pre-vote request of `term`."""
 
     term: int
     granted: bool
@@ -33,7 +33,7 @@
 
 
 class VoteRequest(NamedTuple):
-    """Asks for a vote in `term`."""
+    """Requests a vote in `term`."""
 
     term: int
     last_index: int
@@ -41,7 +41,7 @@
 
 
 class TakeoverRequest(NamedTuple):
-    """A vote request of the successor that the leader of the term `released` named."""
+    """A vote request of the successor that the leader of `released_term` named."""
 
     term: int
     last_index: int
@@ -50,7 +50,7 @@
 
 
 class VoteReply(NamedTuple):
-    """The answer to a vote or takeover request of `term`, durable before it is sent."""
+    """The reply to a vote or takeover request of `term`; a granted vote is durable before it is sent."""
 
     term: int
     granted: bool
@@ -60,41 +60,46 @@
 
 
 class LeadershipTransfer(NamedTuple):
-    """The leader of `term` gave up its lease and names the receiver its successor."""
+    """Names the receiver the successor of the leader of `term`, which has given up its lease."""
 
     term: int
-    learners: dict[str, str]  # identity -> zone of the learners it replicated to
+    learners: dict[str, str]  # identity -> zone of the leader's learners
 
 
 class NewerTerm(NamedTuple):
-    """The answer to a message of an older term: the sender's term."""
+    """The reply to a message of an older term, with the newer term."""
 
     term: int
 
 
 class RemovedNotice(NamedTuple):
-    """Tells a replica that asked for a pre-vote that it is no longer a member, by what is committed."""
+    """The reply to a pre-vote request of a replica that is not a member, with the sender's commit index."""
 
     term: int
-    commit: int
+    commit_index: int
 
 
 class AppendEntries(NamedTuple):
-    """Entries that follow the entry `previous`, none for a heartbeat. A heartbeat that says nothing of the
-    log has 0 for `previous`, `previous_term` and `commit`.
+    """The entries after `previous_index`, none for a heartbeat.
+
+    A heartbeat that does not refer to the log has 0 for `previous_index`, `previous_term` and
+    `leader_commit`.
     """
 
     term: int
-    previous: int
+    previous_index: int
     previous_term: int | None
     entries: Sequence[Entry]
-    commit: int
+    leader_commit: int
     heartbeat: int
 
 
 class AppendReply(NamedTuple):
-    """The answer to AppendEntries: the newest entry that is durable here and agrees with the leader's log;
-    None for a heartbeat that said nothing of the log. Where `success` is False, the entry to try next.
+    """The reply to AppendEntries.
+
+    With `success`, `match_index` is the newest entry that is durable at the sender and agrees with the
+    leader's log, or None in reply to a heartbeat that did not refer to the log. Without `success` it is the
+    entry that the leader should try next.
     """
 
     term: int
@@ -104,10 +109,10 @@
 
 
 class SnapshotChunk(NamedTuple):
-    """A chunk of the payload of a snapshot; with the offset -1 a question after what is stored."""
+    """A chunk of a snapshot's payload. With the offset -1 it asks which segments the receiver stores."""
 
     term: int
-    last_index: int  # of the entries that the snapshot stands for
+    last_index: int  # index of the newest entry that the snapshot covers
     snapshot_term: int
     membership: list[Any]  # a `Membership.image()`
     offset: int
@@ -117,19 +122,21 @@
 
 
 class ChunkReply(NamedTuple):
-    """The answer to SnapshotChunk: the offset that is needed next, -1 to begin anew, COMPLETE_OFFSET where
-    nothing of the snapshot is needed; `stored` is the newest segment of the archive that is stored here.
+    """The reply to SnapshotChunk.
+
+    `offset` is the next one needed, -1 to restart the transfer, or COMPLETE_OFFSET if nothing of the
+    snapshot is needed. `stored_segment` is the newest archive segment that the sender stores.
     """
 
     term: int
     last_index: int
     offset: int
-    stored: int
+    stored_segment: int
     heartbeat: int
 
 
 class UnknownMessage(NamedTuple):
-    """A message of a kind that this version does not know; it has no effect."""
+    """A message of a kind that this version does not know; it is ignored."""
 
     kind: object
 
@@ -150,7 +157,7 @@
     | UnknownMessage
 )
 
-# The registry of messages: the word on the wire -> class.
+# The registry of messages: kind on the wire -> class.
 MESSAGES: dict[str, type[Any]] = {
     "prevote": PreVoteRequest,
     "prevoted": PreVoteReply,
@@ -165,19 +172,19 @@
     "piece": SnapshotChunk,
     "pieced": ChunkReply,
 }
-WORDS = {message: word for word, message in MESSAGES.items()}
+KINDS = {message: kind for kind, message in MESSAGES.items()}
 
 
 def encode(message: Message) -> tuple[Any, ...]:
     """The wire form of a message."""
-    return (WORDS[type(message)], *message)
+    return (KINDS[type(message)], *message)
 
 
 def decode(wire: Sequence[Any]) -> Message:
-    """The message of a wire form; TypeError where the number of fields is another than declared."""
+    """The message of a wire form; TypeError if the number of fields is not the declared one."""
     kind, *fields = wire
-    message = MESSAGES.get(kind)
-    if message is None:
+    message_class = MESSAGES.get(kind)
+    if message_class is None:
         return UnknownMessage(kind)
-    found: Message = message(*fields)
-    return found
+    message: Message = message_class(*fields)
+    return message
--- a/src/pinepitch/consensus/reads.py
+++ b/src/pinepitch/consensus/reads.py
@@ -19,7 +19,7 @@
     """The heartbeat whose answers confirm the reads under way, and the index that they may read up to."""
 
     heartbeat: int
-    commit: int
+    read_index: int
 
 
 def leased(replica: Consensus, now: float) -> bool:
@@ -27,52 +27,59 @@
     been elected since and have served: such a quorum grants no pre-vote before its time-out.
     """
     since = now - constants.LEADER_LEASE
-    heard = {
+    answered_by = {
         identity
         for identity, follower in replica.followers.items()
-        if identity not in replica.learners and replica.heartbeat_times.get(follower.heartbeat, -1e9) >= since
+        if identity not in replica.learners
+        and replica.heartbeat_times.get(follower.answered_heartbeat, -1e9) >= since
     }
-    return replica.serving() and replica.membership.commits(heard | {replica.identity}, replica.identity)
+    return replica.serving() and replica.membership.commits(
+        answered_by | {replica.identity}, replica.identity
+    )
 
 
 def lease_end(replica: Consensus, now: float) -> float:
     """The moment that the lease stands until as far as is known; `now` when it does not stand."""
     sent = {
-        identity: replica.heartbeat_times.get(follower.heartbeat, -1e9)
+        identity: replica.heartbeat_times.get(follower.answered_heartbeat, -1e9)
         for identity, follower in replica.followers.items()
         if identity not in replica.learners
     }
     sent[replica.identity] = now
     for since in sorted(set(sent.values()), reverse=True):
-        heard = {identity for identity, sent_at in sent.items() if sent_at >= since}
-        if replica.membership.commits(heard, replica.identity):
+        answered_by = {identity for identity, sent_at in sent.items() if sent_at >= since}
+        if replica.membership.commits(answered_by, replica.identity):
             return max(now, since + constants.LEADER_LEASE)
     return now
 
 
-def ask(replica: Consensus, token: Any, now: float) -> None:
+def request_read(replica: Consensus, token: Any, now: float) -> None:
     """Asks that ReadConfirmed be told for `token` once leadership is confirmed."""
-    replica.reads_next.append(token)
+    replica.queued_reads.append(token)
     start_round(replica, now)
 
 
 def start_round(replica: Consensus, now: float) -> None:
     """Sends the heartbeat that confirms the reads which wait, unless another one is awaited."""
-    if replica.round is None and replica.reads_next and replica.serving():
-        replica.reads_now, replica.reads_next = replica.reads_next, []
-        replica.heartbeat += 1
-        replica.round = ReadRound(replica.heartbeat, replica.commit)
-        replication.broadcast(replica, now, advance=False)
+    if replica.read_round is None and replica.queued_reads and replica.serving():
+        replica.confirming_reads, replica.queued_reads = replica.queued_reads, []
+        replica.heartbeat_number += 1
+        replica.read_round = ReadRound(replica.heartbeat_number, replica.commit)
+        replication.broadcast(replica, now, new_number=False)
         check_round(replica, now)
 
 
 def check_round(replica: Consensus, now: float) -> None:
     """Confirms the reads under way once a commit quorum answered their heartbeat."""
-    if replica.round is None:
+    if replica.read_round is None:
         return
-    heartbeat, commit = replica.round
-    heard = {identity for identity, follower in replica.followers.items() if follower.heartbeat >= heartbeat}
-    if replica.membership.commits(heard | {replica.identity}, replica.identity):
-        replica.effects.extend(ReadConfirmed(token, commit) for token in replica.reads_now)
-        replica.reads_now, replica.round = [], None
+    heartbeat, read_index = replica.read_round
+    answered_by = {
+        identity
+        for identity, follower in replica.followers.items()
+        if follower.answered_heartbeat >= heartbeat
+    }
+    if replica.membership.commits(answered_by | {replica.identity}, replica.identity):
+        replica.effects.extend(ReadConfirmed(token, read_index) for token in replica.confirming_reads)
+        replica.confirming_reads, replica.read_round = [], None
         start_round(replica, now)
--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -27,7 +27,7 @@
 )
 from .effects import Effect, LogEvent, SendMessage, StepDown
 from .follower import Follower
-from .handlers import ANSWERS, HANDLERS
+from .handlers import HANDLERS, REPLIES
 from .log import Entry, Log, Operation
 from .pending_save import PendingSave
 from .quorum import Membership, Quorum, Reply
@@ -69,7 +69,7 @@
         self._init_leadership()
         self.effects: list[Effect] = []
         self.archive: Archive | None = None  # the cluster state's
-        self.incoming: IncomingSnapshot | None = None
+        self.incoming_snapshot: IncomingSnapshot | None = None
 
     def _init_hard_state(self) -> None:
         self.term = 0
@@ -89,12 +89,12 @@
 
     def _init_persistence(self) -> None:
         self.sequence = self.saved_sequence = 0  # of the newest save begun, and of the newest durable one
-        self.hard_sequence = 0  # of the newest save with hard state
-        self.durable = 0
+        self.hard_state_sequence = 0  # of the newest save with hard state
+        self.durable_index = 0
         self.saving: list[PendingSave] = []
         self.deferred: list[tuple[int, SendMessage]] = []  # (sequence, effect) waiting for a save
-        self.hard_dirty = False
-        self.truncate: int | None = None  # the first index that the next save drops
+        self.hard_state_dirty = False
+        self.truncate_from: int | None = None  # the first index that the next save drops
         self.dirty_from: int | None = None  # the first index that the next save writes
 
     def _init_elections(self) -> None:
@@ -115,12 +115,12 @@
         self.followers: dict[str, Follower] = {}
         self.learners: dict[str, str] = {}  # identity -> zone
         self.handover: leadership_transfer.PendingTransfer | None = None  # under way while leading
-        self.heartbeat = 0  # the number of the newest heartbeat
-        self.heartbeat_at = LONG_AGO
+        self.heartbeat_number = 0  # the number of the newest heartbeat
+        self.heartbeat_sent_at = LONG_AGO
         self.heartbeat_times: dict[int, float] = {}  # number -> when sent, newest LEADER_HEARTBEATS_KEPT
-        self.round: reads.ReadRound | None = None
-        self.reads_now: list[Any] = []  # tokens of the reads that `round` confirms
-        self.reads_next: list[Any] = []
+        self.read_round: reads.ReadRound | None = None
+        self.confirming_reads: list[Any] = []  # tokens of the reads that `round` confirms
+        self.queued_reads: list[Any] = []
 
     # --- the log ----------------------------------------------------------------------
     @property
@@ -175,7 +175,7 @@
         """Hears that saves up to `sequence` are durable."""
         self.saved_sequence = max(self.saved_sequence, sequence)
         while self.saving and self.saving[0].sequence <= sequence:
-            self.durable = max(self.durable, self.saving.pop(0).last_index)
+            self.durable_index = max(self.durable_index, self.saving.pop(0).last_index)
         ready = [effect for need, effect in self.deferred if need <= sequence]
         self.deferred = [(need, effect) for need, effect in self.deferred if need > sequence]
         self.effects.extend(ready)
@@ -185,7 +185,7 @@
                 leadership_transfer.try_complete(self, now)
         elif self.role == CANDIDATE:
             election.count_votes(self, now)
-        return self.done(now)
+        return self.take_effects(now)
 
     # --- effects ----------------------------------------------------------------------
     def send(self, receiver: str, message: messages.Message, after: int = 0) -> None:
@@ -196,29 +196,29 @@
         else:
             self.effects.append(effect)
 
-    def after_flush(self) -> int:
+    def flush_sequence(self) -> int:
         """The sequence that the save of what is dirty now will get."""
-        dirty = self.hard_dirty or self.truncate is not None or self.dirty_from is not None
+        dirty = self.hard_state_dirty or self.truncate_from is not None or self.dirty_from is not None
         return self.sequence + 1 if dirty else self.sequence
 
-    def hard_wait(self) -> int:
+    def hard_state_save_sequence(self) -> int:
         """The sequence of the save that makes the present hard state durable."""
-        return self.after_flush() if self.hard_dirty else self.hard_sequence
+        return self.flush_sequence() if self.hard_state_dirty else self.hard_state_sequence
 
     def _flush(self, now: float) -> None:
-        if self.hard_dirty or self.truncate is not None or self.dirty_from is not None:
+        if self.hard_state_dirty or self.truncate_from is not None or self.dirty_from is not None:
             self.sequence += 1
             start = self.dirty_from
-            fresh = [] if start is None else self.log.entries[start - self.first :]
-            hard = snapshot_base.hard_state(self) if self.hard_dirty else None
-            change = [hard, self.truncate, start, fresh]
-            if self.hard_dirty:
-                self.hard_sequence = self.sequence
-            self.hard_dirty, self.truncate, self.dirty_from = False, None, None
+            new_entries = [] if start is None else self.log.entries[start - self.first :]
+            hard = snapshot_base.hard_state(self) if self.hard_state_dirty else None
+            change = [hard, self.truncate_from, start, new_entries]
+            if self.hard_state_dirty:
+                self.hard_state_sequence = self.sequence
+            self.hard_state_dirty, self.truncate_from, self.dirty_from = False, None, None
             self.saving.append(PendingSave(self.sequence, self.last_index(), now))
             self.effects.append(SaveChange(self.sequence, change))
 
-    def done(self, now: float) -> list[Effect]:
+    def take_effects(self, now: float) -> list[Effect]:
         """Ends an input: saves what is dirty, and hands the effects over."""
         self._flush(now)
         effects, self.effects = self.effects, []
@@ -234,7 +234,7 @@
         self._begin_incarnation(now)
         assert self.election_at is not None
         if self.commit < self.committed:
-            commitment.commit_slice(self, now)
+            commitment.deliver_slice(self, now)
         stalled = bool(self.saving) and now - self.saving[0].begun_at > constants.DISK_STALL
         if stalled:
             self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
@@ -247,11 +247,11 @@
                 election.campaign(self, PRE_CANDIDATE, now)
             else:
                 self.reset_election_timer(now)
-        return self.done(now)
+        return self.take_effects(now)
 
     def _tick_leader(self, stalled: bool, now: float) -> None:
         """Steps down where it must, else sends heartbeats. Check-quorum asks for a commit quorum."""
-        heard = {
+        heard_from = {
             identity
             for identity, follower in self.followers.items()
             if now - follower.heard_at <= constants.CHECK_QUORUM
@@ -261,9 +261,9 @@
             self.become_follower(self.term, now, "disk stalled")
         elif self.handover is not None and now >= self.handover.until:
             self.become_follower(self.term, now, "stopping")
-        elif not self.membership.commits(heard, self.identity):
+        elif not self.membership.commits(heard_from, self.identity):
             self.become_follower(self.term, now, "commit quorum not heard")
-        elif now - self.heartbeat_at >= constants.HEARTBEAT:
+        elif now - self.heartbeat_sent_at >= constants.HEARTBEAT:
             replication.broadcast(self, now)
 
     def _begin_incarnation(self, now: float) -> None:
@@ -285,7 +285,7 @@
         self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
         if self.role != FOLLOWER:
             self.become_follower(self.term, now, "disk refuses to write")
-        return self.done(now)
+        return self.take_effects(now)
 
     # --- roles ------------------------------------------------------------------------
     def reset_election_timer(self, now: float) -> None:
@@ -293,17 +293,17 @@
         factor = 1 + self.random.random() * constants.ELECTION_JITTER
         self.election_at = now + constants.ELECTION_TIMEOUT * factor
 
-    def become_follower(self, term: int, now: float, why: str) -> None:
+    def become_follower(self, term: int, now: float, reason: str) -> None:
         """Becomes a follower of `term`."""
         if term > self.term:
             self.term = term
-            self.hard_dirty = True
+            self.hard_state_dirty = True
             self.following = None
         if self.role == LEADER:
-            self.event(123, why=why)
-            self.effects.append(StepDown(why))
+            self.event(123, why=reason)
+            self.effects.append(StepDown(reason))
             self.following = None
-            self.reads_now, self.reads_next, self.round = [], [], None
+            self.confirming_reads, self.queued_reads, self.read_round = [], [], None
         if self.role != FOLLOWER:
             self.reset_election_timer(now)
         self.role = FOLLOWER
@@ -333,14 +333,14 @@
         start = self.last_index() + 1
         log_changes.append(self, [(self.term, time, operation) for operation in operations], start)
         replication.replicate_all(self, now)
-        return start, self.done(now)
+        return start, self.take_effects(now)
 
     def read(self, token: Any, now: float) -> list[Effect] | None:
         """Asks that ReadConfirmed be told for `token` once leadership is confirmed; None when not leading."""
         if self.role != LEADER:
             return None
-        reads.ask(self, token, now)
-        return self.done(now)
+        reads.request_read(self, token, now)
+        return self.take_effects(now)
 
     def leased(self, now: float) -> bool:
         """Whether this leader holds its lease: no other can have been elected and have served."""
@@ -357,7 +357,7 @@
         if self.role != LEADER:
             return []
         leadership_transfer.begin(self, set(candidates), now)
-        return self.done(now)
+        return self.take_effects(now)
 
     # --- membership -------------------------------------------------------------------
     def change_members(
@@ -374,11 +374,11 @@
 
     def learn(self, identity: str, zone: str, now: float) -> None:
         """Starts to replicate to one that is no member yet."""
-        membership_change.learn(self, identity, zone, now)
+        membership_change.add_learner(self, identity, zone, now)
 
     def forget_learner(self, identity: str) -> None:
         """Ends replicating to one that is no member."""
-        membership_change.forget_learner(self, identity)
+        membership_change.remove_learner(self, identity)
 
     def caught_up(self, identity: str) -> bool:
         """Whether a learner is close enough behind to become a voter."""
@@ -389,7 +389,7 @@
         """Takes one message (`messages.Message`) of another replica, as `messages.decode` gives it."""
         self._begin_incarnation(now)
         kind = type(message)
-        if kind in ANSWERS and message.term > self.term:
+        if kind in REPLIES and message.term > self.term:
             self.become_follower(message.term, now, "newer term")
         HANDLERS[kind](self, sender, message, now)
-        return self.done(now)
+        return self.take_effects(now)
--- a/src/pinepitch/consensus/replication.py
+++ b/src/pinepitch/consensus/replication.py
@@ -15,13 +15,13 @@
     from .replica import Consensus
 
 
-def broadcast(replica: Consensus, now: float, advance: bool = True) -> None:
+def broadcast(replica: Consensus, now: float, new_number: bool = True) -> None:
     """Sends every follower a heartbeat; `advance` gives it a number of its own."""
-    if advance:
-        replica.heartbeat += 1
-    replica.heartbeat_at = now
-    replica.heartbeat_times[replica.heartbeat] = now
-    replica.heartbeat_times.pop(replica.heartbeat - constants.LEADER_HEARTBEATS_KEPT, None)
+    if new_number:
+        replica.heartbeat_number += 1
+    replica.heartbeat_sent_at = now
+    replica.heartbeat_times[replica.heartbeat_number] = now
+    replica.heartbeat_times.pop(replica.heartbeat_number - constants.LEADER_HEARTBEATS_KEPT, None)
     for identity in replica.followers:
         replicate(replica, identity, now, heartbeat=True)
 
@@ -35,26 +35,26 @@
 def replicate(replica: Consensus, identity: str, now: float, heartbeat: bool = False) -> None:
     """Sends what a follower lacks, as much as its flow takes; a heartbeat alone when asked for."""
     follower = replica.followers[identity]
-    if follower.forgot:
+    if follower.lost_entries:
         return
     if follower.flow.overdue(now):
-        _begin_anew(follower)
+        _resend_unacknowledged(follower)
     if _needs_snapshot(replica, follower):
         snapshot_sender.send_chunk(replica, identity, follower, now)
         if heartbeat:
             _send_bare_heartbeat(replica, identity)
         return
     sent = False
-    if follower.next <= replica.log.last():
+    if follower.next_index <= replica.log.last():
         sent = _send_entries(replica, identity, follower, now)
     if heartbeat and not sent:
         _send_heartbeat(replica, identity, follower)
 
 
-def _begin_anew(follower: Follower) -> None:
+def _resend_unacknowledged(follower: Follower) -> None:
     """Takes what is under way for lost, and sends it again from what was acknowledged."""
-    follower.flow.lost()
-    follower.next = follower.match + 1
+    follower.flow.discard_lost()
+    follower.next_index = follower.match_index + 1
     follower.probing = True
     if follower.transfer:
         follower.transfer.in_flight = False
@@ -66,15 +66,15 @@
     window = 1 if follower.probing else constants.APPEND_WINDOW
     last, sent = log.last(), False
     entries: Sequence[Entry]
-    while follower.next <= last and len(flow.in_flight) < window and not flow.bulky():
-        entries, size = log.slice_from(follower.next, constants.APPEND_ENTRIES, flow.budget)
+    while follower.next_index <= last and len(flow.in_flight) < window and not flow.large_in_flight():
+        entries, size = log.slice_from(follower.next_index, constants.APPEND_ENTRIES, flow.budget)
         if follower.probing and size >= constants.BULK_BYTES:
             entries, size = (), 0  # first what it holds: a large append would be for nothing
         if size >= constants.BULK_BYTES and flow.in_flight:
             break
-        _send_append(replica, identity, follower.next - 1, entries)
-        follower.next += len(entries)
-        flow.begin(follower.next - 1, size, now)
+        _send_append(replica, identity, follower.next_index - 1, entries)
+        follower.next_index += len(entries)
+        flow.record_sent(follower.next_index - 1, size, now)
         sent = True
     return sent
 
@@ -84,39 +84,39 @@
     the image is the shorter way, or the sending has begun.
     """
     if follower.transfer is not None:
-        if follower.transfer.snapshot.last_index > follower.match:
+        if follower.transfer.snapshot.last_index > follower.match_index:
             return True
         follower.transfer = None
-    if follower.next > replica.base_index and follower.next > replica.log.first:
+    if follower.next_index > replica.base_index and follower.next_index > replica.log.first:
         return False  # as nearly always
-    if follower.next < replica.log.first or replica.term_at(follower.next - 1) is None:
+    if follower.next_index < replica.log.first or replica.term_at(follower.next_index - 1) is None:
         return True
-    if follower.probing or follower.next > replica.base_index or replica.base_image is None:
+    if follower.probing or follower.next_index > replica.base_index or replica.base_image is None:
         return False
-    lacks = replica.log.bytes_between(follower.next, replica.base_index)
-    return lacks > constants.SNAPSHOT_RATIO * len(replica.base_image) + constants.APPEND_BYTES
+    missing_bytes = replica.log.bytes_between(follower.next_index, replica.base_index)
+    return missing_bytes > constants.SNAPSHOT_RATIO * len(replica.base_image) + constants.APPEND_BYTES
 
 
-def _send_append(replica: Consensus, identity: str, previous: int, entries: Sequence[Entry]) -> None:
-    term = replica.term_at(previous)
-    commit, heartbeat = replica.commit, replica.heartbeat
-    message = AppendEntries(replica.term, previous, term, tuple(entries), commit, heartbeat)
-    replica.send(identity, message, replica.hard_sequence)
+def _send_append(replica: Consensus, identity: str, previous_index: int, entries: Sequence[Entry]) -> None:
+    term = replica.term_at(previous_index)
+    commit, heartbeat = replica.commit, replica.heartbeat_number
+    message = AppendEntries(replica.term, previous_index, term, tuple(entries), commit, heartbeat)
+    replica.send(identity, message, replica.hard_state_sequence)
 
 
 def _send_heartbeat(replica: Consensus, identity: str, follower: Follower) -> None:
     """A heartbeat with no entries. While a large append is under way, by another connection, it
     says nothing of what that one brings.
     """
-    if not follower.flow.bulky():
-        _send_append(replica, identity, follower.next - 1, ())
-    elif follower.match > 0 and replica.term_at(follower.match) is not None:
-        _send_append(replica, identity, follower.match, ())
+    if not follower.flow.large_in_flight():
+        _send_append(replica, identity, follower.next_index - 1, ())
+    elif follower.match_index > 0 and replica.term_at(follower.match_index) is not None:
+        _send_append(replica, identity, follower.match_index, ())
     else:
         _send_bare_heartbeat(replica, identity)
 
 
 def _send_bare_heartbeat(replica: Consensus, identity: str) -> None:
     """A heartbeat that says nothing of the log."""
-    message = AppendEntries(replica.term, 0, 0, (), 0, replica.heartbeat)
-    replica.send(identity, message, replica.hard_sequence)
+    message = AppendEntries(replica.term, 0, 0, (), 0, replica.heartbeat_number)
+    replica.send(identity, message, replica.hard_state_sequence)
--- a/src/pinepitch/consensus/snapshot_base.py
+++ b/src/pinepitch/consensus/snapshot_base.py
@@ -28,16 +28,16 @@
         replica.base_membership = membership_from_image(membership)
         replica.log.clear(first)
         replica.log.append(entries)
-    for hard, truncate, start, entries in changes:
+    for hard, truncate_from, start, entries in changes:
         if hard is not None:
             _take_hard_state(replica, hard)
-        if truncate is not None:
-            replica.log.truncate(truncate)
+        if truncate_from is not None:
+            replica.log.truncate(truncate_from)
         if entries:
             replica.log.truncate(start)
             replica.log.append(entries)
     replica.commit = replica.committed = replica.base_index
-    replica.durable = replica.last_index()
+    replica.durable_index = replica.last_index()
     log_changes.find_membership(replica)
 
 
@@ -84,19 +84,19 @@
     replica.base_index, replica.base_term, replica.base_image = index, term, image
     # base_membership must stay true for entries from `first` on: only a membership older than
     # the kept tail may differ, and find_membership reads newest first, so it never does.
-    replica.log.drop_before(_kept_from(replica, index))
+    replica.log.drop_before(_first_retained(replica, index))
     return payload(replica)
 
 
-def _kept_from(replica: Consensus, index: int) -> int:
+def _first_retained(replica: Consensus, index: int) -> int:
     """The first entry to keep behind a base at `index`: a tail, and what followers still need
     as far as the laggards' bounds go.
     """
-    keep = replica.log.tail_start(index, constants.SNAPSHOT_TAIL, replica.limits.tail)
+    first_retained = replica.log.tail_start(index, constants.SNAPSHOT_TAIL, replica.limits.tail)
     needed = [follower.needed_from() for follower in replica.followers.values()]
-    needed = [first for first in needed if replica.first <= first < keep]
+    needed = [first for first in needed if replica.first <= first < first_retained]
     if needed:
-        most_entries = constants.LAGGARD_TIMES * constants.SNAPSHOT_TAIL
-        furthest = replica.log.tail_start(index, most_entries, replica.limits.laggard)
-        keep = min(keep, max(min(needed), furthest))
-    return keep
+        max_entries = constants.LAGGARD_TIMES * constants.SNAPSHOT_TAIL
+        furthest = replica.log.tail_start(index, max_entries, replica.limits.laggard)
+        first_retained = min(first_retained, max(min(needed), furthest))
+    return first_retained
--- a/src/pinepitch/consensus/snapshot_payload.py
+++ b/src/pinepitch/consensus/snapshot_payload.py
@@ -31,10 +31,10 @@
     """
 
     def __init__(self, image: bytes, segments_span: tuple[int, int], segments: Mapping[int, bytes]) -> None:
-        parts = [_head(ARRAY, PARTS_OF_PAYLOAD), _head(BYTE_STRING, len(image)), image]
-        parts += [cbor2.dumps(list(segments_span)), _head(MAP, len(segments))]
+        parts = [_cbor_header(ARRAY, PARTS_OF_PAYLOAD), _cbor_header(BYTE_STRING, len(image)), image]
+        parts += [cbor2.dumps(list(segments_span)), _cbor_header(MAP, len(segments))]
         for number, data in segments.items():
-            parts += [cbor2.dumps(number), _head(BYTE_STRING, len(data)), data]
+            parts += [cbor2.dumps(number), _cbor_header(BYTE_STRING, len(data)), data]
         self.parts = tuple(parts)
         self.starts: list[int] = []
         self.size = 0
@@ -51,18 +51,18 @@
     def __hash__(self) -> int:
         return hash(self.parts)
 
-    def chunk(self, offset: int, most: int) -> bytes:
+    def chunk(self, offset: int, max_bytes: int) -> bytes:
         """At most so many bytes from an offset on."""
-        end = min(self.size, offset + most)
-        taken = []
-        place = bisect.bisect_right(self.starts, offset) - 1
+        end = min(self.size, offset + max_bytes)
+        slices = []
+        position = bisect.bisect_right(self.starts, offset) - 1
         while offset < end:
-            start = self.starts[place]
-            part = self.parts[place][offset - start : end - start]
-            taken.append(part)
+            start = self.starts[position]
+            part = self.parts[position][offset - start : end - start]
+            slices.append(part)
             offset += len(part)
-            place += 1
-        return b"".join(taken)
+            position += 1
+        return b"".join(slices)
 
 
 class ReceivedPayload:
@@ -85,9 +85,9 @@
 
     def copy(self) -> "ReceivedPayload":
         """The same, for one to go on from apart."""
-        twin = ReceivedPayload()
-        twin.buffer.write(self.buffer.getvalue())
-        return twin
+        duplicate = ReceivedPayload()
+        duplicate.buffer.write(self.buffer.getvalue())
+        return duplicate
 
     def parts(self) -> SnapshotParts:
         """The snapshot, once all of it was received."""
@@ -97,7 +97,7 @@
         return SnapshotParts(image, (first, last), segments)
 
 
-def _head(major_type: int, length: int) -> bytes:
+def _cbor_header(major_type: int, length: int) -> bytes:
     """How a value of that type and length begins."""
     buffer = io.BytesIO()
     cbor2.CBOREncoder(buffer).encode_length(major_type, length)
--- a/src/pinepitch/consensus/snapshot_receiver.py
+++ b/src/pinepitch/consensus/snapshot_receiver.py
@@ -18,52 +18,64 @@
 def on_chunk(replica: Consensus, sender: str, message: SnapshotChunk, now: float) -> None:
     """Takes a chunk, says what is needed next, and installs the snapshot once it is complete."""
     if message.term < replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
     following.accept_leader(replica, sender, message.term, now)
-    stored = replica.archive.sealed if replica.archive is not None else 0
+    stored_segment = replica.archive.sealed if replica.archive is not None else 0
     if message.last_index <= replica.commit:
-        _answer(replica, sender, message, COMPLETE_OFFSET, stored, replica.hard_wait())
+        _reply(replica, sender, message, COMPLETE_OFFSET, stored_segment, replica.hard_state_save_sequence())
         return
-    if message.offset < 0 or not _goes_on(replica.incoming, message):
-        _begin_anew(replica, sender, message, stored)
+    if message.offset < 0 or not _continues(replica.incoming_snapshot, message):
+        _restart_transfer(replica, sender, message, stored_segment)
         return
-    incoming = replica.incoming
+    incoming = replica.incoming_snapshot
     assert incoming is not None
-    taken = incoming.take(message.offset, message.total, message.chunk)
-    if not taken or len(incoming.received) < message.total:
-        _answer(replica, sender, message, len(incoming.received), stored, replica.hard_wait())
+    accepted = incoming.take(message.offset, message.total, message.chunk)
+    if not accepted or len(incoming.received) < message.total:
+        _reply(
+            replica,
+            sender,
+            message,
+            len(incoming.received),
+            stored_segment,
+            replica.hard_state_save_sequence(),
+        )
         return
-    received = incoming.complete(stored)
+    received = incoming.complete(stored_segment)
     if received is None:
-        _begin_anew(replica, sender, message, stored)
+        _restart_transfer(replica, sender, message, stored_segment)
         return
-    replica.incoming = None
+    replica.incoming_snapshot = None
     replica.base_image, replica.base_segments = received.image, received.segments_span
     _replace_log(replica, message)
     known_leader.record_if_committed(replica, sender, message.term)
     _save_base(replica, message.last_index, received.segments, now)
-    _answer(replica, sender, message, message.total, stored, replica.sequence)
+    _reply(replica, sender, message, message.total, stored_segment, replica.sequence)
 
 
-def _answer(
-    replica: Consensus, sender: str, message: SnapshotChunk, offset: int, stored: int, save_sequence: int
+def _reply(
+    replica: Consensus,
+    sender: str,
+    message: SnapshotChunk,
+    offset: int,
+    stored_segment: int,
+    save_sequence: int,
 ) -> None:
-    reply = ChunkReply(message.term, message.last_index, offset, stored, message.heartbeat)
+    reply = ChunkReply(message.term, message.last_index, offset, stored_segment, message.heartbeat)
     replica.send(sender, reply, save_sequence)
 
 
-def _goes_on(incoming: IncomingSnapshot | None, message: SnapshotChunk) -> bool:
+def _continues(incoming: IncomingSnapshot | None, message: SnapshotChunk) -> bool:
     """Whether a chunk is of the snapshot that is being received."""
     if incoming is None or incoming.last_index != message.last_index:
         return False
     return message.offset <= 0 or incoming.total == message.total
 
 
-def _begin_anew(replica: Consensus, sender: str, message: SnapshotChunk, stored: int) -> None:
+def _restart_transfer(replica: Consensus, sender: str, message: SnapshotChunk, stored_segment: int) -> None:
     """Asks for the snapshot from its start, beside what this incarnation stores."""
-    replica.incoming = IncomingSnapshot(message.last_index)
-    _answer(replica, sender, message, ASK_WHAT_IS_STORED, stored, replica.hard_wait())
+    replica.incoming_snapshot = IncomingSnapshot(message.last_index)
+    _reply(replica, sender, message, ASK_WHAT_IS_STORED, stored_segment, replica.hard_state_save_sequence())
 
 
 def _replace_log(replica: Consensus, message: SnapshotChunk) -> None:
@@ -82,10 +94,10 @@
 
 def _save_base(replica: Consensus, index: int, segments: dict[int, bytes], now: float) -> None:
     """Saves the new base, which holds all that was to be saved."""
-    replica.truncate = replica.dirty_from = None
-    replica.hard_dirty = False
+    replica.truncate_from = replica.dirty_from = None
+    replica.hard_state_dirty = False
     replica.sequence += 1
-    replica.hard_sequence = replica.sequence
+    replica.hard_state_sequence = replica.sequence
     for save in replica.saving:
         save.last_index = min(save.last_index, replica.last_index())
     replica.saving.append(PendingSave(replica.sequence, replica.last_index(), now))
--- a/src/pinepitch/consensus/snapshot_sender.py
+++ b/src/pinepitch/consensus/snapshot_sender.py
@@ -41,41 +41,41 @@
     chunk = transfer.chunk(min(constants.SNAPSHOT_CHUNK, follower.flow.budget))
     snapshot = transfer.snapshot
     total = 0 if transfer.payload is None else len(transfer.payload)
-    message = SnapshotChunk(replica.term, *snapshot, transfer.offset, total, chunk, replica.heartbeat)
+    message = SnapshotChunk(replica.term, *snapshot, transfer.offset, total, chunk, replica.heartbeat_number)
     replica.send(identity, message)
     transfer.in_flight = True
-    transfer.awaited = transfer.offset + len(chunk)
-    follower.flow.begin(0, len(chunk), now)
+    transfer.expected_offset = transfer.offset + len(chunk)
+    follower.flow.record_sent(0, len(chunk), now)
 
 
 def _newest_snapshot(replica: Consensus) -> Snapshot:
     return Snapshot(replica.base_index, replica.base_term, replica.base_membership.image())
 
 
-def take_answer(replica: Consensus, follower: Follower, answer: ChunkReply, now: float) -> bool:
+def take_reply(replica: Consensus, follower: Follower, reply: ChunkReply, now: float) -> bool:
     """Moves a transfer on by an answer; False for an answer that it does not wait for."""
     transfer = follower.transfer
-    if transfer is None or transfer.snapshot.last_index != answer.last_index:
+    if transfer is None or transfer.snapshot.last_index != reply.last_index:
         return False
-    if transfer.repeats(answer.offset, answer.stored):
+    if transfer.is_stale(reply.offset, reply.stored_segment):
         return False
-    follower.flow.answered(0, now)
+    follower.flow.acknowledge(0, now)
     transfer.in_flight = False
-    if answer.offset < 0:
-        _begin(replica, transfer, answer.stored)
-    elif answer.offset == COMPLETE_OFFSET or _all_sent(transfer, answer.offset):
-        _finish(follower, answer.last_index)
+    if reply.offset < 0:
+        _start_transfer(replica, transfer, reply.stored_segment)
+    elif reply.offset == COMPLETE_OFFSET or _all_sent(transfer, reply.offset):
+        _finish_transfer(follower, reply.last_index)
     else:
-        transfer.offset = ASK_WHAT_IS_STORED if transfer.payload is None else answer.offset
+        transfer.offset = ASK_WHAT_IS_STORED if transfer.payload is None else reply.offset
     return True
 
 
-def _begin(replica: Consensus, transfer: Transfer, stored: int) -> None:
+def _start_transfer(replica: Consensus, transfer: Transfer, stored_segment: int) -> None:
     """Begins at the first chunk, as what the follower stores is known now."""
     if transfer.snapshot.last_index == replica.base_index:
-        transfer.stored_segment = stored
+        transfer.stored_segment = stored_segment
         transfer.payload = None  # what was made for a former incarnation is over
-        transfer.payload = _shared_payload(replica, transfer) or snapshot_payload(replica, stored)
+        transfer.payload = _shared_payload(replica, transfer) or snapshot_payload(replica, stored_segment)
         transfer.offset = 0
     else:  # a newer snapshot is sent to it instead
         transfer.payload, transfer.offset = None, ASK_WHAT_IS_STORED
@@ -85,12 +85,12 @@
     return transfer.payload is not None and offset >= len(transfer.payload)
 
 
-def _finish(follower: Follower, index: int) -> None:
+def _finish_transfer(follower: Follower, index: int) -> None:
     """The follower holds all up to the snapshot's index."""
     follower.transfer = None
     follower.flow.clear()
-    follower.match = max(follower.match, index)
-    follower.next = follower.match + 1
+    follower.match_index = max(follower.match_index, index)
+    follower.next_index = follower.match_index + 1
     follower.probing = False
 
 
@@ -106,11 +106,11 @@
     return None
 
 
-def snapshot_payload(replica: Consensus, stored: int) -> SnapshotPayload:
+def snapshot_payload(replica: Consensus, stored_segment: int) -> SnapshotPayload:
     """The base's image with the segments from `stored` + 1 on that it stands on."""
     first, last = replica.base_segments
     segments = {}
-    for number in range(max(first, stored + 1), last + 1):
+    for number in range(max(first, stored_segment + 1), last + 1):
         assert replica.archive is not None
         segments[number] = replica.archive.segment(number)
     assert replica.base_image is not None
--- a/src/pinepitch/consensus/snapshot_transfer.py
+++ b/src/pinepitch/consensus/snapshot_transfer.py
@@ -26,10 +26,10 @@
         self.stored_segment: int | None = None  # newest segment that the follower stores
         self.payload: SnapshotPayload | None = None
         self.offset = ASK_WHAT_IS_STORED
-        self.awaited: int | None = None  # the offset that the answer to the newest chunk will tell
+        self.expected_offset: int | None = None  # the offset that the answer to the newest chunk will tell
         self.in_flight = False
 
-    def repeats(self, offset: int, stored_segment: int) -> bool:
+    def is_stale(self, offset: int, stored_segment: int) -> bool:
         """Whether an answer is one to an earlier chunk, or to one that came twice: acted on, it
         would make every further chunk be sent twice.
         """
@@ -37,15 +37,15 @@
             return False
         if offset < 0:  # else a new incarnation of the follower asks for all anew, perhaps storing less
             return self.offset == 0 and stored_segment == self.stored_segment
-        early = 0 < offset <= self.offset or offset == self.offset  # 0 again: it lost what it had
-        return self.in_flight and early and offset != self.awaited
+        passed = 0 < offset <= self.offset or offset == self.offset  # 0 again: it lost what it had
+        return self.in_flight and passed and offset != self.expected_offset
 
-    def chunk(self, most: int) -> bytes:
+    def chunk(self, max_bytes: int) -> bytes:
         """The next chunk, of at most so many bytes."""
         if self.offset < 0:
             return b""
         assert self.payload is not None
-        return self.payload.chunk(self.offset, most)
+        return self.payload.chunk(self.offset, max_bytes)
 
 
 class IncomingSnapshot:
@@ -68,10 +68,10 @@
         self.received.add(chunk)
         return True
 
-    def complete(self, stored: int) -> SnapshotParts | None:
+    def complete(self, stored_segment: int) -> SnapshotParts | None:
         """The snapshot, or None if some segment neither came nor is stored."""
         parts = self.received.parts()
         first, last = parts.segments_span
-        if any(number not in parts.segments for number in range(max(first, stored + 1), last + 1)):
+        if any(number not in parts.segments for number in range(max(first, stored_segment + 1), last + 1)):
             return None
         return parts
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -193,7 +193,7 @@
     "laggards-by-entries": [*_boundless("tail", "laggard"), (constants, "SNAPSHOT_RATIO", 1 << 50)],
     "one-connection": [(constants, "LINK_BULK", 1 << 50)],
     "snapshot-begun-anew": [(snapshot_sender, "send_chunk", _begun_anew)],
-    "answers-twice": [(Transfer, "repeats", lambda self, offset, maxima: False)],
+    "answers-twice": [(Transfer, "is_stale", lambda self, offset, maxima: False)],
     "taken-forgotten": [(Configuration, "__init__", _taken_forgotten)],
 }
 
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -117,7 +117,7 @@
         (Consensus, "leased", lambda self, now: self.serving()),
         (constants, "CHECK_QUORUM", 15.0),
     ],
-    "copies-told-early": [(Consensus, "after_flush", lambda self: self.saved_sequence)],
+    "copies-told-early": [(Consensus, "flush_sequence", lambda self: self.saved_sequence)],
     "starts-proposed": [
         (AssignmentManager, "_assign", _starts_proposed),
         (AssignmentManager, "_orders", _orders_early),
--- a/src/pinepitch/simulation/model_checker/faults.py
+++ b/src/pinepitch/simulation/model_checker/faults.py
@@ -19,7 +19,7 @@
     snapshot_sender,
 )
 from ...consensus.effects import Effect, ReadConfirmed, SendMessage
-from ...consensus.handlers import ANSWERS, HANDLERS
+from ...consensus.handlers import HANDLERS, REPLIES
 from ...consensus.messages import AppendReply, LeadershipTransfer, VoteReply, VoteRequest
 from ...consensus.quorum import Membership, Quorum, Replies, Result
 from ...consensus.replica import Consensus
@@ -57,8 +57,8 @@
 
 def _advance_by_learners(replica: Consensus, now: float) -> None:
     """Counts copies of learners as if they were a voter's."""
-    matches = {one: follower.match for one, follower in replica.followers.items()}
-    matches[replica.identity] = replica.durable
+    matches = {one: follower.match_index for one, follower in replica.followers.items()}
+    matches[replica.identity] = replica.durable_index
     for index in sorted(set(matches.values()), reverse=True):
         if index <= replica.commit or replica.term_at(index) != replica.term:
             break
@@ -69,15 +69,15 @@
 
 def _advance_unsaved(replica: Consensus, now: float) -> None:
     """Counts the leader's own entries before they are durable."""
-    durable, replica.durable = replica.durable, replica.last_index()
+    durable, replica.durable_index = replica.durable_index, replica.last_index()
     original_advance(replica, now)
-    replica.durable = durable
+    replica.durable_index = durable
 
 
 def _advance_older_terms(replica: Consensus, now: float) -> None:
     """Commits entries of older terms by counting copies of them."""
-    matches = {one: follower.match for one, follower in replica.followers.items()}
-    matches[replica.identity] = replica.durable
+    matches = {one: follower.match_index for one, follower in replica.followers.items()}
+    matches[replica.identity] = replica.durable_index
     for index in sorted(set(matches.values()), reverse=True):
         if index <= replica.commit:
             break
@@ -145,10 +145,10 @@
 def _step_before_incarnation(self: Consensus, sender: str, message: Any, now: float) -> list[Effect]:
     """Takes messages before the wait of a new incarnation has begun, as before this was repaired."""
     kind = type(message)
-    if kind in ANSWERS and message.term > self.term:
+    if kind in REPLIES and message.term > self.term:
         self.become_follower(message.term, now, "newer term")
     HANDLERS[kind](self, sender, message, now)
-    return self.done(now)
+    return self.take_effects(now)
 
 
 def _lease_from_answer(replica: Consensus, sender: str, message: AppendReply, now: float) -> None:
@@ -173,16 +173,18 @@
     assert replica.handover is not None
     target = replica.handover.target
     follower = replica.followers.get(target)
-    if follower is not None and follower.match >= replica.last_index() == replica.commit:
+    if follower is not None and follower.match_index >= replica.last_index() == replica.commit:
         message = LeadershipTransfer(replica.term, dict(replica.learners))
-        replica.send(target, message, replica.hard_sequence)
+        replica.send(target, message, replica.hard_state_sequence)
 
 
 def _check_round_at_once(replica: Consensus, now: float) -> None:
     """Answers reads without asking whether this one still leads."""
-    if replica.round is not None:
-        replica.effects.extend(ReadConfirmed(token, replica.round.commit) for token in replica.reads_now)
-        replica.reads_now, replica.round = [], None
+    if replica.read_round is not None:
+        replica.effects.extend(
+            ReadConfirmed(token, replica.read_round.read_index) for token in replica.confirming_reads
+        )
+        replica.confirming_reads, replica.read_round = [], None
 
 
 def _wait_while_suspended(self: TimedModelState, action: Action) -> None:
--- a/src/pinepitch/simulation/model_checker/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -99,13 +99,13 @@
     fields.update(consensus.__dict__)
     for name in ("history", "learners", "replies", "heartbeat_times", "inherited_learners"):
         fields[name] = dict(fields[name])
-    for name in ("deferred", "effects", "reads_now", "reads_next"):
+    for name in ("deferred", "effects", "confirming_reads", "queued_reads"):
         fields[name] = list(fields[name])
     twin.log = _copy_of_log(consensus.log)
     twin.saving = [save.copy() for save in consensus.saving]
     twin.followers = {identity: _copy_of_follower(one) for identity, one in consensus.followers.items()}
-    if consensus.incoming is not None:
-        twin.incoming = _copy_of_incoming(consensus.incoming)
+    if consensus.incoming_snapshot is not None:
+        twin.incoming_snapshot = _copy_of_incoming(consensus.incoming_snapshot)
     return twin
 
 
@@ -133,21 +133,21 @@
 
 def _forget_flow_times(flow: Flow) -> None:
     """Takes time, and what was learnt by time, out of what is under way to a follower."""
-    flow.in_flight = collections.deque(sent._replace(at=0.0) for sent in flow.in_flight)
+    flow.in_flight = collections.deque(sent._replace(sent_at=0.0) for sent in flow.in_flight)
     flow.progress_at, flow.rate, flow.losses = 0.0, None, 0
     flow.budget = constants.APPEND_START
 
 
 def _flow_state(flow: Flow) -> Any:
     """What is under way to a follower, without times."""
-    return tuple((sent.last, sent.size) for sent in flow.in_flight)
+    return tuple((sent.last_index, sent.size) for sent in flow.in_flight)
 
 
 def _transfer_state(transfer: Transfer | None) -> Any:
     """A snapshot on its way to a follower, None where there is none."""
     if transfer is None:
         return None
-    progress = (transfer.offset, transfer.awaited, transfer.in_flight)
+    progress = (transfer.offset, transfer.expected_offset, transfer.in_flight)
     return (frozen(transfer.snapshot), transfer.stored_segment, transfer.payload, *progress)
 
 
@@ -226,11 +226,11 @@
     def forget_times(self, now: float) -> None:
         """Takes time out of the state: any time-out may have passed, any wait may be over."""
         consensus = self.consensus
-        consensus.leader_heard_at = consensus.heartbeat_at = consensus.next_vote_request_at = LONG_AGO
+        consensus.leader_heard_at = consensus.heartbeat_sent_at = consensus.next_vote_request_at = LONG_AGO
         consensus.election_at = 0.0
-        consensus.heartbeat, consensus.heartbeat_times = 0, {}
+        consensus.heartbeat_number, consensus.heartbeat_times = 0, {}
         for follower in consensus.followers.values():
-            follower.heartbeat, follower.heard_at = 0, now
+            follower.answered_heartbeat, follower.heard_at = 0, now
             _forget_flow_times(follower.flow)
         if consensus.handover is not None:
             consensus.handover = consensus.handover._replace(until=now)
@@ -256,13 +256,13 @@
         followers = tuple(
             (
                 identity,
-                follower.match,
-                follower.next,
+                follower.match_index,
+                follower.next_index,
                 follower.probing,
                 _flow_state(follower.flow),
                 _transfer_state(follower.transfer),
                 follower.denials,
-                follower.forgot,
+                follower.lost_entries,
             )
             for identity, follower in sorted(one.followers.items())
         )
@@ -276,7 +276,7 @@
                 one.newest_heard_term,
             ),
             (one.commit, one.removed),
-            (one.first, one.base_index, one.base_term, one.durable, one.membership_index),
+            (one.first, one.base_index, one.base_term, one.durable_index, one.membership_index),
             frozen(one.history),
             frozen_entries(one.entries),
             frozen(one.learners),
@@ -284,14 +284,18 @@
             frozen(one.replies),
             followers,
             one.sequence - sequence,
-            max(0, one.hard_sequence - sequence),
+            max(0, one.hard_state_sequence - sequence),
             tuple((save.sequence - sequence, save.last_index) for save in one.saving),
             tuple(
                 (need - sequence, sent.receiver, frozen_message(sent.message)) for need, sent in one.deferred
             ),
             None
-            if one.incoming is None
-            else (one.incoming.last_index, one.incoming.total, one.incoming.received.buffer.getvalue()),
+            if one.incoming_snapshot is None
+            else (
+                one.incoming_snapshot.last_index,
+                one.incoming_snapshot.total,
+                one.incoming_snapshot.received.buffer.getvalue(),
+            ),
         )
 
 
--- a/src/pinepitch/simulation/model_checker/state.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -234,7 +234,7 @@
         if consensus.role == LEADER:
             consensus.become_follower(consensus.term, now, "commit quorum not heard")
         election.campaign(consensus, CANDIDATE, now)
-        self._apply_effects(replica, consensus.done(now))
+        self._apply_effects(replica, consensus.take_effects(now))
 
     def _propose(self, action: Action) -> None:
         self._spend("proposals")
@@ -262,7 +262,7 @@
         consensus, now = replica.consensus, self.now(action.subject)
         consensus.learn(action.detail, self.replicas[action.detail].zone, now)
         replication.replicate(consensus, action.detail, now, heartbeat=True)
-        self._apply_effects(replica, consensus.done(now))
+        self._apply_effects(replica, consensus.take_effects(now))
 
     def _heartbeat(self, action: Action) -> None:
         """Sends anew whatever is not acknowledged."""
@@ -271,7 +271,7 @@
         self._forget_times(replica)
         consensus, now = replica.consensus, self.now(action.subject)
         replication.broadcast(consensus, now)
-        self._apply_effects(replica, consensus.done(now))
+        self._apply_effects(replica, consensus.take_effects(now))
 
     def _compact(self, action: Action) -> None:
         self._spend("compactions")
@@ -399,8 +399,8 @@
     def _check_durable(self, replica: Replica) -> None:
         """What a replica counts as durable is on its disk."""
         consensus, disk = replica.consensus, self.logs[replica.identity]
-        index = min(consensus.durable, consensus.last_index())
-        if consensus.durable > consensus.last_index():
+        index = min(consensus.durable_index, consensus.last_index())
+        if consensus.durable_index > consensus.last_index():
             raise Violation(f"{replica.identity} counts entries it does not hold as durable")
         term = consensus.term_at(index)
         if index > disk.base_index and term is not None and disk.term_at(index) != term:
--- a/src/pinepitch/simulation/model_checker/timed.py
+++ b/src/pinepitch/simulation/model_checker/timed.py
@@ -29,7 +29,7 @@
 
 def _flow_times(flow: Flow) -> Any:
     """The times of what is under way to a follower."""
-    return tuple(round(sent.at, 3) for sent in flow.in_flight), round(max(flow.progress_at, 0.0), 3)
+    return tuple(round(sent.sent_at, 3) for sent in flow.in_flight), round(max(flow.progress_at, 0.0), 3)
 
 
 class TimedModelState(ModelState):
@@ -65,23 +65,23 @@
     def _times(self, replica: Replica) -> Any:
         consensus = replica.consensus
         followers = tuple(
-            (one, follower.heartbeat, round(follower.heard_at, 3), _flow_times(follower.flow))
+            (one, follower.answered_heartbeat, round(follower.heard_at, 3), _flow_times(follower.flow))
             for one, follower in sorted(consensus.followers.items())
         )
         return (
             round(max(consensus.leader_heard_at, 0.0), 3),
             None if consensus.election_at is None else round(consensus.election_at, 3),
-            round(max(consensus.heartbeat_at, 0.0), 3),
+            round(max(consensus.heartbeat_sent_at, 0.0), 3),
             round(max(consensus.disk_cooldown_until, 0.0), 3),
             (
-                consensus.heartbeat,
+                consensus.heartbeat_number,
                 consensus.handover,
                 consensus.begun_at,
                 max(consensus.next_vote_request_at, 0.0),
             ),
             followers,
             tuple((number, round(sent, 3)) for number, sent in sorted(consensus.heartbeat_times.items())),
-            (consensus.round, tuple(consensus.reads_now), tuple(consensus.reads_next)),
+            (consensus.read_round, tuple(consensus.confirming_reads), tuple(consensus.queued_reads)),
         )
 
     def _forget_times(self, replica: Replica) -> None:
@@ -193,9 +193,10 @@
 
     def _apply_effects(self, replica: Replica, effects: Iterable[Effect]) -> None:
         for effect in effects:
-            if isinstance(effect, ReadConfirmed) and effect.commit < effect.token:
+            if isinstance(effect, ReadConfirmed) and effect.read_index < effect.token:
                 raise Violation(
-                    f"{replica.identity} reads at {effect.commit}, when asked {effect.token} was committed"
+                    f"{replica.identity} reads at {effect.read_index}, "
+                    f"when asked {effect.token} was committed"
                 )
         super()._apply_effects(replica, effects)
 
--- a/src/pinepitch/simulation/second_loss/injected_faults.py
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -20,8 +20,8 @@
     """Names a successor and goes on serving under its lease."""
     target = replica.handover.target
     follower = replica.followers.get(target)
-    if follower is not None and follower.match >= replica.last_index() <= replica.commit:
-        replica.send(target, messages.LeadershipTransfer(replica.term, {}), replica.hard_sequence)
+    if follower is not None and follower.match_index >= replica.last_index() <= replica.commit:
+        replica.send(target, messages.LeadershipTransfer(replica.term, {}), replica.hard_state_sequence)
         replica.handover = None
 
 
@@ -29,7 +29,7 @@
     """Gives leadership up without a successor."""
     if self.role == "leader":
         self.become_follower(self.term, now, "stopping")
-    return self.done(now)
+    return self.take_effects(now)
 
 
 def _old_list_alone(self: Any, identities: Any, leader: Any) -> Any:
