--- a/src/pinepitch/consensus/acknowledgements.py
+++ b/src/pinepitch/consensus/acknowledgements.py
@@ -1,4 +1,4 @@
-"""What a leader does with its followers' answers to entries, heartbeats and chunks of a snapshot."""
+"""Handling of the followers' replies to entries, heartbeats and snapshot chunks by the leader."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def on_append_reply(replica: Consensus, sender: str, message: AppendReply, now: float) -> None:
-    """Takes note of what a follower holds, commits what that allows and sends what it lacks."""
+    """Records a follower's progress, commits what that allows and sends what the follower lacks."""
     term, success, index, heartbeat = message
     follower = replica.followers.get(sender)
     if replica.role != LEADER or term != replica.term or follower is None:
         return
     follower.heard_at = now
     follower.answered_heartbeat = max(follower.answered_heartbeat, heartbeat)
-    if index is None:  # a heartbeat alone, beside a snapshot
+    if index is None:  # reply to a heartbeat that did not refer to the log
         reads.check_round(replica, now)
         return
     if success:
@@ -46,11 +46,15 @@
 
 
 def _note_lost_entries(replica: Consensus, sender: str, follower: Follower, index: int) -> None:
-    """A follower lacks what it acknowledged; once or twice may be an answer overtaken by a newer one."""
+    """Counts rejections of entries that the follower had acknowledged.
+
+    The first ones may be old replies that newer ones overtook. After DENIALS in a row the follower must
+    have lost the entries, and it is ignored from then on.
+    """
     follower.denials += 1
     if follower.denials == constants.DENIALS:
         replica.event(128, follower=sender, acknowledged=follower.match_index, holds=index)
-        follower.lost_entries = True  # its disk lost what it acknowledged: nothing it says counts
+        follower.lost_entries = True  # its disk lost acknowledged entries: its replies no longer count
         follower.match_index = 0
 
 
@@ -62,7 +66,7 @@
 
 
 def on_chunk_reply(replica: Consensus, sender: str, message: ChunkReply, now: float) -> None:
-    """Goes on with a snapshot, or with the log behind it."""
+    """Continues a snapshot transfer, or sends the entries after the snapshot."""
     follower = replica.followers.get(sender)
     if replica.role != LEADER or message.term != replica.term or follower is None:
         return
--- a/src/pinepitch/consensus/cluster_clock.py
+++ b/src/pinepitch/consensus/cluster_clock.py
@@ -1,34 +1,36 @@
-"""Cluster time: the median of the members' wall clocks, carried on by the monotonic clock."""
+"""Cluster time: the median of the members' wall clocks, extrapolated by the monotonic clock."""
 
 from ..common import constants
 
 
 class ClusterClock:
-    """What the cluster takes for the time of day, in seconds.
+    """The cluster's time of day, in seconds.
 
-    Invariants: read() never goes back; between two reads it moves with the monotonic
-    clock, bent by at most SLEW; a reading too old has no say in the median, and fewer
-    readings than a majority of the members have none at all. While carried, the time goes
-    on from the newest that was agreed, which is never ahead of the truth, and the first
-    median ahead of it takes its place.
+    Invariants:
+
+    - read() never goes back. Between two reads it advances with the monotonic clock, corrected by a rate of
+      at most SLEW.
+    - The median ignores old readings, and is used only if a majority of the members has fresh ones.
+    - While from_agreed is set, time advances from the newest time in the cluster state, which is never ahead
+      of the true time. The first median that is ahead of it replaces it.
     """
 
     def __init__(self) -> None:
-        self.offset: float | None = None  # seconds; cluster time less monotonic time
-        self.from_agreed = True  # whether offset comes from the cluster state, not from clocks
-        self.readings: dict[
-            str, tuple[float, float]
-        ] = {}  # member -> (its clock less our monotonic time, when heard)
-        self.newest = 0.0
+        self.offset: float | None = None  # seconds; cluster time minus monotonic time
+        self.from_agreed = True  # whether offset comes from the cluster state, not from clock readings
+        # member -> (its wall clock minus our monotonic time, monotonic time of receipt)
+        self.readings: dict[str, tuple[float, float]] = {}
+        self.newest = 0.0  # the newest result of read()
         self.read_at: float | None = None  # the monotonic time of the newest read
 
     def hear(self, member: str, clock: float, now: float) -> None:
-        """A member's wall clock, heard at monotonic `now`."""
+        """Records a member's wall clock, received at monotonic `now`."""
         self.readings[member] = (clock - now, now)
 
     def read(self, now: float, agreed: float = 0.0, needed: int = 1) -> float:
-        """The cluster's time at monotonic `now`; `agreed` is the newest in the cluster state and
-        `needed` a majority of the members.
+        """The cluster time at monotonic `now`.
+
+        `agreed` is the newest time in the cluster state, `needed` the number of members in a majority.
         """
         fresh = sorted(
             offset for offset, heard_at in self.readings.values() if now - heard_at <= constants.CLOCK_FRESH
@@ -45,9 +47,9 @@
                     self.offset, self.from_agreed = lower, False
             else:
                 assert self.read_at is not None
-                # of two middle clocks the one that has not jumped
+                # Of the two middle clocks, take the closer one: the other may have jumped.
                 median = upper if abs(upper - self.offset) < abs(lower - self.offset) else lower
-                max_step = min(1.0, max(0.0, now - self.read_at)) * constants.SLEW  # a freeze earns no leap
+                max_step = min(1.0, max(0.0, now - self.read_at)) * constants.SLEW  # a pause allows no jump
                 self.offset += max(-max_step, min(max_step, median - self.offset))
         self.read_at = now
         self.newest = max(self.newest, now + self.offset)
--- a/src/pinepitch/consensus/commitment.py
+++ b/src/pinepitch/consensus/commitment.py
@@ -1,4 +1,4 @@
-"""What counts as committed, and what follows: applying it in slices, the second half of a joint change."""
+"""Commitment: advancing the commit index, delivering entries in slices, finishing a membership change."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def advance(replica: Consensus, now: float) -> None:
-    """Moves commit to the newest own-term entry that a commit quorum holds."""
+    """Advances the commit index to the newest entry of the own term that is durable at a commit quorum."""
     matches = {
         identity: follower.match_index
         for identity, follower in replica.followers.items()
@@ -32,7 +32,10 @@
 
 
 def commit_to(replica: Consensus, index: int, now: float) -> None:
-    """Takes an entry and all before it for committed. A backlog that is under way goes on by ticks."""
+    """Marks the entry at `index` and all before it as committed, and delivers the first slice.
+
+    If a backlog is being delivered already, the entries follow with later ticks.
+    """
     delivering = replica.commit < replica.committed
     replica.committed = max(replica.committed, index)
     if not delivering:
@@ -40,8 +43,10 @@
 
 
 def deliver_slice(replica: Consensus, now: float) -> None:
-    """Commits as much as one step may take: a restarted member has all since its base to apply, and
-    must go on sending heartbeats and answering meanwhile, or others take its place.
+    """Delivers the next committed entries, as many as one step may deliver.
+
+    A restarted member has to apply all entries since its base. It must send heartbeats and answer messages
+    in the meantime, or it would lose its leadership.
     """
     start = replica.commit + 1
     entries, _ = replica.log.slice_from(start, constants.COMMIT_ENTRIES, constants.COMMIT_BYTES)
@@ -63,7 +68,7 @@
 
 
 def _leave_joint_membership(replica: Consensus, quorum: Quorum, now: float) -> None:
-    """The joint membership is committed: the coming one alone is next (section 8)."""
+    """Appends the coming membership alone, as the joint one is committed now (section 8)."""
     coming = Membership(quorum)
     replica.event(131)
     entry = (replica.term, 0.0, ("members", coming.image()))
@@ -72,7 +77,7 @@
 
 
 def _finish_change(replica: Consensus, now: float) -> None:
-    """The membership is committed alone: who is not in it is sent nothing more."""
+    """Finishes a membership change: replication to removed members ends, and a removed leader steps down."""
     members = replica.membership.members()
     removed_members = [
         identity
--- a/src/pinepitch/consensus/election.py
+++ b/src/pinepitch/consensus/election.py
@@ -1,7 +1,8 @@
-"""Elections: pre-votes and votes, asked for, given and counted.
+"""Elections: requesting, granting and counting pre-votes and votes.
 
-Who is elected is decided by Algorithms 1 and 2 in `quorum`; here are the messages, what a voter grants and
-the times. Pre-vote: section 8. docs/design/elections.md has the reasons.
+Algorithms 1 and 2 in `quorum` decide whether a candidate is elected. This module has the message handlers,
+the rules by which a voter grants a vote, and the timing. Pre-vote is described in section 8.
+docs/design/elections.md gives the reasons for the rules.
 """
 
 from __future__ import annotations
@@ -28,9 +29,12 @@
     from .replica import Consensus
 
 
-# --- the candidate's part -------------------------------------------------------------
+# --- candidate ------------------------------------------------------------------------
 def campaign(replica: Consensus, role: Role, now: float, released_term: int = 0) -> None:
-    """Begins an election; `released` is the term whose leader gave up its lease for it, if one did."""
+    """Starts a pre-vote or an election, by `role`.
+
+    `released_term` is the term whose leader gave up its lease in favour of this candidate, or 0.
+    """
     replica.role, replica.replies, replica.released_term = role, {}, released_term
     replica.reset_election_timer(now)
     term = replica.term + 1
@@ -46,8 +50,10 @@
 
 
 def request_votes(replica: Consensus, now: float) -> None:
-    """Asks for what the campaign under way needs, and again until the time-out: a request or its
-    answer may get lost, and a voter that still waits for a lease to end grants a moment later.
+    """Sends the vote requests of the current campaign to all other voters, and schedules the next attempt.
+
+    Requests are repeated until the election timeout, because a request or a reply may get lost, and because
+    a voter that waits for a lease to expire may grant a later request.
     """
     replica.next_vote_request_at = now + constants.VOTE_AGAIN * (0.5 + replica.random.random())
     request = _vote_request(replica)
@@ -69,8 +75,9 @@
 
 
 def count_votes(replica: Consensus, now: float) -> None:
-    """Goes on to the next step of the election that the replies allow. A candidate leads only once its
-    own vote is durable.
+    """Counts the replies and takes the next step of the election that they allow.
+
+    A candidate becomes leader only once its own vote is durable.
     """
     term = replica.term if replica.role == CANDIDATE else replica.term + 1
     result = replica.membership.elects(
@@ -82,14 +89,17 @@
         elif replica.hard_state_sequence <= replica.saved_sequence and not replica.hard_state_dirty:
             become_leader(replica, now)
     elif replica.role == CANDIDATE and not result.possible:
-        # the votes were split: nobody may have won, so it asks for pre-votes anew soon
+        # The votes were split, and perhaps nobody has won: start a new pre-vote soon.
         again_at = now + constants.RESTART_JITTER * replica.random.random()
         assert replica.election_at is not None
         replica.election_at = min(replica.election_at, again_at)
 
 
 def become_leader(replica: Consensus, now: float) -> None:
-    """Leads the present term: begins with an entry of its own, which commits all before it."""
+    """Becomes the leader of the current term and appends a no-op entry.
+
+    Committing that entry commits all entries before it.
+    """
     replica.role = LEADER
     replica.following = replica.identity
     if known_leader.counts_at_once(replica):
@@ -113,13 +123,13 @@
 
 
 def on_pre_vote_reply(replica: Consensus, sender: str, message: PreVoteReply, now: float) -> None:
-    """Counts a reply to the pre-vote under way."""
+    """Counts a reply to the current pre-vote."""
     if replica.role == PRE_CANDIDATE and message.term == replica.term + 1:
         _count_reply(replica, sender, message, now)
 
 
 def on_vote_reply(replica: Consensus, sender: str, message: VoteReply, now: float) -> None:
-    """Counts a reply to the election under way."""
+    """Counts a reply to the current election."""
     if replica.role == CANDIDATE and message.term == replica.term:
         _count_reply(replica, sender, message, now)
 
@@ -131,13 +141,13 @@
 
 
 def on_newer_term(replica: Consensus, sender: str, message: NewerTerm, now: float) -> None:
-    """Another replica's term is newer than what this one sent."""
+    """Adopts the newer term of another replica."""
     if message.term > replica.term:
         replica.become_follower(message.term, now, "behind")
 
 
 def on_removed(replica: Consensus, sender: str, message: RemovedNotice, now: float) -> None:
-    """A member that serves under a leader says that this one was replaced."""
+    """Handles a member's report that this replica was removed from the cluster."""
     sender_is_current = (
         sender in replica.membership.members() and message.commit_index > replica.membership_index
     )
@@ -147,13 +157,16 @@
             replica.become_follower(replica.term, now, "stranger")
 
 
-# --- the voter's part -----------------------------------------------------------------
+# --- voter ----------------------------------------------------------------------------
 def _make_reply(replica: Consensus, granted: bool) -> Reply:
     return Reply(granted, replica.last_known_leader, replica.last_known_term, dict(replica.history))
 
 
 def is_up_to_date(replica: Consensus, last_index: int, last_term: int) -> bool:
-    """Whether a log that ends so holds all that this one may have committed."""
+    """Whether a log whose newest entry is given is at least as up to date as this replica's.
+
+    Such a log has every entry that this replica may know to be committed.
+    """
     own_index = replica.last_index()
     own_term = replica.term_at(own_index)
     assert own_term is not None
@@ -161,7 +174,10 @@
 
 
 def on_pre_vote(replica: Consensus, sender: str, message: PreVoteRequest, now: float) -> None:
-    """Says whether a vote would be given; not while a leader is near."""
+    """Answers a pre-vote request: whether this replica would vote for the sender.
+
+    It would not while it hears from a leader. A sender that is not a member is notified that it was removed.
+    """
     term, last_index, last_term = message
     leader_recent = replica.leader_near(now)
     if leader_recent and sender not in replica.membership.members():
@@ -175,19 +191,23 @@
 
 
 def on_vote(replica: Consensus, sender: str, message: VoteRequest, now: float) -> None:
-    """Answers a vote request; not beside a leader that was heard."""
+    """Answers a vote request, unless another leader was heard within the election timeout."""
     term, last_index, last_term = message
     if term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
     if replica.leader_near(now) and sender != replica.following:
-        return  # it won its pre-vote before the leader was heard again, whose lease stands on that
+        # The sender won its pre-vote before the leader was heard again. The leader's lease relies on this
+        # replica not to vote now.
+        return
     _answer_vote(replica, sender, term, last_index, last_term, now)
 
 
 def on_takeover(replica: Consensus, sender: str, message: TakeoverRequest, now: float) -> None:
-    """A vote asked for by a candidate whom the leader of the term `released` named: that leader, and
-    every older one, relies on its lease no more; a newer one may.
+    """Answers a vote request of a candidate that the leader of `released_term` named its successor.
+
+    Neither that leader nor an older one relies on a lease any longer. A newer leader may still do so, and
+    then the request is ignored.
     """
     term, last_index, last_term, released_term = message
     if term < replica.term:
--- a/src/pinepitch/consensus/flow_control.py
+++ b/src/pinepitch/consensus/flow_control.py
@@ -1,15 +1,18 @@
-"""What is under way to one follower, and how much at once the link there was seen to carry."""
+"""Flow control: the messages in flight to one follower, and the message size that its link can carry."""
 
 import collections
 from typing import NamedTuple
 
 from ..common import constants
 
-SLOWDOWN_FACTOR = 4  # times as slow as seen before: so long an answer to a large message is waited for
+SLOWDOWN_FACTOR = 4  # a large message is lost only after the time it takes at a rate lower by this factor
 
 
 class InFlightMessage(NamedTuple):
-    """One append or chunk without an answer yet: its last index (0 for a chunk), bytes, seconds."""
+    """An append or chunk without a reply so far.
+
+    `last_index` is that of its newest entry (0 for a chunk), `size` is in bytes, `sent_at` in seconds.
+    """
 
     last_index: int
     size: int
@@ -17,31 +20,31 @@
 
 
 class Flow:
-    """The flow of messages to one follower. Sizes and budget in bytes, times in seconds.
+    """The flow of messages to one follower. Sizes and budget are in bytes, times in seconds.
 
-    Invariants: in_flight is in the order of sending; budget is from MIN_APPEND_BYTES to
-    APPEND_BYTES; at most one message of BULK_BYTES or more is under way, and then it alone,
-    since such ones go by a connection of their own and order holds for one connection only.
+    Invariants: in_flight is in sending order; MIN_APPEND_BYTES <= budget <= APPEND_BYTES; a message of
+    BULK_BYTES or more is the only one in flight. Such messages use a connection of their own, and messages
+    are ordered only within a connection.
     """
 
     def __init__(self) -> None:
         self.in_flight: collections.deque[InFlightMessage] = collections.deque()
         self.budget = constants.APPEND_START
-        self.rate: float | None = None  # bytes a second of the last large message that was answered
+        self.rate: float | None = None  # bytes per second of the newest message of MIN_APPEND_BYTES or more
         self.progress_at = -1e9
-        self.losses = 0  # in a row
+        self.losses = 0  # consecutive losses of large messages
 
     def large_in_flight(self) -> bool:
-        """Whether a large message is under way."""
+        """Whether a large message is in flight."""
         in_flight = self.in_flight
         return bool(in_flight) and in_flight[0].size >= constants.BULK_BYTES
 
     def record_sent(self, last_index: int, size: int, now: float) -> None:
-        """A message whose answer says `last` or more is sent."""
+        """Records a sent message, which a reply with the index `last_index` or more acknowledges."""
         self.in_flight.append(InFlightMessage(last_index, size, now))
 
     def acknowledge(self, acknowledged_index: int, now: float) -> None:
-        """All up to `upto` has arrived and is durable."""
+        """Records that all entries up to `acknowledged_index` are durable at the follower."""
         in_flight = self.in_flight
         while in_flight and (in_flight[0].last_index <= acknowledged_index or not in_flight[0].size):
             sent = in_flight.popleft()
@@ -59,7 +62,7 @@
             self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
 
     def overdue(self, now: float) -> bool:
-        """Whether what is under way must be taken for lost."""
+        """Whether the messages in flight must be treated as lost."""
         if not self.in_flight:
             return False
         since = max(self.in_flight[0].sent_at, self.progress_at)
@@ -71,7 +74,7 @@
         return now - since > timeout
 
     def discard_lost(self) -> None:
-        """Nothing under way is waited for any longer."""
+        """Discards the messages in flight as lost, and reduces the budget if one of them was large."""
         if self.large_in_flight():
             self.losses = min(self.losses + 1, constants.MAX_LOSSES)
             self.budget = max(constants.MIN_APPEND_BYTES, self.budget // 2)
@@ -80,5 +83,5 @@
         self.in_flight.clear()
 
     def clear(self) -> None:
-        """The follower asks for something else."""
+        """Discards the messages in flight, because the follower needs something else."""
         self.in_flight.clear()
--- a/src/pinepitch/consensus/following.py
+++ b/src/pinepitch/consensus/following.py
@@ -1,4 +1,4 @@
-"""A follower's part: the leader's heartbeats and entries."""
+"""Handling of the leader's heartbeats and entries by a follower."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def accept_leader(replica: Consensus, sender: str, term: int, now: float) -> None:
-    """Takes `sender` for the leader of `term`."""
+    """Accepts `sender` as the leader of `term`."""
     if term > replica.term or replica.role != FOLLOWER:
         replica.become_follower(term, now, "leader heard")
     replica.following = sender
@@ -26,7 +26,10 @@
 
 
 def on_append(replica: Consensus, sender: str, message: AppendEntries, now: float) -> None:
-    """Takes entries that fit the log; acknowledges what is durable, later what is not durable yet."""
+    """Appends the leader's entries if they fit the log.
+
+    Durable entries are acknowledged at once, others as soon as they are durable.
+    """
     term, previous_index, previous_term, entries, leader_commit, heartbeat = message
     if term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
@@ -58,13 +61,13 @@
 
 
 def _acknowledge(replica: Consensus, sender: str, last: int, heartbeat: int) -> None:
-    """Acknowledges what is durable of the entries up to `last`."""
+    """Acknowledges those entries up to `last` that are durable."""
     reply = AppendReply(replica.term, True, min(last, replica.durable_index), heartbeat)
     replica.send(sender, reply, replica.hard_state_save_sequence())
 
 
 def _next_index_hint(replica: Consensus, previous_index: int, stored_term: int | None) -> int:
-    """An entry before `previous` for the leader to try next; a term that conflicts is passed over whole."""
+    """An index below `previous_index` for the leader to try next; skips all of a conflicting term."""
     hint = min(previous_index - 1, replica.last_index())
     if stored_term is not None:
         while hint > replica.commit and replica.term_at(hint) == stored_term:
@@ -73,8 +76,9 @@
 
 
 def _store_entries(replica: Consensus, previous_index: int, entries: Any) -> bool:
-    """Adds what the log lacks of the entries after `previous`, in place of what conflicts; whether it
-    lacked any. Entries from the wire are lists.
+    """Appends those of the entries after `previous_index` that the log lacks, replacing conflicting ones.
+
+    Returns whether the log lacked any. Entries from the wire are lists.
     """
     for position, entry in enumerate(entries):
         index = previous_index + 1 + position
@@ -83,7 +87,7 @@
             continue
         if own_term is not None:
             if index <= replica.committed:
-                raise AssertionError(f"entry {index} is committed and conflicts")
+                raise AssertionError(f"entry {index} is committed but conflicts with the leader's entry")
             log_changes.truncate(replica, index)
         new_entries = [(term, time, tuple(operation)) for term, time, operation in entries[position:]]
         log_changes.append(replica, new_entries, index)
--- a/src/pinepitch/consensus/handlers.py
+++ b/src/pinepitch/consensus/handlers.py
@@ -1,4 +1,4 @@
-"""Which message is handled where."""
+"""The registry of message handlers."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 Handler = Callable[["Consensus", str, Any, float], None]
 
-# Answers that only a leader or a candidate asks for; a newer term in one ends its own.
+# Replies to requests of a leader or candidate, which becomes a follower if one has a newer term.
 REPLIES = (messages.VoteReply, messages.AppendReply, messages.ChunkReply)
 
 
 def ignore(replica: Consensus, sender: str, message: messages.UnknownMessage, now: float) -> None:
-    """A message of a kind that this version does not know."""
+    """Ignores a message of a kind that this version does not know."""
 
 
-# The registry of handlers: class of the message -> what takes (replica, sender, message, now).
+# The registry of handlers: message class -> function of (replica, sender, message, now).
 HANDLERS: dict[type[Any], Handler] = {
     messages.PreVoteRequest: election.on_pre_vote,
     messages.PreVoteReply: election.on_pre_vote_reply,
--- a/src/pinepitch/consensus/known_leader.py
+++ b/src/pinepitch/consensus/known_leader.py
@@ -1,9 +1,9 @@
-"""The last leader that a replica knows, of the extra state of section 5.1: what its votes tell of it.
+"""The last known leader, part of the extra state of section 5.1 that vote replies carry.
 
-In dynamic mode an election needs the group of the last leader known. A leader that was elected and has
-committed nothing yet does not count: what was committed before it lies on its predecessor's group, and may
-lie on no other member of its own (docs/flexiraft.md, change 9). Once an entry of its term is committed, its
-group holds that entry and so all before it.
+In dynamic mode an election needs a majority of the last known leader's group. A leader that has committed
+nothing yet does not count as known: the entries committed before are in its predecessor's group, and perhaps
+at no other member of its own group (docs/flexiraft.md, change 9). Once an entry of its term is committed, its
+group has that entry and all entries before it.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 def counts_at_once(replica: Consensus) -> bool:
-    """Whether a leader counts as known once it is elected or heard, as in all modes but the dynamic one."""
+    """Whether a leader counts as known as soon as it is elected or heard: in all modes but dynamic."""
     return replica.membership.now.mode != "dynamic"
 
 
 def record(replica: Consensus, leader: str, term: int) -> None:
-    """Notes the leader of a term. Votes of terms up to this one are needed no more (change 6)."""
+    """Records the leader of `term`, and drops votes up to that term, which are not needed (change 6)."""
     if replica.last_known_term < term:
         replica.last_known_leader, replica.last_known_term = leader, term
         replica.history = {past: voted_for for past, voted_for in replica.history.items() if past > term}
@@ -28,18 +28,18 @@
 
 
 def record_if_committed(replica: Consensus, leader: str, term: int) -> None:
-    """The same, if an entry of that term is known to be committed."""
+    """Records the leader of `term` if an entry of that term is known to be committed."""
     if replica.last_known_term < term and replica.term_at(replica.committed) == term:
         record(replica, leader, term)
 
 
 def newest_term(replica: Consensus) -> int:
-    """The term of the newest leader heard or known."""
+    """The newest term of which a leader was heard or is known."""
     return max(replica.last_known_term, replica.newest_heard_term)
 
 
 def is_newest(replica: Consensus, leader: str, term: int) -> bool:
-    """Whether that is the newest leader heard or known."""
+    """Whether `leader` of `term` is the newest leader that was heard or is known."""
     newest = (
         replica.following
         if replica.newest_heard_term > replica.last_known_term
--- a/src/pinepitch/consensus/leader_clock.py
+++ b/src/pinepitch/consensus/leader_clock.py
@@ -1,7 +1,7 @@
-"""A lower bound of the leader's steady clock, as kept by a daemon that forwards requests to it.
+"""A lower bound on the leader's steady clock, for daemons that forward requests to the leader.
 
-It lets a forwarded request bear an end on the clock of the only daemon that may take it, so that
-nobody's clocks need to agree: an end that is computed from a lower bound is never too late.
+A forwarded request carries a deadline on the clock of the only daemon that may accept it, so clocks need not
+agree. A deadline that is computed from a lower bound is never too late.
 """
 
 from typing import NamedTuple
@@ -10,17 +10,17 @@
 
 
 class Reading(NamedTuple):
-    """What the steady clock of the leader of `term` read, or has passed by now."""
+    """A time on the steady clock of the leader of `term`, in seconds."""
 
     term: int
     seconds: float
 
 
 class LeaderClock:
-    """The newest reading heard, carried on by this daemon's own clock.
+    """The newest reading received, extrapolated by this daemon's own clock.
 
-    Invariants: term never falls; the floor of one term never falls, and is at most what the
-    leader's steady clock reads, given that no clock runs slower than another by CLOCK_DRIFT.
+    Invariants: term never decreases; within a term the floor never decreases, and it is at most the time on
+    the leader's steady clock, provided that no clock is slower than another by more than CLOCK_DRIFT.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         self.seconds = self.heard_at = 0.0
 
     def hear(self, reading: tuple[int, float] | None, now: float) -> None:
-        """Takes a reading told by the leader, or relayed by a daemon that heard it."""
+        """Records a reading sent by the leader or relayed by another daemon."""
         if reading is None:
             return
         term, seconds = reading
@@ -36,11 +36,11 @@
             self.term, self.seconds, self.heard_at = term, seconds, now
 
     def floor(self, now: float) -> Reading | None:
-        """The Reading that the leader's clock has passed by now, None before any was heard."""
+        """A Reading that the leader's clock has reached by now; None if none was received yet."""
         return Reading(self.term, self._lower_bound(now)) if self.term else None
 
     def end(self, until: float, now: float) -> Reading | None:
-        """The Reading after which the leader may not take a request that is given up here at `until`."""
+        """The deadline for the leader to accept a request that this daemon gives up at `until`."""
         if not self.term:
             return None
         return Reading(self.term, self._lower_bound(now) + (until - now) * (1 - constants.CLOCK_DRIFT))
--- a/src/pinepitch/consensus/leadership_transfer.py
+++ b/src/pinepitch/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer: a leader that stops lets a voter take over (docs/design/elections.md)."""
+"""Leadership transfer: a stopping leader lets another voter take over (docs/design/elections.md)."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class PendingTransfer(NamedTuple):
-    """A leader's intent to let `target` lead. Until then it leads on; after `until` it just stands down.
+    """A leadership transfer to `target` that is in progress; at `until` the leader steps down regardless.
 
-    Invariant: leadership, and with it the lease, is given up before the target hears of it.
+    Invariant: the leader gives up leadership, and with it the lease, before it notifies the target.
     """
 
     target: str
@@ -24,7 +24,7 @@
 
 
 def begin(replica: Consensus, candidates: set[str], now: float) -> None:
-    """Chooses a successor among `candidates`; with none stands down at once."""
+    """Starts a transfer to a successor among `candidates`; steps down at once if there is none."""
     target = _successor(replica, candidates, now)
     if target is None:
         replica.become_follower(replica.term, now, "stopping")
@@ -35,7 +35,7 @@
 
 
 def _successor(replica: Consensus, candidates: set[str], now: float) -> str | None:
-    """The voter of every list in force, heard lately, that holds most of the log; None without one."""
+    """The recently heard voter of every list in force that has most of the log, or None."""
     quorums = replica.membership.quorums()
     eligible = [
         (follower.match_index, identity)
@@ -49,7 +49,7 @@
 
 
 def try_complete(replica: Consensus, now: float) -> None:
-    """Gives leadership up in favour of the successor once it holds all, and all is committed."""
+    """Steps down in favour of the successor once it has the whole log and all of it is committed."""
     assert replica.handover is not None
     target, last = replica.handover.target, replica.last_index()
     follower = replica.followers.get(target)
@@ -61,7 +61,7 @@
 
 
 def on_transfer(replica: Consensus, sender: str, message: LeadershipTransfer, now: float) -> None:
-    """The leader of this term gave up its lease and names this voter its successor."""
+    """Campaigns at once, because the leader of this term gave up its lease in favour of this voter."""
     newest = known_leader.is_newest(replica, sender, message.term)
     if message.term == replica.term and newest and replica.may_campaign(now) and replica.role == FOLLOWER:
         replica.inherited_learners = dict(message.learners)
--- a/src/pinepitch/consensus/log.py
+++ b/src/pinepitch/consensus/log.py
@@ -1,7 +1,7 @@
-"""The entries of the log as they are held in memory, with their size in bytes.
+"""The entries of the log in memory, with their sizes in bytes.
 
-An operation of MIN_PACKED_BYTES bytes or more is stored encoded (common/packed_operations.py) and decoded
-only when it is applied.
+An operation of MIN_PACKED_BYTES bytes or more stays encoded (common/packed_operations.py) until it is
+applied.
 """
 
 import marshal
@@ -13,19 +13,21 @@
 from ..common import constants
 from ..common.packed_operations import Packed
 
-# An operation of the cluster state, (name, arguments ...), or a Packed one.
+# An operation on the cluster state, (name, arguments ...), or a Packed one.
 Operation = Any
 # (term, time in seconds, operation)
 Entry = tuple[int, float, Operation]
 
-ENTRY_OVERHEAD = 64  # bytes; of an entry beside its operation
-MARSHAL_VERSION = 2  # the newest that writes each value out wherever it stands
+ENTRY_OVERHEAD = 64  # bytes; what an entry takes beside its operation
+MARSHAL_VERSION = 2  # the newest version that has no back references to earlier values
 
 
 def _size(operation: Operation) -> int:
-    """About how many bytes an operation takes: those of its marshal form, which never leaves this
-    process, is no smaller than what is sent and needs a fifth of the time or less. One with named tuples
-    has the size of the plain one that other replicas decode.
+    """The approximate size of an operation in bytes.
+
+    This is the size of its marshal form, which never leaves this process. It is no smaller than the encoded
+    form that is sent, and takes a fifth of the time or less to compute. An operation with named tuples has
+    the same size as the one with plain tuples that other replicas decode.
     """
     try:
         return ENTRY_OVERHEAD + len(marshal.dumps(operation, MARSHAL_VERSION))
@@ -34,7 +36,7 @@
 
 
 def _plain(value: Any) -> Any:
-    """The same value with plain tuples in the place of named ones."""
+    """The same value with named tuples replaced by plain ones."""
     if isinstance(value, tuple):
         return tuple([_plain(item) for item in value])
     if isinstance(value, list):
@@ -45,7 +47,7 @@
 
 
 def packed_with_size(operation: Operation) -> tuple[Operation, int]:
-    """(the operation, packed if it is large, its size in bytes)."""
+    """(the operation, packed if it is large; its size in bytes)."""
     if type(operation) is not Packed:
         size = _size(operation)
         if size < constants.MIN_PACKED_BYTES:
@@ -55,7 +57,7 @@
 
 
 def packed_step(payload: list[Any]) -> list[Any]:
-    """What a step file held, its large operations packed."""
+    """The payload of a step file with its large operations packed."""
     for kind, change in payload:
         if kind == "raft" and isinstance(change, list):
             change[3] = [(term, time, packed_with_size(operation)[0]) for term, time, operation in change[3]]
@@ -63,10 +65,9 @@
 
 
 class Log:
-    """Entries without a gap.
+    """Consecutive entries of the log.
 
-    Invariants: entries[i] has index first + i and sizes[i] is its size;
-    size is the sum of sizes.
+    Invariants: entries[i] has the index first + i and the size sizes[i]; size is the sum of sizes.
     """
 
     def __init__(self) -> None:
@@ -76,11 +77,11 @@
         self.size = 0
 
     def last(self) -> int:
-        """The index of the newest entry, first - 1 where there is none."""
+        """The index of the newest entry, first - 1 if there is none."""
         return self.first + len(self.entries) - 1
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Adds entries at the end; large operations are packed."""
+        """Appends entries; large operations are packed."""
         for term, time, operation in entries:
             operation, size = packed_with_size(operation)
             self.entries.append((term, time, operation))
@@ -95,7 +96,7 @@
         del self.sizes[position:]
 
     def drop_before(self, index: int) -> None:
-        """Drops the entries before `index`, which is the first one from now on."""
+        """Drops the entries before `index`, which becomes the first one."""
         count = index - self.first
         self.size -= sum(self.sizes[:count])
         del self.entries[:count]
@@ -103,19 +104,19 @@
         self.first = index
 
     def clear(self, first: int) -> None:
-        """Drops all; the next entry has the index `first`."""
+        """Drops all entries; the next one will have the index `first`."""
         self.first, self.entries, self.sizes, self.size = first, [], [], 0
 
     def size_of(self, index: int) -> int:
-        """Bytes of one entry that is held."""
+        """The size in bytes of the entry at `index`, which must be in memory."""
         return self.sizes[index - self.first]
 
     def bytes_between(self, start: int, end: int) -> int:
-        """Bytes of the entries from `start` to `end`, both included."""
+        """The size in bytes of the entries from `start` to `end`, both included."""
         return sum(self.sizes[max(0, start - self.first) : max(0, end + 1 - self.first)])
 
     def slice_from(self, index: int, max_entries: int, max_bytes: int) -> tuple[list[Entry], int]:
-        """(entries from `index` on, their bytes): one at least, as many as both bounds allow."""
+        """(entries from `index` on, their size in bytes): as many as both bounds allow, but at least one."""
         position = index - self.first
         if position == len(self.entries) - 1:
             return self.entries[position:], self.sizes[position]
@@ -128,7 +129,7 @@
         return self.entries[position:end], size
 
     def tail_start(self, index: int, max_entries: int, max_bytes: int) -> int:
-        """The lowest index so that the entries from it to `index` keep both bounds."""
+        """The lowest index from which the entries up to `index` stay within both bounds."""
         size, start = 0, index + 1
         while start > self.first and index + 1 - start < max_entries:
             size += self.sizes[start - 1 - self.first]
--- a/src/pinepitch/consensus/log_changes.py
+++ b/src/pinepitch/consensus/log_changes.py
@@ -1,4 +1,4 @@
-"""Changes of a replica's log, and of what depends on it: the membership in force, what is durable."""
+"""Changes to a replica's log and to the state that depends on it: membership and durability."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def find_membership(replica: Consensus) -> None:
-    """Takes the membership of the newest entry that has one, or that of the base."""
+    """Adopts the membership of the newest "members" entry, or that of the base if there is none."""
     entries = replica.log.entries
     for position in range(len(entries) - 1, -1, -1):
         operation = entries[position][2]
@@ -26,8 +26,9 @@
 
 
 def append(replica: Consensus, entries: Sequence[Entry], start: int) -> None:
-    """Adds entries, the first of which gets the index `start`. A membership is in force at once, before it
-    is committed (joint consensus, section 8).
+    """Appends entries, the first one with the index `start`.
+
+    A membership is in force as soon as it is appended, before it is committed (joint consensus, section 8).
     """
     if replica.dirty_from is None or start < replica.dirty_from:
         replica.dirty_from = start
@@ -39,7 +40,7 @@
 
 
 def truncate(replica: Consensus, index: int) -> None:
-    """Drops entries from `index` on."""
+    """Drops the entries from `index` on."""
     replica.log.truncate(index)
     replica.truncate_from = index if replica.truncate_from is None else min(replica.truncate_from, index)
     if replica.dirty_from is not None and replica.dirty_from >= index:
@@ -51,8 +52,9 @@
 
 
 def drop_log(replica: Consensus, first: int) -> None:
-    """Drops every entry, the next one being `first`, for a snapshot that the log does not lead to:
-    of what is on disk or on its way there only what is committed stays true.
+    """Drops all entries because a snapshot replaces a log that it does not extend; `first` is the next index.
+
+    Of the entries that are on disk or being saved, only the committed ones remain valid.
     """
     replica.log.clear(first)
     replica.durable_index = min(replica.durable_index, replica.commit)
--- a/src/pinepitch/consensus/membership_change.py
+++ b/src/pinepitch/consensus/membership_change.py
@@ -1,4 +1,4 @@
-"""Changes of the membership by joint consensus (section 8), and learners: those that catch up before."""
+"""Membership changes by joint consensus (section 8), and learners that catch up before they join."""
 
 from __future__ import annotations
 
@@ -17,38 +17,40 @@
 def begin(
     replica: Consensus, members: dict[str, str], time: float, now: float
 ) -> tuple[int, list[Effect]] | None:
-    """Begins a joint change to `members` (identity -> zone); None when one is under way or there is no own
-    commit yet.
+    """Starts a joint change to `members` (identity -> zone).
+
+    Returns None if a change or a leadership transfer is in progress, if this replica does not lead, or if
+    no entry of its term is committed yet.
     """
     if replica.role != LEADER or replica.membership.coming is not None or not replica.serving():
         return None
     if replica.handover is not None:
-        return None  # the successor's to decide
+        return None  # left to the successor
     if replica.membership_index > replica.commit:
         return None
     coming = Quorum(dict(members), replica.membership.now.mode)
     replica.event(130, members=sorted(members))
     for identity in members:
-        replica.learners.pop(identity, None)  # from here on a voter, whose copies and answers count
+        replica.learners.pop(identity, None)  # a voter from now on: its acknowledgements count
     joint = Membership(replica.membership.now, coming)
     return replica.propose([("members", joint.image())], time, now)
 
 
 def add_learner(replica: Consensus, identity: str, zone: str, now: float) -> None:
-    """Starts to replicate to one that is no member yet."""
+    """Starts to replicate to a replica that is not a member yet."""
     if replica.role == LEADER and identity not in replica.followers:
         replica.learners[identity] = zone
         replica.followers[identity] = Follower(replica.last_index(), now)
 
 
 def remove_learner(replica: Consensus, identity: str) -> None:
-    """Ends replicating to one that is no member."""
+    """Stops replicating to a learner."""
     if replica.learners.pop(identity, None) is not None:
         replica.followers.pop(identity, None)
 
 
 def caught_up(replica: Consensus, identity: str) -> bool:
-    """Whether a learner is close enough behind to become a voter."""
+    """Whether a replica's log is close enough to the leader's to vote."""
     follower = replica.followers.get(identity)
     if follower is None or follower.probing or follower.transfer is not None:
         return False
--- a/src/pinepitch/consensus/quorum.py
+++ b/src/pinepitch/consensus/quorum.py
@@ -1,21 +1,20 @@
-"""Who decides: FlexiRaft's group majorities, its Algorithms 1 and 2, joint changes.
+"""Quorums: FlexiRaft's majorities of groups, its Algorithms 1 and 2, and joint membership.
 
-Sections named in comments are of "FlexiRaft: Flexible Quorums with Raft" (CIDR 2023).
+Section and algorithm numbers in comments refer to "FlexiRaft: Flexible Quorums with Raft" (CIDR 2023).
 """
 
 import functools
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-GROUPS_CACHE_SIZE = 64  # of lists of members; a cluster has a few at a time
+GROUPS_CACHE_SIZE = 64  # member lists; a cluster uses few of them at a time
 
 
 class Reply(NamedTuple):
-    """A vote reply as the election sees it.
+    """A vote reply, with the extra state of section 5.1.
 
-    Invariants: history maps a term to the identity voted for in it, for every term after
-    leader_term in which this voter granted a vote; (leader, leader_term) is the newest
-    leader the voter has known, or (None, 0).
+    Invariants: history maps each term after leader_term in which the voter granted a vote to the identity
+    of the candidate; (leader, leader_term) is the newest leader that the voter knows, or (None, 0).
     """
 
     granted: bool
@@ -24,12 +23,12 @@
     history: dict[int, str]
 
 
-Groups = dict[str, frozenset[str]]  # group -> identities in it
-Replies = Mapping[str, Reply]  # identity -> its reply
+Groups = dict[str, frozenset[str]]  # group -> identities of its members
+Replies = Mapping[str, Reply]  # identity of the voter -> its reply
 
 
 class Result(NamedTuple):
-    """Whether an election is won, and whether it may still be. Invariant: satisfied implies possible."""
+    """Whether an election is won, and whether it can still be won. Invariant: satisfied implies possible."""
 
     satisfied: bool
     possible: bool
@@ -40,7 +39,7 @@
 
 @functools.lru_cache(maxsize=GROUPS_CACHE_SIZE)
 def _groups(members: tuple[tuple[str, str], ...], mode: str) -> Groups:
-    """Group -> identities in it, for members as pairs. Kept: a leader asks for it at every call it takes."""
+    """The groups of `members`, pairs of (identity, zone). Cached, as a leader needs them for each request."""
     quorum = Quorum(dict(members), mode)
     groups: dict[str, set[str]] = {}
     for identity in sorted(quorum.members):
@@ -49,38 +48,45 @@
 
 
 class Quorum(NamedTuple):
-    """Who decides, for one list of members.
+    """The quorums of one list of members; `members` maps identity to zone.
 
-    Invariants: members maps identity to zone; groups are disjoint and cover members;
-    2 * elect > number of groups, and commit + elect > number of groups, so that in
-    static and single mode any two election quorums, and any commit and election quorum, meet in a
-    whole group's majority and hence in a member.
+    Invariants: the groups are disjoint and cover all members; 2 * elect_count > number of groups, and
+    commit_count + elect_count > number of groups. In static and single mode any two election quorums, and
+    any commit quorum and election quorum, therefore both have a majority of some group, and so they share
+    a member.
     """
 
     members: dict[str, str]
     mode: str
 
     def group_of(self, identity: str) -> str:
-        """The group a member is in: its zone, or itself in single mode and where fewer than 3 zones exist."""
+        """The group of a member.
+
+        This is its zone. In single mode, and in static mode with fewer than 3 zones, each member is a group
+        of its own.
+        """
         zone = self.members[identity]
         if self.mode == "single" or (self.mode == "static" and len(set(self.members.values())) < 3):
             return identity
         return zone
 
     def groups(self) -> Groups:
-        """Group -> identities in it; not to be changed."""
+        """Group -> identities of its members; callers must not modify it."""
         return _groups(tuple(self.members.items()), self.mode)
 
     def commit_count(self) -> int:
-        """C of 'majority in c of k groups': the largest that keeps both intersections."""
+        """The number c of groups in which a commit quorum needs a majority.
+
+        It is the largest one with which commit and election quorums still intersect as they must.
+        """
         return (len(self.groups()) + 1) // 2
 
     def elect_count(self) -> int:
-        """The derived k - c + 1 (section 4.1)."""
+        """The number of groups in which an election quorum needs a majority: k - c + 1 (section 4.1)."""
         return len(self.groups()) - self.commit_count() + 1
 
     def majorities(self, identities: Iterable[str]) -> set[str]:
-        """The groups in which `identities` hold a majority."""
+        """The groups in which `identities` are a majority."""
         identity_set = set(identities)
         return {
             group
@@ -89,19 +95,19 @@
         }
 
     def commits(self, identities: Iterable[str], leader: str) -> bool:
-        """Whether `identities` are a commit quorum under `leader`."""
+        """Whether `identities` form a commit quorum under `leader`."""
         majority_groups = self.majorities(identities)
         if self.mode != "dynamic":
             return len(majority_groups) >= self.commit_count()
         return leader in self.members and self.group_of(leader) in majority_groups
 
     def elects(self, replies: Replies, term: int, leader: str | None, leader_term: int) -> Result:
-        """Algorithm 1. `replies`: identity -> Reply; `leader`: the last one known."""
+        """Evaluates an election for `term` by Algorithm 1; `leader` of `leader_term` is the last known."""
         for reply in replies.values():
             if reply.leader is not None and reply.leader_term > leader_term:
                 leader, leader_term = reply.leader, reply.leader_term
         if leader_term >= term:
-            return Result(False, False)  # somebody leads this term, or a later one, already
+            return Result(False, False)  # this term or a later one already has a leader
         if self.mode != "dynamic":
             return self._count_grants(replies, self.groups(), self.elect_count())
         all_groups = self.groups()
@@ -113,12 +119,12 @@
         return self._check_intermediate_terms(replies, term, leader, leader_term)
 
     def _check_intermediate_terms(self, replies: Replies, term: int, leader: str, leader_term: int) -> Result:
-        """Lines 14 to 35 of Algorithm 1, with Algorithm 2 inside.
+        """Lines 14 to 35 of Algorithm 1, which include Algorithm 2.
 
-        Changed from the print: the groups a leader may be in add up instead of being
-        replaced at each step. A candidate that merely *may* have won does not rule out
-        that it lost, so the next winner may have come through the older groups; with
-        the print's replacement its votes there would go unread (docs/flexiraft.md).
+        This differs from the paper: the groups that a leader may be in accumulate, where the paper replaces
+        them at each step. A candidate that *may* have won a term may also have lost it, and then the next
+        winner was elected by the older groups. With the paper's replacement its votes there would not be
+        examined (docs/flexiraft.md).
         """
         all_groups = self.groups()
         possible = {self.group_of(leader)}
@@ -137,13 +143,13 @@
                 return self._count_all_groups(replies, possible)
             examined_term = min(later_terms)
             for winner in self._potential_winners(examined_term, possible, replies):
-                if winner not in self.members:  # of the other list of a joint change
+                if winner not in self.members:  # a member only of the other list of a joint change
                     return self._count_grants(replies, all_groups, len(all_groups))
                 possible = possible | {self.group_of(winner)}
         return self._count_grants(replies, all_groups, len(all_groups))
 
     def _potential_winners(self, term: int, possible: set[str], replies: Replies) -> set[str]:
-        """Whoever may have won `term`, counting each unheard member as its voter."""
+        """The candidates that may have won `term`, if every member without a reply voted for them."""
         all_groups = self.groups()
         winners: set[str] = set()
         for group in possible:
@@ -160,7 +166,7 @@
         return winners
 
     def _count_grants(self, replies: Replies, groups: Groups, needed: int) -> Result:
-        """Majority of grants in `wanted` of `groups`."""
+        """Whether the grants are a majority in `needed` of the `groups`."""
         satisfied = possible = 0
         for group_members in groups.values():
             granted = sum(
@@ -179,28 +185,28 @@
 
 
 class Membership(NamedTuple):
-    """The members now and, during a joint change, the members to come.
+    """The current members and, during a joint change, the coming members.
 
-    Invariant: while `coming` is set every decision needs both quorums, so that a quorum
-    of either list alone never decides (joint consensus, section 8).
+    Invariant: while `coming` is set, every decision needs a quorum of both lists (joint consensus,
+    section 8).
     """
 
     now: Quorum
     coming: Quorum | None = None
 
     def quorums(self) -> tuple[Quorum, ...]:
-        """The quorums that must all agree."""
+        """The quorums of the lists in force; a decision needs all of them."""
         return (self.now,) if self.coming is None else (self.now, self.coming)
 
     def members(self) -> dict[str, str]:
-        """Identity -> zone of every voter, of either list."""
+        """Identity -> zone of every voter in either list."""
         return {**self.now.members, **(self.coming.members if self.coming else {})}
 
     def commits(self, identities: Iterable[str], leader: str) -> bool:
-        """Whether `identities` commit under `leader` by every quorum in force.
+        """Whether `identities` form a commit quorum under `leader` in every list in force.
 
-        In dynamic mode a leader that a list lacks can't have a group there: such a list
-        then asks for majorities in all its groups, which meets any of its quorums.
+        In dynamic mode a list that lacks the leader has no group for it. Such a list requires majorities in
+        all of its groups, which intersects every other quorum of the list.
         """
         for quorum in self.quorums():
             if quorum.mode == "dynamic" and leader not in quorum.members:
@@ -211,7 +217,7 @@
         return True
 
     def elects(self, replies: Replies, term: int, leader: str | None, leader_term: int) -> Result:
-        """Algorithm 1 over every quorum in force; replies of others than members don't count."""
+        """Evaluates an election by Algorithm 1 in every list in force, with the replies of its members."""
         results = []
         for quorum in self.quorums():
             member_replies = {
@@ -221,11 +227,11 @@
         return Result(all(result.satisfied for result in results), all(result.possible for result in results))
 
     def image(self) -> list[Any]:
-        """What goes on the wire and on disk."""
+        """The form that is sent and stored: a [members, mode] for each list in force."""
         return [[dict(quorum.members), quorum.mode] for quorum in self.quorums()]
 
 
 def membership_from_image(image: list[Any]) -> Membership:
-    """The Membership of an image()."""
+    """The Membership that `image` was made from by `Membership.image`."""
     quorums = [Quorum(dict(members), mode) for members, mode in image]
     return Membership(quorums[0], quorums[1] if len(quorums) > 1 else None)
--- a/src/pinepitch/consensus/reads.py
+++ b/src/pinepitch/consensus/reads.py
@@ -1,6 +1,7 @@
-"""The leader lease, and reads by the read index: both stand on heartbeats that a commit quorum answered.
+"""The leader lease, and linearizable reads by read index.
 
-A commit quorum suffices, since it meets every election quorum (section 4).
+Both rely on heartbeats that a commit quorum answered. A commit quorum suffices, because it intersects every
+election quorum (section 4).
 """
 
 from __future__ import annotations
@@ -16,15 +17,17 @@
 
 
 class ReadRound(NamedTuple):
-    """The heartbeat whose answers confirm the reads under way, and the index that they may read up to."""
+    """The heartbeat whose replies confirm a batch of reads, and the index of the state that they read."""
 
     heartbeat: int
     read_index: int
 
 
 def leased(replica: Consensus, now: float) -> bool:
-    """Whether a commit quorum answered a heartbeat sent so lately that no other leader can have
-    been elected since and have served: such a quorum grants no pre-vote before its time-out.
+    """Whether the leader lease is valid, so that no other leader can have been elected and have served.
+
+    The lease is valid if a commit quorum answered a heartbeat sent within LEADER_LEASE, as its members
+    grant no pre-vote before their election timeouts.
     """
     since = now - constants.LEADER_LEASE
     answered_by = {
@@ -39,7 +42,7 @@
 
 
 def lease_end(replica: Consensus, now: float) -> float:
-    """The moment that the lease stands until as far as is known; `now` when it does not stand."""
+    """The time at which the lease expires, as far as is known; `now` if there is no lease."""
     sent = {
         identity: replica.heartbeat_times.get(follower.answered_heartbeat, -1e9)
         for identity, follower in replica.followers.items()
@@ -54,13 +57,13 @@
 
 
 def request_read(replica: Consensus, token: Any, now: float) -> None:
-    """Asks that ReadConfirmed be told for `token` once leadership is confirmed."""
+    """Queues a read: a ReadConfirmed for `token` follows once leadership is confirmed."""
     replica.queued_reads.append(token)
     start_round(replica, now)
 
 
 def start_round(replica: Consensus, now: float) -> None:
-    """Sends the heartbeat that confirms the reads which wait, unless another one is awaited."""
+    """Sends the heartbeat that confirms the queued reads, unless a round is in progress."""
     if replica.read_round is None and replica.queued_reads and replica.serving():
         replica.confirming_reads, replica.queued_reads = replica.queued_reads, []
         replica.heartbeat_number += 1
@@ -70,7 +73,7 @@
 
 
 def check_round(replica: Consensus, now: float) -> None:
-    """Confirms the reads under way once a commit quorum answered their heartbeat."""
+    """Confirms the reads of the current round once a commit quorum has answered its heartbeat."""
     if replica.read_round is None:
         return
     heartbeat, read_index = replica.read_round
--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -1,10 +1,13 @@
-"""A replica of FlexiRaft as a decider: (message, now) in, effects out, no I/O.
+"""A replica of FlexiRaft without I/O: inputs are (message, now), outputs are effects.
 
-`Consensus` holds the state, the clocks and the roles. What is done with it is in modules of its own:
-`election`, `leadership_transfer`, `replication`, `acknowledgements` and `commitment` (the leader's),
-`following` (a follower's), `snapshot_sender` and `snapshot_receiver`, `reads` (and the lease),
-`membership_change`, `snapshot_base` and `log_changes`; `handlers` says which takes which message. Who
-decides is in `quorum`.
+`Consensus` has the replica's state, timers and role. The protocol itself is in separate modules:
+
+- `election` and `leadership_transfer`;
+- `replication`, `acknowledgements` and `commitment` for the leader, `following` for a follower;
+- `snapshot_sender`, `snapshot_receiver` and `snapshot_base`;
+- `reads` (linearizable reads and the leader lease), `membership_change` and `log_changes`.
+
+`handlers` maps each message to the function that handles it, and `quorum` computes quorums.
 """
 
 import random
@@ -41,14 +44,19 @@
 class Consensus:
     """One control daemon's replica of the log.
 
-    Every input takes `now`, seconds of the daemon's steady clock, and returns the effects in their order.
-    SaveChange and SaveBase are answered by `saved`.
+    Every input takes `now`, in seconds of the daemon's steady clock, and returns effects in the order in
+    which they must be carried out. The daemon reports a finished SaveChange or SaveBase with `saved`.
+
+    Invariants:
 
-    Invariants: term never falls; at most one vote a term, in history[term], durable before
-    it is told; commit <= committed <= last index; durable <= last
-    index and all up to it is on disk; history holds no term <= leader_term, since any
-    candidate starts Algorithm 1 at the newest leader told with the histories, and this
-    one's is told along; membership is that of the newest members entry in the log or base.
+    - term never decreases.
+    - At most one vote is cast in each term. It is in history[term] and is durable before it is sent.
+    - commit <= committed <= last index.
+    - durable_index <= last index, and every entry up to it is on disk.
+    - history has no term <= last_known_term. A vote reply carries the last known leader along with the
+      history, and a candidate starts Algorithm 1 at the newest leader in the replies, so it never needs
+      older votes.
+    - membership is that of the newest "members" entry in the log, or that of the base.
     """
 
     def __init__(
@@ -68,81 +76,82 @@
         self._init_elections()
         self._init_leadership()
         self.effects: list[Effect] = []
-        self.archive: Archive | None = None  # the cluster state's
+        self.archive: Archive | None = None  # the archive of the cluster state
         self.incoming_snapshot: IncomingSnapshot | None = None
 
     def _init_hard_state(self) -> None:
         self.term = 0
-        self.history: dict[int, str] = {}  # term -> whom it voted for
-        self.last_known_leader: str | None = None  # the last leader known, of last_known_term (known_leader)
+        self.history: dict[int, str] = {}  # voting history: term -> candidate that got the vote
+        self.last_known_leader: str | None = None  # leader of last_known_term, see `known_leader`
         self.last_known_term = 0
 
     def _init_log(self, membership: Membership) -> None:
         self.log = Log()
         self.base_index, self.base_term = 0, 0
         self.base_image: bytes | None = None
-        self.base_segments = (1, 0)  # (first, last) of the archive that the base stands on
+        self.base_segments = (1, 0)  # (first, last) archive segments that the base needs
         self.base_membership = membership
         self.membership, self.membership_index = membership, 0
-        self.commit = 0
-        self.committed = 0  # the newest entry known to be committed: commit follows it in slices
+        self.commit = 0  # newest entry delivered in CommitEntries, or contained in the base
+        self.committed = 0  # newest entry known to be committed; `commit` catches up with it in slices
 
     def _init_persistence(self) -> None:
-        self.sequence = self.saved_sequence = 0  # of the newest save begun, and of the newest durable one
-        self.hard_state_sequence = 0  # of the newest save with hard state
+        self.sequence = self.saved_sequence = 0  # newest save begun, newest durable save
+        self.hard_state_sequence = 0  # newest save that includes the hard state
         self.durable_index = 0
         self.saving: list[PendingSave] = []
-        self.deferred: list[tuple[int, SendMessage]] = []  # (sequence, effect) waiting for a save
+        self.deferred: list[tuple[int, SendMessage]] = []  # (save that must be durable first, effect)
         self.hard_state_dirty = False
-        self.truncate_from: int | None = None  # the first index that the next save drops
-        self.dirty_from: int | None = None  # the first index that the next save writes
+        self.truncate_from: int | None = None  # first index that the next save drops
+        self.dirty_from: int | None = None  # first index that the next save writes
 
     def _init_elections(self) -> None:
         self.role = FOLLOWER
-        self.following: str | None = None  # the leader of this term as heard
-        self.newest_heard_term = 0  # of the newest leader heard in this incarnation
+        self.following: str | None = None  # leader of the current term, once known
+        self.newest_heard_term = 0  # term of the newest leader heard in this incarnation
         self.replies: dict[str, Reply] = {}
         self.leader_heard_at = LONG_AGO
-        self.begun_at: float | None = None  # when this incarnation began, after any earlier one had ended
-        self.election_at: float | None = None  # None before the first input
-        self.next_vote_request_at = LONG_AGO  # when votes are asked for again
+        self.begun_at: float | None = None  # start of this incarnation; any earlier one had ended by then
+        self.election_at: float | None = None  # deadline of the election timer; None before the first input
+        self.next_vote_request_at = LONG_AGO  # when a campaign sends its vote requests again
         self.disk_cooldown_until = LONG_AGO
-        self.removed = False  # whether a member said that this replica is none
-        self.inherited_learners: dict[str, str] = {}  # those of the leader that handed over: identity -> zone
-        self.released_term = 0  # the term whose leader gave its lease up in favour of this candidate
+        self.removed = False  # whether a member reported that this replica was removed
+        self.inherited_learners: dict[str, str] = {}  # received in a LeadershipTransfer: identity -> zone
+        self.released_term = 0  # term whose leader gave up its lease in favour of this candidate, or 0
 
     def _init_leadership(self) -> None:
         self.followers: dict[str, Follower] = {}
         self.learners: dict[str, str] = {}  # identity -> zone
-        self.handover: leadership_transfer.PendingTransfer | None = None  # under way while leading
-        self.heartbeat_number = 0  # the number of the newest heartbeat
+        self.handover: leadership_transfer.PendingTransfer | None = None  # transfer in progress
+        self.heartbeat_number = 0  # number of the newest heartbeat sent
         self.heartbeat_sent_at = LONG_AGO
-        self.heartbeat_times: dict[int, float] = {}  # number -> when sent, newest LEADER_HEARTBEATS_KEPT
+        # number -> send time, of the newest LEADER_HEARTBEATS_KEPT heartbeats
+        self.heartbeat_times: dict[int, float] = {}
         self.read_round: reads.ReadRound | None = None
-        self.confirming_reads: list[Any] = []  # tokens of the reads that `round` confirms
-        self.queued_reads: list[Any] = []
+        self.confirming_reads: list[Any] = []  # tokens of the reads that `read_round` confirms
+        self.queued_reads: list[Any] = []  # tokens of the reads that wait for the next round
 
     # --- the log ----------------------------------------------------------------------
     @property
     def first(self) -> int:
-        """The index of the oldest entry that is held."""
+        """The index of the oldest entry in memory."""
         return self.log.first
 
     @property
     def entries(self) -> list[Entry]:
-        """The entries that are held, oldest first."""
+        """The entries in memory, oldest first."""
         return self.log.entries
 
     def last_index(self) -> int:
-        """The index of the newest entry."""
+        """The index of the newest entry, in the log or covered by the base."""
         return max(self.base_index, self.log.last())
 
     def entry(self, index: int) -> Entry:
-        """An entry that is held."""
+        """The entry at `index`, which must be in memory."""
         return self.log.entries[index - self.log.first]
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry, None where it is no longer or not yet held."""
+        """The term of the entry at `index`; None if the entry was compacted or is not there yet."""
         if index == 0:
             return 0
         position = index - self.log.first
@@ -152,27 +161,28 @@
             return self.base_term
         return None
 
-    # --- state from and to disk -------------------------------------------------------
+    # --- persistence ------------------------------------------------------------------
     def restore(self, base: list[Any] | None, changes: Iterable[Any]) -> None:
-        """Takes what the store held: the payload of a base, and the changes saved after it."""
+        """Restores the state from the store: the payload of a base and the changes saved after it."""
         snapshot_base.restore(self, base, changes)
 
     def bootstrap_base(self) -> list[Any]:
-        """The payload of the first base: no entries, the bootstrap members."""
+        """The payload of the first base, with the bootstrap members and no entries."""
         return snapshot_base.bootstrap_payload(self)
 
     def base_payload(self) -> list[Any]:
-        """All that a base must hold."""
+        """The payload of a base with the current state."""
         return snapshot_base.payload(self)
 
     def compact(self, index: int, image: bytes, segments: tuple[int, int] = (1, 0)) -> list[Any]:
-        """Takes `image`, which stands on `segments` (first, last) of the archive, as the cluster state up
-        to `index`; the payload of the new base.
+        """Compacts the log up to `index` into a new base and returns the payload of that base.
+
+        `image` is the cluster state at `index`; it needs the archive segments `segments` (first, last).
         """
         return snapshot_base.compact(self, index, image, segments)
 
     def saved(self, sequence: int, now: float) -> list[Effect]:
-        """Hears that saves up to `sequence` are durable."""
+        """Handles the report that all saves up to `sequence` are durable."""
         self.saved_sequence = max(self.saved_sequence, sequence)
         while self.saving and self.saving[0].sequence <= sequence:
             self.durable_index = max(self.durable_index, self.saving.pop(0).last_index)
@@ -189,7 +199,7 @@
 
     # --- effects ----------------------------------------------------------------------
     def send(self, receiver: str, message: messages.Message, after: int = 0) -> None:
-        """Sends a message once the save of that sequence is durable."""
+        """Sends a message as soon as the save with the sequence `after` is durable."""
         effect = SendMessage(receiver, message)
         if after > self.saved_sequence:
             self.deferred.append((after, effect))
@@ -197,12 +207,12 @@
             self.effects.append(effect)
 
     def flush_sequence(self) -> int:
-        """The sequence that the save of what is dirty now will get."""
+        """The sequence of the save that will make all present changes durable."""
         dirty = self.hard_state_dirty or self.truncate_from is not None or self.dirty_from is not None
         return self.sequence + 1 if dirty else self.sequence
 
     def hard_state_save_sequence(self) -> int:
-        """The sequence of the save that makes the present hard state durable."""
+        """The sequence of the save that makes, or made, the present hard state durable."""
         return self.flush_sequence() if self.hard_state_dirty else self.hard_state_sequence
 
     def _flush(self, now: float) -> None:
@@ -219,18 +229,18 @@
             self.effects.append(SaveChange(self.sequence, change))
 
     def take_effects(self, now: float) -> list[Effect]:
-        """Ends an input: saves what is dirty, and hands the effects over."""
+        """Ends the handling of an input: saves unsaved changes and returns the effects."""
         self._flush(now)
         effects, self.effects = self.effects, []
         return effects
 
     def event(self, number: int, **fields: Any) -> None:
-        """Writes a numbered event, with the term."""
+        """Logs a numbered event together with the current term."""
         self.effects.append(LogEvent(number, {"term": self.term, **fields}))
 
     # --- time -------------------------------------------------------------------------
     def tick(self, now: float) -> list[Effect]:
-        """Lets time pass: heartbeats, time-outs, stalled disks, the next slice of a backlog."""
+        """Handles the passing of time: heartbeats, timeouts, a stalled disk, the next slice of a backlog."""
         self._begin_incarnation(now)
         assert self.election_at is not None
         if self.commit < self.committed:
@@ -250,7 +260,10 @@
         return self.take_effects(now)
 
     def _tick_leader(self, stalled: bool, now: float) -> None:
-        """Steps down where it must, else sends heartbeats. Check-quorum asks for a commit quorum."""
+        """Steps down if this leader must, else sends due heartbeats.
+
+        The check-quorum rule makes a leader step down that has not heard from a commit quorum recently.
+        """
         heard_from = {
             identity
             for identity, follower in self.followers.items()
@@ -267,9 +280,11 @@
             replication.broadcast(self, now)
 
     def _begin_incarnation(self, now: float) -> None:
-        """At the first input of this incarnation: what an earlier one acknowledged may still carry a
-        leader's lease, so no vote is given, and none asked for, before that is over, also by that leader's
-        slower clock.
+        """Sets the timers at the first input of this incarnation.
+
+        A heartbeat that an earlier incarnation acknowledged may still support a leader's lease. This replica
+        therefore neither grants nor requests votes until that lease has expired, even if the leader's clock
+        is slower than its own.
         """
         if self.election_at is not None:
             return
@@ -281,7 +296,7 @@
             self.election_at = max(now, lease_over) + constants.RESTART_JITTER * self.random.random()
 
     def disk_failed(self, now: float) -> list[Effect]:
-        """A disk that refuses to write is no leader's."""
+        """Stops leading or campaigning, because the disk refuses to write."""
         self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
         if self.role != FOLLOWER:
             self.become_follower(self.term, now, "disk refuses to write")
@@ -289,12 +304,12 @@
 
     # --- roles ------------------------------------------------------------------------
     def reset_election_timer(self, now: float) -> None:
-        """Puts the next election off by a time-out with jitter."""
+        """Restarts the election timer, with jitter."""
         factor = 1 + self.random.random() * constants.ELECTION_JITTER
         self.election_at = now + constants.ELECTION_TIMEOUT * factor
 
     def become_follower(self, term: int, now: float, reason: str) -> None:
-        """Becomes a follower of `term`."""
+        """Becomes a follower in `term`; a leader steps down with `reason`."""
         if term > self.term:
             self.term = term
             self.hard_state_dirty = True
@@ -311,23 +326,23 @@
         self.followers, self.learners, self.heartbeat_times = {}, {}, {}
 
     def may_campaign(self, now: float) -> bool:
-        """Whether this replica is a voter whose disk did not fail lately."""
+        """Whether this replica is a voter that was not removed and whose disk had no recent failure."""
         member = self.identity in self.membership.members()
         return member and now >= self.disk_cooldown_until and not self.removed
 
     def leader_near(self, now: float) -> bool:
-        """Whether a leader was heard within the time-out (then no pre-vote is granted)."""
+        """Whether a leader was heard within the election timeout; no pre-vote is granted then."""
         return self.role == LEADER or now - self.leader_heard_at < constants.ELECTION_TIMEOUT
 
     def serving(self) -> bool:
-        """Whether an entry of the own term is committed, so that reads may be answered."""
+        """Whether this leader has committed an entry of its own term, which reads and changes require."""
         return self.role == LEADER and self.term_at(self.commit) == self.term
 
     # --- leading ----------------------------------------------------------------------
     def propose(
         self, operations: Iterable[Operation], time: float, now: float
     ) -> tuple[int, list[Effect]] | None:
-        """Appends operations; (first index, effects), or None when not leading."""
+        """Appends operations to the log; returns (first index, effects), or None if not the leader."""
         if self.role != LEADER:
             return None
         start = self.last_index() + 1
@@ -336,23 +351,25 @@
         return start, self.take_effects(now)
 
     def read(self, token: Any, now: float) -> list[Effect] | None:
-        """Asks that ReadConfirmed be told for `token` once leadership is confirmed; None when not leading."""
+        """Requests a ReadConfirmed for `token` once leadership is confirmed; None if not the leader."""
         if self.role != LEADER:
             return None
         reads.request_read(self, token, now)
         return self.take_effects(now)
 
     def leased(self, now: float) -> bool:
-        """Whether this leader holds its lease: no other can have been elected and have served."""
+        """Whether this leader has its lease, so that no other can have been elected and have served."""
         return reads.leased(self, now)
 
     def lease_end(self, now: float) -> float:
-        """The moment that the lease stands until as far as is known; `now` when it does not stand."""
+        """The time at which the lease expires, as far as is known; `now` if there is no lease."""
         return reads.lease_end(self, now)
 
     def transfer_leadership(self, candidates: Iterable[str], now: float) -> list[Effect]:
-        """Leads on until the voter among `candidates` that lacks least has all that is agreed on, then
-        gives leadership up and lets that voter campaign at once; with no such voter stands down.
+        """Transfers leadership to the voter among `candidates` that has most of the log.
+
+        This replica leads until that voter has the whole log and all of it is committed. Then it steps down
+        and lets the voter campaign at once. If there is no such voter, it steps down immediately.
         """
         if self.role != LEADER:
             return []
@@ -363,30 +380,31 @@
     def change_members(
         self, members: dict[str, str], time: float, now: float
     ) -> tuple[int, list[Effect]] | None:
-        """Begins a joint change to `members` (identity -> zone); None when one is under way or there is no
-        own commit yet.
+        """Starts a joint membership change to `members` (identity -> zone).
+
+        Returns None if a change is in progress or no entry of this leader's term is committed yet.
         """
         return membership_change.begin(self, members, time, now)
 
     def changing(self) -> bool:
-        """Whether a change of members is under way: its newest list is not yet committed alone."""
+        """Whether a membership change is in progress, until the new list alone is committed."""
         return self.membership.coming is not None or self.membership_index > self.commit
 
     def learn(self, identity: str, zone: str, now: float) -> None:
-        """Starts to replicate to one that is no member yet."""
+        """Starts to replicate to a replica that is not a member yet."""
         membership_change.add_learner(self, identity, zone, now)
 
     def forget_learner(self, identity: str) -> None:
-        """Ends replicating to one that is no member."""
+        """Stops replicating to a learner."""
         membership_change.remove_learner(self, identity)
 
     def caught_up(self, identity: str) -> bool:
-        """Whether a learner is close enough behind to become a voter."""
+        """Whether a replica's log is close enough to the leader's to vote."""
         return membership_change.caught_up(self, identity)
 
     # --- messages ---------------------------------------------------------------------
     def step(self, sender: str, message: Any, now: float) -> list[Effect]:
-        """Takes one message (`messages.Message`) of another replica, as `messages.decode` gives it."""
+        """Handles one message (`messages.Message`) of another replica, as `messages.decode` returns it."""
         self._begin_incarnation(now)
         kind = type(message)
         if kind in REPLIES and message.term > self.term:
--- a/src/pinepitch/consensus/replication.py
+++ b/src/pinepitch/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's part in replicating the log: heartbeats, entries, and the choice of a snapshot instead."""
+"""Replication by the leader: heartbeats, entries, and the choice between entries and a snapshot."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def broadcast(replica: Consensus, now: float, new_number: bool = True) -> None:
-    """Sends every follower a heartbeat; `advance` gives it a number of its own."""
+    """Sends every follower a heartbeat, with a new number if `new_number` is set."""
     if new_number:
         replica.heartbeat_number += 1
     replica.heartbeat_sent_at = now
@@ -27,13 +27,16 @@
 
 
 def replicate_all(replica: Consensus, now: float) -> None:
-    """Sends every follower what it lacks."""
+    """Sends every follower the entries or chunks that it lacks."""
     for identity in replica.followers:
         replicate(replica, identity, now)
 
 
 def replicate(replica: Consensus, identity: str, now: float, heartbeat: bool = False) -> None:
-    """Sends what a follower lacks, as much as its flow takes; a heartbeat alone when asked for."""
+    """Sends a follower what it lacks, as far as flow control allows.
+
+    With `heartbeat` it is sent at least a heartbeat. A follower that lost entries is sent nothing.
+    """
     follower = replica.followers[identity]
     if follower.lost_entries:
         return
@@ -52,7 +55,7 @@
 
 
 def _resend_unacknowledged(follower: Follower) -> None:
-    """Takes what is under way for lost, and sends it again from what was acknowledged."""
+    """Treats all messages in flight as lost, and resumes after the newest acknowledged entry."""
     follower.flow.discard_lost()
     follower.next_index = follower.match_index + 1
     follower.probing = True
@@ -61,7 +64,7 @@
 
 
 def _send_entries(replica: Consensus, identity: str, follower: Follower, now: float) -> bool:
-    """Sends entries in as many messages as may be under way; whether any was sent."""
+    """Sends entries until the window is full; returns whether a message was sent."""
     flow, log = follower.flow, replica.log
     window = 1 if follower.probing else constants.APPEND_WINDOW
     last, sent = log.last(), False
@@ -69,7 +72,8 @@
     while follower.next_index <= last and len(flow.in_flight) < window and not flow.large_in_flight():
         entries, size = log.slice_from(follower.next_index, constants.APPEND_ENTRIES, flow.budget)
         if follower.probing and size >= constants.BULK_BYTES:
-            entries, size = (), 0  # first what it holds: a large append would be for nothing
+            # First find out what the follower has, because a large append might be rejected.
+            entries, size = (), 0
         if size >= constants.BULK_BYTES and flow.in_flight:
             break
         _send_append(replica, identity, follower.next_index - 1, entries)
@@ -80,15 +84,17 @@
 
 
 def _needs_snapshot(replica: Consensus, follower: Follower) -> bool:
-    """Whether a follower is sent the base: it needs entries that are gone, or so many that
-    the image is the shorter way, or the sending has begun.
+    """Whether a follower must be sent a snapshot instead of entries.
+
+    It must if a transfer is in progress, if the entries it needs were compacted, or if they have so many
+    bytes that the image is cheaper to send.
     """
     if follower.transfer is not None:
         if follower.transfer.snapshot.last_index > follower.match_index:
             return True
         follower.transfer = None
     if follower.next_index > replica.base_index and follower.next_index > replica.log.first:
-        return False  # as nearly always
+        return False  # the usual case, checked first
     if follower.next_index < replica.log.first or replica.term_at(follower.next_index - 1) is None:
         return True
     if follower.probing or follower.next_index > replica.base_index or replica.base_image is None:
@@ -105,8 +111,10 @@
 
 
 def _send_heartbeat(replica: Consensus, identity: str, follower: Follower) -> None:
-    """A heartbeat with no entries. While a large append is under way, by another connection, it
-    says nothing of what that one brings.
+    """Sends a heartbeat without entries.
+
+    A large append uses a connection of its own and may arrive later. While one is in flight, the heartbeat
+    refers only to entries before it.
     """
     if not follower.flow.large_in_flight():
         _send_append(replica, identity, follower.next_index - 1, ())
@@ -117,6 +125,6 @@
 
 
 def _send_bare_heartbeat(replica: Consensus, identity: str) -> None:
-    """A heartbeat that says nothing of the log."""
+    """Sends a heartbeat that does not refer to the log."""
     message = AppendEntries(replica.term, 0, 0, (), 0, replica.heartbeat_number)
     replica.send(identity, message, replica.hard_state_sequence)
--- a/src/pinepitch/consensus/roles.py
+++ b/src/pinepitch/consensus/roles.py
@@ -4,13 +4,13 @@
 
 
 class Role(enum.StrEnum):
-    """What a replica is in its term. The values are the words of the daemons' status and metrics."""
+    """The role of a replica in its term. The values appear in the daemons' status and metrics."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "prospect"  # asks for pre-votes (section 8)
+    PRE_CANDIDATE = "prospect"  # requests pre-votes (section 8)
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
-# Python 3.11 looks a member up by a function call; the roles are compared at every message.
+# In Python 3.11 each access to an enum member is a function call, and every message compares roles.
 FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = Role
--- a/src/pinepitch/consensus/snapshot_base.py
+++ b/src/pinepitch/consensus/snapshot_base.py
@@ -1,7 +1,8 @@
-"""The base of a replica: what its disk holds, read at the start and replaced at each compaction.
+"""The base of a replica: its stored state, read at the start and replaced at each compaction.
 
-A payload of a base is [hard state, [index, term, membership, image, segments], first index, entries]. Hard
-state is [term, last leader known, its term, voting history]: Raft's, and the extra state of section 5.1.
+The payload of a base is [hard state, [index, term, membership, image, segments], first index, entries]. The
+hard state is [term, last known leader, its term, voting history]: that of Raft and the extra state of
+section 5.1.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def restore(replica: Consensus, base: list[Any] | None, changes: Iterable[Any]) -> None:
-    """Takes what the store held: the payload of a base, and the changes saved after it."""
+    """Restores the state from the store: the payload of a base and the changes saved after it."""
     if base is not None:
         hard, snapshot, first, entries = base
         _take_hard_state(replica, hard)
@@ -47,17 +48,17 @@
 
 
 def hard_state(replica: Consensus) -> list[Any]:
-    """The hard state as it is saved."""
+    """The hard state in its stored form."""
     return [replica.term, replica.last_known_leader, replica.last_known_term, dict(replica.history)]
 
 
 def bootstrap_payload(replica: Consensus) -> list[Any]:
-    """The payload of the first base: no entries, the bootstrap members."""
+    """The payload of the first base, with the bootstrap members and no entries."""
     return [hard_state(replica), [0, 0, replica.base_membership.image(), None, (1, 0)], 1, []]
 
 
 def payload(replica: Consensus) -> list[Any]:
-    """All that a base must hold."""
+    """The payload of a base with the current state."""
     snapshot = [
         replica.base_index,
         replica.base_term,
@@ -69,8 +70,9 @@
 
 
 def compact(replica: Consensus, index: int, image: bytes, segments: tuple[int, int]) -> list[Any]:
-    """Takes `image`, which stands on `segments` of the archive, as the cluster state up to `index`; the
-    payload of the new base.
+    """Compacts the log up to `index` into a new base and returns the payload of that base.
+
+    `image` is the cluster state at `index`; it needs the archive segments `segments` (first, last).
     """
     replica.base_segments = segments
     term = replica.term_at(index)
@@ -82,15 +84,17 @@
             membership = membership_from_image(operation[1])
     replica.base_membership = membership
     replica.base_index, replica.base_term, replica.base_image = index, term, image
-    # base_membership must stay true for entries from `first` on: only a membership older than
-    # the kept tail may differ, and find_membership reads newest first, so it never does.
+    # base_membership may be newer than the first retained entries. This does no harm: find_membership
+    # uses the newest "members" entry of the log, and base_membership only if the log has none.
     replica.log.drop_before(_first_retained(replica, index))
     return payload(replica)
 
 
 def _first_retained(replica: Consensus, index: int) -> int:
-    """The first entry to keep behind a base at `index`: a tail, and what followers still need
-    as far as the laggards' bounds go.
+    """The first entry to retain after a compaction at `index`.
+
+    A tail of the log is retained, and the entries that slow followers still need, within the bounds for
+    laggards.
     """
     first_retained = replica.log.tail_start(index, constants.SNAPSHOT_TAIL, replica.limits.tail)
     needed = [follower.needed_from() for follower in replica.followers.values()]
--- a/src/pinepitch/consensus/snapshot_payload.py
+++ b/src/pinepitch/consensus/snapshot_payload.py
@@ -1,7 +1,7 @@
-"""What is sent of a snapshot: the cbor of [image, [first, last], {number: segment}].
+"""The payload of a snapshot on the wire: the CBOR encoding of [image, [first, last], {number: segment}].
 
-The bytes are never put together at either side beside their parts: the leader cuts chunks out of the image
-and the segments that it holds anyway, the follower decodes from the buffer that it received into.
+Neither side makes a second copy of the payload. The leader cuts chunks out of the image and the segments that
+it has in memory anyway, and the follower decodes the payload from its receive buffer.
 """
 
 import bisect
@@ -11,23 +11,24 @@
 
 import cbor2
 
-BYTE_STRING = 2  # major types of cbor
+BYTE_STRING = 2  # major types of CBOR
 ARRAY = 4
 MAP = 5
 PARTS_OF_PAYLOAD = 3
 
 
 class SnapshotParts(NamedTuple):
-    """A snapshot as it was received."""
+    """A received snapshot."""
 
     image: bytes
-    segments_span: tuple[int, int]  # (first, last) of the archive's segments that the image stands on
-    segments: dict[int, bytes]  # those that were sent along
+    segments_span: tuple[int, int]  # (first, last) archive segments that the image needs
+    segments: dict[int, bytes]  # the segments that were sent with the image
 
 
 class SnapshotPayload:
-    """The payload of a snapshot, by its parts. Invariants: starts[i] is the offset of parts[i]; equal
-    payloads have equal parts.
+    """The payload of a snapshot, as a sequence of parts.
+
+    Invariants: starts[i] is the offset of parts[i] in bytes; equal payloads have equal parts.
     """
 
     def __init__(self, image: bytes, segments_span: tuple[int, int], segments: Mapping[int, bytes]) -> None:
@@ -52,7 +53,7 @@
         return hash(self.parts)
 
     def chunk(self, offset: int, max_bytes: int) -> bytes:
-        """At most so many bytes from an offset on."""
+        """At most `max_bytes` bytes of the payload, from `offset` on."""
         end = min(self.size, offset + max_bytes)
         slices = []
         position = bisect.bisect_right(self.starts, offset) - 1
@@ -66,7 +67,7 @@
 
 
 class ReceivedPayload:
-    """The payload of a snapshot as far as it was received."""
+    """The part of a snapshot's payload that was received so far."""
 
     def __init__(self) -> None:
         self.buffer = io.BytesIO()
@@ -75,22 +76,22 @@
         return self.buffer.seek(0, io.SEEK_END)
 
     def clear(self) -> None:
-        """Forgets all."""
+        """Discards all received bytes."""
         self.buffer = io.BytesIO()
 
     def add(self, chunk: bytes) -> None:
-        """Takes the chunk that follows."""
+        """Appends the next chunk."""
         self.buffer.seek(0, io.SEEK_END)
         self.buffer.write(chunk)
 
     def copy(self) -> "ReceivedPayload":
-        """The same, for one to go on from apart."""
+        """An independent copy."""
         duplicate = ReceivedPayload()
         duplicate.buffer.write(self.buffer.getvalue())
         return duplicate
 
     def parts(self) -> SnapshotParts:
-        """The snapshot, once all of it was received."""
+        """The decoded snapshot; the payload must be complete."""
         self.buffer.seek(0)
         image, span, segments = cbor2.CBORDecoder(self.buffer).decode()
         first, last = span
@@ -98,7 +99,7 @@
 
 
 def _cbor_header(major_type: int, length: int) -> bytes:
-    """How a value of that type and length begins."""
+    """The CBOR header of a value of that type and length."""
     buffer = io.BytesIO()
     cbor2.CBOREncoder(buffer).encode_length(major_type, length)
     return buffer.getvalue()
--- a/src/pinepitch/consensus/snapshot_receiver.py
+++ b/src/pinepitch/consensus/snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's part in receiving a snapshot: chunks in, and the new base in place of the log."""
+"""Receiving a snapshot as a follower: collecting chunks and replacing the log by the new base."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def on_chunk(replica: Consensus, sender: str, message: SnapshotChunk, now: float) -> None:
-    """Takes a chunk, says what is needed next, and installs the snapshot once it is complete."""
+    """Stores a chunk, replies with the next offset needed, and installs the snapshot once it is complete."""
     if message.term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
@@ -66,20 +66,20 @@
 
 
 def _continues(incoming: IncomingSnapshot | None, message: SnapshotChunk) -> bool:
-    """Whether a chunk is of the snapshot that is being received."""
+    """Whether a chunk belongs to the snapshot that is being received."""
     if incoming is None or incoming.last_index != message.last_index:
         return False
     return message.offset <= 0 or incoming.total == message.total
 
 
 def _restart_transfer(replica: Consensus, sender: str, message: SnapshotChunk, stored_segment: int) -> None:
-    """Asks for the snapshot from its start, beside what this incarnation stores."""
+    """Requests the snapshot from its start, and reports the newest segment that this incarnation stores."""
     replica.incoming_snapshot = IncomingSnapshot(message.last_index)
     _reply(replica, sender, message, ASK_WHAT_IS_STORED, stored_segment, replica.hard_state_save_sequence())
 
 
 def _replace_log(replica: Consensus, message: SnapshotChunk) -> None:
-    """Lets the snapshot stand for the log up to its index."""
+    """Replaces the log up to the snapshot's index by the snapshot."""
     index = message.last_index
     if replica.term_at(index) == message.snapshot_term:
         replica.log.drop_before(index + 1)
@@ -93,7 +93,7 @@
 
 
 def _save_base(replica: Consensus, index: int, segments: dict[int, bytes], now: float) -> None:
-    """Saves the new base, which holds all that was to be saved."""
+    """Saves the new base, which includes all unsaved changes."""
     replica.truncate_from = replica.dirty_from = None
     replica.hard_state_dirty = False
     replica.sequence += 1
--- a/src/pinepitch/consensus/snapshot_sender.py
+++ b/src/pinepitch/consensus/snapshot_sender.py
@@ -1,6 +1,7 @@
-"""The leader's part in sending a snapshot: the newest base and the segments of the archive that it stands on.
+"""Sending a snapshot as the leader: the newest base and the archive segments that it needs.
 
-The follower is first asked which segments it stores, then sent the rest in chunks (docs/design/growth.md).
+The follower is first asked which segments it stores. It is then sent all else in chunks
+(docs/design/growth.md).
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class Archive(Protocol):
-    """What consensus asks of the archive of the cluster state: whole segments, sent with a snapshot."""
+    """The archive of the cluster state, whose complete segments are sent with a snapshot."""
 
     @property
     def sealed(self) -> int:
@@ -29,7 +30,7 @@
 
 
 def send_chunk(replica: Consensus, identity: str, follower: Follower, now: float) -> None:
-    """Sends a follower the next chunk, unless one is under way."""
+    """Sends a follower the next chunk, unless one is in flight."""
     if replica.base_image is None:
         return
     transfer = follower.transfer
@@ -53,7 +54,7 @@
 
 
 def take_reply(replica: Consensus, follower: Follower, reply: ChunkReply, now: float) -> bool:
-    """Moves a transfer on by an answer; False for an answer that it does not wait for."""
+    """Advances a transfer by a follower's reply; returns False for a reply that is not expected."""
     transfer = follower.transfer
     if transfer is None or transfer.snapshot.last_index != reply.last_index:
         return False
@@ -71,13 +72,13 @@
 
 
 def _start_transfer(replica: Consensus, transfer: Transfer, stored_segment: int) -> None:
-    """Begins at the first chunk, as what the follower stores is known now."""
+    """Starts to send the payload, now that it is known which segments the follower stores."""
     if transfer.snapshot.last_index == replica.base_index:
         transfer.stored_segment = stored_segment
-        transfer.payload = None  # what was made for a former incarnation is over
+        transfer.payload = None  # a payload for an earlier incarnation of the follower is obsolete
         transfer.payload = _shared_payload(replica, transfer) or snapshot_payload(replica, stored_segment)
         transfer.offset = 0
-    else:  # a newer snapshot is sent to it instead
+    else:  # a newer snapshot is sent instead
         transfer.payload, transfer.offset = None, ASK_WHAT_IS_STORED
 
 
@@ -86,7 +87,7 @@
 
 
 def _finish_transfer(follower: Follower, index: int) -> None:
-    """The follower holds all up to the snapshot's index."""
+    """Ends a transfer: the follower has everything up to the snapshot's index."""
     follower.transfer = None
     follower.flow.clear()
     follower.match_index = max(follower.match_index, index)
@@ -95,7 +96,7 @@
 
 
 def _shared_payload(replica: Consensus, transfer: Transfer) -> SnapshotPayload | None:
-    """What another follower that lacks the same is being sent already, or None."""
+    """The payload that is being sent to another follower with the same segments, or None."""
     for follower in replica.followers.values():
         other = follower.transfer
         if other is None or other.payload is None:
@@ -107,7 +108,7 @@
 
 
 def snapshot_payload(replica: Consensus, stored_segment: int) -> SnapshotPayload:
-    """The base's image with the segments from `stored` + 1 on that it stands on."""
+    """The image of the base with the segments that it needs, from `stored_segment` + 1 on."""
     first, last = replica.base_segments
     segments = {}
     for number in range(max(first, stored_segment + 1), last + 1):
