--- a/src/pinepitch/consensus/commitment.py
+++ b/src/pinepitch/consensus/commitment.py
@@ -1,4 +1,4 @@
-"""What counts as committed, and what follows: applying it in slices, the second half of a joint change."""
+"""Commitment: advancing the commit index, delivering entries in slices, finishing a membership change."""
 
 from __future__ import annotations
 
@@ -14,34 +14,39 @@
 
 
 def advance(replica: Consensus, now: float) -> None:
-    """Moves commit to the newest own-term entry that a commit quorum holds."""
+    """Advances the commit index to the newest entry of the own term that is durable at a commit quorum."""
     matches = {
-        identity: follower.match
+        identity: follower.match_index
         for identity, follower in replica.followers.items()
         if identity not in replica.learners
     }
-    matches[replica.identity] = replica.durable
+    matches[replica.identity] = replica.durable_index
     for index in sorted(set(matches.values()), reverse=True):
         if index <= replica.committed or replica.term_at(index) != replica.term:
             break
-        holders = {identity for identity, match in matches.items() if match >= index}
-        if replica.membership.commits(holders, replica.identity):
+        acknowledged_by = {identity for identity, match in matches.items() if match >= index}
+        if replica.membership.commits(acknowledged_by, replica.identity):
             commit_to(replica, index, now)
-            known_leader.remember(replica, replica.identity, replica.term)
+            known_leader.record(replica, replica.identity, replica.term)
             break
 
 
 def commit_to(replica: Consensus, index: int, now: float) -> None:
-    """Takes an entry and all before it for committed. A backlog that is under way goes on by ticks."""
-    committing = replica.commit < replica.committed
+    """Marks the entry at `index` and all before it as committed, and delivers the first slice.
+
+    If a backlog is being delivered already, the entries follow with later ticks.
+    """
+    delivering = replica.commit < replica.committed
     replica.committed = max(replica.committed, index)
-    if not committing:
-        commit_slice(replica, now)
+    if not delivering:
+        deliver_slice(replica, now)
+
 
+def deliver_slice(replica: Consensus, now: float) -> None:
+    """Delivers the next committed entries, as many as one step may deliver.
 
-def commit_slice(replica: Consensus, now: float) -> None:
-    """Commits as much as one step may take: a restarted member has all since its base to apply, and
-    must go on sending heartbeats and answering meanwhile, or others take its place.
+    A restarted member has to apply all entries since its base. It must send heartbeats and answer messages
+    in the meantime, or it would lose its leadership.
     """
     start = replica.commit + 1
     entries, _ = replica.log.slice_from(start, constants.COMMIT_ENTRIES, constants.COMMIT_BYTES)
@@ -59,11 +64,11 @@
     if replica.membership.coming is not None:
         _leave_joint_membership(replica, replica.membership.coming, now)
     else:
-        _end_change(replica, now)
+        _finish_change(replica, now)
 
 
 def _leave_joint_membership(replica: Consensus, quorum: Quorum, now: float) -> None:
-    """The joint membership is committed: the coming one alone is next (section 8)."""
+    """Appends the coming membership alone, as the joint one is committed now (section 8)."""
     coming = Membership(quorum)
     replica.event(131)
     entry = (replica.term, 0.0, ("members", coming.image()))
@@ -71,17 +76,17 @@
     replication.replicate_all(replica, now)
 
 
-def _end_change(replica: Consensus, now: float) -> None:
-    """The membership is committed alone: who is not in it is sent nothing more."""
+def _finish_change(replica: Consensus, now: float) -> None:
+    """Finishes a membership change: replication to removed members ends, and a removed leader steps down."""
     members = replica.membership.members()
-    gone = [
+    removed_members = [
         identity
         for identity in replica.followers
         if identity not in members and identity not in replica.learners
     ]
-    for identity in gone:
+    for identity in removed_members:
         del replica.followers[identity]
-    if gone:
+    if removed_members:
         replica.event(132, members=sorted(members))
     if replica.identity not in members:
-        replica.follow(replica.term, now, "no longer a member")
+        replica.become_follower(replica.term, now, "no longer a member")
--- a/src/pinepitch/consensus/election.py
+++ b/src/pinepitch/consensus/election.py
@@ -1,7 +1,8 @@
-"""Elections: pre-votes and votes, asked for, given and counted.
+"""Elections: requesting, granting and counting pre-votes and votes.
 
-Who is elected is decided by Algorithms 1 and 2 in `quorum`; here are the messages, what a voter grants and
-the times. Pre-vote: section 8. docs/design/elections.md has the reasons.
+Algorithms 1 and 2 in `quorum` decide whether a candidate is elected. This module has the message handlers,
+the rules by which a voter grants a vote, and the timing. Pre-vote is described in section 8.
+docs/design/elections.md gives the reasons for the rules.
 """
 
 from __future__ import annotations
@@ -28,32 +29,37 @@
     from .replica import Consensus
 
 
-# --- the candidate's part -------------------------------------------------------------
-def campaign(replica: Consensus, role: Role, now: float, released: int = 0) -> None:
-    """Begins an election; `released` is the term whose leader gave up its lease for it, if one did."""
-    replica.role, replica.replies, replica.released = role, {}, released
-    replica.reset_election(now)
+# --- candidate ------------------------------------------------------------------------
+def campaign(replica: Consensus, role: Role, now: float, released_term: int = 0) -> None:
+    """Starts a pre-vote or an election, by `role`.
+
+    `released_term` is the term whose leader gave up its lease in favour of this candidate, or 0.
+    """
+    replica.role, replica.replies, replica.released_term = role, {}, released_term
+    replica.reset_election_timer(now)
     term = replica.term + 1
     replica.following = None
     if role == CANDIDATE:
         replica.term = term
         replica.history[term] = replica.identity
-        replica.hard_dirty = True
+        replica.hard_state_dirty = True
     replica.event(121 if role == CANDIDATE else 120, campaign=term)
-    replica.replies[replica.identity] = _reply(replica, True)
-    ask_votes(replica, now)
+    replica.replies[replica.identity] = _make_reply(replica, True)
+    request_votes(replica, now)
     count_votes(replica, now)
 
 
-def ask_votes(replica: Consensus, now: float) -> None:
-    """Asks for what the campaign under way needs, and again until the time-out: a request or its
-    answer may get lost, and a voter that still waits for a lease to end grants a moment later.
+def request_votes(replica: Consensus, now: float) -> None:
+    """Sends the vote requests of the current campaign to all other voters, and schedules the next attempt.
+
+    Requests are repeated until the election timeout, because a request or a reply may get lost, and because
+    a voter that waits for a lease to expire may grant a later request.
     """
-    replica.ask_at = now + constants.VOTE_AGAIN * (0.5 + replica.random.random())
+    replica.next_vote_request_at = now + constants.VOTE_AGAIN * (0.5 + replica.random.random())
     request = _vote_request(replica)
     for identity in replica.membership.members():
         if identity != replica.identity:
-            replica.send(identity, request, replica.after_flush())
+            replica.send(identity, request, replica.flush_sequence())
 
 
 def _vote_request(replica: Consensus) -> PreVoteRequest | VoteRequest | TakeoverRequest:
@@ -61,16 +67,17 @@
     last_term = replica.term_at(last_index)
     assert last_term is not None
     term = replica.term if replica.role == CANDIDATE else replica.term + 1
-    if replica.released:
-        return TakeoverRequest(term, last_index, last_term, replica.released)
+    if replica.released_term:
+        return TakeoverRequest(term, last_index, last_term, replica.released_term)
     if replica.role == CANDIDATE:
         return VoteRequest(term, last_index, last_term)
     return PreVoteRequest(term, last_index, last_term)
 
 
 def count_votes(replica: Consensus, now: float) -> None:
-    """Goes on to the next step of the election that the replies allow. A candidate leads only once its
-    own vote is durable.
+    """Counts the replies and takes the next step of the election that they allow.
+
+    A candidate becomes leader only once its own vote is durable.
     """
     term = replica.term if replica.role == CANDIDATE else replica.term + 1
     result = replica.membership.elects(
@@ -79,79 +86,87 @@
     if result.satisfied:
         if replica.role == PRE_CANDIDATE:
             campaign(replica, CANDIDATE, now)
-        elif replica.hard_sequence <= replica.saved_sequence and not replica.hard_dirty:
+        elif replica.hard_state_sequence <= replica.saved_sequence and not replica.hard_state_dirty:
             become_leader(replica, now)
     elif replica.role == CANDIDATE and not result.possible:
-        # the votes were split: nobody may have won, so it asks for pre-votes anew soon
+        # The votes were split, and perhaps nobody has won: start a new pre-vote soon.
         again_at = now + constants.RESTART_JITTER * replica.random.random()
         assert replica.election_at is not None
         replica.election_at = min(replica.election_at, again_at)
 
 
 def become_leader(replica: Consensus, now: float) -> None:
-    """Leads the present term: begins with an entry of its own, which commits all before it."""
+    """Becomes the leader of the current term and appends a no-op entry.
+
+    Committing that entry commits all entries before it.
+    """
     replica.role = LEADER
     replica.following = replica.identity
     if known_leader.counts_at_once(replica):
-        known_leader.remember(replica, replica.identity, replica.term)
-    replica.hard_dirty = True
+        known_leader.record(replica, replica.identity, replica.term)
+    replica.hard_state_dirty = True
     replica.followers = {
         identity: Follower(replica.last_index(), now)
         for identity in replica.membership.members()
         if identity != replica.identity
     }
-    replica.heartbeat = 0
-    replica.reads_now, replica.reads_next, replica.round = [], [], None
+    replica.heartbeat_number = 0
+    replica.confirming_reads, replica.queued_reads, replica.read_round = [], [], None
     replica.event(122, groups=len(replica.membership.now.groups()))
     replica.effects.append(BecomeLeader(replica.term))
     log_changes.append(replica, [(replica.term, 0.0, ("noop",))], replica.last_index() + 1)
-    learners = replica.inherited_learners if replica.released else {}
+    learners = replica.inherited_learners if replica.released_term else {}
     replica.inherited_learners = {}
     for identity, zone in learners.items():
-        membership_change.learn(replica, identity, zone, now)
+        membership_change.add_learner(replica, identity, zone, now)
     replication.broadcast(replica, now)
 
 
 def on_pre_vote_reply(replica: Consensus, sender: str, message: PreVoteReply, now: float) -> None:
-    """Counts a reply to the pre-vote under way."""
+    """Counts a reply to the current pre-vote."""
     if replica.role == PRE_CANDIDATE and message.term == replica.term + 1:
-        _take_reply(replica, sender, message, now)
+        _count_reply(replica, sender, message, now)
 
 
 def on_vote_reply(replica: Consensus, sender: str, message: VoteReply, now: float) -> None:
-    """Counts a reply to the election under way."""
+    """Counts a reply to the current election."""
     if replica.role == CANDIDATE and message.term == replica.term:
-        _take_reply(replica, sender, message, now)
+        _count_reply(replica, sender, message, now)
 
 
-def _take_reply(replica: Consensus, sender: str, message: PreVoteReply | VoteReply, now: float) -> None:
+def _count_reply(replica: Consensus, sender: str, message: PreVoteReply | VoteReply, now: float) -> None:
     _, granted, leader, leader_term, history = message
     replica.replies[sender] = Reply(granted, leader, leader_term, dict(history))
     count_votes(replica, now)
 
 
 def on_newer_term(replica: Consensus, sender: str, message: NewerTerm, now: float) -> None:
-    """Another replica's term is newer than what this one sent."""
+    """Adopts the newer term of another replica."""
     if message.term > replica.term:
-        replica.follow(message.term, now, "behind")
+        replica.become_follower(message.term, now, "behind")
 
 
 def on_removed(replica: Consensus, sender: str, message: RemovedNotice, now: float) -> None:
-    """A member that serves under a leader says that this one was replaced."""
-    knows = sender in replica.membership.members() and message.commit > replica.membership_index
-    if knows and replica.role != LEADER:
+    """Handles a member's report that this replica was removed from the cluster."""
+    sender_is_current = (
+        sender in replica.membership.members() and message.commit_index > replica.membership_index
+    )
+    if sender_is_current and replica.role != LEADER:
         replica.removed = True
         if replica.role != FOLLOWER:
-            replica.follow(replica.term, now, "stranger")
+            replica.become_follower(replica.term, now, "stranger")
 
 
-# --- the voter's part -----------------------------------------------------------------
-def _reply(replica: Consensus, granted: bool) -> Reply:
+# --- voter ----------------------------------------------------------------------------
+def _make_reply(replica: Consensus, granted: bool) -> Reply:
     return Reply(granted, replica.last_known_leader, replica.last_known_term, dict(replica.history))
 
 
-def is_current(replica: Consensus, last_index: int, last_term: int) -> bool:
-    """Whether a log that ends so holds all that this one may have committed."""
+def is_up_to_date(replica: Consensus, last_index: int, last_term: int) -> bool:
+    """Whether a log whose newest entry is given is at least as up to date as this replica's.
+
+    Such a log has every entry that this replica may know to be committed.
+    """
     own_index = replica.last_index()
     own_term = replica.term_at(own_index)
     assert own_term is not None
@@ -159,39 +174,46 @@
 
 
 def on_pre_vote(replica: Consensus, sender: str, message: PreVoteRequest, now: float) -> None:
-    """Says whether a vote would be given; not while a leader is near."""
+    """Answers a pre-vote request: whether this replica would vote for the sender.
+
+    It would not while it hears from a leader. A sender that is not a member is notified that it was removed.
+    """
     term, last_index, last_term = message
-    near = replica.leader_near(now)
-    if near and sender not in replica.membership.members():
+    leader_recent = replica.leader_near(now)
+    if leader_recent and sender not in replica.membership.members():
         replica.send(sender, RemovedNotice(replica.term, replica.commit))
         return
     if term <= replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
-    granted = is_current(replica, last_index, last_term) and not near
-    replica.send(sender, PreVoteReply(term, *_reply(replica, granted)), replica.hard_sequence)
+    granted = is_up_to_date(replica, last_index, last_term) and not leader_recent
+    replica.send(sender, PreVoteReply(term, *_make_reply(replica, granted)), replica.hard_state_sequence)
 
 
 def on_vote(replica: Consensus, sender: str, message: VoteRequest, now: float) -> None:
-    """Answers a vote request; not beside a leader that was heard."""
+    """Answers a vote request, unless another leader was heard within the election timeout."""
     term, last_index, last_term = message
     if term < replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
     if replica.leader_near(now) and sender != replica.following:
-        return  # it won its pre-vote before the leader was heard again, whose lease stands on that
+        # The sender won its pre-vote before the leader was heard again. The leader's lease relies on this
+        # replica not to vote now.
+        return
     _answer_vote(replica, sender, term, last_index, last_term, now)
 
 
 def on_takeover(replica: Consensus, sender: str, message: TakeoverRequest, now: float) -> None:
-    """A vote asked for by a candidate whom the leader of the term `released` named: that leader, and
-    every older one, relies on its lease no more; a newer one may.
+    """Answers a vote request of a candidate that the leader of `released_term` named its successor.
+
+    Neither that leader nor an older one relies on a lease any longer. A newer leader may still do so, and
+    then the request is ignored.
     """
-    term, last_index, last_term, released = message
+    term, last_index, last_term, released_term = message
     if term < replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
-    if replica.leader_near(now) and known_leader.newest_term(replica) > released:
+    if replica.leader_near(now) and known_leader.newest_term(replica) > released_term:
         return
     _answer_vote(replica, sender, term, last_index, last_term, now)
 
@@ -200,14 +222,18 @@
     replica: Consensus, sender: str, term: int, last_index: int, last_term: int, now: float
 ) -> None:
     if term > replica.term:
-        replica.follow(term, now, "newer term")
-    choice = replica.history.get(term)
-    led = known_leader.newest_term(replica) >= term
-    granted = not led and is_current(replica, last_index, last_term) and choice in (None, sender)
-    if granted and choice is None:
+        replica.become_follower(term, now, "newer term")
+    voted_for = replica.history.get(term)
+    leader_known = known_leader.newest_term(replica) >= term
+    granted = (
+        not leader_known and is_up_to_date(replica, last_index, last_term) and voted_for in (None, sender)
+    )
+    if granted and voted_for is None:
         replica.history[term] = sender
-        replica.hard_dirty = True
-        replica.reset_election(now)
+        replica.hard_state_dirty = True
+        replica.reset_election_timer(now)
         replica.event(124, candidate=sender)
-    durable_at = max(replica.after_flush() if replica.hard_dirty else 0, replica.hard_sequence)
-    replica.send(sender, VoteReply(term, *_reply(replica, granted)), durable_at)
+    save_sequence = max(
+        replica.flush_sequence() if replica.hard_state_dirty else 0, replica.hard_state_sequence
+    )
+    replica.send(sender, VoteReply(term, *_make_reply(replica, granted)), save_sequence)
--- a/src/pinepitch/consensus/following.py
+++ b/src/pinepitch/consensus/following.py
@@ -1,4 +1,4 @@
-"""A follower's part: the leader's heartbeats and entries."""
+"""Handling of the leader's heartbeats and entries by a follower."""
 
 from __future__ import annotations
 
@@ -12,80 +12,84 @@
     from .replica import Consensus
 
 
-def hear_leader(replica: Consensus, sender: str, term: int, now: float) -> None:
-    """Takes `sender` for the leader of `term`."""
+def accept_leader(replica: Consensus, sender: str, term: int, now: float) -> None:
+    """Accepts `sender` as the leader of `term`."""
     if term > replica.term or replica.role != FOLLOWER:
-        replica.follow(term, now, "leader heard")
+        replica.become_follower(term, now, "leader heard")
     replica.following = sender
     replica.removed = False
-    replica.heard_leader = now
-    replica.reset_election(now)
-    replica.heard_term = term
+    replica.leader_heard_at = now
+    replica.reset_election_timer(now)
+    replica.newest_heard_term = term
     if known_leader.counts_at_once(replica):
-        known_leader.remember(replica, sender, term)
+        known_leader.record(replica, sender, term)
 
 
 def on_append(replica: Consensus, sender: str, message: AppendEntries, now: float) -> None:
-    """Takes entries that fit the log; acknowledges what is durable, later what is not durable yet."""
-    term, previous, previous_term, entries, commit, heartbeat = message
+    """Appends the leader's entries if they fit the log.
+
+    Durable entries are acknowledged at once, others as soon as they are durable.
+    """
+    term, previous_index, previous_term, entries, leader_commit, heartbeat = message
     if term < replica.term:
-        replica.send(sender, NewerTerm(replica.term), replica.hard_sequence)
+        replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
-    hear_leader(replica, sender, term, now)
-    if previous == 0 and previous_term == 0 and not entries and commit == 0:
-        replica.send(sender, AppendReply(term, True, None, heartbeat), replica.hard_wait())
+    accept_leader(replica, sender, term, now)
+    if previous_index == 0 and previous_term == 0 and not entries and leader_commit == 0:
+        replica.send(sender, AppendReply(term, True, None, heartbeat), replica.hard_state_save_sequence())
         return
-    last = previous + len(entries)
+    last = previous_index + len(entries)
     if last <= replica.base_index:
         _acknowledge(replica, sender, last, heartbeat)
         return
-    if previous < replica.base_index:
-        entries = entries[replica.base_index - previous :]
-        previous, previous_term = replica.base_index, replica.base_term
-    stored = replica.term_at(previous)
-    if stored is None or stored != previous_term:
-        hint = _agreeing_index(replica, previous, stored)
-        replica.send(sender, AppendReply(term, False, hint, heartbeat), replica.hard_wait())
+    if previous_index < replica.base_index:
+        entries = entries[replica.base_index - previous_index :]
+        previous_index, previous_term = replica.base_index, replica.base_term
+    stored_term = replica.term_at(previous_index)
+    if stored_term is None or stored_term != previous_term:
+        hint = _next_index_hint(replica, previous_index, stored_term)
+        replica.send(sender, AppendReply(term, False, hint, heartbeat), replica.hard_state_save_sequence())
         return
-    if _take_entries(replica, previous, entries):
-        replica.send(sender, AppendReply(term, True, last, heartbeat), replica.after_flush())
+    if _store_entries(replica, previous_index, entries):
+        replica.send(sender, AppendReply(term, True, last, heartbeat), replica.flush_sequence())
     else:
         _acknowledge(replica, sender, last, heartbeat)
-    up_to = min(commit, last)
-    if up_to > replica.committed:
-        commitment.commit_to(replica, up_to, now)
-    known_leader.remember_committed(replica, sender, term)
+    commit_limit = min(leader_commit, last)
+    if commit_limit > replica.committed:
+        commitment.commit_to(replica, commit_limit, now)
+    known_leader.record_if_committed(replica, sender, term)
 
 
 def _acknowledge(replica: Consensus, sender: str, last: int, heartbeat: int) -> None:
-    """Acknowledges what is durable of the entries up to `last`."""
-    reply = AppendReply(replica.term, True, min(last, replica.durable), heartbeat)
-    replica.send(sender, reply, replica.hard_wait())
+    """Acknowledges those entries up to `last` that are durable."""
+    reply = AppendReply(replica.term, True, min(last, replica.durable_index), heartbeat)
+    replica.send(sender, reply, replica.hard_state_save_sequence())
 
 
-def _agreeing_index(replica: Consensus, previous: int, stored: int | None) -> int:
-    """An entry before `previous` for the leader to try next; a term that conflicts is passed over whole."""
-    hint = min(previous - 1, replica.last_index())
-    if stored is not None:
-        while hint > replica.commit and replica.term_at(hint) == stored:
+def _next_index_hint(replica: Consensus, previous_index: int, stored_term: int | None) -> int:
+    """An index below `previous_index` for the leader to try next; skips all of a conflicting term."""
+    hint = min(previous_index - 1, replica.last_index())
+    if stored_term is not None:
+        while hint > replica.commit and replica.term_at(hint) == stored_term:
             hint -= 1
     return max(hint, replica.commit)
 
 
-def _take_entries(replica: Consensus, previous: int, entries: Any) -> bool:
-    """Adds what the log lacks of the entries after `previous`, in place of what conflicts; whether it
-    lacked any. Entries from the wire are lists.
+def _store_entries(replica: Consensus, previous_index: int, entries: Any) -> bool:
+    """Appends those of the entries after `previous_index` that the log lacks, replacing conflicting ones.
+
+    Returns whether the log lacked any. Entries from the wire are lists.
     """
     for position, entry in enumerate(entries):
-        index = previous + 1 + position
-        own = replica.term_at(index)
-        if own is not None and own == entry[0]:
+        index = previous_index + 1 + position
+        own_term = replica.term_at(index)
+        if own_term is not None and own_term == entry[0]:
             continue
-        if own is not None:
+        if own_term is not None:
             if index <= replica.committed:
-                raise AssertionError(f"entry {index} is committed and conflicts")
+                raise AssertionError(f"entry {index} is committed but conflicts with the leader's entry")
             log_changes.truncate(replica, index)
-        fresh = [(term, time, tuple(operation)) for term, time, operation in entries[position:]]
-        log_changes.append(replica, fresh, index)
+        new_entries = [(term, time, tuple(operation)) for term, time, operation in entries[position:]]
+        log_changes.append(replica, new_entries, index)
         return True
     return False
--- a/src/pinepitch/consensus/leadership_transfer.py
+++ b/src/pinepitch/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer: a leader that stops lets a voter take over (docs/design/elections.md)."""
+"""Leadership transfer: a stopping leader lets another voter take over (docs/design/elections.md)."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     from .replica import Consensus
 
 
-class Handover(NamedTuple):
-    """A leader's intent to let `target` lead. Until then it leads on; after `until` it just stands down.
+class PendingTransfer(NamedTuple):
+    """A leadership transfer to `target` that is in progress; at `until` the leader steps down regardless.
 
-    Invariant: leadership, and with it the lease, is given up before the target hears of it.
+    Invariant: the leader gives up leadership, and with it the lease, before it notifies the target.
     """
 
     target: str
@@ -24,45 +24,45 @@
 
 
 def begin(replica: Consensus, candidates: set[str], now: float) -> None:
-    """Chooses a successor among `candidates`; with none stands down at once."""
+    """Starts a transfer to a successor among `candidates`; steps down at once if there is none."""
     target = _successor(replica, candidates, now)
     if target is None:
-        replica.follow(replica.term, now, "stopping")
+        replica.become_follower(replica.term, now, "stopping")
         return
-    replica.handover = Handover(target, now + constants.HANDOVER_WITHIN)
+    replica.handover = PendingTransfer(target, now + constants.HANDOVER_WITHIN)
     replication.replicate_all(replica, now)
-    try_handover(replica, now)
+    try_complete(replica, now)
 
 
 def _successor(replica: Consensus, candidates: set[str], now: float) -> str | None:
-    """The voter of every list in force, heard lately, that holds most of the log; None without one."""
+    """The recently heard voter of every list in force that has most of the log, or None."""
     quorums = replica.membership.quorums()
-    able = [
-        (follower.match, identity)
+    eligible = [
+        (follower.match_index, identity)
         for identity, follower in replica.followers.items()
         if identity in candidates
         and all(identity in quorum.members for quorum in quorums)
         and now - follower.heard_at <= constants.LEADER_LEASE
-        and not follower.forgot
+        and not follower.lost_entries
     ]
-    return max(able)[1] if able else None
+    return max(eligible)[1] if eligible else None
 
 
-def try_handover(replica: Consensus, now: float) -> None:
-    """Gives leadership up in favour of the successor once it holds all, and all is committed."""
+def try_complete(replica: Consensus, now: float) -> None:
+    """Steps down in favour of the successor once it has the whole log and all of it is committed."""
     assert replica.handover is not None
     target, last = replica.handover.target, replica.last_index()
     follower = replica.followers.get(target)
-    if follower is None or follower.match < last or replica.commit < last:
+    if follower is None or follower.match_index < last or replica.commit < last:
         return
     learners = dict(replica.learners)
-    replica.follow(replica.term, now, "handed over")
-    replica.send(target, LeadershipTransfer(replica.term, learners), replica.hard_sequence)
+    replica.become_follower(replica.term, now, "handed over")
+    replica.send(target, LeadershipTransfer(replica.term, learners), replica.hard_state_sequence)
 
 
 def on_transfer(replica: Consensus, sender: str, message: LeadershipTransfer, now: float) -> None:
-    """The leader of this term gave up its lease and names this voter its successor."""
+    """Campaigns at once, because the leader of this term gave up its lease in favour of this voter."""
     newest = known_leader.is_newest(replica, sender, message.term)
     if message.term == replica.term and newest and replica.may_campaign(now) and replica.role == FOLLOWER:
         replica.inherited_learners = dict(message.learners)
-        election.campaign(replica, CANDIDATE, now, released=message.term)
+        election.campaign(replica, CANDIDATE, now, released_term=message.term)
--- a/src/pinepitch/simulation/second_loss/injected_faults.py
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -20,16 +20,16 @@
     """Names a successor and goes on serving under its lease."""
     target = replica.handover.target
     follower = replica.followers.get(target)
-    if follower is not None and follower.match >= replica.last_index() <= replica.commit:
-        replica.send(target, messages.LeadershipTransfer(replica.term, {}), replica.hard_sequence)
+    if follower is not None and follower.match_index >= replica.last_index() <= replica.commit:
+        replica.send(target, messages.LeadershipTransfer(replica.term, {}), replica.hard_state_sequence)
         replica.handover = None
 
 
 def _stands_down(self: Any, candidates: Any, now: float) -> Any:
     """Gives leadership up without a successor."""
     if self.role == "leader":
-        self.follow(self.term, now, "stopping")
-    return self.done(now)
+        self.become_follower(self.term, now, "stopping")
+    return self.take_effects(now)
 
 
 def _old_list_alone(self: Any, identities: Any, leader: Any) -> Any:
@@ -82,7 +82,7 @@
 original_wanted = MembershipChanges._wanted_members
 original_append_reply = acknowledgements.on_append_reply
 INJECTED_FAULTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "serves-on": [(leadership_transfer, "try_handover", _serves_on)],
+    "serves-on": [(leadership_transfer, "try_complete", _serves_on)],
     "no-successor": [(Consensus, "transfer_leadership", _stands_down)],
     "old-list-alone": [(Membership, "commits", _old_list_alone)],
     "no-heir": [(membership, "successor", _no_heir)],
