--- a/features/steps/archive.py
+++ b/features/steps/archive.py
@@ -152,9 +152,9 @@
     kept = [identity for identity in context.was if record.pushed_job(identity) is not None]
     assert 1000 <= len(kept) < len(context.was) and record.archive.retired
     archive = record.archive
-    assert len(archive.place) <= record.count - archive.place_from + 1 and archive.place[0], (
-        archive.place_from
-    )
+    assert (
+        len(archive.segment_of_job) <= record.count - archive.first_job + 1 and archive.segment_of_job[0]
+    ), archive.first_job
     assert len(archive.keys) == archive.count == len(kept) - len(record.pushed_jobs), (
         len(archive.keys),
         archive.count,
--- a/src/pinepitch/state/image_codec.py
+++ b/src/pinepitch/state/image_codec.py
@@ -1,9 +1,9 @@
 """The image: the encoded form of the cluster state in a snapshot.
 
-The order of the fields is that of stored data: fields are neither moved nor taken out. Replicas that applied
-the same entries encode the same bytes: hash maps (`immutables.Map`), whose order each process decides for
-itself, are written in the order of their keys; plain dicts, whose order is that of the entries that filled
-them and is kept by decoding, in their own.
+The order of the fields is part of the stored format: fields are never moved or removed. Replicas that
+applied the same entries encode the same bytes. Hash maps (`immutables.Map`) iterate in an order that differs
+between processes, so they are written in the order of their keys. Plain dicts iterate in insertion order,
+which the entries determine and decoding preserves, so they are written in that order.
 """
 
 import hashlib
@@ -28,14 +28,14 @@
 
 
 class EncodedImage(NamedTuple):
-    """The bytes of an image, and the digest by which members compare theirs."""
+    """The bytes of an image, and the digest with which members compare their images."""
 
     data: bytes
     digest: str
 
 
 def image_of(state: "ClusterState") -> Image:
-    """The image of a state, as a value that later changes leave alone."""
+    """The image of a state: a value that later changes of the state do not affect."""
     return (
         state.time,
         state.index,
@@ -63,12 +63,12 @@
 
 def encode(image: Image) -> bytes:
     """The bytes of an image."""
-    data: bytes = cbor2.dumps([_ordered(field) for field in image])
+    data: bytes = cbor2.dumps([_sorted_maps(field) for field in image])
     return data
 
 
-def _ordered(field: Any) -> Any:
-    """A field of an image with its hash maps, and those of the jobs in it, in the order of their keys."""
+def _sorted_maps(field: Any) -> Any:
+    """A field of an image in which a hash map, and the hash maps of jobs in it, are dicts sorted by key."""
     if not isinstance(field, immutables.Map):
         return field
     return {
@@ -78,18 +78,18 @@
 
 
 def digest_of(data: bytes) -> str:
-    """The digest of an encoded image: SHA-256, in hexadecimal digits."""
+    """The SHA-256 digest of an encoded image, in hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
 def encode_with_digest(image: Image) -> EncodedImage:
-    """The bytes of an image with their digest."""
+    """The bytes of an image and their digest."""
     data = encode(image)
     return EncodedImage(data, digest_of(data))
 
 
 def decode_into(state: "ClusterState", data: bytes, segments: dict[int, bytes] | None) -> None:
-    """Fills a new state from the bytes of an image and the archive's segments it stands on."""
+    """Fills a new state from the bytes of an image and the archive segments that the image refers to."""
     (
         state.time,
         state.index,
@@ -108,42 +108,43 @@
         state.draft_count,
         marks,
         sample,
-        lines,
+        segment_summaries,
         approval_pauses,
         leased_jobs,
         state.level,
     ) = cbor2.loads(data)
     state.leased_jobs = LeasedJobState.from_image(leased_jobs)
-    state.approval_pauses = {alert: tuple(one) for alert, one in approval_pauses.items()}
-    state.archive = Archive(lines, segments)
+    state.approval_pauses = {alert: tuple(pause) for alert, pause in approval_pauses.items()}
+    state.archive = Archive(segment_summaries, segments)
     state.sample = Sample(sample)
     state.marks = ChangeWatermarks(*marks)
-    state.pushed_jobs = immutables.Map({one: job_of_image(image) for one, image in jobs.items()})
+    state.pushed_jobs = immutables.Map({identity: job_of_image(image) for identity, image in jobs.items()})
     state.keys = immutables.Map(keys)
-    state.finished = [tuple(one) for one in finished]
+    state.finished = [tuple(pair) for pair in finished]
     state.queue_configurations = ConfigurationHistory(queue_configurations)
-    state.epochs = {role: tuple(one) for role, one in epochs.items()}
-    state.withdrawn = {worker: tuple(one) for worker, one in withdrawn.items()}
+    state.epochs = {role: tuple(epoch) for role, epoch in epochs.items()}
+    state.withdrawn = {worker: tuple(withdrawal) for worker, withdrawal in withdrawn.items()}
     state.drafts = immutables.Map(drafts)
 
 
 def job_of_image(image: list[Any]) -> PushedJob:
-    """The pushed job of a decoded image of it, from a snapshot or from the archive."""
+    """The pushed job from its decoded image, as stored in a snapshot or in the archive."""
     job = PushedJob(*image)
     tasks = {}
-    for name, one in job.tasks.items():
-        task = Task(*one)
+    for name, fields in job.tasks.items():
+        task = Task(*fields)
         tasks[name] = task._replace(labels=tuple(task.labels), after=tuple(task.after))
     standings = {}
-    for name, fields in job.standings.items():
-        standing = Standing(*fields)
+    for name, standing_fields in job.standings.items():
+        standing = Standing(*standing_fields)
         standings[name] = standing._replace(
-            charges=_pairs(standing.charges),
+            charges=_tuples(standing.charges),
             placed_under=tuple(standing.placed_under),
-            past=tuple((*run[:6], tuple(run[6]), _pairs(run[7])) for run in standing.past),
+            past=tuple((*attempt[:6], tuple(attempt[6]), _tuples(attempt[7])) for attempt in standing.past),
         )
     return job._replace(tasks=tasks, standings=immutables.Map(standings))
 
 
-def _pairs(lists: Any) -> tuple[tuple[Any, ...], ...]:
-    return tuple(tuple(one) for one in lists)
+def _tuples(lists: Any) -> tuple[tuple[Any, ...], ...]:
+    """A list of lists as a tuple of tuples."""
+    return tuple(tuple(item) for item in lists)
--- a/src/pinepitch/state/pushed_job_operations.py
+++ b/src/pinepitch/state/pushed_job_operations.py
@@ -77,7 +77,7 @@
     if identity is not None:
         known_digest = state.pushed_jobs[identity].digest
     else:
-        image = state.archive.known(key)
+        image = state.archive.find_by_key(key)
         if image is None:
             return None
         identity, known_digest = image[0], image[2]
