--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -184,7 +184,7 @@
     """Forgets all but the newest versions."""
     original_add(self, *line)
     if len(self.lines) > 4:
-        self.lines[2] = self.lines[2]._replace(why="forgotten")
+        self.lines[2] = self.lines[2]._replace(reason="forgotten")
 
 
 original_add = configuration_history.ConfigurationHistory.add
@@ -226,7 +226,7 @@
     "gangs-apart": _tasks(gang=""),
     "base-ignored": [(configuration_operations, "apply_change", _no_base)],
     "refused-takes-effect": [(configuration_operations, "apply_change", _takes_refused)],
-    "change-not-kept": [(configuration_operations, "put_in_force", _forgetful)],
+    "change-not-kept": [(configuration_operations, "activate_configuration", _forgetful)],
     "news-kept-back": [(FrontUpdates, "_update_version", lambda self: (self.core.consensus.term, 0))],
     "failed-counts-as-done": [(ending_operations, "conclude_attempt", _as_if_done)],
     "lost-is-tried-again": [(ending_operations, "conclude_attempt", _repeats_lost)],
--- a/src/pinepitch/state/change_watermarks.py
+++ b/src/pinepitch/state/change_watermarks.py
@@ -1,8 +1,9 @@
-"""What came of the newest changes, by mark, so that one that is forwarded again counts once.
+"""Outcomes of the newest changes, by token, so that a change that is forwarded again is applied once.
 
-A mark is the token of the daemon that forwards the change: which daemon, in which incarnation, and
-a number that rises. Of the older ones it is remembered up to which number each has been forgotten:
-a change that may have been made is then neither made again nor refused.
+A token is made by the daemon that forwards a change. It names the daemon and its incarnation, followed
+by an increasing number. For older changes only a watermark per forwarder is stored: the highest number
+whose outcome was dropped. A change up to that number may have been applied before, so it is neither
+applied again nor reported as refused.
 """
 
 import re
@@ -13,23 +14,23 @@
 from .outcomes import Outcome
 
 FORGOTTEN: Outcome = ("forgotten",)
-_PARTS = re.compile(r"(.*?)([0-9]*)")
+_TOKEN = re.compile(r"(.*?)([0-9]*)")
 
 
-def _parts(mark: str) -> tuple[str, int]:
-    """(who forwards it, number) of a mark."""
-    found = _PARTS.fullmatch(mark)
-    if found is None:
-        raise ValueError(f"{mark!r} is no mark")
-    forwarder, number = found.groups()
+def _split(token: str) -> tuple[str, int]:
+    """(forwarder, number) of a token; ValueError if it has another form."""
+    match = _TOKEN.fullmatch(token)
+    if match is None:
+        raise ValueError(f"{token!r} is not a change token")
+    forwarder, number = match.groups()
     return forwarder, int(number or 0)
 
 
 class ChangeWatermarks:
-    """Which changes were made already.
+    """The changes that were already applied.
 
-    Invariants: outcomes holds the newest MARKS_KEPT marks, oldest first; forgotten holds, for the
-    MARKS_KEPT forwarders of which a mark was dropped last, the highest number dropped.
+    Invariants: outcomes maps the newest MARKS_KEPT tokens to their outcomes, oldest first. forgotten
+    maps the MARKS_KEPT forwarders that most recently had a token dropped to the highest number dropped.
     """
 
     def __init__(
@@ -37,35 +38,40 @@
         outcomes: Mapping[str, Iterable[Any]] | Iterable[tuple[str, Iterable[Any]]] = (),
         forgotten: Mapping[str, int] | Iterable[tuple[str, int]] = (),
     ) -> None:
-        self.outcomes: dict[str, Outcome] = {mark: tuple(outcome) for mark, outcome in dict(outcomes).items()}
+        self.outcomes: dict[str, Outcome] = {
+            token: tuple(outcome) for token, outcome in dict(outcomes).items()
+        }
         self.forgotten: dict[str, int] = dict(forgotten)
 
     def image(self) -> tuple[dict[str, Outcome], dict[str, int]]:
-        """A value that later changes leave alone."""
+        """A value that later changes of this object do not affect."""
         return (dict(self.outcomes), dict(self.forgotten))
 
-    def outcome(self, mark: str) -> Outcome | None:
-        """What came of a change before, FORGOTTEN where that can't be told, None if it is new."""
-        if mark in self.outcomes:
-            return self.outcomes[mark]
+    def outcome(self, token: str) -> Outcome | None:
+        """The outcome of a change; FORGOTTEN if that may have been dropped; None if the change is new."""
+        if token in self.outcomes:
+            return self.outcomes[token]
         if not self.forgotten:
             return None
-        forwarder, number = _parts(mark)
+        forwarder, number = _split(token)
         return FORGOTTEN if number <= self.forgotten.get(forwarder, -1) else None
 
-    def keep(self, mark: str, outcome: Outcome, track_forgotten: bool) -> None:
-        """Remembers an outcome and drops the oldest; `track_forgotten` says whether it is noted
-        up to which number, as it is once all members know level 3.
+    def record(self, token: str, outcome: Outcome, track_forgotten: bool) -> None:
+        """Stores an outcome and drops the oldest ones above MARKS_KEPT.
+
+        `track_forgotten` says whether the watermarks of dropped tokens are stored, as they are once
+        all members know level 3.
         """
-        self.outcomes[mark] = outcome
+        self.outcomes[token] = outcome
         while len(self.outcomes) > constants.MARKS_KEPT:
             oldest = next(iter(self.outcomes))
             del self.outcomes[oldest]
             if track_forgotten:
                 self._forget(oldest)
 
-    def _forget(self, mark: str) -> None:
-        forwarder, number = _parts(mark)
+    def _forget(self, token: str) -> None:
+        """Raises the watermark of the forwarder of a dropped token."""
+        forwarder, number = _split(token)
         highest = max(number, self.forgotten.pop(forwarder, -1))
         self.forgotten[forwarder] = highest
         while len(self.forgotten) > constants.MARKS_KEPT:
--- a/src/pinepitch/state/cluster_operations.py
+++ b/src/pinepitch/state/cluster_operations.py
@@ -1,4 +1,4 @@
-"""Operations that concern the cluster itself: roles, levels, and alerts that pause approvals."""
+"""Operations on the cluster itself: roles, levels, and alerts that block approvals of drafts."""
 
 from typing import TYPE_CHECKING
 
@@ -10,29 +10,29 @@
 
 
 def ignore(state: "ClusterState", operation: ConsensusEntry) -> Outcome:
-    """An entry that concerns consensus alone."""
+    """Applies an entry that only consensus uses, which changes nothing here."""
     return OK
 
 
 def take_role(state: "ClusterState", operation: TakeRole) -> Outcome:
-    """Begins the next epoch of a singleton role."""
+    """Gives a singleton role to a new owner and begins its next epoch."""
     epoch = state.epoch(operation.role) + 1
-    state.epochs[operation.role] = (epoch, operation.role_holder)
+    state.epochs[operation.role] = (epoch, operation.owner)
     return ("epoch", epoch)
 
 
 def raise_level(state: "ClusterState", operation: RaiseLevel) -> Outcome:
-    """Raises the level of operations; it never falls."""
+    """Raises the level of operations; it never decreases."""
     state.level = max(state.level, operation.level)
     return OK
 
 
 def pause_approvals(state: "ClusterState", operation: PauseApprovals) -> Outcome:
-    """Notes an alert that holds approvals back, or takes it out."""
+    """Records that an alert blocks approvals of drafts, or that it no longer does."""
     if operation.epoch != state.epoch("placing"):
         return STALE_EPOCH
-    if operation.why is None:
+    if operation.reason is None:
         state.approval_pauses.pop(operation.alert, None)
     else:
-        state.approval_pauses[operation.alert] = (state.time, operation.why)
+        state.approval_pauses[operation.alert] = (state.time, operation.reason)
     return OK
--- a/src/pinepitch/state/configuration_history.py
+++ b/src/pinepitch/state/configuration_history.py
@@ -1,4 +1,4 @@
-"""The history of the queue configuration: every version ever in force, most as what they changed."""
+"""The history of the queue configuration: every version that was ever active, most stored as patches."""
 
 from collections.abc import Iterable
 from typing import Any, NamedTuple
@@ -10,21 +10,22 @@
 
 
 def difference(before: dict[str, Any], after: dict[str, Any]) -> dict[str, Any] | None:
-    """The merge patch (RFC 7396) that makes `after` of `before`, or None where a null stands in
-    the way, which no patch can say.
+    """The merge patch (RFC 7396) that turns `before` into `after`.
+
+    None if `after` sets a value to null, which a merge patch can't express.
     """
     patch: dict[str, Any] = {member: None for member in before if member not in after}
     for member, value in after.items():
-        old = before.get(member)
-        if value is old and value is not None:
+        old_value = before.get(member)
+        if value is old_value and value is not None:
             continue
-        if isinstance(value, dict) and isinstance(old, dict):
-            inner = difference(old, value)
-            if inner is None:
+        if isinstance(value, dict) and isinstance(old_value, dict):
+            inner_patch = difference(old_value, value)
+            if inner_patch is None:
                 return None
-            if inner:
-                patch[member] = inner
-        elif member not in before or type(old) is not type(value) or old != value:
+            if inner_patch:
+                patch[member] = inner_patch
+        elif member not in before or type(old_value) is not type(value) or old_value != value:
             if not _expressible(value):
                 return None
             patch[member] = value
@@ -32,81 +33,82 @@
 
 
 def _expressible(value: Any) -> bool:
-    """Whether a merge patch can set a value: it holds no null."""
+    """Whether a merge patch can set a value, which must not contain null."""
     if isinstance(value, dict):
         return all(map(_expressible, value.values()))
     return value is not None
 
 
-class Line(NamedTuple):
-    """One version. The order of the fields is that of stored data."""
+class VersionRecord(NamedTuple):
+    """One version. The order of the fields is part of the stored format."""
 
     version: int
-    who: str
-    why: str
+    author: str
+    reason: str
     time: float  # seconds of the cluster's clock
     base: int  # the version it was made from
     kind: str  # "whole" or "patch"
-    content: dict[str, Any]  # the checked configuration, or what it changed in the version before
+    content: dict[str, Any]  # the checked configuration, or the merge patch on the previous version
 
 
 class ConfigurationHistory:
     """All versions of the queue configuration.
 
-    Invariants: lines has one line a version, from 1 on without a gap; since the last whole one
-    there are fewer than QUEUE_CONFIGURATION_FULL_EVERY patches, and they hold fewer bytes than a
-    whole one. Lines are only added.
+    Invariants: lines has one record per version, from version 1 on without a gap, and records are
+    only appended. After the last whole record there are fewer than QUEUE_CONFIGURATION_FULL_EVERY
+    patches, and together these have fewer bytes than that record or QUEUE_CONFIGURATION_SMALL,
+    whichever is larger.
     """
 
     def __init__(self, lines: Iterable[Iterable[Any]] = ()) -> None:
-        self.lines = [Line._make(one) for one in lines]
-        self.patched = 0  # bytes of patches since the last whole line
-        self.size = 0  # bytes of that whole line
+        self.lines = [VersionRecord._make(fields) for fields in lines]
+        self.patch_bytes = 0  # bytes of the patches after the last whole record
+        self.whole_bytes = 0  # bytes of the last whole record
         self._newest: tuple[int, dict[str, Any]] | None = None  # (version, configuration) last added
-        self._read: tuple[int, dict[str, Any]] | None = None  # the one last read, to go on from
-        for line in self.lines:
-            self._measure(line)
+        self._last_read: tuple[int, dict[str, Any]] | None = None  # the one last read; reads start from it
+        for record in self.lines:
+            self._count_bytes(record)
 
-    def image(self) -> tuple[Line, ...]:
-        """A value that later changes leave alone."""
+    def image(self) -> tuple[VersionRecord, ...]:
+        """A value that later changes of the history do not affect."""
         return tuple(self.lines)
 
-    def _measure(self, line: Line) -> None:
-        size = len(cbor2.dumps(line.content))
-        if line.kind == "whole":
-            self.size, self.patched = size, 0
+    def _count_bytes(self, record: VersionRecord) -> None:
+        size = len(cbor2.dumps(record.content))
+        if record.kind == "whole":
+            self.whole_bytes, self.patch_bytes = size, 0
         else:
-            self.patched += size
+            self.patch_bytes += size
 
     def add(
-        self, version: int, configuration: dict[str, Any], who: str, why: str, time: float, base: int
+        self, version: int, configuration: dict[str, Any], author: str, reason: str, time: float, base: int
     ) -> None:
-        """The next version is in force."""
-        line = Line(version, who, why, time, base, "whole", configuration)
+        """Appends the next version."""
+        record = VersionRecord(version, author, reason, time, base, "whole", configuration)
         patch = self._patch_to(version, configuration)
         if patch is not None:
-            line = line._replace(kind="patch", content=patch)
-        self.lines.append(line)
-        self._measure(line)
+            record = record._replace(kind="patch", content=patch)
+        self.lines.append(record)
+        self._count_bytes(record)
         self._newest = (version, configuration)
 
     def _patch_to(self, version: int, configuration: dict[str, Any]) -> dict[str, Any] | None:
-        """What the next version changes, or None if it is to be kept whole."""
+        """The patch that makes the next version, or None if that version is to be stored whole."""
         if not self.lines:
             return None
         before = self._newest[1] if self._newest else self.read(version - 1)
         if before is None:
-            raise AssertionError(f"version {version} follows on no other")
+            raise AssertionError(f"version {version} has no version before it in the history")
         patch = difference(before, configuration)
         newest = self.lines[-constants.QUEUE_CONFIGURATION_FULL_EVERY :]
-        if patch is None or not any(one.kind == "whole" for one in newest):
+        if patch is None or not any(record.kind == "whole" for record in newest):
             return None
-        patched = len(cbor2.dumps(patch)) + self.patched
-        is_small = patched < max(self.size, constants.QUEUE_CONFIGURATION_SMALL)
+        patch_bytes = len(cbor2.dumps(patch)) + self.patch_bytes
+        is_small = patch_bytes < max(self.whole_bytes, constants.QUEUE_CONFIGURATION_SMALL)
         return patch if is_small else None
 
-    def line(self, version: int) -> Line | None:
-        """The line of a version, or None."""
+    def line(self, version: int) -> VersionRecord | None:
+        """The record of a version, or None."""
         return self.lines[version - 1] if 0 < version <= len(self.lines) else None
 
     def read(self, version: int) -> dict[str, Any] | None:
@@ -114,16 +116,16 @@
         if self.line(version) is None:
             return None
         start = version
-        while self.lines[start - 1].kind != "whole" and not self._was_read(start):
+        while self.lines[start - 1].kind != "whole" and not self._is_last_read(start):
             start -= 1
-        if self._read is not None and self._read[0] == start:
-            configuration = self._read[1]
+        if self._last_read is not None and self._last_read[0] == start:
+            configuration = self._last_read[1]
         else:
             configuration = self.lines[start - 1].content
-        for line in self.lines[start:version]:
-            configuration = merged(configuration, line.content)
-        self._read = (version, configuration)
+        for record in self.lines[start:version]:
+            configuration = merged(configuration, record.content)
+        self._last_read = (version, configuration)
         return configuration
 
-    def _was_read(self, version: int) -> bool:
-        return self._read is not None and self._read[0] == version
+    def _is_last_read(self, version: int) -> bool:
+        return self._last_read is not None and self._last_read[0] == version
--- a/src/pinepitch/state/draft_operations.py
+++ b/src/pinepitch/state/draft_operations.py
@@ -1,14 +1,14 @@
-"""Operations on drafts: changes of the queue configuration that are measured before they are made.
+"""Operations on drafts, which are changes of the queue configuration that are rehearsed before approval.
 
-A draft builds on one version, is measured under the epoch it was asked in, and is approved at
-most once.
+A draft builds on one version, its measurement is accepted only from the current owner of the rehearsal
+role, and it is approved at most once.
 """
 
 from typing import TYPE_CHECKING, Any
 
 from ..common import constants
 from ..model import queue_settings as queue_documents
-from .configuration_operations import configuration_faults, once, put_in_force
+from .configuration_operations import activate_configuration, apply_once, configuration_faults
 from .operations import ApproveDraft, CreateDraft, DropDraft, RecordMeasurement, RehearseDraft
 from .outcomes import MISSING, OK, STALE_EPOCH, Outcome
 
@@ -17,8 +17,11 @@
 
 
 def create_draft(state: "ClusterState", operation: CreateDraft) -> Outcome:
-    """("draft", identity, index), "conflict" or "invalid", the same at each repetition."""
-    return once(state, operation.mark, lambda: _new_draft(state, operation))
+    """("draft", identity, index), or an outcome that begins with "conflict" or "invalid".
+
+    A request that is forwarded again gets the same outcome.
+    """
+    return apply_once(state, operation.token, lambda: _new_draft(state, operation))
 
 
 def _new_draft(state: "ClusterState", operation: CreateDraft) -> Outcome:
@@ -32,14 +35,16 @@
     state.draft_count += 1
     identity = f"d{state.draft_count}"
     while len(state.drafts) >= constants.MAX_DRAFTS:
-        state.drafts = state.drafts.delete(min(state.drafts, key=lambda one: int(one[1:])))
+        state.drafts = state.drafts.delete(
+            min(state.drafts, key=lambda draft_identity: int(draft_identity[1:]))
+        )
     draft = {
         "draft": identity,
         "base": operation.base,
         "setup": checked,
         "patch": operation.patch,
-        "who": operation.who,
-        "why": operation.why,
+        "who": operation.author,
+        "why": operation.reason,
         "time": state.time,
         "state": "open",
         "measure": None,
@@ -55,7 +60,7 @@
 
 
 def _draft_refusal(state: "ClusterState", identity: str) -> Outcome | None:
-    """Why a draft can't be gone on with, or None."""
+    """The outcome that refuses a further step with a draft, or None if the draft is open and up to date."""
     draft = state.drafts.get(identity)
     if draft is None:
         return MISSING
@@ -65,36 +70,36 @@
 
 
 def rehearse_draft(state: "ClusterState", operation: RehearseDraft) -> Outcome:
-    """Asks the holder of the rehearsal role to measure a draft on these workers' capacities."""
+    """Asks the owner of the rehearsal role to measure a draft with workers of these capacities."""
     refusal = _draft_refusal(state, operation.identity)
     if refusal is not None:
         return refusal
-    asked = state.drafts[operation.identity]["asked"] + 1
+    request_number = state.drafts[operation.identity]["asked"] + 1
     _change_draft(
         state,
         operation.identity,
         state="rehearsing",
         measure=None,
         rooms=operation.worker_capacities,
-        asked=asked,
+        asked=request_number,
     )
     return ("draft", operation.identity)
 
 
 def record_measurement(state: "ClusterState", operation: RecordMeasurement) -> Outcome:
-    """Takes the result of a rehearsal, from whoever holds the role."""
+    """Stores the result of a rehearsal, if it answers the newest request and the proposer has the role."""
     draft = state.drafts.get(operation.identity)
     if operation.epoch != state.epoch("rehearsal"):
         return STALE_EPOCH
-    if draft is None or draft["state"] != "rehearsing" or draft["asked"] != operation.asked:
+    if draft is None or draft["state"] != "rehearsing" or draft["asked"] != operation.request_number:
         return ("refused", "not asked")
-    _change_draft(state, operation.identity, state="measured", measure=operation.measure)
+    _change_draft(state, operation.identity, state="measured", measure=operation.measurement)
     return ("draft", operation.identity)
 
 
 def approve_draft(state: "ClusterState", operation: ApproveDraft) -> Outcome:
-    """Puts a draft in force if it was found better on the version in force."""
-    return once(state, operation.mark, lambda: _approve(state, operation))
+    """Activates a draft, if its rehearsal found it better than the active version."""
+    return apply_once(state, operation.token, lambda: _approve(state, operation))
 
 
 def _approve(state: "ClusterState", operation: ApproveDraft) -> Outcome:
@@ -109,8 +114,8 @@
         return ("worse", draft["measure"]["verdict"])
     if state.approval_pauses:
         return ("held", tuple((alert, why) for alert, (_, why) in sorted(state.approval_pauses.items())))
-    why = operation.why or f"draft {identity}: {draft['why']}"
-    outcome = put_in_force(state, draft["setup"], operation.who, why)
+    reason = operation.reason or f"draft {identity}: {draft['why']}"
+    outcome = activate_configuration(state, draft["setup"], operation.author, reason)
     if outcome[0] == "setup":
         _change_draft(state, identity, state="approved")
     return outcome
--- a/src/pinepitch/state/operations.py
+++ b/src/pinepitch/state/operations.py
@@ -1,21 +1,20 @@
-"""The operations of the log, one type each.
+"""The operations of the log, one type per operation.
 
-On the wire and on disk an operation is an array: its name and then the fields of its type, in
-their order. The registry of names is in registry.py. Times are seconds of the cluster's clock.
-An operation that grew a field since it was first written has a default for it, so that older
-entries still decode.
+On the wire and on disk an operation is an array: its name, followed by the fields of its type in
+order. registry.py maps the names to the types. Times are seconds of the cluster's clock. A field
+that was added to an existing operation has a default, so that older entries still decode.
 """
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-Charge = tuple[str, int]  # a queue, and the credits that it lent
-TaskEnd = tuple[str, int, str]  # a task's reference, the attempt, and how it ended
-YieldOrder = tuple[str, int, str]  # a task's reference, the attempt, and for whom or what it is to stop
+Charge = tuple[str, int]  # (queue, credits that it lends)
+TaskEnd = tuple[str, int, str]  # (task reference, attempt, how it ended)
+YieldOrder = tuple[str, int, str]  # (task reference, attempt, reason as in Standing.yields_to)
 
 
 class ConsensusEntry(NamedTuple):
-    """An entry that concerns consensus alone and leaves the state as it is."""
+    """An entry that only consensus uses; it does not change the cluster state."""
 
     content: tuple[Any, ...]
 
@@ -23,10 +22,10 @@
 class AcceptJob(NamedTuple):
     """A client submits a pushed job."""
 
-    key: str  # the client's token; one job a key
-    digest: str  # of the document, to tell two documents under one key apart
-    document: dict[str, Any]  # as model.pushed_job.checked() gives it
-    unplaceable: str = ""  # why no worker known to the leader could take it
+    key: str  # the client's idempotency key; there is one job per key
+    digest: str  # of the document; it shows whether a key is reused with another document
+    document: dict[str, Any]  # as returned by model.pushed_job.checked()
+    unplaceable: str = ""  # why no worker known to the leader could run the job, or ''
 
 
 class CancelJob(NamedTuple):
@@ -36,43 +35,46 @@
 
 
 class TakeRole(NamedTuple):
-    """A control daemon becomes the holder of a singleton role."""
+    """A control daemon becomes the owner of a singleton role."""
 
     role: str
-    role_holder: str
+    owner: str  # identity of the control daemon
 
 
 class PlacementItem(NamedTuple):
-    """One task to be placed on one worker."""
+    """The placement of one task on one worker."""
 
     reference: str
     worker: str
     zone: str
-    capacity: int  # units that the worker has in all
+    capacity: int  # total units of the worker
     incarnation: str  # of the worker
-    front_daemon: str  # that is to deliver the start order
-    charges: Sequence[Charge]  # add up to the task's units
+    front_daemon: str  # the front daemon that delivers the start order
+    charges: Sequence[Charge]  # their credits add up to the task's units
     address: str  # of the worker
 
 
 class PlaceTasks(NamedTuple):
-    """The leader places tasks, under the epoch of the placing role and a version of the queues."""
+    """The leader places tasks."""
 
-    epoch: int
-    version: int
-    items: Sequence[Sequence[Any]]  # the fields of a PlacementItem each
+    epoch: int  # of the placing role
+    version: int  # of the queue configuration that the leader used
+    items: Sequence[Sequence[Any]]  # the fields of one PlacementItem each
 
 
 class EndAttempts(NamedTuple):
-    """Attempts have provenly ended: done, failed, killed, refused, never (begun) or lost."""
+    """Attempts are proven to have ended.
+
+    Each ended as done, failed, killed, refused, never (it did not begin) or lost.
+    """
 
     items: Sequence[TaskEnd]
 
 
 class YieldTasks(NamedTuple):
-    """The leader wants running tasks to stop, to make place for others."""
+    """The leader asks running tasks to stop so that others can run."""
 
-    epoch: int
+    epoch: int  # of the placing role
     items: Sequence[YieldOrder]
 
 
@@ -80,25 +82,25 @@
     """An operator closes a worker to new work, or opens it again."""
 
     worker: str
-    closed: bool
+    closed: bool  # False opens it
 
 
 class EmptyZone(NamedTuple):
     """An operator closes a zone to new work, or opens it again."""
 
     zone: str
-    emptied: bool
+    emptied: bool  # False opens it
 
 
 class WithdrawWorker(NamedTuple):
-    """An operator's word that a worker will be gone for good at a time."""
+    """An operator gives notice that a worker will be gone for good from a given time on."""
 
     worker: str
-    due: float
+    due: float  # the time from which it is gone
 
 
 class WorkerGone(NamedTuple):
-    """The time of a withdrawal has come: what was reserved there is free."""
+    """A withdrawal is due: the worker's reservations are released."""
 
     worker: str
 
@@ -106,47 +108,47 @@
 class ChangeConfiguration(NamedTuple):
     """An operator changes the queue configuration."""
 
-    mark: str  # the change's watermark, by which it is made once
-    base: int | None  # the version it builds on; None takes any
-    manner: str  # "whole", or "merge" for a JSON merge patch
+    token: str  # identifies the change, so that it is applied only once
+    base: int | None  # the version it builds on; None accepts any
+    mode: str  # "whole" for a complete configuration, "merge" for a JSON merge patch
     document: dict[str, Any]
-    who: str
-    why: str
+    author: str
+    reason: str
 
 
 class CreateDraft(NamedTuple):
-    """An operator hands in a change that is to be measured before it is made."""
+    """An operator submits a change that is to be rehearsed before it is approved."""
 
-    mark: str
+    token: str  # as in ChangeConfiguration
     base: int
     patch: dict[str, Any]
-    who: str
-    why: str
+    author: str
+    reason: str
 
 
 class RehearseDraft(NamedTuple):
-    """An operator asks the holder of the rehearsal role to measure a draft."""
+    """An operator asks the owner of the rehearsal role to measure a draft."""
 
     identity: str
-    worker_capacities: list[Any]  # of the workers to measure on
+    worker_capacities: list[Any]  # capacities of the workers that the rehearsal simulates
 
 
 class RecordMeasurement(NamedTuple):
-    """The result of a rehearsal, from the holder of the role."""
+    """The owner of the rehearsal role reports the result of a rehearsal."""
 
-    epoch: int
+    epoch: int  # of the rehearsal role
     identity: str
-    asked: int  # which request for this draft it answers
-    measure: dict[str, Any]
+    request_number: int  # the rehearsal request for this draft that this answers
+    measurement: dict[str, Any]
 
 
 class ApproveDraft(NamedTuple):
-    """An operator puts a measured draft in force."""
+    """An operator activates a measured draft."""
 
-    mark: str
+    token: str  # as in ChangeConfiguration
     identity: str
-    who: str
-    why: str
+    author: str
+    reason: str
 
 
 class DropDraft(NamedTuple):
@@ -156,15 +158,15 @@
 
 
 class PauseApprovals(NamedTuple):
-    """An alert begins to hold approvals back, or no longer does."""
+    """An alert begins or ceases to block approvals of drafts."""
 
-    epoch: int
+    epoch: int  # of the placing role
     alert: str
-    why: str | None  # None: no longer
+    reason: str | None  # None once the alert no longer blocks approvals
 
 
 class RaiseLevel(NamedTuple):
-    """All members know the operations up to a level."""
+    """All members know the operations up to this level."""
 
     level: int
 
@@ -174,8 +176,8 @@
 
     identity: str
     queue: str
-    document: tuple[Any, ...]  # as scheduling.leased_job.checked() made it
-    tenant: str | None = None  # name of the one that hands it in, "" for none; since level 4
+    document: tuple[Any, ...]  # as returned by scheduling.leased_job.checked()
+    tenant: str | None = None  # name of the submitting tenant, "" for none; added in level 4
 
 
 class CancelLeasedJob(NamedTuple):
@@ -185,36 +187,36 @@
 
 
 class AssignRuns(NamedTuple):
-    """The leader assigns runs of leased jobs, under the epoch of the placing role."""
+    """The leader assigns runs of leased jobs to workers."""
 
-    epoch: int
+    epoch: int  # of the placing role
     items: Sequence[Any]  # (job, time, number, ((index, worker), ...)) each
 
 
 class StopRuns(NamedTuple):
-    """The leader wants runs of leased jobs to end."""
+    """The leader asks runs of leased jobs to stop."""
 
-    epoch: int
+    epoch: int  # of the placing role
     items: Sequence[Any]  # (worker, reference, run, why) each
 
 
 class EndRuns(NamedTuple):
-    """Runs of leased jobs have provenly ended."""
+    """Runs of leased jobs are proven to have ended."""
 
     items: Sequence[Any]  # (worker, reference, run, how, saved, heard) each
 
 
 class ConfigureRoutes(NamedTuple):
-    """An operator hands in a whole configuration of the routes."""
+    """An operator submits a complete configuration of the routes."""
 
     base: int
     document: dict[str, Any]
     digest: str
-    with_tenants: bool = False  # whether its tenants are checked; since level 4
+    with_tenants: bool = False  # whether its tenants are checked; added in level 4
 
 
 class AmendRoutes(NamedTuple):
-    """An operator changes single routes."""
+    """An operator changes individual routes."""
 
     base: int
     version: int
@@ -229,4 +231,4 @@
 
     zone: str
     begun: bool
-    confirmed: int | None = None  # index of the log up to which the operator has read; since level 3
+    confirmed: int | None = None  # log index up to which the operator has read; added in level 3
