--- a/src/pinepitch/state/__init__.py
+++ b/src/pinepitch/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state machine: what the committed operations of the log add up to."""
+"""The replicated state machine, to which the committed operations of the log are applied."""
--- a/src/pinepitch/state/audit.py
+++ b/src/pinepitch/state/audit.py
@@ -1,11 +1,11 @@
-"""The audit: whether what the state keeps step by step still equals what follows from the rest."""
+"""The audit: compares the incrementally updated attributes of the state with their recomputed values."""
 
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
     from .cluster_state import ClusterState
 
-DERIVED = (  # the attributes of ClusterState that are built by its derive()
+DERIVED = (  # the attributes that ClusterState.derive() rebuilds
     "reserved",
     "used_units",
     "outstanding_credits",
@@ -21,17 +21,17 @@
 
 
 def audit(state: "ClusterState") -> None:
-    """Builds what is derived anew; AssertionError unless it equals what was kept."""
-    kept = {name: getattr(state, name) for name in DERIVED}
+    """Rebuilds the derived attributes; raises AssertionError if one differs from its earlier value."""
+    incremental = {name: getattr(state, name) for name in DERIVED}
     state.derive()
-    for name, before in kept.items():
+    for name, before in incremental.items():
         after = _without_empty(getattr(state, name))
         if _without_empty(before) != after:
             raise AssertionError(f"{name} has drifted: {_without_empty(before)!r} is not {after!r}")
 
 
 def _without_empty(derived: dict[Any, Any]) -> dict[Any, Any]:
-    """A derived map without its empty entries."""
+    """A derived map without the entries whose value is zero or an empty map."""
     result = {}
     for key, value in derived.items():
         value = _without_empty(value) if isinstance(value, dict) else value
--- a/src/pinepitch/state/closing_operations.py
+++ b/src/pinepitch/state/closing_operations.py
@@ -1,4 +1,4 @@
-"""Operations that close workers and zones to new work, or open them again."""
+"""Operations that close workers and zones to new work or open them again."""
 
 from typing import TYPE_CHECKING
 
@@ -11,7 +11,7 @@
 
 
 def drain_worker(state: "ClusterState", operation: DrainWorker) -> Outcome:
-    """Closes a worker; opening it takes back a withdrawal, too."""
+    """Closes a worker or opens it; opening also cancels its withdrawal."""
     if operation.closed:
         state.drained[operation.worker] = state.time
     else:
@@ -30,7 +30,7 @@
 
 
 def withdraw_worker(state: "ClusterState", operation: WithdrawWorker) -> Outcome:
-    """Notes when a worker will be gone; one that is gone stays so."""
+    """Records when a worker will be gone, unless it is already gone."""
     worker = operation.worker
     if worker not in state.withdrawn or not state.withdrawn[worker][1]:
         state.withdrawn[worker] = (operation.due, False)
@@ -38,7 +38,7 @@
 
 
 def worker_gone(state: "ClusterState", operation: WorkerGone) -> Outcome:
-    """The operator's word that a worker is withdrawn has come due: its tasks start elsewhere."""
+    """Marks a worker as gone once its withdrawal is due, so that its tasks can start elsewhere."""
     worker = operation.worker
     due, gone = state.withdrawn.get(worker, (0.0, True))
     if gone or state.time < due:
--- a/src/pinepitch/state/cluster_state.py
+++ b/src/pinepitch/state/cluster_state.py
@@ -1,10 +1,10 @@
-"""The cluster state: the deterministic state machine of the log.
+"""The cluster state: the deterministic state machine driven by the replicated log.
 
-apply(index, time, operation) gives an outcome, a tuple whose first element says how it went. It
-reads no clock and draws no random number, so every control daemon comes to the same state.
+apply(index, time, operation) returns an outcome, a tuple whose first element says how the operation
+went. It reads no clock and draws no random number, so every control daemon reaches the same state.
 
-What operations do stands in the modules *_operations.py, functions over this state, which
-registry.py names; image_codec.py encodes it, audit.py checks it.
+The modules *_operations.py implement the operations as functions on this state; registry.py maps
+operation names to them. image_codec.py encodes the state and audit.py checks it.
 """
 
 from collections.abc import Sequence
@@ -29,31 +29,35 @@
 from .reservations import Reservations
 from .traffic_sample import Sample
 
-LIVE_STATES = ("pending", "cancelling", "failing")  # of pushed jobs
+LIVE_STATES = ("pending", "cancelling", "failing")  # states of a pushed job that is not final
 
 
 class ClusterState:
     """All that the control daemons agree on.
 
-    Kept in the image:
-
-    - time: seconds of the cluster's clock at the newest entry; never falls. index: of that entry.
-    - pushed_jobs: identity -> PushedJob, those live and the newest finished ones; older ones are
-      in archive. keys: client's key -> identity of these. count: of pushed jobs ever accepted.
-      finished: pairs (identity, when it ended) in the order of their ends.
-    - version, queue_configuration: those in force; queue_configurations: their history. Versions
-      grow by one.
-    - epochs: singleton role -> (epoch, role holder); epochs only grow.
-    - drained: worker -> since when. emptied: zone -> since when. withdrawn: worker -> (when due,
-      whether it is gone).
-    - approval_pauses: alert -> (since, why), while it holds approvals of drafts back.
-    - drafts: identity -> draft; draft_count: of drafts ever made.
-    - leased_jobs: scheduling's part. level: of operations, agreed once all members knew it; never
-      falls. sample: of the traffic, for rehearsals. marks: which changes were made already.
-
-    Not in the image: sealed, the (number, bytes) of segments sealed since the daemon took them;
-    and what derive() builds from the rest: queue_settings (queue -> QueueSettings), progress,
-    reservations and ready_queue, whose invariants audit() checks.
+    These attributes are stored in the image:
+
+    - time: the cluster's clock in seconds at the newest entry; it never decreases. index: the log
+      index of that entry.
+    - pushed_jobs: identity -> PushedJob, for the live jobs and the newest finished ones; older
+      finished jobs are in archive. keys: client's key -> identity, for the jobs in pushed_jobs.
+      count: the number of pushed jobs ever accepted. finished: (identity, end time) of each
+      finished job in pushed_jobs, in the order in which they ended.
+    - version, queue_configuration: the active version of the queue configuration and its document.
+      queue_configurations: the history of all versions. Version numbers increase by one.
+    - epochs: singleton role -> (epoch, owner of the role); an epoch never decreases.
+    - drained: worker -> since when. emptied: zone -> since when. withdrawn: worker -> (time when
+      the withdrawal is due, whether the worker is gone).
+    - approval_pauses: alert -> (since, why), while the alert blocks approvals of drafts.
+    - drafts: identity -> draft. draft_count: the number of drafts ever created.
+    - leased_jobs: the state of leased jobs, which the scheduling package owns. level: the level of
+      operations in use, which rises once all members know the next one and never decreases.
+    - sample: a sample of the traffic, for rehearsals. marks: the changes already applied.
+
+    These attributes are not stored in the image: sealed, the (number, bytes) of segments sealed
+    since the daemon last fetched them; and what derive() computes from the attributes above:
+    queue_settings (queue -> QueueSettings), progress, reservations and ready_queue. audit() checks
+    the invariants of the derived ones.
     """
 
     actions: ClassVar[dict[str, Action]] = ACTIONS
@@ -90,7 +94,7 @@
 
     # --- image ------------------------------------------------------------------------
     def image(self) -> Image:
-        """A value that later changes leave alone; encode() turns it to bytes."""
+        """A value that later changes of the state do not affect; encode() turns it into bytes."""
         return image_codec.image_of(self)
 
     @staticmethod
@@ -100,19 +104,19 @@
 
     @staticmethod
     def encode_with_digest(image: Image) -> EncodedImage:
-        """The bytes of an image with their digest."""
+        """The bytes of an image and their digest."""
         return image_codec.encode_with_digest(image)
 
     @classmethod
     def decode(cls, data: bytes, segments: dict[int, bytes] | None = None) -> Self:
-        """The state of an image and the archive's segments that it stands on."""
+        """The state from an image and the archive segments that the image refers to."""
         state = cls()
         image_codec.decode_into(state, data, segments)
         state.derive()
         return state
 
     def derive(self) -> None:
-        """Builds what follows from the rest."""
+        """Rebuilds the attributes that are computed from the stored ones."""
         self.queue_settings: dict[str, QueueSettings] = {
             queue: queue_documents.queue_settings_of(queue_settings)
             for queue, queue_settings in self.queue_configuration["queues"].items()
@@ -120,13 +124,13 @@
         self.progress = JobProgress()
         self.reservations = Reservations()
         self.ready_queue = ReadyQueue(self.ready_queue.promoted_until)
-        for identity in sorted(self.pushed_jobs, key=lambda one: int(one[1:])):
+        for identity in sorted(self.pushed_jobs, key=lambda job_identity: int(job_identity[1:])):
             job = self.pushed_jobs[identity]
             if job.state in LIVE_STATES:
                 self.add_live_job(job)
 
     def add_live_job(self, job: PushedJob) -> None:
-        """Derives what follows from one more live job."""
+        """Adds a live job to the derived attributes."""
         self.progress.add(job)
         units = {}
         for name, task in job.tasks.items():
@@ -140,52 +144,56 @@
         for name in units.values():
             self.put_in_ready_queue(job, name)
 
-    # --- applying ---------------------------------------------------------------------
+    # --- applying operations ----------------------------------------------------------
     def apply(self, index: int, time: float, operation: Sequence[Any]) -> Outcome:
-        """The outcome of one committed operation: its name and its fields."""
+        """Applies a committed operation, given as its name and its fields, and returns the outcome.
+
+        Raises AssertionError for an operation that this version does not know.
+        """
         self.index = index
         self.time = max(self.time, time)
         action = self.actions.get(operation[0])
         if action is None:
             raise AssertionError(
-                f"entry {index} holds {operation[0]!r}, which this version does not know: "
-                "to go on without it would make another record than the cohort's"
+                f"entry {index} holds {operation[0]!r}, which this version does not know; "
+                "skipping it would make this replica differ from the rest of the cluster"
             )
         return action.apply(self, action.decode(*operation[1:]))
 
     def put_job(self, job: PushedJob) -> None:
-        """A pushed job is new or has changed."""
+        """Stores a pushed job that is new or has changed."""
         self.pushed_jobs = self.pushed_jobs.set(job.identity, job)
 
     def put_standing(self, job: PushedJob, name: str, standing: Standing) -> PushedJob:
-        """A task's standing has changed; the job as it is then."""
+        """Stores a task's changed standing and returns the updated job."""
         job = job._replace(standings=job.standings.set(name, standing))
         self.pushed_jobs = self.pushed_jobs.set(job.identity, job)
         return job
 
     def put_in_ready_queue(self, job: PushedJob, name: str) -> None:
-        """Puts the start unit of a task where it belongs now."""
+        """Updates the position of a task's start unit in the ready queue."""
         self.ready_queue.put(job, name, self.progress.unfinished_predecessors[job.identity])
 
     def promote_due_units(self, time: float) -> float | None:
-        """Makes the start units ready whose time has come by `time`; when the next one's comes,
-        or None. Not part of the agreed state: it moves with who asks.
+        """Makes the start units that are due by `time` ready. Returns when the next unit is due, or None.
+
+        This is not part of the agreed state: each replica promotes units when it needs them.
         """
         return self.ready_queue.promote(time)
 
-    # --- reading ----------------------------------------------------------------------
+    # --- queries ----------------------------------------------------------------------
     def epoch(self, role: str) -> int:
-        """The epoch of a singleton role, 0 before its first holder."""
+        """The epoch of a singleton role; 0 before anyone has taken the role."""
         return self.epochs.get(role, (0, ""))[0]
 
     def balance(self, queue: str) -> int:
-        """Credits a queue holds now: its share less what is out, lent or used itself."""
+        """Credits that a queue has left: its share minus those used by its own or other queues' tasks."""
         queue_settings = self.queue_settings.get(queue)
         share = queue_settings.share if queue_settings else 0
         return share - self.reservations.outstanding_credits.get(queue, 0)
 
     def find(self, ref: str) -> tuple[PushedJob, Task, Standing] | None:
-        """(job, task, standing) of a reference to a job not yet archived, or None."""
+        """(job, task, standing) for a task reference, or None if it is unknown or its job is archived."""
         identity, _, name = ref.partition("/")
         job = self.pushed_jobs.get(identity)
         if job is None or name not in job.tasks:
@@ -193,14 +201,14 @@
         return job, job.tasks[name], job.standings[name]
 
     def find_known(self, ref: str) -> tuple[PushedJob, Task, Standing]:
-        """As find(), of a reference that is known to be there, as all reserved ones are."""
-        found = self.find(ref)
-        if found is None:
-            raise AssertionError(f"{ref} is not there")
-        return found
+        """As find(), for a reference that must exist, as reserved ones do; raises AssertionError if not."""
+        match = self.find(ref)
+        if match is None:
+            raise AssertionError(f"{ref} is not a task in the cluster state")
+        return match
 
     def pushed_job(self, identity: str) -> PushedJob | None:
-        """A pushed job, live, finished or archived, or None."""
+        """The pushed job with this identity, whether live, finished or archived, or None."""
         job: PushedJob | None = self.pushed_jobs.get(identity)
         if job is not None:
             return job
@@ -208,31 +216,33 @@
         return image_codec.job_of_image(image) if image is not None else None
 
     def members(self, job: PushedJob, unit: str) -> tuple[str, ...]:
-        """The waiting tasks of a start unit, in the order of the job's document."""
+        """Names of the waiting tasks of a start unit, in the order of the job's document."""
         return waiting_members(job, unit)
 
     def closed(self, worker: str, zone: str) -> str:
-        """Why a worker may get no new work, or ''."""
+        """The reason why a worker may not get new work, or ''."""
         if worker in self.withdrawn:
             return "withdrawn"
         if worker in self.drained:
             return "draining"
         return "area emptied" if zone in self.emptied else ""
 
-    def job_refusal(self, plain: dict[str, Any], unplaceable: str = "") -> Outcome | None:
-        """Why a checked document can't be taken now, or None; the leader asks it first.
-        `unplaceable` says why no worker known to the leader could take it, or nothing.
+    def job_refusal(self, document: dict[str, Any], unplaceable: str = "") -> Outcome | None:
+        """The outcome that refuses a checked document now, or None if the job can be accepted.
+
+        The leader asks this before it proposes the job. `unplaceable` is the reason why no worker
+        known to the leader could run the job, or ''.
         """
-        return pushed_job_operations.job_refusal(self, plain, unplaceable)
+        return pushed_job_operations.job_refusal(self, document, unplaceable)
 
     def known(self, key: str, digest: str) -> Outcome | None:
-        """The outcome for a key seen before, or None."""
+        """The outcome of submitting a key that is already in use, or None for a new key."""
         return pushed_job_operations.known_key(self, key, digest)
 
-    # --- what the components hold -----------------------------------------------------
+    # --- attributes of the components -------------------------------------------------
     @property
     def reserved(self) -> dict[str, dict[str, int]]:
-        """Worker -> {reference: units} of the tasks placed there."""
+        """Worker -> {reference: units} of the tasks placed on it."""
         return self.reservations.reserved
 
     @property
@@ -242,55 +252,55 @@
 
     @property
     def outstanding_credits(self) -> dict[str, int]:
-        """Queue -> credits it has lent, to others or itself."""
+        """Queue -> credits in use that it has lent, to its own tasks or those of other queues."""
         return self.reservations.outstanding_credits
 
     @property
     def yielding(self) -> dict[str, int]:
-        """Reference -> attempt of placed tasks that are to stop."""
+        """Reference -> attempt, for each placed task that has been asked to stop."""
         return self.reservations.yielding
 
     @property
     def waiting_counts(self) -> dict[str, int]:
-        """Queue -> waiting tasks, without those of unplaceable jobs."""
+        """Queue -> number of waiting tasks, except those of unplaceable jobs."""
         return self.progress.waiting_counts
 
     @property
     def unplaceable(self) -> dict[str, int]:
-        """Queue -> waiting tasks of unplaceable jobs."""
+        """Queue -> number of waiting tasks of unplaceable jobs."""
         return self.progress.unplaceable
 
     @property
     def live_counts(self) -> dict[str, int]:
-        """Queue -> live pushed jobs."""
+        """Queue -> number of live pushed jobs."""
         return self.progress.live_counts
 
     @property
     def unfinished_predecessors(self) -> dict[str, dict[str, int]]:
-        """Job -> {task: predecessors not done}."""
+        """Job -> {task: number of predecessors that are not done}."""
         return self.progress.unfinished_predecessors
 
     @property
     def unfinished_counts(self) -> dict[str, int]:
-        """Job -> tasks not final."""
+        """Job -> number of tasks that are not final."""
         return self.progress.unfinished_counts
 
     @property
     def ready_units(self) -> dict[str, dict[int, dict[Shape, list[Entry]]]]:
-        """Queue -> urgency -> shape -> start units that may start, in the order of their turn."""
+        """Queue -> urgency -> shape -> start units that may start now, in their starting order."""
         return self.ready_queue.ready_units
 
     @property
     def slots(self) -> dict[tuple[str, str], Slot]:
-        """(job, unit) -> where it stands in the ready queue."""
+        """(job, start unit) -> its position in the ready queue."""
         return self.ready_queue.slots
 
     @property
     def promoted_until(self) -> float:
-        """Up to which time start units were made ready."""
+        """Time up to which due start units have been made ready."""
         return self.ready_queue.promoted_until
 
     # --- checking ---------------------------------------------------------------------
     def audit(self) -> None:
-        """AssertionError unless what is derived step by step equals what follows from the rest."""
+        """Raises AssertionError if an incrementally updated attribute differs from its recomputed value."""
         audit.audit(self)
--- a/src/pinepitch/state/ending_operations.py
+++ b/src/pinepitch/state/ending_operations.py
@@ -1,4 +1,4 @@
-"""The operation that takes proven ends of attempts."""
+"""The operation that records the proven ends of attempts."""
 
 from typing import TYPE_CHECKING
 
@@ -14,17 +14,17 @@
 
 
 def end_attempts(state: "ClusterState", operation: EndAttempts) -> Outcome:
-    """("ended", what came of each item): done, cancelled, failed, again, or stale."""
+    """("ended", (result of each item)); a result is done, cancelled, failed, again or stale."""
     return ("ended", tuple(_end_attempt(state, *item) for item in operation.items))
 
 
 def _end_attempt(state: "ClusterState", ref: str, attempt: int, how: str) -> str:
-    found = state.find(ref)
-    if found is None or found[2].state != "placed" or found[2].attempt != attempt:
+    match = state.find(ref)
+    if match is None or match[2].state != "placed" or match[2].attempt != attempt:
         return "stale"
-    job, task, standing = found
+    job, task, standing = match
     state.reservations.release(job, task, standing)
-    run = (
+    past_attempt = (
         attempt,
         standing.worker,
         standing.front_daemon,
@@ -36,7 +36,7 @@
     )
     standing = standing._replace(
         took=state.time - standing.since,
-        past=(*standing.past, run)[-constants.ATTEMPTS_EXPLAINED :],
+        past=(*standing.past, past_attempt)[-constants.ATTEMPTS_EXPLAINED :],
     )
     outcome = conclude_attempt(state, job, task, standing, how)
     close_job(state, job.identity)
@@ -44,44 +44,44 @@
 
 
 def conclude_attempt(state: "ClusterState", job: PushedJob, task: Task, standing: Standing, how: str) -> str:
-    """What an attempt's end means for its task: final, or to be tried again."""
+    """Makes the task of an ended attempt final or waiting again; returns the result as in end_attempts()."""
     if how == "done":
         finish_task(state, job, task.name, standing, "done")
         return "done"
-    counts = how in ("failed", "lost") or (how == "killed" and standing.yields_to in ("", "limit"))
-    failures = standing.failures + counts
-    standing = standing._replace(lost=standing.lost + counts * standing.took)
+    is_failure = how in ("failed", "lost") or (how == "killed" and standing.yields_to in ("", "limit"))
+    failures = standing.failures + is_failure
+    standing = standing._replace(lost=standing.lost + is_failure * standing.took)
     if how == "lost" and job.kind != "feed" and not state.queue_settings[job.queue].repeats:
-        failures = max(failures, task.attempts)  # it may have finished: no second time
+        failures = max(failures, task.attempts)  # it may have finished, so it is not retried
     standing = standing._replace(failures=failures)
     if job.state != "pending":
         finish_task(state, job, task.name, standing, "cancelled")
         return "cancelled"
-    if counts and job.kind != "feed" and failures >= task.attempts:
+    if is_failure and job.kind != "feed" and failures >= task.attempts:
         job = finish_task(state, job, task.name, standing, "failed")
         job = job._replace(state="failing")
         state.put_job(job)
         stop_job(state, job, "failing")
         return "failed"
-    _wait_again(state, job, task, standing, how, _retry_wait(how, failures, counts))
+    _requeue(state, job, task, standing, how, _retry_delay(how, failures, is_failure))
     return "again"
 
 
-def _retry_wait(how: str, failures: int, counts: bool) -> float:
-    """Seconds until a task may start again; it doubles with each failure."""
-    if counts:
-        wait: float = min(constants.RETRY_WAIT * 2 ** min(failures - 1, 10), constants.MAX_RETRY_WAIT)
-        return wait
+def _retry_delay(how: str, failures: int, is_failure: bool) -> float:
+    """Seconds until a task may start again; the delay doubles with each failure up to MAX_RETRY_WAIT."""
+    if is_failure:
+        delay: float = min(constants.RETRY_WAIT * 2 ** min(failures - 1, 10), constants.MAX_RETRY_WAIT)
+        return delay
     return constants.RETRY_WAIT if how == "refused" else 0.0
 
 
-def _wait_again(
-    state: "ClusterState", job: PushedJob, task: Task, standing: Standing, how: str, wait: float
+def _requeue(
+    state: "ClusterState", job: PushedJob, task: Task, standing: Standing, how: str, delay: float
 ) -> None:
-    """A task waits for its next attempt."""
+    """Makes a task wait for its next attempt, which starts after `delay` seconds at the earliest."""
     standing = standing._replace(
         state="waiting",
-        earliest=state.time + wait,
+        earliest=state.time + delay,
         yields_to="",
         charges=(),
         since=state.time,
@@ -94,8 +94,8 @@
 
 
 def _stop_gang(state: "ClusterState", job: PushedJob, task: Task) -> None:
-    """A member of a gang did not start: the others stop, so that all start together."""
-    for name, other in job.tasks.items():
+    """Asks the running members of a gang to stop after one did not start, so that all start together."""
+    for name, member in job.tasks.items():
         standing = job.standings[name]
-        if other.gang == task.gang and standing.state == "placed" and not standing.yields_to:
+        if member.gang == task.gang and standing.state == "placed" and not standing.yields_to:
             job = mark_yielding(state, job, name, "gang")
--- a/src/pinepitch/state/job_progress.py
+++ b/src/pinepitch/state/job_progress.py
@@ -1,4 +1,4 @@
-"""Counts that follow from the live pushed jobs: what waits, and what waits for what."""
+"""Counts derived from the live pushed jobs: their waiting tasks and the predecessors these wait for."""
 
 from collections.abc import Iterator
 
@@ -7,11 +7,11 @@
 
 
 class JobProgress:
-    """How far the live pushed jobs are.
+    """The progress of the live pushed jobs.
 
-    Invariants: waiting_counts[queue] counts the waiting tasks of a queue but those of
-    unplaceable jobs, which unplaceable[queue] counts; live_counts[queue] counts its live jobs;
-    the maps by job have an entry for each live job and no other.
+    Invariants: waiting_counts[queue] counts the waiting tasks of a queue except those of
+    unplaceable jobs, which unplaceable[queue] counts; live_counts[queue] counts its live jobs.
+    The maps by job have an entry for each live job and no other.
     """
 
     __slots__ = (
@@ -27,20 +27,22 @@
         self.waiting_counts: dict[str, int] = {}
         self.unplaceable: dict[str, int] = {}
         self.live_counts: dict[str, int] = {}
-        self.unfinished_predecessors: dict[str, dict[str, int]] = {}  # job -> {task: how many not done}
-        self.successors: dict[str, dict[str, list[str]]] = {}  # job -> {task: tasks that wait for it}
-        self.unfinished_counts: dict[str, int] = {}  # job -> tasks not final
+        self.unfinished_predecessors: dict[str, dict[str, int]] = {}  # job -> {task: number not done}
+        self.successors: dict[str, dict[str, list[str]]] = {}  # job -> {task: tasks that depend on it}
+        self.unfinished_counts: dict[str, int] = {}  # job -> number of tasks that are not final
 
     def add(self, job: PushedJob) -> None:
-        """A job is live from now on."""
+        """Adds a job that became live."""
         self.live_counts[job.queue] = self.live_counts.get(job.queue, 0) + 1
         successors: dict[str, list[str]] = {}
         unfinished_predecessors, unfinished = {}, 0
         for name, task in job.tasks.items():
             standing = job.standings[name]
-            unfinished_predecessors[name] = sum(job.standings[one].state != "done" for one in task.after)
-            for one in task.after:
-                successors.setdefault(one, []).append(name)
+            unfinished_predecessors[name] = sum(
+                job.standings[predecessor].state != "done" for predecessor in task.after
+            )
+            for predecessor in task.after:
+                successors.setdefault(predecessor, []).append(name)
             unfinished += standing.state not in FINAL
             if standing.state == "waiting":
                 self.count_waiting(job, 1)
@@ -48,23 +50,24 @@
         self.unfinished_predecessors[job.identity] = unfinished_predecessors
         self.unfinished_counts[job.identity] = unfinished
 
-    def count_waiting(self, job: PushedJob, step: int) -> None:
-        """Counts a waiting task of a job in (1) or out (-1)."""
-        counted = self.unplaceable if job.unplaceable else self.waiting_counts
-        counted[job.queue] = counted.get(job.queue, 0) + step
+    def count_waiting(self, job: PushedJob, change: int) -> None:
+        """Changes the number of waiting tasks of a job's queue by 1 or -1."""
+        counts = self.unplaceable if job.unplaceable else self.waiting_counts
+        counts[job.queue] = counts.get(job.queue, 0) + change
 
     def task_done(self, identity: str, name: str) -> Iterator[str]:
-        """A task has ended well; gives the tasks for which it was the last predecessor, each as
-        soon as it is counted.
+        """Counts a task as done; yields the tasks that now have no unfinished predecessor.
+
+        Each is yielded before the next successor is counted.
         """
         unfinished_predecessors = self.unfinished_predecessors[identity]
-        for other in self.successors[identity].get(name, ()):
-            unfinished_predecessors[other] -= 1
-            if not unfinished_predecessors[other]:
-                yield other
+        for successor in self.successors[identity].get(name, ()):
+            unfinished_predecessors[successor] -= 1
+            if not unfinished_predecessors[successor]:
+                yield successor
 
     def remove(self, job: PushedJob) -> None:
-        """A job is final."""
+        """Removes a job that became final."""
         self.live_counts[job.queue] -= 1
         del self.unfinished_counts[job.identity]
         del self.unfinished_predecessors[job.identity]
--- a/src/pinepitch/state/leased_job_operations.py
+++ b/src/pinepitch/state/leased_job_operations.py
@@ -1,4 +1,4 @@
-"""Operations on leased jobs: handed to scheduling's part of the state, with the agreed time."""
+"""Operations on leased jobs, which pass the agreed time and their fields on to LeasedJobState."""
 
 from typing import TYPE_CHECKING
 
@@ -19,7 +19,7 @@
 
 
 def accept_leased_job(state: "ClusterState", operation: AcceptLeasedJob) -> Outcome:
-    """Takes in a leased job."""
+    """Accepts a leased job."""
     return state.leased_jobs.accept(state.time, *operation)
 
 
@@ -29,36 +29,36 @@
 
 
 def assign_runs(state: "ClusterState", operation: AssignRuns) -> Outcome:
-    """Assigns runs, if whoever decided it still holds the placing role."""
+    """Assigns runs, unless the proposer has lost the placing role."""
     if operation.epoch != state.epoch("placing"):
         return STALE_EPOCH
     return ("assigned", state.leased_jobs.assign(state.time, operation.epoch, operation.items))
 
 
 def stop_runs(state: "ClusterState", operation: StopRuns) -> Outcome:
-    """Marks runs that are to end, if whoever decided it still holds the placing role."""
+    """Marks runs that are to stop, unless the proposer has lost the placing role."""
     if operation.epoch != state.epoch("placing"):
         return STALE_EPOCH
     return state.leased_jobs.stop(state.time, operation.items)
 
 
 def end_runs(state: "ClusterState", operation: EndRuns) -> Outcome:
-    """Takes proven ends of runs."""
+    """Records the proven ends of runs."""
     return state.leased_jobs.end(state.time, operation.items)
 
 
 def configure_routes(state: "ClusterState", operation: ConfigureRoutes) -> Outcome:
-    """Takes a whole configuration of the routes."""
+    """Replaces the whole configuration of the routes."""
     return state.leased_jobs.configure(state.time, *operation)
 
 
 def amend_routes(state: "ClusterState", operation: AmendRoutes) -> Outcome:
-    """Changes single routes."""
+    """Changes individual routes."""
     return state.leased_jobs.amend(state.time, *operation)
 
 
 def evacuate_zone(state: "ClusterState", operation: EvacuateZone) -> Outcome:
-    """Begins or ends the evacuation of a zone, as the order at this index of the log."""
+    """Begins or ends the evacuation of a zone; the log index of the operation identifies the order."""
     return state.leased_jobs.evacuate(
         state.time, operation.zone, operation.begun, state.index, operation.confirmed
     )
--- a/src/pinepitch/state/outcomes.py
+++ b/src/pinepitch/state/outcomes.py
@@ -1,7 +1,8 @@
-"""What an operation says of how it went, as it is answered to whoever proposed it.
+"""The outcome of an operation, which is returned to its proposer.
 
-An outcome is a tuple whose first element says how it went; the rest depends on it. Outcomes are
-part of the image (those of changes, by their watermark), so their form is that of stored data.
+An outcome is a tuple; its first element says how the operation went and determines the other elements.
+The outcomes of changes are stored in the image, by token, so the form of outcomes is part of the stored
+format.
 """
 
 from typing import Any
@@ -10,4 +11,4 @@
 
 OK: Outcome = ("ok",)
 MISSING: Outcome = ("missing",)
-STALE_EPOCH: Outcome = ("refused", "epoch")  # whoever proposed it no longer holds the role
+STALE_EPOCH: Outcome = ("refused", "epoch")  # the proposer has lost the role
--- a/src/pinepitch/state/placing_operations.py
+++ b/src/pinepitch/state/placing_operations.py
@@ -1,7 +1,7 @@
 """The operation that places waiting tasks on workers.
 
-The leader decides from what it knows of the workers; here is checked what must hold whoever
-decided: predecessors, times, capacities, limits and credits.
+The leader chooses placements from its view of the workers. This module checks the rules that must
+hold whichever leader chose them: predecessors, times, capacities, limits and credits.
 """
 
 from typing import TYPE_CHECKING
@@ -16,11 +16,14 @@
 if TYPE_CHECKING:
     from .cluster_state import ClusterState
 
-Group = list[PlacementItem]  # one task, or all of a gang that the operation places
+Group = list[PlacementItem]  # a single task, or all tasks of a gang that the operation places
 
 
 def place_tasks(state: "ClusterState", operation: PlaceTasks) -> Outcome:
-    """("placed", (reference, '' or why not) for each item); of a gang all or none."""
+    """Places tasks, and the tasks of a gang all together or not at all.
+
+    The outcome is ("placed", (reference, '' or the reason for refusal) for each item).
+    """
     if operation.epoch != state.epoch("placing"):
         return STALE_EPOCH
     if operation.version != state.version:
@@ -28,31 +31,31 @@
     items = [PlacementItem._make(item) for item in operation.items]
     gangs: dict[tuple[str, str], Group] = {}
     for item in items:
-        found = state.find(item.reference)
-        if found and found[1].gang:
-            gangs.setdefault((found[0].identity, found[1].gang), []).append(item)
+        match = state.find(item.reference)
+        if match and match[1].gang:
+            gangs.setdefault((match[0].identity, match[1].gang), []).append(item)
     outcomes: dict[str, str] = {}
     for item in items:
         if item.reference in outcomes:
             continue
-        found = state.find(item.reference)
+        match = state.find(item.reference)
         group = [item]
-        if found and found[1].gang:
-            group = gangs[(found[0].identity, found[1].gang)]
+        if match and match[1].gang:
+            group = gangs[(match[0].identity, match[1].gang)]
         outcome = _place_group(state, group)
-        for one in group:
-            outcomes[one.reference] = outcome
+        for member in group:
+            outcomes[member.reference] = outcome
     return ("placed", tuple((item.reference, outcomes[item.reference]) for item in items))
 
 
 def _place_group(state: "ClusterState", group: Group) -> str:
-    """Places a whole group or nothing of it; '' or why not."""
+    """Places all of a group or none of it; returns '' or the reason for refusal."""
     totals = _GroupTotals(state)
     for item in group:
-        found = state.find(item.reference)
-        if found is None:
+        match = state.find(item.reference)
+        if match is None:
             return "unknown"
-        job, task, standing = found
+        job, task, standing = match
         refusal = (
             _task_refusal(state, job, task, standing)
             or state.closed(item.worker, item.zone)
@@ -67,7 +70,7 @@
 
 
 def _task_refusal(state: "ClusterState", job: PushedJob, task: Task, standing: Standing) -> str:
-    """Why a task may not start now wherever it were, or ''."""
+    """Why a task may not start now on any worker, or ''."""
     if job.state != "pending" or standing.state != "waiting":
         return "not waiting"
     if state.progress.unfinished_predecessors[job.identity][task.name]:
@@ -83,56 +86,57 @@
     """Why a gang may not start, or ''."""
     if not task.gang:
         return ""
-    waiting = {reference(job.identity, one) for one in waiting_members(job, unit_of(task))}
-    return "" if waiting == {one.reference for one in group} else "gang not whole"
+    waiting = {reference(job.identity, name) for name in waiting_members(job, unit_of(task))}
+    return "" if waiting == {item.reference for item in group} else "gang not whole"
 
 
 class _GroupTotals:
-    """What the items of a group take together, checked item by item."""
+    """The units and credits that the items of a group use together, checked item by item."""
 
-    __slots__ = ("charged", "needed", "state", "used")
+    __slots__ = ("charged_credits", "queue_units", "state", "worker_units")
 
     def __init__(self, state: "ClusterState") -> None:
         self.state = state
-        self.needed: dict[str, int] = {}  # worker -> units, with those reserved before
-        self.charged: dict[str, int] = {}  # queue -> credits
-        self.used = 0  # units of the job's queue
+        self.worker_units: dict[str, int] = {}  # worker -> units, including those already reserved
+        self.charged_credits: dict[str, int] = {}  # queue -> credits
+        self.queue_units = 0  # units of the job's queue
 
     def refusal(self, job: PushedJob, task: Task, item: PlacementItem) -> str:
-        """Adds an item; why the group may not be placed with it, or ''."""
+        """Adds an item; returns why the group may not be placed with it, or ''."""
         state, worker = self.state, item.worker
-        if worker not in self.needed:
-            self.needed[worker] = state.reservations.units_on(worker)
-        self.needed[worker] += task.units
-        if self.needed[worker] > item.capacity:
+        if worker not in self.worker_units:
+            self.worker_units[worker] = state.reservations.units_on(worker)
+        self.worker_units[worker] += task.units
+        if self.worker_units[worker] > item.capacity:
             return "room"
-        self.used += task.units
+        self.queue_units += task.units
         limit = state.queue_settings[job.queue].limit
-        if state.reservations.used_units.get(job.queue, 0) + self.used > limit:
+        if state.reservations.used_units.get(job.queue, 0) + self.queue_units > limit:
             return "limit"
         if sum(credits for _, credits in item.charges) != task.units:
             return "charges"
         return self._charges_refusal(job, item)
 
     def _charges_refusal(self, job: PushedJob, item: PlacementItem) -> str:
+        """Why the queues may not lend the credits that an item charges to them, or ''."""
         for lender, credits in item.charges:
-            self.charged[lender] = self.charged.get(lender, 0) + credits
+            self.charged_credits[lender] = self.charged_credits.get(lender, 0) + credits
             if lender != job.queue and not self._may_lend(job, lender):
                 return "lender"
-            if credits <= 0 or self.charged[lender] > self.state.balance(lender):
+            if credits <= 0 or self.charged_credits[lender] > self.state.balance(lender):
                 return "credits"
         return ""
 
     def _may_lend(self, job: PushedJob, lender: str) -> bool:
-        """Whether a queue lends to a job of another one."""
+        """Whether a queue lends credits to a job of another queue."""
         if job.kind == "feed":
-            return False  # it has no end that would bring the credits back
+            return False  # a feed does not end, so the credits would never be returned
         queue_settings = self.state.queue_settings.get(lender)
         return queue_settings is not None and queue_settings.lends
 
 
 def _place(state: "ClusterState", item: PlacementItem) -> None:
-    """The next attempt of a task is under way."""
+    """Starts the next attempt of a task on the worker that the item names."""
     job, task, standing = state.find_known(item.reference)
     standing = standing._replace(
         state="placed",
@@ -144,7 +148,7 @@
         front_daemon=item.front_daemon,
         send_by=state.time + constants.SEND_WITHIN,
         yields_to="",
-        charges=tuple(tuple(one) for one in item.charges),
+        charges=tuple(tuple(charge) for charge in item.charges),
         since=state.time,
     )
     state.progress.count_waiting(job, -1)
--- a/src/pinepitch/state/pushed_job_operations.py
+++ b/src/pinepitch/state/pushed_job_operations.py
@@ -1,4 +1,4 @@
-"""Operations of clients on pushed jobs: submitting and cancelling."""
+"""Operations by which clients submit and cancel pushed jobs."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -15,14 +15,14 @@
 if TYPE_CHECKING:
     from .cluster_state import ClusterState
 
-Fault = tuple[str, str]  # path in the document, and what is wrong there
+Fault = tuple[str, str]  # (path in the document, what is wrong there)
 
 
 def accept_job(state: "ClusterState", operation: AcceptJob) -> Outcome:
-    """Takes a job in, unless its key is known or it can't be taken now."""
-    before = state.known(operation.key, operation.digest)
-    if before is not None:
-        return before
+    """Accepts a job, unless its key is already in use or the job has to be refused now."""
+    known_outcome = state.known(operation.key, operation.digest)
+    if known_outcome is not None:
+        return known_outcome
     refusal = state.job_refusal(operation.document, operation.unplaceable)
     if refusal is not None:
         return refusal
@@ -31,27 +31,27 @@
     state.put_job(job)
     state.keys = state.keys.set(operation.key, job.identity)
     state.add_live_job(job)
-    state.sample.accepted(job, lambda: _running(state))
+    state.sample.add_arrival(job, lambda: _count_running(state))
     return ("accepted", job.identity)
 
 
 def _new_job(state: "ClusterState", identity: str, operation: AcceptJob) -> PushedJob:
-    """The job of a document, with what its queue's settings add."""
-    plain = operation.document
-    queue_settings = state.queue_settings[plain["queue"]]
-    tasks = tasks_from(plain, queue_settings.retries, plain["kind"] == "feed")
+    """The job of a document, completed with the settings of its queue."""
+    document = operation.document
+    queue_settings = state.queue_settings[document["queue"]]
+    tasks = tasks_from(document, queue_settings.retries, document["kind"] == "feed")
     return PushedJob(
         identity,
         operation.key,
         operation.digest,
-        plain["queue"],
-        plain["kind"],
-        queue_settings.urgency if plain["urgency"] < 0 else plain["urgency"],
-        plain["due"],
+        document["queue"],
+        document["kind"],
+        queue_settings.urgency if document["urgency"] < 0 else document["urgency"],
+        document["due"],
         state.time,
         tasks,
         immutables.Map({name: Standing(since=state.time) for name in tasks}),
-        urgency_given=plain["urgency"] >= 0,
+        urgency_given=document["urgency"] >= 0,
         unplaceable=operation.unplaceable,
     )
 
@@ -62,7 +62,7 @@
     if job is None:
         return MISSING
     if job.state in ("cancelling", "cancelled"):
-        return OK  # asked again, or by two
+        return OK  # the cancellation was requested more than once
     if job.state != "pending":
         return ("ended", job.state)
     job = job._replace(state="cancelling", cancelled_at=state.time)
@@ -72,7 +72,7 @@
 
 
 def known_key(state: "ClusterState", key: str, digest: str) -> Outcome | None:
-    """The outcome for a key seen before, or None."""
+    """The outcome of submitting a key that is already in use, or None for a new key."""
     identity = state.keys.get(key)
     if identity is not None:
         known_digest = state.pushed_jobs[identity].digest
@@ -84,68 +84,73 @@
     return ("known", identity) if known_digest == digest else ("mismatch", identity)
 
 
-def job_refusal(state: "ClusterState", plain: dict[str, Any], unplaceable: str) -> Outcome | None:
-    """Why a checked document can't be taken now, or None. `unplaceable` says why no worker
-    known to the leader could take it, or nothing.
+def job_refusal(state: "ClusterState", document: dict[str, Any], unplaceable: str) -> Outcome | None:
+    """The outcome that refuses a checked document now, or None if the job can be accepted.
+
+    `unplaceable` is the reason why no worker known to the leader could run the job, or ''.
     """
-    queue_settings = state.queue_settings.get(plain["queue"])
+    queue_settings = state.queue_settings.get(document["queue"])
     if queue_settings is None:
-        return ("invalid", (("queue", f"no queue {plain['queue']!r}"),))
-    over = (*_tasks_over_limit(plain, queue_settings), *_gangs_over_limit(plain, queue_settings))
-    if over:
-        return ("invalid", over)
-    full = _queue_full(state, plain, queue_settings, unplaceable)
-    if full:
-        return ("shed", full)
+        return ("invalid", (("queue", f"no queue {document['queue']!r}"),))
+    faults = (*_tasks_over_limit(document, queue_settings), *_gangs_over_limit(document, queue_settings))
+    if faults:
+        return ("invalid", faults)
+    reason = _queue_full(state, document, queue_settings, unplaceable)
+    if reason:
+        return ("shed", reason)
     if len(state.pushed_jobs) - len(state.finished) >= constants.MAX_PUSHED_JOBS:
         return ("shed", "record full")
     return None
 
 
-def _tasks_over_limit(plain: dict[str, Any], queue_settings: QueueSettings) -> tuple[Fault, ...]:
+def _tasks_over_limit(document: dict[str, Any], queue_settings: QueueSettings) -> tuple[Fault, ...]:
+    """A fault for each task that needs more units than its queue may use at once."""
     limit = queue_settings.limit
     return tuple(
-        (f"tasks.{place}.units", f"{task['units']} units, over the queue's limit of {limit}")
-        for place, task in enumerate(plain["tasks"])
+        (f"tasks.{position}.units", f"{task['units']} units, over the queue's limit of {limit}")
+        for position, task in enumerate(document["tasks"])
         if task["units"] > limit
     )
 
 
-def _gangs_over_limit(plain: dict[str, Any], queue_settings: QueueSettings) -> tuple[Fault, ...]:
+def _gangs_over_limit(document: dict[str, Any], queue_settings: QueueSettings) -> tuple[Fault, ...]:
+    """A fault for each gang that needs more units than its queue may use at once."""
     limit = queue_settings.limit
-    gangs: dict[str, int] = {}
-    for task in plain["tasks"]:
+    gang_units: dict[str, int] = {}
+    for task in document["tasks"]:
         if task["gang"]:
-            gangs[task["gang"]] = gangs.get(task["gang"], 0) + task["units"]
+            gang_units[task["gang"]] = gang_units.get(task["gang"], 0) + task["units"]
     return tuple(
         (f"gang {gang}", f"{units} units together, over the queue's limit of {limit}")
-        for gang, units in gangs.items()
+        for gang, units in gang_units.items()
         if units > limit
     )
 
 
 def _queue_full(
-    state: "ClusterState", plain: dict[str, Any], queue_settings: QueueSettings, unplaceable: str
+    state: "ClusterState", document: dict[str, Any], queue_settings: QueueSettings, unplaceable: str
 ) -> str:
-    """Why the queue can't take more waiting tasks, or ''. Unplaceable jobs have a part of its
-    bound of their own, so that they don't keep out those that could run.
+    """Why the queue can't accept these waiting tasks, or ''.
+
+    Unplaceable jobs are limited to a separate part of the queue's bound, so that they don't crowd
+    out jobs that could run.
     """
-    queue, count = plain["queue"], len(plain["tasks"])
+    queue, count = document["queue"], len(document["tasks"])
     if not unplaceable:
         waiting = state.progress.waiting_counts.get(queue, 0)
         return "queue full" if waiting + count > queue_settings.pending else ""
-    most = queue_settings.pending // constants.UNPLACEABLE_PART
-    if state.progress.unplaceable.get(queue, 0) + count <= most:
+    maximum = queue_settings.pending // constants.UNPLACEABLE_PART
+    if state.progress.unplaceable.get(queue, 0) + count <= maximum:
         return ""
-    return f"{unplaceable}; the {most} waiting tasks that a queue keeps for such tickets are taken"
+    return f"{unplaceable}; the {maximum} waiting tasks that a queue keeps for such tickets are taken"
 
 
-def _running(state: "ClusterState") -> tuple[tuple[str, str, int, tuple[str, ...], int], ...]:
-    """What runs now, counted by (queue, kind, units, labels)."""
+def _count_running(state: "ClusterState") -> tuple[tuple[str, str, int, tuple[str, ...], int], ...]:
+    """(queue, kind, units, labels, number of placed tasks) for each combination that occurs, sorted."""
     counts: dict[tuple[str, str, int, tuple[str, ...]], int] = {}
     for reserved in state.reservations.reserved.values():
         for ref in reserved:
             job, task, _ = state.find_known(ref)
-            kind = (job.queue, job.kind, task.units, task.labels)
-            counts[kind] = counts.get(kind, 0) + 1
-    return tuple((*kind, count) for kind, count in sorted(counts.items()))
+            key = (job.queue, job.kind, task.units, task.labels)
+            counts[key] = counts.get(key, 0) + 1
+    return tuple((*key, count) for key, count in sorted(counts.items()))
--- a/src/pinepitch/state/ready_queue.py
+++ b/src/pinepitch/state/ready_queue.py
@@ -1,7 +1,7 @@
-"""The ready queue: the start units whose predecessors are all done, in the order of their turn.
+"""The ready queue: the start units whose predecessors are all done, in their starting order.
 
-A start unit is what starts together: a task, or the waiting members of a gang; it is named by
-the task, or by "/" and the gang.
+A start unit is a set of tasks that start together: a single task, or the waiting members of a gang.
+Its name is the name of the task, or "/" followed by the name of the gang.
 """
 
 import bisect
@@ -13,14 +13,14 @@
 from ..model.pushed_job import PushedJob
 from ..model.task import unit_of
 
-Shape = tuple[Any, ...]  # the job's kind, then (units, labels) of each task of the unit
-Entry = tuple[float, int, str]  # (due, number of the job, unit): the order of turns
+Shape = tuple[Any, ...]  # (kind of the job, (units, labels) of each task of the unit, ...)
+Entry = tuple[float, int, str]  # (due time, number of the job, unit), which sort in starting order
 
 
 class Slot(NamedTuple):
-    """Where a start unit stands in the ready queue."""
+    """The position of a start unit in the ready queue."""
 
-    begins: float  # not before this time
+    earliest_start: float  # the unit may not start before this time
     queue: str
     urgency: int
     shape: Shape
@@ -28,7 +28,7 @@
 
 
 def waiting_members(job: PushedJob, unit: str) -> tuple[str, ...]:
-    """The waiting tasks of a start unit, in the order of the job's document."""
+    """Names of the waiting tasks of a start unit, in the order of the job's document."""
     if unit[0] != "/":
         return (unit,) if job.standings[unit].state == "waiting" else ()
     return tuple(
@@ -41,46 +41,51 @@
 class ReadyQueue:
     """All start units that may start now or at a later time.
 
-    Invariants: slots holds every unit whose predecessors are all done. One whose time had come
-    by promoted_until is in ready_units[queue][urgency][shape], a list in the order of the
-    entries; no list or map in there is empty. The others are in future_units, a heap by time
-    that may also hold units that have gone or moved.
+    Invariants: slots has an item for every unit whose predecessors are all done. A unit that was
+    due by promoted_until is in ready_units[queue][urgency][shape], a sorted list of entries; no
+    list or map in ready_units is empty. The other units are in future_units, a heap ordered by
+    time, which may also contain stale items for units that were removed or put again.
     """
 
     __slots__ = ("future_units", "promoted_until", "ready_units", "slots")
 
     def __init__(self, promoted_until: float = 0.0) -> None:
         self.ready_units: dict[str, dict[int, dict[Shape, list[Entry]]]] = {}
-        self.future_units: list[tuple[float, int, str]] = []  # (begins, number of the job, unit)
-        self.slots: dict[tuple[str, str], Slot] = {}  # (job, unit) -> where it stands
+        self.future_units: list[tuple[float, int, str]] = []  # (earliest start, number of the job, unit)
+        self.slots: dict[tuple[str, str], Slot] = {}  # (job, unit) -> its position
         self.promoted_until = promoted_until
 
     def put(self, job: PushedJob, name: str, unfinished_predecessors: Mapping[str, int]) -> None:
-        """Puts the unit of a task where it belongs now: ready, later, or nowhere."""
+        """Adds the unit of a task to the ready or the future units, or removes it if it can't start yet."""
         unit = unit_of(job.tasks[name])
         self.remove(job, unit)
         members = waiting_members(job, unit)
-        if not members or any(unfinished_predecessors[one] for one in members):
+        if not members or any(unfinished_predecessors[member] for member in members):
             return
-        begins = max(max(job.tasks[one].not_before, job.standings[one].earliest) for one in members)
-        shape = (job.kind, *sorted((job.tasks[one].units, job.tasks[one].labels) for one in members))
+        earliest_start = max(
+            max(job.tasks[member].not_before, job.standings[member].earliest) for member in members
+        )
+        shape = (
+            job.kind,
+            *sorted((job.tasks[member].units, job.tasks[member].labels) for member in members),
+        )
         number = int(job.identity[1:])
-        patience = job.accepted + constants.DEFAULT_DUE
-        entry = (min(job.due or patience, patience), number, unit)
-        self.slots[(job.identity, unit)] = Slot(begins, job.queue, job.urgency, shape, entry)
-        if begins <= self.promoted_until:
+        default_due = job.accepted + constants.DEFAULT_DUE
+        entry = (min(job.due or default_due, default_due), number, unit)
+        self.slots[(job.identity, unit)] = Slot(earliest_start, job.queue, job.urgency, shape, entry)
+        if earliest_start <= self.promoted_until:
             self._add_ready(job.queue, job.urgency, shape, entry)
         else:
-            heapq.heappush(self.future_units, (begins, number, unit))
+            heapq.heappush(self.future_units, (earliest_start, number, unit))
 
     def _add_ready(self, queue: str, urgency: int, shape: Shape, entry: Entry) -> None:
         shapes = self.ready_units.setdefault(queue, {}).setdefault(urgency, {})
         bisect.insort(shapes.setdefault(shape, []), entry)
 
     def remove(self, job: PushedJob, unit: str) -> None:
-        """Takes a unit out, if it is there."""
+        """Removes a unit, if it is in the queue."""
         slot = self.slots.pop((job.identity, unit), None)
-        if slot is None or slot.begins > self.promoted_until:
+        if slot is None or slot.earliest_start > self.promoted_until:
             return
         urgencies = self.ready_units[slot.queue]
         shapes = urgencies[slot.urgency]
@@ -96,17 +101,22 @@
             del self.ready_units[slot.queue]
 
     def promote(self, time: float) -> float | None:
-        """Moves the units whose time has come by `time` to the ready ones; when the next one's
-        time comes, or None if no unit waits for its time.
+        """Moves the units that are due by `time` to the ready units.
+
+        Returns the earliest start of the next future unit, or None if there is none.
         """
         self.promoted_until = max(self.promoted_until, time)
-        last = None
+        previous = None
         while self.future_units:
-            begins, number, unit = self.future_units[0]
+            earliest_start, number, unit = self.future_units[0]
             slot = self.slots.get((f"t{number}", unit))
-            if slot is not None and slot.begins == begins and self.future_units[0] != last:
-                if begins > self.promoted_until:
-                    return begins
+            if (
+                slot is not None
+                and slot.earliest_start == earliest_start
+                and self.future_units[0] != previous
+            ):
+                if earliest_start > self.promoted_until:
+                    return earliest_start
                 self._add_ready(slot.queue, slot.urgency, slot.shape, slot.entry)
-            last = heapq.heappop(self.future_units)
+            previous = heapq.heappop(self.future_units)
         return None
--- a/src/pinepitch/state/registry.py
+++ b/src/pinepitch/state/registry.py
@@ -1,7 +1,7 @@
 """The registry of operations: their names on the wire and on disk, types, functions and levels.
 
-A new operation is an entry here, of a level above those that are out: it is proposed only once
-all members know it.
+A new operation is added here with a level above the released ones. It is proposed only once all members
+know that level.
 """
 
 from collections.abc import Callable
@@ -23,9 +23,9 @@
 
 
 class Action(NamedTuple):
-    """What an entry of the log does."""
+    """How an operation from the log is decoded and applied."""
 
-    decode: Callable[..., Any]  # makes the typed operation of the fields that follow the name
+    decode: Callable[..., Any]  # (fields that follow the name) -> typed operation
     apply: Callable[..., Outcome]  # (state, typed operation) -> outcome
 
 
@@ -67,7 +67,7 @@
     "configure-tenants": Action(operations.ConfigureRoutes, leased_job_operations.configure_routes),
     "amend-tenants": Action(operations.AmendRoutes, leased_job_operations.amend_routes),
 }
-# The level that knows an operation, for those above level 1.
+# Operation -> the level that introduced it; operations that are not listed are of level 1.
 LEVELS = {
     "level": 2,
     "job": 2,
@@ -83,6 +83,6 @@
     "configure-tenants": 4,
     "amend-tenants": 4,
 }
-# Operations of callers that enlarge the image for long; they are refused once it is full. Those that end,
-# cancel or replace something never are.
+# Operations requested by callers that enlarge the image for a long time; they are refused once the image is
+# full. Operations that end, cancel or replace something are never refused for this reason.
 GROWING = frozenset(("ticket", "job", "tenant-job", "setup", "draft", "approve"))
--- a/src/pinepitch/state/reservations.py
+++ b/src/pinepitch/state/reservations.py
@@ -1,4 +1,4 @@
-"""What placed tasks take: units of workers and queues, and credits of the queues that lent them."""
+"""Reservations of placed tasks: units of workers and queues, and credits of the queues that lend them."""
 
 from ..model.pushed_job import PushedJob
 from ..model.task import Standing, Task, reference
@@ -7,10 +7,10 @@
 class Reservations:
     """The reservations of all placed tasks.
 
-    Invariants: a task's reservation on a worker stands exactly while it is placed;
-    outstanding_credits[queue] is the sum of credits lent by a queue to placed tasks;
-    used_units[queue] is the sum of the units of its placed tasks; yielding holds the attempts
-    that are placed and to stop.
+    Invariants: a task has a reservation on a worker exactly while it is placed;
+    outstanding_credits[queue] is the sum of the credits that a queue lends to placed tasks;
+    used_units[queue] is the sum of the units of its placed tasks; yielding has the placed tasks
+    that have been asked to stop, with their attempts.
     """
 
     __slots__ = ("outstanding_credits", "reserved", "used_units", "yielding")
@@ -22,14 +22,14 @@
         self.yielding: dict[str, int] = {}  # reference -> attempt
 
     def reserve(self, job: PushedJob, task: Task, standing: Standing) -> None:
-        """A task has been placed."""
+        """Adds the reservations of a task that has been placed."""
         self.reserved.setdefault(standing.worker, {})[reference(job.identity, task.name)] = task.units
         self.used_units[job.queue] = self.used_units.get(job.queue, 0) + task.units
         for queue, credits in standing.charges:
             self.outstanding_credits[queue] = self.outstanding_credits.get(queue, 0) + credits
 
     def release(self, job: PushedJob, task: Task, standing: Standing) -> None:
-        """A placed task's attempt has ended; `standing` is that of the placed task."""
+        """Removes the reservations of an attempt that has ended; `standing` is that of the placed task."""
         reserved = self.reserved[standing.worker]
         del reserved[reference(job.identity, task.name)]
         if not reserved:
@@ -40,5 +40,5 @@
         self.yielding.pop(reference(job.identity, task.name), None)
 
     def units_on(self, worker: str) -> int:
-        """The units that are reserved on a worker."""
+        """The number of units reserved on a worker."""
         return sum(self.reserved.get(worker, {}).values())
--- a/src/pinepitch/state/traffic_sample.py
+++ b/src/pinepitch/state/traffic_sample.py
@@ -1,7 +1,7 @@
-"""The sample: a bounded part of the traffic of a day, kept in the cluster state for rehearsals.
+"""A bounded sample of one day's traffic, stored in the cluster state for rehearsals.
 
-Traffic is kept in whole blocks of time, so that waves and crowds stay as they were. All
-control daemons keep the same: which block stays is drawn by a hash of its number.
+Traffic is sampled in whole blocks of time, so that bursts are preserved. All control daemons retain
+the same blocks, because a hash of a block's number decides whether it is retained.
 """
 
 import hashlib
@@ -15,25 +15,25 @@
 
 
 class Block(NamedTuple):
-    """The traffic of a stretch of time. The order of the fields is that of stored data.
+    """The traffic of a time span. The order of the fields is part of the stored format.
 
-    Invariants: arrivals maps the numbers of the jobs that came from start to end, to
-    what a replay needs of each once it is final, and to None before; end is the
-    block's length unless more jobs came than are kept: then it was cut when full;
-    running counts what ran at its start, as (queue, kind, units, labels, count).
+    Invariants: arrivals maps the number of each job accepted from start to end to what a replay
+    needs of it once it is final, and to None before. end is SAMPLE_BLOCK seconds after start, or
+    the time at which a job arrived after the block had SAMPLE_JOBS jobs. running counts the tasks
+    that ran at start, as (queue, kind, units, labels, count).
     """
 
-    start: float
+    start: float  # seconds of the cluster's clock
     end: float
     running: tuple[Any, ...]
-    arrivals: Any  # immutables.Map: number -> arrival() or None
+    arrivals: Any  # immutables.Map: number of the job -> arrival() or None
 
 
 class Sample:
-    """The blocks that are kept.
+    """The retained blocks.
 
-    Invariants: blocks lie within the window; the newest SAMPLE_NEWEST are all kept, of
-    older ones SAMPLE_EACH a stratum, those of the lowest rank.
+    Invariants: blocks lie within SAMPLE_WINDOW. The newest SAMPLE_NEWEST blocks are all retained; of
+    the older ones, the SAMPLE_EACH blocks with the lowest rank in each stratum.
     """
 
     def __init__(self, blocks: Iterable[Any] = ()) -> None:
@@ -45,11 +45,11 @@
         )
 
     def image(self) -> tuple[tuple[int, Block], ...]:
-        """A value that later changes leave alone."""
+        """A value that later changes of the sample do not affect."""
         return tuple(sorted(self.blocks.items()))
 
-    def accepted(self, job: PushedJob, running: Callable[[], tuple[Any, ...]]) -> None:
-        """A job came; `running` tells what runs now, asked when a block begins."""
+    def add_arrival(self, job: PushedJob, running: Callable[[], tuple[Any, ...]]) -> None:
+        """Adds an accepted job; `running` is called to count the running tasks when a block begins."""
         number = int(job.accepted // constants.SAMPLE_BLOCK)
         block = self.blocks.get(number)
         if block is None:
@@ -64,21 +64,21 @@
             block = block._replace(arrivals=block.arrivals.set(int(job.identity[1:]), None))
         self.blocks = self.blocks.set(number, block)
 
-    def final(self, job: PushedJob) -> None:
-        """A job became final: what a replay needs of it stays."""
+    def add_result(self, job: PushedJob) -> None:
+        """Stores what a replay needs of a job that became final."""
         number, block = self._block(job)
         if block is not None:
             block = block._replace(arrivals=block.arrivals.set(int(job.identity[1:]), arrival(job)))
             self.blocks = self.blocks.set(number, block)
 
     def _block(self, job: PushedJob) -> tuple[int, Block | None]:
-        """(number of the block a job came in, the block if the job is kept in it, or None)."""
+        """(number of the block of a job's arrival, that block, or None if the job is not sampled)."""
         number = int(job.accepted // constants.SAMPLE_BLOCK)
         block = self.blocks.get(number)
         return number, block if block is not None and int(job.identity[1:]) in block.arrivals else None
 
     def _prune(self, newest: int) -> None:
-        """Drops what the bound leaves no place for."""
+        """Drops the blocks that are not to be retained once a block with number `newest` is added."""
         strata: dict[int, list[int]] = {}
         for number in self.blocks:
             if number <= newest - constants.SAMPLE_NEWEST:
@@ -93,29 +93,31 @@
     def traffic(
         self, jobs: Mapping[str, PushedJob]
     ) -> tuple[tuple[float, tuple[Any, ...], tuple[Any, ...]], ...]:
-        """The blocks as a rehearsal takes them: (length, running, arrivals), oldest first."""
+        """The blocks as input of a rehearsal: (length in seconds, running, arrivals), oldest first."""
         traffic_blocks = []
         for _, block in sorted(self.blocks.items()):
             arrivals = []
-            for number, one in sorted(block.arrivals.items()):
+            for number, fields in sorted(block.arrivals.items()):
                 job = jobs.get(f"t{number}")
-                if one is None and job is not None:
-                    one = arrival(job)
-                if one is not None:
-                    arrivals.append((max(0.0, one[0] - block.start), *one[1:]))
+                if fields is None and job is not None:
+                    fields = arrival(job)
+                if fields is not None:
+                    arrivals.append((max(0.0, fields[0] - block.start), *fields[1:]))
             traffic_blocks.append((block.end - block.start, block.running, tuple(arrivals)))
         return tuple(traffic_blocks)
 
 
 def _rank(number: int) -> bytes:
-    """Draws which of the older blocks stay: those of the lowest rank."""
+    """The pseudo-random rank of a block; of the older blocks those with the lowest rank are retained."""
     return hashlib.sha256(str(number).encode()).digest()
 
 
 def arrival(job: PushedJob) -> tuple[Any, ...]:
-    """(accepted, queue, kind, urgency or -1, seconds to due or 0, tasks) of a job; a task
-    is (name, units, labels, after, seconds to its time, gang, attempts asked, limit,
-    seconds it took or None, failures, seconds lost by them).
+    """What a replay needs of a job: (accepted, queue, kind, urgency or -1, due or 0, tasks).
+
+    Each task is (name, units, labels, after, earliest start, gang, requested attempts, limit, duration
+    or None, failures, time lost by them). All times are in seconds; accepted is on the cluster's
+    clock, due and earliest start are relative to it.
     """
     tasks = []
     for name, task in job.tasks.items():
--- a/src/pinepitch/state/yielding_operations.py
+++ b/src/pinepitch/state/yielding_operations.py
@@ -1,4 +1,4 @@
-"""The operation by which running tasks are to stop and make place."""
+"""The operation that asks running tasks to stop so that others can run."""
 
 from typing import TYPE_CHECKING
 
@@ -10,40 +10,44 @@
 if TYPE_CHECKING:
     from .cluster_state import ClusterState
 
-REASONS = ("move", "limit")  # to yield for, but a task's reference: to a better place, over its time
+# Reasons to yield other than a task's reference: to move to a better worker, to end after the time limit.
+REASONS = ("move", "limit")
 
 
 def yield_tasks(state: "ClusterState", operation: YieldTasks) -> Outcome:
-    """("yields", '' or why not for each item). Who yields to whom is decided here."""
+    """("yields", ('' or the reason for refusal, for each item)).
+
+    The rules for which task yields to which are checked here, not by the proposer.
+    """
     if operation.epoch != state.epoch("placing"):
         return STALE_EPOCH
     return ("yields", tuple(_yield(state, *item) for item in operation.items))
 
 
-def _yield(state: "ClusterState", ref: str, attempt: int, whom: str) -> str:
-    found = state.find(ref)
-    if found is None:
+def _yield(state: "ClusterState", ref: str, attempt: int, yields_to: str) -> str:
+    match = state.find(ref)
+    if match is None:
         return "stale"
-    job, task, standing = found
+    job, task, standing = match
     if standing.state != "placed" or standing.attempt != attempt or standing.yields_to:
         return "stale"
-    if whom not in REASONS:
-        refusal = _preemption_refusal(state, job, whom)
+    if yields_to not in REASONS:
+        refusal = _preemption_refusal(state, job, yields_to)
         if refusal:
             return refusal
-    mark_yielding(state, job, task.name, whom)
+    mark_yielding(state, job, task.name, yields_to)
     return ""
 
 
-def _preemption_refusal(state: "ClusterState", job: PushedJob, whom: str) -> str:
-    """Why a job's task need not yield to the task `whom`, or ''."""
-    found = state.find(whom)
-    if found is None or found[2].state != "waiting":
+def _preemption_refusal(state: "ClusterState", job: PushedJob, preempting_ref: str) -> str:
+    """Why a task of a job need not yield to the task `preempting_ref`, or ''."""
+    match = state.find(preempting_ref)
+    if match is None or match[2].state != "waiting":
         return "nobody waits"
-    other = found[0]
+    preempting_job = match[0]
     allowed = (
-        state.queue_settings[other.queue].preempts
+        state.queue_settings[preempting_job.queue].preempts
         and state.queue_settings[job.queue].yields
-        and other.urgency > job.urgency
+        and preempting_job.urgency > job.urgency
     )
     return "" if allowed else "not allowed"
