--- a/src/pinepitch/model/__init__.py
+++ b/src/pinepitch/model/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken of: pushed jobs, tasks, queue settings, workers, contracts of messages."""
+"""The data model: pushed jobs, tasks, queue settings, workers, and contracts of messages."""
--- a/src/pinepitch/model/contract.py
+++ b/src/pinepitch/model/contract.py
@@ -1,7 +1,7 @@
-"""Contracts: what each message between our processes must look like.
+"""Contracts: the form that each message between the project's processes must have.
 
-A pattern is a type, a tuple of patterns (an array of just these), a one-element list
-(an array of any length), MAYBE(pattern), ONE_OF(patterns), PAIRS(key, value) for a map, or ANY.
+A pattern is a type, a tuple of patterns (an array with exactly these elements), a list with one pattern
+(an array of any length), Maybe(pattern), OneOf(patterns), Pairs(key, value) for a map, or ANY.
 """
 
 from typing import Any, NamedTuple
@@ -10,13 +10,13 @@
 
 
 class Maybe(NamedTuple):
-    """None, or what the pattern says."""
+    """None, or a value that fits the pattern."""
 
     pattern: Any
 
 
 class Pairs(NamedTuple):
-    """A map. Invariant: every key and every value fits."""
+    """A map in which every key and every value fits its pattern."""
 
     key: Any
     value: Any
@@ -26,17 +26,17 @@
 
 
 class OneOf(NamedTuple):
-    """What one of several patterns says."""
+    """A value that fits at least one of several patterns."""
 
     patterns: tuple[Any, ...]
 
 
 class Number:
-    """A float or whole number, no bool."""
+    """A float or an integer, but not a bool or NaN."""
 
 
 class Address:
-    """A text IP:PORT that can be connected to."""
+    """A string IP:PORT to which a connection can be made."""
 
 
 class Operation:
@@ -44,7 +44,7 @@
 
 
 def fits(value: Any, pattern: Any) -> bool:
-    """Whether a decoded value is what a contract says."""
+    """Whether a decoded value fits a pattern."""
     if pattern is ANY:
         return True
     if pattern is Number:
@@ -54,15 +54,15 @@
     if pattern is Operation:
         return isinstance(value, (list, tuple)) and bool(value) and isinstance(value[0], str)
     if isinstance(pattern, OneOf):
-        return any(fits(value, one) for one in pattern.patterns)
+        return any(fits(value, alternative) for alternative in pattern.patterns)
     if isinstance(pattern, Maybe):
         return value is None or fits(value, pattern.pattern)
     if isinstance(pattern, Pairs):
         return isinstance(value, dict) and all(
-            fits(key, pattern.key) and fits(one, pattern.value) for key, one in value.items()
+            fits(key, pattern.key) and fits(item, pattern.value) for key, item in value.items()
         )
     if isinstance(pattern, list):
-        return isinstance(value, (list, tuple)) and all(fits(one, pattern[0]) for one in value)
+        return isinstance(value, (list, tuple)) and all(fits(element, pattern[0]) for element in value)
     if isinstance(pattern, tuple):
         return (
             isinstance(value, (list, tuple)) and len(value) == len(pattern) and all(map(fits, value, pattern))
@@ -70,15 +70,16 @@
     return isinstance(value, pattern) and not (pattern is int and isinstance(value, bool))
 
 
-CONTROL_DAEMON = (str, str, Address)  # identity, zone, address
+CONTROL_DAEMON = (str, str, Address)  # (identity, zone, address)
 HISTORY = Pairs(int, str)
 MEMBERSHIP = [(Pairs(str, str), str)]
 ENTRY = (int, Number, Operation)
 OUTCOME = (str, int, str)
-READING = (int, Number)  # a term, and what the steady clock of its leader has passed
-GREETING = (str, str, str, Address, Maybe(str), [str], Number, [CONTROL_DAEMON], [str], int)
+# (term, a reading in seconds of the steady clock of that term's leader)
+CLOCK_READING = (int, Number)
+HANDSHAKE = (str, str, str, Address, Maybe(str), [str], Number, [CONTROL_DAEMON], [str], int)
 
-# What follows the name of a message of consensus.
+# Kind of a consensus message -> patterns of the fields that follow the kind.
 RAFT: dict[str, tuple[Any, ...]] = {
     "prevote": (int, int, int),
     "prevoted": (int, bool, Maybe(str), int, HISTORY),
@@ -93,10 +94,10 @@
     "piece": (int, int, int, MEMBERSHIP, int, int, bytes, int),
     "pieced": (int, int, int, int, int),
 }
-# The registry of contracts: message kind -> pattern of what follows it.
+# The registry of contracts: message kind -> patterns of the fields that follow the kind.
 CONTRACTS: dict[str, tuple[Any, ...]] = {
-    "greet": GREETING,
-    "greeted": (*GREETING, Maybe(Address), Maybe(Number), Maybe(READING)),
+    "greet": HANDSHAKE,
+    "greeted": (*HANDSHAKE, Maybe(Address), Maybe(Number), Maybe(CLOCK_READING)),
     "tell": (str, [(str, str, str, Address)]),
     "leave": (str,),
     "seat": (bool,),
@@ -105,10 +106,10 @@
     "raft": (str, str, str, list),
     "claim": (str, str),
     "measured": (int, str, int, dict),
-    "ask": (Address, str, str, list, int, Maybe(READING)),
+    "ask": (Address, str, str, list, int, Maybe(CLOCK_READING)),
     "news": (str, Address, str, (int, int), [OUTCOME]),
     "answer": (str, (int, ANY, Maybe(int)), (str, str)),
-    "elsewhere": (str, Maybe(Address), int, Maybe(READING)),
+    "elsewhere": (str, Maybe(Address), int, Maybe(CLOCK_READING)),
     "unsure": (str,),
     "told": (
         str,
@@ -122,8 +123,8 @@
         Maybe(str),
     ),
 }
-# What a forwarded request's arguments must look like, by the request's name. Calls at queues end with the
-# caller's key where it has one.
+# Name of a forwarded request -> patterns of its arguments. Calls on leased jobs end with the caller's key if
+# the caller has one.
 ARGUMENTS: dict[str, tuple[Any, ...] | OneOf] = {
     "submit": (str, str, dict),
     "ticket": (str,),
@@ -163,15 +164,18 @@
 
 
 def keeps_contract(message: Any) -> bool:
-    """Whether a message from another process keeps its contract."""
-    kind, *rest = message
-    if not isinstance(kind, str) or kind not in CONTRACTS or not fits(rest, CONTRACTS[kind]):
+    """Whether a message from another process has the form that its contract requires."""
+    kind, *fields = message
+    if not isinstance(kind, str) or kind not in CONTRACTS or not fits(fields, CONTRACTS[kind]):
         return False
     if kind == "raft":
-        inner = rest[3]
+        consensus_message = fields[3]
         return (
-            bool(inner) and isinstance(inner[0], str) and inner[0] in RAFT and fits(inner[1:], RAFT[inner[0]])
+            bool(consensus_message)
+            and isinstance(consensus_message[0], str)
+            and consensus_message[0] in RAFT
+            and fits(consensus_message[1:], RAFT[consensus_message[0]])
         )
     if kind == "ask":
-        return fits(rest[3], ARGUMENTS.get(rest[2], ()))
+        return fits(fields[3], ARGUMENTS.get(fields[2], ()))
     return True
--- a/src/pinepitch/model/decisions.py
+++ b/src/pinepitch/model/decisions.py
@@ -1,7 +1,7 @@
-"""What the handler of a forwarded request decides: an answer, or what is agreed on before there is one.
+"""Decisions of request handlers: an answer, or a step that has to be taken before there is one.
 
-The handlers stand in `scheduling/requests.py` and `control/requests/`; the leader carries their decisions
-out (`control/forwarded_requests.py`).
+The handlers of forwarded requests are in `scheduling/requests.py` and `control/requests/`; the leader
+executes their decisions in `control/forwarded_requests.py`.
 """
 
 from collections.abc import Iterable
@@ -9,23 +9,23 @@
 
 
 class Answer(NamedTuple):
-    """What the caller gets. It goes over the wire as an array of these three fields, in this order."""
+    """The answer to the caller. On the wire it is an array of these three fields, in this order."""
 
-    status: int  # as in HTTP
-    document: Any  # what JSON is made of
-    retry_after: int | None = None  # seconds after which the caller may ask again; None leaves it open
+    status: int  # HTTP status code
+    document: Any  # JSON-compatible values
+    retry_after: int | None = None  # seconds after which the caller may retry; None if unspecified
 
 
 class Propose(NamedTuple):
-    """An operation to put into the log; its outcome becomes the answer once it is applied."""
+    """An operation to append to the log; the answer is made from its outcome once it is applied."""
 
     operation: tuple[Any, ...]
-    outcome_answer: str  # name of the function that makes the answer, in the registry of these
-    context: Any = None  # handed to that function with the outcome
+    outcome_answer: str  # the registered name of the function that makes the answer from the outcome
+    context: Any = None  # passed to that function together with the outcome
 
 
 class ProposeEnds(NamedTuple):
-    """Proven ends of pushed tasks, which are put into one entry with those of other requests.
+    """Proven ends of pushed tasks, which are proposed in one log entry with those of other requests.
 
     Invariant: each end is (task reference, attempt, how it ended).
     """
@@ -35,7 +35,7 @@
 
 
 class DeferHeartbeat(NamedTuple):
-    """A worker's heartbeat: a long poll, which the assignment manager answers now or later."""
+    """A worker's heartbeat, which is a long poll that the assignment manager answers now or later."""
 
     identity: str
     document: dict[str, Any]
@@ -44,14 +44,14 @@
 Decision = Answer | Propose | ProposeEnds | DeferHeartbeat
 
 
-def problem(status: int, code: str, message: str, retry_after: int | None = None, **more: Any) -> Answer:
+def problem(status: int, code: str, message: str, retry_after: int | None = None, **details: Any) -> Answer:
     """The answer that refuses a request: `code` is for programs, `message` for people."""
-    return Answer(status, {"error": {"code": code, "message": message, **more}}, retry_after)
+    return Answer(status, {"error": {"code": code, "message": message, **details}}, retry_after)
 
 
 def faulty(
     faults: Iterable[tuple[str, str]], message: str = "the document has faults", status: int = 422
 ) -> Answer:
-    """The answer that names every fault of a document as (path, message)."""
+    """The answer that lists every fault of a document with its path and message."""
     listed = [{"path": path, "message": fault} for path, fault in faults]
     return problem(status, "invalid", message, faults=listed)
--- a/src/pinepitch/model/push_worker.py
+++ b/src/pinepitch/model/push_worker.py
@@ -1,6 +1,6 @@
-"""A push worker: a machine that runs pushed tasks, known only by its reports.
+"""A push worker: a machine that runs pushed tasks and is known only by its reports.
 
-On the wire and for operators it is a minion.
+On the wire and in operators' interfaces it is called a minion.
 """
 
 from typing import Any, NamedTuple
@@ -12,20 +12,20 @@
 
 
 class Report(NamedTuple):
-    """What a worker says of itself.
+    """What a worker reports about itself.
 
-    Invariants: counter grows within an incarnation; running holds (reference, attempt) of
-    all it runs now; ended holds (reference, attempt, how) until each is acknowledged;
-    heard is the newest cluster time (seconds) that an answer told it: the report was begun
-    later.
+    Invariants: counter increases within an incarnation; running lists (reference, attempt) of
+    everything it runs now; ended lists (reference, attempt, how it ended) until each is acknowledged;
+    heard is the newest cluster time, in seconds, that the worker received in an answer, so the
+    report was begun after that time.
     """
 
     worker: str
     zone: str
     address: str
-    capacity: int  # units
+    capacity: int  # total units
     labels: tuple[str, ...]
-    guards: bool  # whether it refuses itself what is over its capacity
+    guards: bool  # whether it refuses work beyond its capacity by itself
     incarnation: str
     counter: int
     heard: float
@@ -33,8 +33,8 @@
     ended: tuple[tuple[Any, ...], ...]
 
 
-# How an attempt may have ended, by a report.
-HOW = ("done", "failed", "killed", "refused")
+# How an attempt may have ended, as reported by a worker.
+REPORTED_ENDS = ("done", "failed", "killed", "refused")
 _PAIR = voluptuous.All([voluptuous.Any(str, int)], voluptuous.Length(2, 2))
 _TRIPLE = voluptuous.All([voluptuous.Any(str, int)], voluptuous.Length(3, 3))
 SHAPE = voluptuous.Schema(
@@ -55,43 +55,44 @@
 
 
 def checked(document: object) -> tuple[Report | None, Faults]:
-    """(Report, ()) or (None, faults)."""
-    plain, faults = shaped(SHAPE, document)
-    faults = faults or _run_faults(plain)
+    """Checks the JSON document of a report: (Report, ()) or (None, faults)."""
+    filled, faults = shaped(SHAPE, document)
+    faults = faults or _run_faults(filled)
     if faults:
         return None, faults
     report = Report(
-        plain["minion"],
-        plain["area"],
-        plain["address"],
-        plain["room"],
-        tuple(plain["labels"]),
-        plain["guards"],
-        plain["incarnation"],
-        plain["counter"],
-        float(plain["heard"]),
-        tuple(map(tuple, plain["running"])),
-        tuple(map(tuple, plain["ended"])),
+        filled["minion"],
+        filled["area"],
+        filled["address"],
+        filled["room"],
+        tuple(filled["labels"]),
+        filled["guards"],
+        filled["incarnation"],
+        filled["counter"],
+        float(filled["heard"]),
+        tuple(map(tuple, filled["running"])),
+        tuple(map(tuple, filled["ended"])),
     )
     return report, ()
 
 
-def _run_faults(plain: dict[str, Any]) -> Faults:
-    """The first of what runs or has ended that is not told as it must be."""
+def _run_faults(filled: dict[str, Any]) -> Faults:
+    """The fault of the first malformed item among the running and ended attempts, or ()."""
     for field in ("running", "ended"):
-        for place, one in enumerate(plain[field]):
-            if not isinstance(one[0], str) or type(one[1]) is not int:
-                return ((f"{field}.{place}", "expected [reference, attempt, ...]"),)
-            if field == "ended" and one[2] not in HOW:
-                return ((f"{field}.{place}", f"expected one of {', '.join(HOW)}"),)
+        for position, item in enumerate(filled[field]):
+            if not isinstance(item[0], str) or type(item[1]) is not int:
+                return ((f"{field}.{position}", "expected [reference, attempt, ...]"),)
+            if field == "ended" and item[2] not in REPORTED_ENDS:
+                return ((f"{field}.{position}", f"expected one of {', '.join(REPORTED_ENDS)}"),)
     return ()
 
 
 class PushWorker:
-    """What the leader has gathered of one worker. Not stored: rebuilt from reports.
+    """What the leader knows about one worker. It is not stored but rebuilt from reports.
 
-    Invariants: report is the newest by (incarnation, counter); failing, the decaying part of
-    outcomes that were bad, lies in [0, 1]. heard_at and trial_at are seconds of the leader's clock.
+    Invariants: report is the newest by (incarnation, counter); failing, the exponentially decaying
+    share of bad outcomes, lies in [0, 1]. heard_at, when the newest report arrived, and trial_at, when
+    the newest trial began, are seconds of the leader's clock.
     """
 
     def __init__(self, report: Report, now: float) -> None:
@@ -102,14 +103,14 @@
         self.unreached = 0
 
     def judge(self, well: bool) -> None:
-        """One more outcome of work or of an order there."""
+        """Updates the failure rate with the outcome of a task or of an order; `well` if it succeeded."""
         weight = 1.0 / constants.LIVENESS_HALF
         self.failing += weight * ((0.0 if well else 1.0) - self.failing)
 
     def unresponsive(self, now: float) -> bool:
-        """Whether no report came for so long that it gets no work."""
+        """Whether the worker has not reported for so long that it gets no new work."""
         return now - self.heard_at > constants.PUSH_WORKER_TIMEOUT
 
     def poor(self) -> bool:
-        """Whether so much failed there that it gets work on trial only."""
+        """Whether the failure rate is so high that the worker gets work only on trial."""
         return self.failing > constants.LIVENESS_POOR
--- a/src/pinepitch/model/queue_settings.py
+++ b/src/pinepitch/model/queue_settings.py
@@ -1,6 +1,6 @@
-"""Settings of queues: one queue's, and the configuration of all that operators change.
+"""Settings of queues: the settings of one queue, and the configuration of all queues that operators change.
 
-On the wire a configuration is a setup, and its settings are the rows of a table.
+On the wire a configuration is called a setup, and operators see it as a table with one line per queue.
 """
 
 from typing import Any, NamedTuple
@@ -14,19 +14,19 @@
 class QueueSettings(NamedTuple):
     """The settings of one queue.
 
-    Invariants: 0 <= share <= limit; a running task holds its units in credits, lent
-    by its own queue first; units running never pass limit.
+    Invariants: 0 <= share <= limit; a running task uses as many credits as it has units, lent by its
+    own queue first; the units of running tasks never exceed limit.
     """
 
-    share: int  # units of capacity the queue may count on
-    urgency: int  # of its jobs that name none
-    retries: int  # failures after which a task is tried again
-    limit: int  # units running at most
-    pending: int  # tasks waiting at most
-    lends: bool  # whether idle credits go to other queues
-    preempts: bool  # whether its urgent work may make others yield
-    yields: bool  # whether its work may be made to yield
-    repeats: bool  # whether finishing twice is harmless: what died with its worker is tried again
+    share: int  # units of capacity guaranteed to the queue
+    urgency: int  # of jobs that do not set their own
+    retries: int  # how many times a failed task is retried
+    limit: int  # maximum units of running tasks
+    pending: int  # maximum number of waiting tasks
+    lends: bool  # whether other queues may use its idle credits
+    preempts: bool  # whether its urgent tasks may preempt those of other jobs
+    yields: bool  # whether its tasks may be preempted
+    repeats: bool  # whether its tasks may safely run twice, so that those lost with a worker are retried
 
 
 COLUMNS = {
@@ -51,7 +51,9 @@
     "yields": True,
     "repeats": False,
 }
-WEIGHTS = {  # of one second's wait, of one unit second, of all of a queue's jobs
+# Default weights of the figures in the objective of a rehearsal: per second of a wait, per unit second of
+# used capacity, and for the other figures, which are shares of a queue's jobs, if all jobs are affected.
+WEIGHTS = {
     "wait_median": 1.0,
     "wait_99": 1.0,
     "dues_missed": 100.0,
@@ -60,7 +62,9 @@
     "room_used": 0.0,
     "preemptions": 1.0,
 }
-GUARD = {"factor": 1.25, "seconds": 0.25, "part": 0.01}  # a wait may grow by; a part of jobs by
+# Default bounds on how much worse a draft may make a queue: a wait may grow by the factor plus the seconds,
+# and a share of jobs by the part.
+GUARD = {"factor": 1.25, "seconds": 0.25, "part": 0.01}
 OBJECTIVE = {
     **{voluptuous.Optional(figure, default=weight): number(0, 1e6) for figure, weight in WEIGHTS.items()},
     voluptuous.Optional("queues", default=dict): {name: number(0, 1e6)},
@@ -86,7 +90,7 @@
         voluptuous.Optional("notes", default=dict): dict,
     }
 )
-FIRST = {
+INITIAL = {
     "queues": {"default": dict(DEFAULTS, share=100)},
     "room": 0,
     "silence": {},
@@ -95,34 +99,37 @@
 }
 
 
-def first() -> dict[str, Any]:
-    """The checked configuration that every cluster begins with."""
-    configuration, faults = checked(FIRST)
+def initial() -> dict[str, Any]:
+    """The checked configuration with which every cluster begins."""
+    configuration, faults = checked(INITIAL)
     if configuration is None:
-        raise AssertionError(f"the first configuration is wrong: {faults}")
+        raise AssertionError(f"the initial configuration has faults: {faults}")
     return configuration
 
 
 def checked(document: Any, known: dict[str, Any] | None = None) -> tuple[dict[str, Any] | None, Faults]:
-    """(whole configuration, ()) or (None, faults), every fault named by its path. Settings that
-    are those of the configuration `known`, checked before, are not checked again.
+    """Checks a configuration: (the configuration with its defaults, ()) or (None, faults).
+
+    Settings that are the same objects as in the already checked configuration `known` are not checked
+    again.
     """
-    same = _same_settings(document, known)
-    plain, shape_faults = shaped_in_order(SHAPE, _without_queues(document, same))
+    unchanged = _unchanged_settings(document, known)
+    configuration, shape_faults = shaped_in_order(SHAPE, _without_queues(document, unchanged))
     if shape_faults:
         return None, shape_faults
-    if same:
-        plain["queues"] = {
-            queue: same[queue] if queue in same else plain["queues"][queue] for queue in document["queues"]
+    if unchanged:
+        configuration["queues"] = {
+            queue: unchanged[queue] if queue in unchanged else configuration["queues"][queue]
+            for queue in document["queues"]
         }
-    if not 0 < len(plain["queues"]) <= constants.MAX_QUEUES:
+    if not 0 < len(configuration["queues"]) <= constants.MAX_QUEUES:
         return None, (("queues", f"expected 1 to {constants.MAX_QUEUES} queues"),)
-    faults = _share_faults(plain)
-    return (None, faults) if faults else (plain, ())
+    faults = _share_faults(configuration)
+    return (None, faults) if faults else (configuration, ())
 
 
-def _same_settings(document: Any, known: dict[str, Any] | None) -> dict[str, Any]:
-    """The settings in a document that are the very objects of a checked configuration."""
+def _unchanged_settings(document: Any, known: dict[str, Any] | None) -> dict[str, Any]:
+    """Queue -> settings of a document that are the same objects as in a checked configuration."""
     if known is None or not isinstance(document, dict) or not isinstance(document.get("queues"), dict):
         return {}
     return {
@@ -132,43 +139,43 @@
     }
 
 
-def _without_queues(document: Any, same: dict[str, Any]) -> Any:
-    """A document without the settings of the queues in `same`."""
-    if not same:
+def _without_queues(document: Any, excluded: dict[str, Any]) -> Any:
+    """A document without the settings of the queues in `excluded`."""
+    if not excluded:
         return document
-    rest = {
-        queue: queue_settings for queue, queue_settings in document["queues"].items() if queue not in same
+    queues = {
+        queue: queue_settings for queue, queue_settings in document["queues"].items() if queue not in excluded
     }
-    return {**document, "queues": rest}
+    return {**document, "queues": queues}
 
 
-def _share_faults(plain: dict[str, Any]) -> Faults:
-    """Shares over their queue's limit, and shares that together are over the capacity."""
+def _share_faults(configuration: dict[str, Any]) -> Faults:
+    """Faults of shares above their queue's limit, and of a sum of shares above the capacity."""
     faults = []
     total = 0
-    for queue, queue_settings in plain["queues"].items():
+    for queue, queue_settings in configuration["queues"].items():
         share, limit = queue_settings["share"], queue_settings["limit"]
         total += share
         if share > limit:
             faults.append((f"queues.{queue}.share", f"share {share} is over the limit {limit}"))
-    if plain["room"] and total > plain["room"]:
-        faults.append(("queues", f"shares add up to {total}, over the room of {plain['room']}"))
+    if configuration["room"] and total > configuration["room"]:
+        faults.append(("queues", f"shares add up to {total}, over the room of {configuration['room']}"))
     return tuple(faults)
 
 
 def objective_of(document: dict[str, Any]) -> dict[str, Any]:
-    """The whole objective of a configuration, with what it leaves out."""
+    """The objective of a configuration, completed with the defaults."""
     given = document.get("objective", {})
     return {**WEIGHTS, "queues": {}, **given, "guard": {**GUARD, **given.get("guard", {})}}
 
 
 def queue_settings_of(document: dict[str, Any]) -> QueueSettings:
-    """The settings of a queue, from its part of a checked configuration."""
+    """The settings of a queue from its part of a checked configuration."""
     return QueueSettings(**document)
 
 
 def merged(document: Any, patch: Any) -> Any:
-    """JSON merge patch (RFC 7396): null removes, objects merge, all else replaces."""
+    """A document with a JSON merge patch (RFC 7396) applied: null removes, objects merge, others replace."""
     if not isinstance(patch, dict):
         return patch
     result = dict(document) if isinstance(document, dict) else {}
@@ -181,7 +188,7 @@
 
 
 def cells(document: dict[str, Any]) -> list[dict[str, Any]]:
-    """The table of a configuration: a dict a queue, its settings in the order of COLUMNS."""
+    """The table of a configuration: one dict per queue, with its settings in the order of COLUMNS."""
     return [
         {"queue": queue, **{column: queue_settings[column] for column in COLUMNS}}
         for queue, queue_settings in sorted(document["queues"].items())
@@ -189,7 +196,7 @@
 
 
 def patch_of(changes: dict[str, Any]) -> tuple[dict[str, Any] | None, Faults]:
-    """(merge patch, ()) of {"QUEUE.COLUMN": value}, or (None, faults)."""
+    """The merge patch for changes of table cells {"QUEUE.COLUMN": value}: (patch, ()) or (None, faults)."""
     patch: dict[str, Any] = {}
     faults = []
     for cell, value in changes.items():
--- a/src/pinepitch/model/validation.py
+++ b/src/pinepitch/model/validation.py
@@ -1,6 +1,6 @@
-"""Checks that the shapes of documents are made of, and the telling of what doesn't fit them.
+"""Checks from which the schemas of documents are built, and reports of what does not fit a schema.
 
-A *fault* is a pair: the path in the document, its parts joined by dots, and what is wrong there.
+A *fault* is a pair: a path in the document, with its parts joined by dots, and what is wrong there.
 """
 
 import itertools
@@ -16,12 +16,12 @@
 
 
 def number(low: float, high: float) -> voluptuous.All:
-    """A check for a number, no bool and not NaN, from `low` to `high`."""
+    """A check for a number from `low` to `high`; bool and NaN are refused."""
     return voluptuous.All(voluptuous.Any(int, float), _not_bool, voluptuous.Range(low, high))
 
 
 def whole_number(low: int, high: int) -> voluptuous.All:
-    """A check for a whole number, no bool, from `low` to `high`."""
+    """A check for an integer from `low` to `high`; bool is refused."""
     return voluptuous.All(int, _not_bool, voluptuous.Range(low, high))
 
 
@@ -32,7 +32,7 @@
 
 
 def name(value: Any) -> str:
-    """A name: printable, no slash (it parts a task's reference), bounded."""
+    """Checks a name: printable, of bounded length, and without a slash, which separates job and task."""
     if not isinstance(value, str) or not 0 < len(value) <= constants.MAX_NAME_LENGTH:
         raise voluptuous.Invalid(f"expected a text of 1 to {constants.MAX_NAME_LENGTH} characters")
     if "/" in value or not value.isprintable():
@@ -41,46 +41,52 @@
 
 
 def shaped(shape: voluptuous.Schema, document: object) -> tuple[Any, Faults]:
-    """(the document with its defaults, ()) or (None, the faults that voluptuous finds). The defaults come
-    in any order: for what is kept as it is filled there is shaped_in_order.
+    """Checks a document: (the document with its defaults, ()) or (None, the faults that voluptuous finds).
+
+    The defaults are added in no defined order; use shaped_in_order for documents that are stored.
     """
     try:
         return shape(document), ()
-    except voluptuous.MultipleInvalid as several:
-        return None, tuple((".".join(map(str, one.path)), one.msg) for one in _in_order(several.errors))
+    except voluptuous.MultipleInvalid as invalid:
+        return None, tuple((".".join(map(str, error.path)), error.msg) for error in _in_order(invalid.errors))
 
 
 def shaped_in_order(shape: voluptuous.Schema, document: object) -> tuple[Any, Faults]:
-    """As shaped, the defaults in an order that is the same in every process."""
+    """As shaped(), but the defaults are added in an order that is the same in every process."""
     filled, faults = shaped(shape, document)
     return (filled, faults) if faults else (_defaults_in_order(filled, document), faults)
 
 
 def _defaults_in_order(filled: Any, given: object) -> Any:
-    """A filled document with its own keys in the order given and those of defaults by name behind them:
-    voluptuous fills them in the order of a set, which differs from process to process.
+    """A filled document with the given keys first, in their order, followed by the defaults sorted by name.
+
+    voluptuous adds defaults in the iteration order of a set, which differs between processes.
     """
     if filled is given:
         return filled
     if isinstance(filled, dict):
-        own = given if isinstance(given, dict) else {}
-        keys = [*(key for key in filled if key in own), *sorted(key for key in filled if key not in own)]
-        return {key: _defaults_in_order(filled[key], own.get(key)) for key in keys}
+        given_map = given if isinstance(given, dict) else {}
+        keys = [
+            *(key for key in filled if key in given_map),
+            *sorted(key for key in filled if key not in given_map),
+        ]
+        return {key: _defaults_in_order(filled[key], given_map.get(key)) for key in keys}
     if isinstance(filled, list) and isinstance(given, list) and len(filled) == len(given):
-        return [_defaults_in_order(*both) for both in zip(filled, given, strict=True)]
+        return [_defaults_in_order(*pair) for pair in zip(filled, given, strict=True)]
     return filled
 
 
 def _in_order(errors: Iterable[voluptuous.Invalid]) -> list[voluptuous.Invalid]:
-    """The errors in their order, but missing keys beside each other by name: voluptuous tells
-    these in the order of a set, which differs from process to process.
+    """The errors in their order, except that adjacent errors about missing keys are sorted by key.
+
+    voluptuous reports missing keys in the iteration order of a set, which differs between processes.
     """
     ordered: list[voluptuous.Invalid] = []
     for (is_missing, _), group in itertools.groupby(errors, _missing_in):
-        beside = list(group)
+        adjacent = list(group)
         if is_missing:
-            beside.sort(key=lambda one: str(one.path[-1]))
-        ordered.extend(beside)
+            adjacent.sort(key=lambda error: str(error.path[-1]))
+        ordered.extend(adjacent)
     return ordered
 
 
--- a/src/pinepitch/state/cluster_state.py
+++ b/src/pinepitch/state/cluster_state.py
@@ -71,7 +71,7 @@
         self.count = 0
         self.finished: list[tuple[str, float]] = []
         self.version = 1
-        self.queue_configuration: dict[str, Any] = queue_documents.first()
+        self.queue_configuration: dict[str, Any] = queue_documents.initial()
         self.queue_configurations = ConfigurationHistory()
         self.queue_configurations.add(
             1, self.queue_configuration, "founding", "the setup every cohort begins with", 0.0, 0
--- a/src/pinepitch/state/traffic_sample.py
+++ b/src/pinepitch/state/traffic_sample.py
@@ -130,7 +130,7 @@
                 task.after,
                 max(0.0, task.not_before - job.accepted),
                 task.gang,
-                task.asked,
+                task.requested_attempts,
                 task.limit,
                 round(standing.took, 4) if standing.state == "done" else None,
                 standing.failures,
