--- a/features/steps/images.py
+++ b/features/steps/images.py
@@ -135,7 +135,7 @@
 def step_follower(context, sender):
     context.follower = Follower(sender)
     context.digests = image_digests.ImageDigests(context.follower)
-    context.digests.installed(40, "digest of 40", sender)
+    context.digests.add_installed(40, "digest of 40", sender)
 
 
 @when("{leader} answers with {which} digest for its index")
@@ -353,7 +353,7 @@
 
 @when("{count:d} jobs with specifications of {size:d} bytes are handed in with no heed to the bound")
 def step_unbounded(context, count, size):
-    with mock.patch.object(agreement.Agreement, "is_full", lambda self: False):
+    with mock.patch.object(agreement.ConsensusDriver, "is_full", lambda self: False):
         for number in range(count):
             assert context.fleet.hand_in_large(number)[0] == 200
 
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -397,7 +397,7 @@
 def step_unbelieved(context):
     assert len(context.reserved) >= 1 and not context.ends, context.ends
     context.core.cluster_state.audit()
-    seats, free = context.core.placer._seats(
+    candidates, free = context.core.placer._candidate_workers(
         context.core.cluster_state, context.core.push_workers, context.simulator.now + 1000.0
     )
     assert context.capacity > 1 or free[context.worker_name] < 0, free
--- a/features/steps/placing.py
+++ b/features/steps/placing.py
@@ -23,7 +23,7 @@
             workers
             if isinstance(workers, list)
             else [(f"m{one}", "a", capacity, []) for one in range(workers)],
-            replay.Work(()),
+            replay.WorkModel(()),
         )
         self.made = 0
 
@@ -64,8 +64,8 @@
     def until(self, now, end, stream=()):
         """Runs to `end`; `stream` holds (when, keywords of put) still to come."""
         for moment, what in stream:
-            self.at(moment, "put", what)
-        self.look(now)
+            self.schedule(moment, "put", what)
+        self.schedule_round(now)
         while self.moments and self.moments[0][0] <= end:
             now, _, *moment = replay.heapq.heappop(self.moments)
             self.step(now, *moment)
@@ -147,7 +147,7 @@
             yard.put(2.0, units=1 + put % shapes)
             put += 1
         context.looks.append(0)
-        yard.placer.round(yard.cluster_state, yard.workers, [("verge", "")], 2.0, 2.0)
+        yard.placer.run_round(yard.cluster_state, yard.workers, [("verge", "")], 2.0, 2.0)
 
 
 @then("a round looks at no more units at {many:d} than at {few:d}")
--- a/features/steps/rules.py
+++ b/features/steps/rules.py
@@ -40,7 +40,7 @@
 @when("a rules file with {fault} is read")
 def step_read(context, fault):
     found, _ = alert_rules.read(GOOD)
-    assert [(one.alert, one.bound, one.lasting, one.pauses) for one in found] == [
+    assert [(one.alert, one.bound, one.min_seconds, one.pauses) for one in found] == [
         ("parked", 0.0, 2.0, "approvals")
     ]
     context.found, context.faults = alert_rules.read(BENT[fault])
--- a/src/pinepitch/control/agreement.py
+++ b/src/pinepitch/control/agreement.py
@@ -25,137 +25,146 @@
     from .daemon import ControlDaemon
 
 
-class Agreement:
+class ConsensusDriver:
     """Invariant: the cluster state holds just the entries up to those applied; one snapshot is made at
     a time.
     """
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
-        self.snapshotting = False
-        self.since_base = 0  # bytes of entries applied since the newest snapshot was begun
-        self.before_snapshot = (
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
+        self.snapshot_in_progress = False
+        self.bytes_since_snapshot = 0  # bytes of entries applied since the newest snapshot was begun
+        self.bytes_before_snapshot = (
             0  # bytes of those applied before, and after the base; 0 with no snapshot under way
         )
-        self._free_bytes: int | None = None  # until images are full; None until it is asked for
-        self._due_bytes: int | None = None  # of these, that make a snapshot due; None until it is asked for
+        self._bytes_until_full: int | None = None  # until images are full; None until it is asked for
+        self._snapshot_threshold: int | None = (
+            None  # of these, that make a snapshot due; None until it is asked for
+        )
         self.snapshot_segments = (1, 0)  # of the archive, that the snapshot under way stands on
 
     def on_raft(
         self, cluster: str | None, sender: str, receiver: str, message: tuple[Any, ...], now: float
     ) -> None:
         """A message of another member's consensus."""
-        core = self.core
-        if core.consensus is None or cluster != core.cluster or receiver != core.identity:
-            core.event(147, kind="raft", cohort=cluster, receiver=receiver)
+        daemon = self.daemon
+        if daemon.consensus is None or cluster != daemon.cluster or receiver != daemon.identity:
+            daemon.event(147, kind="raft", cohort=cluster, receiver=receiver)
             return
-        self.run(core.consensus.step(sender, consensus_messages.decode(message), now), now)
+        self.execute(daemon.consensus.step(sender, consensus_messages.decode(message), now), now)
 
     def on_saved(self, sequence: int, now: float) -> None:
         """All saves up to that one are durable."""
-        self.core.counts["syncs"] += 1
-        if self.core.consensus.saving:
-            self.core.sync_histogram.add(now - self.core.consensus.saving[0].begun_at)
-        self.run(self.core.consensus.saved(sequence, now), now)
+        self.daemon.counts["syncs"] += 1
+        if self.daemon.consensus.saving:
+            self.daemon.sync_histogram.add(now - self.daemon.consensus.saving[0].begun_at)
+        self.execute(self.daemon.consensus.saved(sequence, now), now)
 
-    def on_disk(self, why: str | None, now: float) -> None:
+    def on_disk(self, error: str | None, now: float) -> None:
         """The disk refused to write, or (why is None) writes again."""
-        if why is None:
-            self.core.event(107)
+        if error is None:
+            self.daemon.event(107)
             return
-        self.core.event(106, why=why)
-        if self.core.consensus is not None:
-            self.run(self.core.consensus.disk_failed(now), now)
+        self.daemon.event(106, why=error)
+        if self.daemon.consensus is not None:
+            self.execute(self.daemon.consensus.disk_failed(now), now)
 
     def on_encoded(self, index: int, encoded: EncodedImage, now: float) -> None:
         """A snapshot is encoded: the log is compacted up to it, unless it is out of date."""
-        core, data = self.core, encoded.data
-        self.snapshotting = False
-        self.before_snapshot, self._due_bytes, self._free_bytes = 0, None, None
-        core.image_digests.encoded(index, encoded.digest)
-        if index > core.consensus.base_index and core.consensus.term_at(index) is not None:
-            payload = core.consensus.compact(index, data, self.snapshot_segments)
-            core.cluster_state.archive.forget_retired(before=self.snapshot_segments[0])
-            core.effects.append(WriteBase(None, core.base(payload)))
-            core.event(126, index=index, bytes=len(data))
-
-    def run(self, effects: Iterable[Any], now: float) -> None:
+        daemon, data = self.daemon, encoded.data
+        self.snapshot_in_progress = False
+        self.bytes_before_snapshot, self._snapshot_threshold, self._bytes_until_full = 0, None, None
+        daemon.image_digests.add_encoded(index, encoded.digest)
+        if index > daemon.consensus.base_index and daemon.consensus.term_at(index) is not None:
+            payload = daemon.consensus.compact(index, data, self.snapshot_segments)
+            daemon.cluster_state.archive.forget_retired(before=self.snapshot_segments[0])
+            daemon.effects.append(WriteBase(None, daemon.base(payload)))
+            daemon.event(126, index=index, bytes=len(data))
+
+    def execute(self, effects: Iterable[Any], now: float) -> None:
         """Carries out what consensus decided."""
-        core = self.core
+        daemon = self.daemon
         for effect in effects:
             match effect:
                 case SendMessage(receiver, message):
-                    address, wire = core.sessions.address(receiver), consensus_messages.encode(message)
-                    core.send(address, ("raft", core.cluster, core.identity, receiver, wire))
+                    address, wire = daemon.sessions.address(receiver), consensus_messages.encode(message)
+                    daemon.send(address, ("raft", daemon.cluster, daemon.identity, receiver, wire))
                 case SaveChange():
-                    core.effects.append(effect)
+                    daemon.effects.append(effect)
                 case LogEvent(number, fields):
-                    core.event(number, **fields)
+                    daemon.event(number, **fields)
                 case SaveBase(sequence, payload):
-                    core.effects.append(WriteBase(sequence, core.base(payload)))
+                    daemon.effects.append(WriteBase(sequence, daemon.base(payload)))
                 case CommitEntries(first, entries):
                     self._apply(first, entries, now)
                 case InstallSnapshot(index, image, segments):
                     self._install(image, segments)
-                    core.image_digests.installed(index, digest_of(image), core.consensus.following)
+                    daemon.image_digests.add_installed(index, digest_of(image), daemon.consensus.following)
                 case BecomeLeader():
-                    core.clear_leadership(now)
-                    core.leadership.leader_since = now
+                    daemon.clear_leadership(now)
+                    daemon.leadership.leader_since = now
                 case StepDown():
                     self._step_down(now)
                 case ReadConfirmed(token, _):
-                    core.forwarded_requests.answer_read(token, now)
+                    daemon.forwarded_requests.answer_read(token, now)
 
     def _install(self, image: Any, segments: dict[int, bytes]) -> None:
         """Takes the cluster state from a snapshot of the leader's, with segments that came beside it."""
-        self.since_base, self.before_snapshot = 0, 0
-        self._due_bytes = self._free_bytes = None
-        archive = self.core.cluster_state.archive
-        self.core.take_cluster_state(image, {**archive.retired, **archive.segments, **segments})
+        self.bytes_since_snapshot, self.bytes_before_snapshot = 0, 0
+        self._snapshot_threshold = self._bytes_until_full = None
+        archive = self.daemon.cluster_state.archive
+        self.daemon.take_cluster_state(image, {**archive.retired, **archive.segments, **segments})
         for number, data in sorted(segments.items()):
-            self.core.effects.append(WriteSegment(number, data))
+            self.daemon.effects.append(WriteSegment(number, data))
 
     def _step_down(self, now: float) -> None:
         """Leads no more: all who wait are told so."""
-        waiting = [one for several in self.core.proposals.awaiting.values() for one in several]
-        waiting += self.core.worker_reports.ends_waiting
-        self.core.forwarded_requests.step_down(waiting, now)
-        self.core.clear_leadership(now)
-
-    def _apply(self, start: int, entries: list[tuple[Any, ...]], now: float) -> None:
+        listeners = [
+            listener
+            for entry_listeners in self.daemon.proposals.listeners.values()
+            for listener in entry_listeners
+        ]
+        listeners += self.daemon.worker_reports.end_listeners
+        self.daemon.forwarded_requests.step_down(listeners, now)
+        self.daemon.clear_leadership(now)
+
+    def _apply(self, first: int, entries: list[tuple[Any, ...]], now: float) -> None:
         """Applies committed entries, the first of which has the index `start`."""
-        core, consensus = self.core, self.core.consensus
-        for place, (term, time, operation) in enumerate(entries):
-            index = start + place
+        daemon, consensus = self.daemon, self.daemon.consensus
+        for offset, (term, time, operation) in enumerate(entries):
+            index = first + offset
             operation = unpacked(operation)
-            outcome = core.cluster_state.apply(index, time, operation)
-            core.counts["applied"] += 1
+            outcome = daemon.cluster_state.apply(index, time, operation)
+            daemon.counts["applied"] += 1
             # of what older leaders proposed only the outcome counts: nobody waits for it here
             if consensus.role == "leader" and consensus.commit >= index and term == consensus.term:
-                core.applied_entries.react(operation, outcome, now)
-                for waiting in core.proposals.awaiting.pop(index, ()):
-                    self._tell(waiting, outcome, now)
-            self.since_base += consensus.log.size_of(index)
-            if not self.snapshotting and self._snapshot_due(index):
+                daemon.applied_entries.on_applied(operation, outcome, now)
+                for listener in daemon.proposals.listeners.pop(index, ()):
+                    self._notify(listener, outcome, now)
+            self.bytes_since_snapshot += consensus.log.size_of(index)
+            if not self.snapshot_in_progress and self._snapshot_due(index):
                 self._begin_snapshot()
-        self._write_sealed()
+        self._write_sealed_segments()
 
-    def _write_sealed(self) -> None:
+    def _write_sealed_segments(self) -> None:
         """Has the segments written that were sealed just now."""
-        state = self.core.cluster_state
+        state = self.daemon.cluster_state
         for number, data in state.sealed:
-            self.core.effects.append(WriteSegment(number, data))
+            self.daemon.effects.append(WriteSegment(number, data))
         state.sealed.clear()
 
     def _begin_snapshot(self) -> None:
         """Has an image of the cluster state encoded, once the segments that it names are being written."""
-        self._write_sealed()
-        state = self.core.cluster_state
-        self.snapshotting = True
-        self.since_base, self.before_snapshot = 0, self.before_snapshot + self.since_base
-        self._due_bytes = self._free_bytes = None
+        self._write_sealed_segments()
+        state = self.daemon.cluster_state
+        self.snapshot_in_progress = True
+        self.bytes_since_snapshot, self.bytes_before_snapshot = (
+            0,
+            self.bytes_before_snapshot + self.bytes_since_snapshot,
+        )
+        self._snapshot_threshold = self._bytes_until_full = None
         self.snapshot_segments = state.archive.range()
-        self.core.effects.append(EncodeSnapshot(state.index, state.image()))
+        self.daemon.effects.append(EncodeSnapshot(state.index, state.image()))
 
     def _snapshot_due(self, index: int) -> bool:
         """Whether a snapshot is to be made at `index`, the entry applied last: at each multiple of
@@ -164,39 +173,41 @@
         if index % constants.SNAPSHOT_ENTRIES == 0:
             return True
         overdue = constants.SNAPSHOT_OVERDUE * constants.SNAPSHOT_ENTRIES
-        if index - self.core.consensus.base_index >= overdue:
+        if index - self.daemon.consensus.base_index >= overdue:
             return True
-        if self._due_bytes is None:
-            self._due_bytes = self._bytes_between_snapshots()
-        return self.since_base >= self._due_bytes
+        if self._snapshot_threshold is None:
+            self._snapshot_threshold = self._bytes_between_snapshots()
+        return self.bytes_since_snapshot >= self._snapshot_threshold
 
     def _bytes_between_snapshots(self) -> int:
         """Bytes of entries that make a snapshot due. A large image is made more rarely, so that writing it
         costs no more than the entries did; near the bound of images more often, so that it is known how
         much of it is free.
         """
-        limits, size = self.core.limits, self._base_size()
-        if size > limits.image // 2:
+        limits, image_size = self.daemon.limits, self._newest_image_size()
+        if image_size > limits.image // 2:
             return limits.image // constants.IMAGE_STEP
-        return min(max(limits.since_base, size), limits.log // 2)
+        return min(max(limits.since_base, image_size), limits.log // 2)
 
-    def _base_size(self) -> int:
+    def _newest_image_size(self) -> int:
         """Bytes of the newest image."""
-        return len(self.core.consensus.base_image or b"")
+        return len(self.daemon.consensus.base_image or b"")
 
     def is_full(self) -> bool:
         """Whether an image would have as many bytes by now as it may have."""
-        if self._free_bytes is None:
-            self._free_bytes = self.core.limits.image - self._base_size() - self.before_snapshot
-        return self.since_base >= self._free_bytes
+        if self._bytes_until_full is None:
+            self._bytes_until_full = (
+                self.daemon.limits.image - self._newest_image_size() - self.bytes_before_snapshot
+            )
+        return self.bytes_since_snapshot >= self._bytes_until_full
 
     def image_size(self) -> int:
         """About how many bytes an image would have now: those of the newest one and of the entries applied
         since, most of which it would hold.
         """
-        return self._base_size() + self.before_snapshot + self.since_base
+        return self._newest_image_size() + self.bytes_before_snapshot + self.bytes_since_snapshot
 
-    def _tell(self, waiting: OutcomeListener, outcome: tuple[Any, ...], now: float) -> None:
+    def _notify(self, listener: OutcomeListener, outcome: tuple[Any, ...], now: float) -> None:
         """Tells one who waits the outcome."""
-        answer = OUTCOME_ANSWERS[waiting.shape](self.core, outcome, waiting.extra, now)
-        self.core.forwarded_requests.answer(waiting.address, waiting.token, answer)
+        answer = OUTCOME_ANSWERS[listener.answer_kind](self.daemon, outcome, listener.context, now)
+        self.daemon.forwarded_requests.answer(listener.address, listener.token, answer)
--- a/src/pinepitch/control/alert_rules.py
+++ b/src/pinepitch/control/alert_rules.py
@@ -24,32 +24,32 @@
 
 def _expression(text: Any) -> Expression:
     """An expression in parts, or Invalid."""
-    found = EXPRESSION.match(text) if isinstance(text, str) else None
-    if not found:
+    match = EXPRESSION.match(text) if isinstance(text, str) else None
+    if not match:
         raise voluptuous.Invalid(
             'expected METRIC or METRIC{label="value"}, a comparison and a number; nothing else is read'
         )
-    labels = tuple(_label(one) for one in (found[2] or "").split(",") if one.strip())
+    labels = tuple(_label(label) for label in (match[2] or "").split(",") if label.strip())
     try:
-        bound = float(found[4])
+        bound = float(match[4])
     except ValueError:
-        raise voluptuous.Invalid(f"{found[4]} is no number") from None
-    return (found[1], labels, found[3], bound)
+        raise voluptuous.Invalid(f"{match[4]} is no number") from None
+    return (match[1], labels, match[3], bound)
 
 
 def _label(text: str) -> tuple[str, str]:
-    found = LABEL.match(text)
-    if not found:
+    match = LABEL.match(text)
+    if not match:
         raise voluptuous.Invalid('expected labels as label="value"')
-    return (found[1], found[2])
+    return (match[1], match[2])
 
 
 def _duration(text: Any) -> float:
     """Seconds, or Invalid."""
-    found = DURATION.match(text) if isinstance(text, str) else None
-    if not found:
+    match = DURATION.match(text) if isinstance(text, str) else None
+    if not match:
         raise voluptuous.Invalid("expected a duration like 30s, 5m or 1h")
-    return int(found[1]) * UNITS[found[2]]
+    return int(match[1]) * UNITS[match[2]]
 
 
 TEXTS: dict[Any, Any] = {str: str}
@@ -86,13 +86,13 @@
     plain, faults = shaped(SHAPE, document)
     if faults:
         return None, faults
-    found = [
-        (f"groups.{place}.rules.{position}.alert", _rule(one))
-        for place, group in enumerate(plain["groups"])
-        for position, one in enumerate(group["rules"])
+    located_rules = [
+        (f"groups.{group_number}.rules.{rule_number}.alert", _rule(checked_rule))
+        for group_number, group in enumerate(plain["groups"])
+        for rule_number, checked_rule in enumerate(group["rules"])
     ]
-    faults = _named_twice(found)
-    return (None, faults) if faults else (tuple(rule for _, rule in found), ())
+    faults = _duplicate_alerts(located_rules)
+    return (None, faults) if faults else (tuple(rule for _, rule in located_rules), ())
 
 
 def _rule(checked: dict[str, Any]) -> Rule:
@@ -104,18 +104,18 @@
         labels=labels,
         comparison=comparison,
         bound=bound,
-        lasting=checked["for"],
+        min_seconds=checked["for"],
         pauses=checked["labels"].get("hold", ""),
         summary=checked["annotations"].get("summary", ""),
     )
 
 
-def _named_twice(found: list[tuple[str, Rule]]) -> Faults:
+def _duplicate_alerts(located_rules: list[tuple[str, Rule]]) -> Faults:
     """A fault for each rule whose alert an earlier one has."""
-    seen: set[str] = set()
+    alerts: set[str] = set()
     faults = []
-    for place, rule in found:
-        if rule.alert in seen:
-            faults.append((place, f"{rule.alert!r} is named twice"))
-        seen.add(rule.alert)
+    for location, rule in located_rules:
+        if rule.alert in alerts:
+            faults.append((location, f"{rule.alert!r} is named twice"))
+        alerts.add(rule.alert)
     return tuple(faults)
--- a/src/pinepitch/control/alert_watch.py
+++ b/src/pinepitch/control/alert_watch.py
@@ -30,17 +30,18 @@
     labels: tuple[tuple[str, str], ...]  # that a sample must have
     comparison: str  # one of COMPARISONS
     bound: float
-    lasting: float  # seconds for which the comparison must hold
+    min_seconds: float  # seconds for which the comparison must hold
     pauses: str
     summary: str
 
     def hits(self, series: Series) -> list[float]:
         """The values for which the comparison holds."""
-        holds = COMPARISONS[self.comparison]
+        compare = COMPARISONS[self.comparison]
         return [
             value
             for labels, value in series.get(self.metric, ())
-            if all(labels.get(label) == wanted for label, wanted in self.labels) and holds(value, self.bound)
+            if all(labels.get(label) == wanted for label, wanted in self.labels)
+            and compare(value, self.bound)
         ]
 
     def why(self, value: float) -> str:
@@ -49,7 +50,7 @@
         return f"{self.metric} is {value:g}, {self.comparison} {self.bound:g}" + summary
 
 
-class Watch:
+class AlertWatch:
     """What the leader knows of the rules. Invariant: since holds the alerts of the rules whose
     comparison holds now, and from when on, in seconds of this daemon's clock.
     """
@@ -60,18 +61,18 @@
 
     def firing(self, metrics: str, now: float) -> dict[str, str]:
         """Alert -> why, for the rules that fire by these metrics in the text format of Prometheus."""
-        series = _parsed(metrics)
+        series = _parse(metrics)
         fires = {}
         for rule in self.rules:
             hits = rule.hits(series)
             if not hits:
                 self.since.pop(rule.alert, None)
-            elif now - self.since.setdefault(rule.alert, now) >= rule.lasting:
+            elif now - self.since.setdefault(rule.alert, now) >= rule.min_seconds:
                 fires[rule.alert] = rule.why(hits[0])
         return fires
 
 
-def _parsed(metrics: str) -> Series:
+def _parse(metrics: str) -> Series:
     # loaded by its first use: a daemon without rules starts sooner
     from prometheus_client.parser import text_string_to_metric_families
 
--- a/src/pinepitch/control/bootstrap.py
+++ b/src/pinepitch/control/bootstrap.py
@@ -13,7 +13,7 @@
 
     zone: str
     view: tuple[str, ...]  # identities of the empty daemons that it sees itself
-    heard: float  # seconds of this daemon's clock
+    last_seen: float  # seconds of this daemon's clock
 
 
 class Bootstrap:
@@ -31,7 +31,7 @@
         self.agreed_since: float | None = None
         self.agreed: tuple[str, ...] = ()
 
-    def heard(
+    def observe(
         self, identity: str, kind: str, zone: str, cluster: str | None, view: Iterable[str], now: float
     ) -> None:
         """A greeting by any daemon, with the list of empty control daemons it sees."""
@@ -47,9 +47,9 @@
         """The empty control daemons seen now, in order, this one among them."""
         self.empty_daemons[self.identity] = EmptyDaemon(self.zone, (), now)
         self.empty_daemons = {
-            identity: seen
-            for identity, seen in self.empty_daemons.items()
-            if now - seen.heard <= constants.SESSION_LASTS
+            identity: empty_daemon
+            for identity, empty_daemon in self.empty_daemons.items()
+            if now - empty_daemon.last_seen <= constants.SESSION_LASTS
         }
         return tuple(sorted(self.empty_daemons))
 
@@ -57,15 +57,17 @@
         """The cluster, other than `other_than`, that some daemon knows, or None. What a daemon was
         heard to know counts for long: it may greet this one only now and then.
         """
-        for cluster, heard in self.known_clusters.values():
-            if now - heard <= constants.BOOTSTRAP_VETO_LASTS and cluster != other_than:
+        for cluster, last_seen in self.known_clusters.values():
+            if now - last_seen <= constants.BOOTSTRAP_VETO_LASTS and cluster != other_than:
                 return cluster
         return None
 
     def ready(self, now: float) -> tuple[str, dict[str, str]] | None:
         """(cluster identity, members) once the same list was seen by all for BOOTSTRAP_STABLE_TIME."""
         view = self.view(now)
-        same = all(self.empty_daemons[one].view == view for one in view if one != self.identity)
+        same = all(
+            self.empty_daemons[identity].view == view for identity in view if identity != self.identity
+        )
         if self.veto(now) or len(view) < self.bootstrap_size or not same:
             self.agreed_since = None
             return None
@@ -73,7 +75,7 @@
             self.agreed_since, self.agreed = now, view
         if now - self.agreed_since < constants.BOOTSTRAP_STABLE_TIME:
             return None
-        members = {one: self.empty_daemons[one].zone for one in view}
+        members = {identity: self.empty_daemons[identity].zone for identity in view}
         return cluster_identity(members), members
 
 
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -19,22 +19,22 @@
 from ..transport.forwarder import Forwarder
 from ..transport.indexed_forwarder import IndexedForwarder
 from . import membership, rehearsal
-from .agreement import Agreement
+from .agreement import ConsensusDriver
 from .applied_entries import AppliedEntries
 from .bootstrap import Bootstrap
 from .cluster_entry import ClusterEntry
 from .forwarded_requests import ForwardedRequests
 from .front_updates import FrontUpdates
-from .greetings import Greetings
+from .greetings import Handshakes
 from .image_digests import ImageDigests
 from .leader import Leadership
 from .membership_changes import Members, MembershipChanges
-from .outside_requests import OutsideRequests
+from .outside_requests import ClientRequests
 from .placement import Placer
 from .proposals import OutcomeListener, Proposals
 from .rehearsal_role import RehearsalRole
 from .sessions import Sessions
-from .stopping import Stopping
+from .stopping import Shutdown
 from .worker_reports import WorkerReports
 
 
@@ -73,17 +73,17 @@
         self.first_tick_at: float | None = None
         self.step_at = 0.0  # seconds of the steady clock; when it was stepped last
         self.advertised_levels = {identity: self.level}  # control daemon -> the level it told last
-        self._set_usual_settings()
-        self._begin_counts()
+        self._set_default_settings()
+        self._init_counters()
         incarnation = f"{identity}~{seed}"  # the seed is drawn anew in each life
         self.forwarder = Forwarder(incarnation, address, self.event)
         self.indexed_forwarder = IndexedForwarder(self.forwarder)
         self.leader_clock = LeaderClock()
-        self._make_parts()
+        self._create_components()
         self.clear_leadership(0.0)
         self.inputs = self._input_handlers()
 
-    def _set_usual_settings(self) -> None:
+    def _set_default_settings(self) -> None:
         """What the program that runs this daemon may set anew before the first step."""
         self.bootstrap_among: tuple[str, ...] | None = None  # addresses that may found; None for any
         self.voters = constants.BOOTSTRAP_MEMBERS  # members wanted in single mode, where each is a group
@@ -99,7 +99,7 @@
         self.tenant_burst = constants.TENANT_BURST
         self.tracing = False  # whether events for a timeline of jobs are written
 
-    def _begin_counts(self) -> None:
+    def _init_counters(self) -> None:
         """What the metrics tell of this life."""
         self.counts = {"applied": 0, "sent": 0, "syncs": 0, "pauses": 0}
         self.paused_seconds = 0.0  # that the process did not run, in pauses over CONFIRM_PAUSE
@@ -109,14 +109,14 @@
         self.sync_histogram = metrics.Histogram()  # seconds
         self.wait_histograms: dict[str, metrics.Histogram] = {}  # queue -> seconds that tasks were ready
 
-    def _make_parts(self) -> None:
+    def _create_components(self) -> None:
         """The parts, each of which reaches the others through this daemon."""
-        self.agreement = Agreement(self)
+        self.consensus_driver = ConsensusDriver(self)
         self.image_digests = ImageDigests(self)
-        self.greetings = Greetings(self)
+        self.handshakes = Handshakes(self)
         self.cluster_entry = ClusterEntry(self)
         self.rehearsal_role = RehearsalRole(self)
-        self.outside_requests = OutsideRequests(self)
+        self.client_requests = ClientRequests(self)
         self.membership_changes = MembershipChanges(self)
         self.forwarded_requests = ForwardedRequests(self)
         self.front_updates = FrontUpdates(self)
@@ -124,7 +124,7 @@
         self.proposals = Proposals(self)
         self.applied_entries = AppliedEntries(self)
         self.leadership = Leadership(self)
-        self.stopping_part = Stopping(self)
+        self.shutdown = Shutdown(self)
 
     def clear_leadership(self, now: float) -> None:
         """Forgets what exists only while leading, as a term begins or ends."""
@@ -180,9 +180,9 @@
         """Answers a pending request, until `until` at the latest."""
         self.forwarded_requests.answer(address, token, answer, until)
 
-    def propose(self, operation: tuple[Any, ...], waiting: OutcomeListener | None, now: float) -> None:
+    def propose(self, operation: tuple[Any, ...], listener: OutcomeListener | None, now: float) -> None:
         """Puts one operation into the log; `waiting` is told the outcome."""
-        self.proposals.propose(operation, waiting, now)
+        self.proposals.propose(operation, listener, now)
 
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
         """Proposes, and says at which index; None when it is held back."""
@@ -212,7 +212,7 @@
             self.counts["sent"] += 1
             self.effects.append(Send(address, message))
 
-    def to_leader(self, message: tuple[Any, ...], now: float) -> None:
+    def send_to_leader(self, message: tuple[Any, ...], now: float) -> None:
         """Hands a message to whoever leads, perhaps this daemon."""
         if self.consensus.role == "leader":
             self.inputs[message[0]](*message[1:], now)
@@ -240,14 +240,17 @@
 
     # --- durable state ----------------------------------------------------------------
     def restore(
-        self, base: list[Any] | None, steps: Iterable[list[Any]], segments: dict[int, bytes] | None = None
+        self,
+        base: list[Any] | None,
+        saved_steps: Iterable[list[Any]],
+        segments: dict[int, bytes] | None = None,
     ) -> None:
         """Takes what the store held; the identity was read from it already."""
         changes, raft_base = [], None
         if base is not None:
             _, self.cluster, raft_base, _ = base
         members = None
-        for step in steps:
+        for step in saved_steps:
             for kind, payload in step:
                 if kind == "raft":
                     changes.append(payload)
@@ -283,32 +286,32 @@
         """The registry of inputs: message kind -> handler, which takes the message's fields and now."""
         return {
             "tick": self._tick,
-            "greet": self.greetings.on_greet,
-            "greeted": self.greetings.on_greeted,
-            "tell": self.greetings.on_tell,
+            "greet": self.handshakes.on_handshake,
+            "greeted": self.handshakes.on_handshake_reply,
+            "tell": self.handshakes.on_sessions_report,
             "leave": self.membership_changes.on_leave,
             "join": self.membership_changes.on_join,
             "admit": self.cluster_entry.on_admit,
-            "raft": self.agreement.on_raft,
-            "saved": self.agreement.on_saved,
-            "encoded": self.agreement.on_encoded,
-            "disk": self.agreement.on_disk,
-            "http": self.outside_requests.on_http,
+            "raft": self.consensus_driver.on_raft,
+            "saved": self.consensus_driver.on_saved,
+            "encoded": self.consensus_driver.on_encoded,
+            "disk": self.consensus_driver.on_disk,
+            "http": self.client_requests.on_http,
             "claim": self.rehearsal_role.on_claim,
             "rehearsed": self.rehearsal_role.on_rehearsed,
             "measured": self.rehearsal_role.on_measured,
             "ask": self.forwarded_requests.on_request,
             "news": self.front_updates.on_update_request,
-            "call": self.outside_requests.on_request,
-            "answer": self.outside_requests.on_answer,
-            "elsewhere": self.outside_requests.on_not_taken,
-            "unsure": self.outside_requests.on_in_doubt,
-            "undelivered": self.outside_requests.on_undelivered,
-            "hung-up": self.outside_requests.on_hung_up,
-            "paused": self.outside_requests.on_paused,
+            "call": self.client_requests.on_request,
+            "answer": self.client_requests.on_answer,
+            "elsewhere": self.client_requests.on_refused,
+            "unsure": self.client_requests.on_in_doubt,
+            "undelivered": self.client_requests.on_undelivered,
+            "hung-up": self.client_requests.on_hung_up,
+            "paused": self.client_requests.on_paused,
             "seeds": self._on_seeds,
-            "seat": self.stopping_part.on_seat,
-            "stop": self.stopping_part.on_stop,
+            "seat": self.shutdown.on_slot,
+            "stop": self.shutdown.on_stop,
         }
 
     def step(self, message: tuple[Any, ...], now: float, clock: float) -> list[Any]:
@@ -317,24 +320,24 @@
         """
         self.time.hear(self.identity, clock, now)
         self.step_at = now
-        kind, *rest = message
+        kind, *fields = message
         handler = self.inputs.get(kind)
         if handler is not None:
-            handler(*rest, now)
+            handler(*fields, now)
         else:
             self.event(147, kind=kind)
         if not self.stopping:  # what was not agreed on by then is the successor's to decide
-            self._decide_due(now)
+            self._run_leader_work(now)
         effects, self.effects = self.effects, []
         return effects
 
-    def _decide_due(self, now: float) -> None:
+    def _run_leader_work(self, now: float) -> None:
         """What a leader decides beside what a message asks for."""
         leadership = self.leadership
-        if leadership.place_due and now - leadership.place_at >= constants.PLACE_EVERY:
-            leadership.place(now)
+        if leadership.round_due and now - leadership.last_round_at >= constants.PLACE_EVERY:
+            leadership.place_tasks(now)
         if leadership.epoch == 0 and self.consensus is not None and self.consensus.role == "leader":
-            leadership.claim_placing(now)
+            leadership.claim_placing_role(now)
         elif leadership.epoch > 0 and self.consensus.serving():
             if now - self.assignments.ticked_at >= constants.HEARTBEAT_BATCH_DELAY:
                 self.assignments.tick(now)
@@ -342,22 +345,22 @@
 
     def _tick(self, now: float) -> None:
         """Time has passed."""
-        self.outside_requests.forward_again(now)
+        self.client_requests.resend_due(now)
         if self.first_tick_at is None:
             self.first_tick_at = now
         for identity in self.sessions.expire(now):
             self.event(141, daemon=identity)
-        if now - self.greetings.greet_at >= constants.GREET_EVERY and not self.stopping:
-            self.greetings.greet_at = now
-            self.greetings.greet(now)
+        if now - self.handshakes.last_handshake_at >= constants.GREET_EVERY and not self.stopping:
+            self.handshakes.last_handshake_at = now
+            self.handshakes.send_handshakes(now)
         if self.consensus is None:
             self.cluster_entry.seek_cluster(now)
             return
         if self._bootstrapped() and (self.consensus.role == "leader" or not self.stopping):
-            self.agreement.run(self.consensus.tick(now), now)
+            self.consensus_driver.execute(self.consensus.tick(now), now)
         if self.stopping:
             if self.departure is not None and self.departure.due(now):
-                self.stopping_part.tell_leave()
+                self.shutdown.announce_leave()
             return
         if self.consensus.removed or self.identity not in self.consensus.membership.members():
             self.cluster_entry.ask_to_join(now)
@@ -381,4 +384,4 @@
 
     def may_end(self, now: float) -> bool:
         """Whether a stopping process may end as far as its seat and its leadership go."""
-        return self.stopping_part.may_end(now)
+        return self.shutdown.may_end(now)
--- a/src/pinepitch/control/front_updates.py
+++ b/src/pinepitch/control/front_updates.py
@@ -17,15 +17,15 @@
 
     address: str  # of the front daemon
     token: str
-    seen: tuple[Any, ...]  # the version that it knows
+    known_version: tuple[Any, ...]  # the version that it knows
     asked_at: float  # seconds of the steady clock
 
 
 class FrontUpdates:
     """Invariant: what it gathers is empty unless this daemon leads."""
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
         self.clear()
 
     def clear(self) -> None:
@@ -35,44 +35,44 @@
         self.kills: dict[str, float] = {}  # reference -> when last ordered
         self.update_serial = 0  # how often what is in force has changed in this term
 
-    def send_all(self, now: float) -> None:
+    def send_due_updates(self, now: float) -> None:
         """Answers each request for updates that is due."""
         for front in list(self.update_requests):
             if front in self.update_requests:
-                self.send(front, now)
+                self.send_updates(front, now)
 
     def on_update_request(
         self,
         front: str,
         address: str,
         token: str,
-        seen: tuple[Any, ...],
+        known_version: tuple[Any, ...],
         outcomes: Iterable[tuple[Any, ...]],
         now: float,
     ) -> None:
         """A front daemon asks for updates and says how its orders went."""
-        consensus = self.core.consensus
+        consensus = self.daemon.consensus
         if consensus is None or consensus.role != "leader" or not consensus.serving():
-            self.core.forwarded_requests.refuse(address, token, self.core.leader_address(), 0, now)
+            self.daemon.forwarded_requests.refuse(address, token, self.daemon.leader_address(), 0, now)
             return
-        session = self.core.sessions.by_identity.get(front)
-        self.core.sessions.greeted(front, "verge", session.zone if session else "", address, now)
+        session = self.daemon.sessions.by_identity.get(front)
+        self.daemon.sessions.renew(front, "verge", session.zone if session else "", address, now)
         ends = []
         for ref, attempt, outcome in outcomes:
             self.outbox.get(front, {}).pop((ref, attempt), None)
-            how = self._proven_end(ref, attempt, outcome)
-            if how is not None:
-                ends.append((ref, attempt, how))
-        self.core.worker_reports.propose_ends(ends, None, now)
-        self.update_requests[front] = UpdateRequest(address, token, tuple(seen), now)
-        self.send(front, now)
+            end = self._proven_end(ref, attempt, outcome)
+            if end is not None:
+                ends.append((ref, attempt, end))
+        self.daemon.worker_reports.gather_ends(ends, None, now)
+        self.update_requests[front] = UpdateRequest(address, token, tuple(known_version), now)
+        self.send_updates(front, now)
 
     def _proven_end(self, ref: str, attempt: int, outcome: str) -> str | None:
         """How an attempt ended by the outcome of its order, if that proves it; judges its worker."""
-        found = self.core.cluster_state.find(ref)
-        if found is None or found[2].state != "placed" or found[2].attempt != attempt:
+        task_record = self.daemon.cluster_state.find(ref)
+        if task_record is None or task_record[2].state != "placed" or task_record[2].attempt != attempt:
             return None
-        worker = self.core.worker_reports.push_workers.get(found[2].worker)
+        worker = self.daemon.worker_reports.push_workers.get(task_record[2].worker)
         if worker and outcome in ("unsent", "unknown"):
             worker.judge(False)
         if outcome in ("unsent", "late", "withheld"):
@@ -81,36 +81,41 @@
 
     def _update_version(self) -> tuple[int, int]:
         """Grows with each change of what front daemons are told, also from term to term."""
-        return (self.core.consensus.term, self.update_serial)
+        return (self.daemon.consensus.term, self.update_serial)
 
-    def send(self, front: str, now: float) -> None:
+    def send_updates(self, front: str, now: float) -> None:
         """Answers a front daemon's request if there are updates or it has waited long enough."""
         request = self.update_requests[front]
         version = self._update_version()
         orders = self._due_orders(front, now)
         kills = self._due_kills(now)
         waited = now - request.asked_at
-        if request.seen == version and not orders and not kills and waited < constants.UPDATES_DEFERRAL:
+        if (
+            request.known_version == version
+            and not orders
+            and not kills
+            and waited < constants.UPDATES_DEFERRAL
+        ):
             return
         del self.update_requests[front]
-        body = self._in_force() if request.seen != version else None
+        active_state = self._active_state() if request.known_version != version else None
         message = (
             "told",
             request.token,
             version,
-            body,
+            active_state,
             orders,
             kills,
-            self.core.cluster_time(now),
+            self.daemon.cluster_time(now),
             waited,
-            self.core.sessions.known_control_daemons(),
-            self.core.cluster,
+            self.daemon.sessions.known_control_daemons(),
+            self.daemon.cluster,
         )
-        self.core.send(request.address, message)
+        self.daemon.send(request.address, message)
 
-    def _in_force(self) -> dict[str, Any]:
+    def _active_state(self) -> dict[str, Any]:
         """What a front daemon knows of the cluster state."""
-        state = self.core.cluster_state
+        state = self.daemon.cluster_state
         return {
             "setup_version": state.version,
             "configuration": state.leased_jobs.configuration.version,
@@ -121,10 +126,10 @@
 
     def _due_orders(self, front: str, now: float) -> tuple[Order, ...]:
         """Orders a front daemon has not yet taken; what was called off meanwhile is dropped."""
-        box, time = self.outbox.get(front, {}), self.core.cluster_time(now)
-        for (ref, attempt), order in list(box.items()):
-            found = self.core.cluster_state.find(ref)
-            standing = found[2] if found else None
+        outbox, time = self.outbox.get(front, {}), self.daemon.cluster_time(now)
+        for (ref, attempt), order in list(outbox.items()):
+            task_record = self.daemon.cluster_state.find(ref)
+            standing = task_record[2] if task_record else None
             if (
                 standing is None
                 or standing.state != "placed"
@@ -132,24 +137,24 @@
                 or standing.yields_to
                 or time > order["send_by"]
             ):
-                del box[(ref, attempt)]
-        return tuple(box.values())
+                del outbox[(ref, attempt)]
+        return tuple(outbox.values())
 
     def _due_kills(self, now: float) -> tuple[tuple[Any, ...], ...]:
         """(reference, attempt, worker's address) of runs that are to end and weren't told so just now."""
-        state, kills = self.core.cluster_state, []
+        state, kills = self.daemon.cluster_state, []
         for ref, attempt in list(state.yielding.items()):
             if now - self.kills.get(ref, -1e9) >= constants.KILL_AGAIN:
-                worker = self.core.worker_reports.push_workers.get(state.find_known(ref)[2].worker)
+                worker = self.daemon.worker_reports.push_workers.get(state.find_known(ref)[2].worker)
                 if worker is not None:
                     self.kills[ref] = now
                     kills.append((ref, attempt, worker.report.address))
         return tuple(kills)
 
-    def order(self, ref: str, now: float) -> None:
+    def queue_order(self, ref: str, now: float) -> None:
         """Puts a committed placement into the outbox of the front daemon that is to send it."""
-        job, task, standing = self.core.cluster_state.find_known(ref)
-        worker = self.core.worker_reports.push_workers.get(standing.worker)
+        job, task, standing = self.daemon.cluster_state.find_known(ref)
+        worker = self.daemon.worker_reports.push_workers.get(standing.worker)
         if worker is None or standing.yields_to:
             return
         if worker.poor():
@@ -170,16 +175,16 @@
             "not_before": task.not_before,
             "send_by": standing.send_by,
             "limit": task.limit,
-            "epoch": self.core.leadership.epoch,
-            "setup_version": self.core.cluster_state.version,
+            "epoch": self.daemon.leadership.epoch,
+            "setup_version": self.daemon.cluster_state.version,
         }
         self.outbox.setdefault(standing.front_daemon, {})[(ref, standing.attempt)] = order
 
     def resend_orders(self, now: float) -> None:
         """A new leader tells again what may still be sent; front daemons send each only once."""
-        time = self.core.cluster_time(now)
-        for current in list(self.core.cluster_state.reserved.values()):
-            for ref in current:
-                standing = self.core.cluster_state.find_known(ref)[2]
+        time = self.daemon.cluster_time(now)
+        for placed_references in list(self.daemon.cluster_state.reserved.values()):
+            for ref in placed_references:
+                standing = self.daemon.cluster_state.find_known(ref)[2]
                 if time < standing.send_by:
-                    self.order(ref, now)
+                    self.queue_order(ref, now)
--- a/src/pinepitch/control/greetings.py
+++ b/src/pinepitch/control/greetings.py
@@ -8,74 +8,80 @@
     from .daemon import ControlDaemon
 
 
-class Greetings:
+class Handshakes:
     """Greets all known control daemons now and then, and hears what others tell of themselves."""
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
-        self.greet_at = -1e9  # seconds; when it greeted last
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
+        self.last_handshake_at = -1e9  # seconds; when it greeted last
 
-    def _greeting(self, now: float) -> Greeting:
+    def _own_handshake(self, now: float) -> Greeting:
         """What this daemon tells of itself."""
-        core = self.core
-        view = () if core.cluster or not core.may_bootstrap else core.bootstrap.view(now)
+        daemon = self.daemon
+        view = () if daemon.cluster or not daemon.may_bootstrap else daemon.bootstrap.view(now)
         return Greeting(
-            core.identity,
+            daemon.identity,
             "accord",
-            core.zone,
-            core.address,
-            core.cluster,
+            daemon.zone,
+            daemon.address,
+            daemon.cluster,
             view,
-            core.time.readings[core.identity][0] + now,
-            core.sessions.known_control_daemons(),
-            core.bootstrap_members,
-            core.level,
+            daemon.time.readings[daemon.identity][0] + now,
+            daemon.sessions.known_control_daemons(),
+            daemon.bootstrap_members,
+            daemon.level,
         )
 
-    def greet(self, now: float) -> None:
+    def send_handshakes(self, now: float) -> None:
         """Greets all control daemons known, and tells those in session who else is."""
-        message = ("greet", *self._greeting(now))
-        notice = ("tell", self.core.identity, self.core.sessions.own())
-        addresses = {known[1] for known in self.core.sessions.control_daemons.values()} | set(self.core.seeds)
+        message = ("greet", *self._own_handshake(now))
+        notice = ("tell", self.daemon.identity, self.daemon.sessions.direct_sessions())
+        addresses = {endpoint[1] for endpoint in self.daemon.sessions.control_daemons.values()} | set(
+            self.daemon.seeds
+        )
         for address in sorted(addresses):
-            self.core.send(address, message)
-        for session in self.core.sessions.live("accord"):
-            if session.identity != self.core.identity:
-                self.core.send(session.address, notice)
+            self.daemon.send(address, message)
+        for session in self.daemon.sessions.live("accord"):
+            if session.identity != self.daemon.identity:
+                self.daemon.send(session.address, notice)
 
-    def _hear(self, greeting: Greeting, now: float) -> None:
+    def _receive(self, handshake: Greeting, now: float) -> None:
         """What a greeting and its answer have in common."""
-        core, identity = self.core, greeting.identity
-        if identity == core.identity:
+        daemon, identity = self.daemon, handshake.identity
+        if identity == daemon.identity:
             return
-        core.membership_changes.leaving.pop(identity, None)
-        if core.sessions.greeted(identity, greeting.kind, greeting.zone, greeting.address, now):
-            core.event(140, daemon=identity, kind=greeting.kind, address=greeting.address)
-        core.sessions.vouched(greeting.control_daemons)
-        if greeting.kind == "accord":
-            core.advertised_levels[identity] = greeting.level
-            if core.consensus is None or identity in core.consensus.membership.members():
-                core.time.hear(identity, greeting.clock, now)
-        if core.cluster is None:
-            core.cluster_entry.heard(greeting, now)
-        elif greeting.cluster == core.cluster and greeting.kind == "accord":
-            core.consented.add(identity)
+        daemon.membership_changes.leaving.pop(identity, None)
+        if daemon.sessions.renew(identity, handshake.kind, handshake.zone, handshake.address, now):
+            daemon.event(140, daemon=identity, kind=handshake.kind, address=handshake.address)
+        daemon.sessions.add_reported(handshake.control_daemons)
+        if handshake.kind == "accord":
+            daemon.advertised_levels[identity] = handshake.level
+            if daemon.consensus is None or identity in daemon.consensus.membership.members():
+                daemon.time.hear(identity, handshake.clock, now)
+        if daemon.cluster is None:
+            daemon.cluster_entry.on_handshake(handshake, now)
+        elif handshake.cluster == daemon.cluster and handshake.kind == "accord":
+            daemon.consented.add(identity)
 
-    def on_greet(self, *fields_and_now: Any) -> None:
+    def on_handshake(self, *fields_and_now: Any) -> None:
         """A daemon greets: it is answered with a greeting, and who leads."""
         *fields, now = fields_and_now
-        greeting = Greeting(*fields)
-        self._hear(greeting, now)
-        if not self.core.stopping:
-            notice = (self.core.leader_address(), self.core.cluster_time(now), self.core.leader_reading(now))
-            self.core.send(greeting.address, ("greeted", *self._greeting(now), *notice))
+        handshake = Greeting(*fields)
+        self._receive(handshake, now)
+        if not self.daemon.stopping:
+            notice = (
+                self.daemon.leader_address(),
+                self.daemon.cluster_time(now),
+                self.daemon.leader_reading(now),
+            )
+            self.daemon.send(handshake.address, ("greeted", *self._own_handshake(now), *notice))
 
-    def on_greeted(self, *fields_and_now: Any) -> None:
+    def on_handshake_reply(self, *fields_and_now: Any) -> None:
         """The answer to a greeting: a Greeting, the leader's address, cluster time, the leader's clock."""
         *fields, _, _, reading, now = fields_and_now
-        self.core.leader_clock.hear(reading, now)
-        self._hear(Greeting(*fields), now)
+        self.daemon.leader_clock.hear(reading, now)
+        self._receive(Greeting(*fields), now)
 
-    def on_tell(self, teller: str, sessions: Any, now: float) -> None:
+    def on_sessions_report(self, reporter: str, sessions: Any, now: float) -> None:
         """A control daemon tells which sessions it has itself."""
-        self.core.sessions.relayed(teller, sessions, now)
+        self.daemon.sessions.add_relayed(reporter, sessions, now)
--- a/src/pinepitch/control/image_digests.py
+++ b/src/pinepitch/control/image_digests.py
@@ -33,9 +33,9 @@
     them that are still to be compared; one request at a time waits for its answer.
     """
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
-        self.own: dict[int, str] = {}  # index -> digest
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
+        self.own_digests: dict[int, str] = {}  # index -> digest
         self.uncompared: dict[int, UncomparedDigest] = {}  # by index
         self.token: str | None = None  # of the request that waits
         self.asked_leader: str | None = None  # its identity
@@ -43,38 +43,38 @@
         self.count = 0  # of requests
         self.compared = self.differences = 0  # images, in this incarnation
 
-    def encoded(self, index: int, digest: str) -> None:
+    def add_encoded(self, index: int, digest: str) -> None:
         """Notes an image that was encoded here."""
-        self.own[index] = digest
+        self.own_digests[index] = digest
         self.uncompared[index] = UncomparedDigest(digest, None, 0)
         self._forget_oldest()
 
-    def installed(self, index: int, digest: str, sender: str | None) -> None:
+    def add_installed(self, index: int, digest: str, sender: str | None) -> None:
         """Notes a snapshot that was installed; it is compared with its sender's digest alone."""
         self.uncompared[index] = UncomparedDigest(digest, sender, 0)
         self._forget_oldest()
 
     def _forget_oldest(self) -> None:
-        for kept in (self.own, self.uncompared):
-            for index in sorted(kept)[: -constants.DIGESTS_KEPT]:
-                del kept[index]
+        for digests in (self.own_digests, self.uncompared):
+            for index in sorted(digests)[: -constants.DIGESTS_KEPT]:
+                del digests[index]
 
     def tick(self, now: float) -> None:
         """Asks the leader for its digests, now and then while some are to be compared."""
         if not self.uncompared or now - self.asked_at < constants.DIGEST_ASK_EVERY:
             return
-        consensus = self.core.consensus
+        consensus = self.daemon.consensus
         if consensus.role == "leader":
             self.uncompared.clear()  # the others compare theirs with these
             return
-        address = self.core.leader_address()
-        end = self.core.leader_clock.end(now + constants.FORWARD_TIMEOUT, now)
+        address = self.daemon.leader_address()
+        end = self.daemon.leader_clock.end(now + constants.FORWARD_TIMEOUT, now)
         if address is None or end is None:
             return
         self.asked_at, self.asked_leader = now, consensus.following
         self.count += 1
-        self.token = f"{self.core.forwarder.incarnation}~digests~{self.count}"
-        self.core.send(address, ("ask", self.core.address, self.token, CALL, (), ATTEMPT, end))
+        self.token = f"{self.daemon.forwarder.incarnation}~digests~{self.count}"
+        self.daemon.send(address, ("ask", self.daemon.address, self.token, CALL, (), ATTEMPT, end))
 
     def take_answer(self, token: str, answer: tuple[Any, ...], key: tuple[Any, ...]) -> bool:
         """Takes the leader's answer; False for one to another request."""
@@ -88,19 +88,19 @@
 
     def _compare(self, digests: Mapping[int, str]) -> None:
         """Compares what is left with the leader's digests, by index."""
-        for index, found in list(self.uncompared.items()):
-            if found.sender not in (None, self.asked_leader):
+        for index, uncompared in list(self.uncompared.items()):
+            if uncompared.sender not in (None, self.asked_leader):
                 del self.uncompared[index]
             elif index in digests:
                 del self.uncompared[index]
                 self.compared += 1
-                if digests[index] != found.digest:
-                    self._tell_difference(index, found.digest, digests[index])
-            elif found.asked + 1 >= constants.DIGEST_ASKS:
+                if digests[index] != uncompared.digest:
+                    self._report_difference(index, uncompared.digest, digests[index])
+            elif uncompared.asked + 1 >= constants.DIGEST_ASKS:
                 del self.uncompared[index]
             else:
-                self.uncompared[index] = found._replace(asked=found.asked + 1)
+                self.uncompared[index] = uncompared._replace(asked=uncompared.asked + 1)
 
-    def _tell_difference(self, index: int, own: str, leaders: str) -> None:
+    def _report_difference(self, index: int, own: str, leaders: str) -> None:
         self.differences += 1
-        self.core.event(135, index=index, digest=own, leader=self.asked_leader, leader_digest=leaders)
+        self.daemon.event(135, index=index, digest=own, leader=self.asked_leader, leader_digest=leaders)
--- a/src/pinepitch/control/loss_tolerance.py
+++ b/src/pinepitch/control/loss_tolerance.py
@@ -23,37 +23,37 @@
     obstacles: tuple[str, ...]
 
 
-def loss_tolerance(leader: ControlDaemon, now: float) -> LossTolerance:
+def loss_tolerance(daemon: ControlDaemon, now: float) -> LossTolerance:
     """As the leader sees it: voters that are not heard, or lack more of the log than a newcomer may, count
     as lost already; while the members change both lists must bear the loss.
     """
-    consensus = leader.consensus
-    obstacles = {identity: why for identity in _voters(leader) if (why := _obstacle(leader, identity, now))}
-    ready = set(_voters(leader)) - set(obstacles)
-    lists = [membership.tolerance(quorum, ready) for quorum in consensus.membership.quorums()]
+    consensus = daemon.consensus
+    obstacles = {identity: why for identity in _voters(daemon) if (why := _obstacle(daemon, identity, now))}
+    ready = set(_voters(daemon)) - set(obstacles)
+    tolerances = [membership.tolerance(quorum, ready) for quorum in consensus.membership.quorums()]
     sentences = list(obstacles.values())
     if consensus.changing():
         sentences.append("a change of members is under way")
     if consensus.handover is not None:
         sentences.append("the leader is handing leadership over")
-    machines = min(one.machines for one in lists)
+    machines = min(tolerance.machines for tolerance in tolerances)
     if machines < 1 and not sentences:
-        sentences.append(f"{len(_voters(leader))} voters are too few to bear a loss")
-    return LossTolerance(machines, all(one.zones for one in lists), tuple(sentences))
+        sentences.append(f"{len(_voters(daemon))} voters are too few to bear a loss")
+    return LossTolerance(machines, all(tolerance.zones for tolerance in tolerances), tuple(sentences))
 
 
-def _voters(leader: ControlDaemon) -> list[str]:
-    return sorted(leader.consensus.membership.members())
+def _voters(daemon: ControlDaemon) -> list[str]:
+    return sorted(daemon.consensus.membership.members())
 
 
-def _obstacle(leader: ControlDaemon, identity: str, now: float) -> str:
+def _obstacle(daemon: ControlDaemon, identity: str, now: float) -> str:
     """Why a voter can't be counted on now, or ''."""
-    if identity == leader.identity:
+    if identity == daemon.identity:
         return ""
-    name = f"voter {identity} in zone {leader.consensus.membership.members()[identity]}"
-    follower = leader.consensus.followers.get(identity)
+    name = f"voter {identity} in zone {daemon.consensus.membership.members()[identity]}"
+    follower = daemon.consensus.followers.get(identity)
     if follower is None or now - follower.heard_at > constants.CHECK_QUORUM:
         return f"{name} is not heard"
-    if not leader.consensus.caught_up(identity):
+    if not daemon.consensus.caught_up(identity):
         return f"{name} lacks much of the log"
     return ""
--- a/src/pinepitch/control/membership.py
+++ b/src/pinepitch/control/membership.py
@@ -23,7 +23,7 @@
     zones: bool  # whether any one whole zone
 
 
-def _works(quorum: Quorum, live: Collection[str]) -> bool:
+def _can_commit_and_elect(quorum: Quorum, live: Collection[str]) -> bool:
     """Whether those live can commit and elect, whoever of them leads."""
     groups = quorum.majorities(live)
     if quorum.mode == "dynamic":
@@ -33,31 +33,38 @@
 
 def tolerance(quorum: Quorum, live: Collection[str]) -> Tolerance:
     """What may be lost next of the members that are live."""
-    inside = frozenset(quorum.members) & frozenset(live)
-    return _tolerance(tuple(sorted(quorum.members.items())), quorum.mode, inside)
+    live_members = frozenset(quorum.members) & frozenset(live)
+    return _tolerance(tuple(sorted(quorum.members.items())), quorum.mode, live_members)
 
 
 @functools.lru_cache(maxsize=64)
-def _tolerance(members: tuple[tuple[str, str], ...], mode: str, inside: frozenset[str]) -> Tolerance:
+def _tolerance(members: tuple[tuple[str, str], ...], mode: str, live: frozenset[str]) -> Tolerance:
     quorum = Quorum(dict(members), mode)
-    if not _works(quorum, inside):
+    if not _can_commit_and_elect(quorum, live):
         return Tolerance(-1, False)
     machines = 0
-    while machines < len(inside) and all(
-        _works(quorum, inside - set(lost)) for lost in itertools.combinations(sorted(inside), machines + 1)
+    while machines < len(live) and all(
+        _can_commit_and_elect(quorum, live - set(lost))
+        for lost in itertools.combinations(sorted(live), machines + 1)
     ):
         machines += 1
     zones = set(quorum.members.values())
-    any_zone = all(_works(quorum, {one for one in inside if quorum.members[one] != zone}) for zone in zones)
+    any_zone = all(
+        _can_commit_and_elect(quorum, {member for member in live if quorum.members[member] != zone})
+        for zone in zones
+    )
     return Tolerance(machines, any_zone)
 
 
-def swapped(members: Members, leaver: str, newcomer: str, zone: str) -> Members:
+def with_replacement(members: Members, leaver: str, newcomer: str, zone: str) -> Members:
     """The members once `newcomer`, of `zone`, has the seat of `leaver`."""
-    return {**{one: member_zone for one, member_zone in members.items() if one != leaver}, newcomer: zone}
+    return {
+        **{member: member_zone for member, member_zone in members.items() if member != leaver},
+        newcomer: zone,
+    }
 
 
-def _before_and_after(
+def _tolerances(
     quorum: Quorum, members: Mapping[str, str], live: Collection[str]
 ) -> tuple[Tolerance, Tolerance]:
     """What the list of `quorum` can lose, and what `members` could."""
@@ -68,9 +75,9 @@
     return after.machines >= before.machines and after.zones >= before.zones
 
 
-def without_harm(quorum: Quorum, members: Mapping[str, str], live: Collection[str]) -> bool:
+def retains_tolerance(quorum: Quorum, members: Mapping[str, str], live: Collection[str]) -> bool:
     """Whether the list `members` can lose as much as that of `quorum` can now, by machines and by zones."""
-    return _no_worse(*_before_and_after(quorum, members, live))
+    return _no_worse(*_tolerances(quorum, members, live))
 
 
 def successor(quorum: Quorum, leaver: str, spares: Mapping[str, str], live: Collection[str]) -> str | None:
@@ -80,38 +87,40 @@
     """
     zone = quorum.members[leaver]
     present = set(live) | {leaver}
-    for identity in sorted(spares, key=lambda one: (spares[one] != zone, one)):
+    for identity in sorted(spares, key=lambda spare: (spares[spare] != zone, spare)):
         if spares[identity] != zone and quorum.mode != "single":
             continue
-        members = swapped(quorum.members, leaver, identity, spares[identity])
-        if identity in live and without_harm(quorum, members, present):
+        members = with_replacement(quorum.members, leaver, identity, spares[identity])
+        if identity in live and retains_tolerance(quorum, members, present):
             return identity
     return None
 
 
-def gains(quorum: Quorum, lost: str, newcomer: str, zone: str, live: Collection[str]) -> bool:
+def improves_tolerance(
+    quorum: Quorum, replaced: str, newcomer: str, zone: str, live: Collection[str]
+) -> bool:
     """Whether a newcomer of another zone in a member's seat leaves more to lose, and no less in any way."""
-    members = swapped(quorum.members, lost, newcomer, zone)
-    before, after = _before_and_after(quorum, members, live)
+    members = with_replacement(quorum.members, replaced, newcomer, zone)
+    before, after = _tolerances(quorum, members, live)
     return after != before and _no_worse(before, after)
 
 
-class Budget(NamedTuple):
+class ReplacementBudget(NamedTuple):
     """Where the time goes that a lost voter's successor has from its start until it may be needed.
 
     Invariant: what the parts take in sum, the silence included, is within catch_up.
     """
 
     catch_up: float  # seconds; what the platform grants
-    change: float  # seconds; the longest joint change measured here
+    longest_change: float  # seconds; the longest joint change measured here
 
     def replace_after(self) -> float:
         """For how many seconds a voter must be unheard before a newcomer takes its seat: what joining,
         catching up and the joint change leave, with the change counted twice as another may be under way.
         """
-        change = max(self.change, constants.CHANGE_WITHIN)
-        left = self.catch_up - constants.JOIN_WITHIN - constants.CATCH_UP_WITHIN - 2 * change
-        return max(constants.SESSION_LASTS, left)
+        change = max(self.longest_change, constants.CHANGE_WITHIN)
+        remaining = self.catch_up - constants.JOIN_WITHIN - constants.CATCH_UP_WITHIN - 2 * change
+        return max(constants.SESSION_LASTS, remaining)
 
 
 class Leave(NamedTuple):
@@ -121,7 +130,7 @@
     """
 
     since: float  # seconds of the leader's clock
-    kept: bool | None
+    retained: bool | None
 
 
 class Departure:
@@ -131,22 +140,22 @@
     """
 
     def __init__(self, now: float, within: float) -> None:
-        self.begun, self.within = now, within
+        self.started_at, self.within = now, within
         self.announced_at = -1e9
-        self.kept: bool | None = (
+        self.retained: bool | None = (
             None  # what the leader said: True keeps the seat for it, False gives it to a spare
         )
 
     def due(self, now: float) -> bool:
         """Whether the leave is to be told again."""
-        if self.kept is not None or now - self.announced_at < constants.GREET_EVERY:
+        if self.retained is not None or now - self.announced_at < constants.GREET_EVERY:
             return False
         self.announced_at = now
         return True
 
-    def over(self, now: float, member: bool, leading: bool) -> bool:
+    def finished(self, now: float, member: bool, leading: bool) -> bool:
         """Whether the process may end: `member` says whether it still votes by what it knows."""
-        waited = now - self.begun
-        if waited >= self.within or not member or self.kept:
+        waited = now - self.started_at
+        if waited >= self.within or not member or self.retained:
             return True
-        return self.kept is None and not leading and waited >= constants.VOTER_SEAT_ANSWER
+        return self.retained is None and not leading and waited >= constants.VOTER_SEAT_ANSWER
--- a/src/pinepitch/control/membership_changes.py
+++ b/src/pinepitch/control/membership_changes.py
@@ -16,26 +16,26 @@
     stop.
     """
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
         self.leaving: dict[str, membership.Leave] = {}  # control daemon that stops -> what is known of it
-        self.change_took = 0.0  # seconds; of the newest joint change that this daemon led
+        self.last_change_duration = 0.0  # seconds; of the newest joint change that this daemon led
         self.clear()
 
     def clear(self) -> None:
         """Forgets what exists only while leading."""
-        self.change_begun: float | None = None  # when the joint change under way was proposed
+        self.change_started_at: float | None = None  # when the joint change under way was proposed
 
     def maintain(self, now: float) -> None:
         """Lets caught-up newcomers in and long lost members out, by joint consensus."""
-        consensus = self.core.consensus
-        self._time_change(now)
-        live = {session.identity for session in self.core.sessions.live("accord")} - set(self.leaving)
-        live.add(self.core.identity)
+        consensus = self.daemon.consensus
+        self._measure_change(now)
+        live = {session.identity for session in self.daemon.sessions.live("accord")} - set(self.leaving)
+        live.add(self.daemon.identity)
         members = consensus.membership.members()
         if not consensus.serving():
             return
-        self._tell_seats(live, now)
+        self._notify_leaving_voters(live, now)
         if consensus.membership.coming is not None:
             return
         change = self._wanted_members(members, live, now)
@@ -45,122 +45,142 @@
     def _wanted_members(self, members: Members, live: set[str], now: float) -> Members | None:
         """The members that are to follow, or None while these are right."""
         caught_up = {
-            one: zone
-            for one, zone in self.core.consensus.learners.items()
-            if one in live and one not in members and self.core.consensus.caught_up(one)
+            peer: zone
+            for peer, zone in self.daemon.consensus.learners.items()
+            if peer in live and peer not in members and self.daemon.consensus.caught_up(peer)
         }
-        out = {one: self._unheard(one, now) for one in members if one not in live}
-        for leaver in sorted(one for one in self.leaving if one in out):
-            successor = membership.successor(self.core.consensus.membership.now, leaver, caught_up, live)
+        unreachable = {peer: self._unreachable_seconds(peer, now) for peer in members if peer not in live}
+        for leaver in sorted(peer for peer in self.leaving if peer in unreachable):
+            successor = membership.successor(self.daemon.consensus.membership.now, leaver, caught_up, live)
             if successor is not None:
-                return membership.swapped(members, leaver, successor, caught_up[successor])
+                return membership.with_replacement(members, leaver, successor, caught_up[successor])
         for identity, zone in sorted(caught_up.items()):
-            change = self._admission(identity, zone, members, out, live)
+            change = self._admission(identity, zone, members, unreachable, live)
             if change is not None:
                 return change
-        for identity, unheard in sorted(out.items()):
-            beside = any(one in live and zone == members[identity] for one, zone in members.items())
-            least = self.core.voters if self.core.mode == "single" else 3
-            if unheard > constants.RETIRE_AFTER and beside and len(members) > least:
-                return {one: zone for one, zone in members.items() if one != identity}
+        for identity, unreachable_seconds in sorted(unreachable.items()):
+            zone_has_live_member = any(
+                peer in live and zone == members[identity] for peer, zone in members.items()
+            )
+            min_members = self.daemon.voters if self.daemon.mode == "single" else 3
+            if (
+                unreachable_seconds > constants.RETIRE_AFTER
+                and zone_has_live_member
+                and len(members) > min_members
+            ):
+                return {peer: zone for peer, zone in members.items() if peer != identity}
         return None
 
-    def _unheard(self, identity: str, now: float) -> float:
+    def _unreachable_seconds(self, identity: str, now: float) -> float:
         """How long a member that is out of session was not heard, as far as this daemon can tell."""
-        return now - max(self.core.sessions.heard(identity), self.core.first_tick_at or 0.0)
+        return now - max(self.daemon.sessions.last_seen(identity), self.daemon.first_tick_at or 0.0)
 
-    def _time_change(self, now: float) -> None:
+    def _measure_change(self, now: float) -> None:
         """Measures how long the joint change that this daemon leads takes."""
-        if self.change_begun is None or self.core.consensus.changing():
+        if self.change_started_at is None or self.daemon.consensus.changing():
             return
-        self.change_took, self.change_begun = now - self.change_begun, None
+        self.last_change_duration, self.change_started_at = now - self.change_started_at, None
 
-    def _tell_seats(self, live: set[str], now: float) -> None:
+    def _notify_leaving_voters(self, live: set[str], now: float) -> None:
         """Tells each stopping voter whether a spare is to have its seat, and forgets those long gone."""
-        members = self.core.consensus.membership.members()
-        spares = {one: zone for one, zone in self.core.consensus.learners.items() if one not in members}
-        voters = self.core.consensus.membership.now
+        members = self.daemon.consensus.membership.members()
+        spares = {
+            learner: zone
+            for learner, zone in self.daemon.consensus.learners.items()
+            if learner not in members
+        }
+        voters = self.daemon.consensus.membership.now
         for leaver, leave in list(self.leaving.items()):
-            if leaver not in voters.members or now - leave.since > self.core.catch_up:
+            if leaver not in voters.members or now - leave.since > self.daemon.catch_up:
                 del self.leaving[leaver]
                 continue
-            kept = membership.successor(voters, leaver, spares, live) is None
-            if leave.kept != kept:
-                self.leaving[leaver] = leave._replace(kept=kept)
-                self.core.send(self.core.sessions.address(leaver), ("seat", kept))
+            retained = membership.successor(voters, leaver, spares, live) is None
+            if leave.retained != retained:
+                self.leaving[leaver] = leave._replace(retained=retained)
+                self.daemon.send(self.daemon.sessions.address(leaver), ("seat", retained))
 
     def _admission(
-        self, identity: str, zone: str, members: Members, out: dict[str, float], live: set[str]
+        self, identity: str, zone: str, members: Members, unreachable_for: dict[str, float], live: set[str]
     ) -> Members | None:
         """The members once a newcomer is in: in a lost one's seat, its own zone's first, or in a zone
         without any; else None, and it stays a spare that follows the log.
         """
-        address = self.core.sessions.address(identity)
-        lost = [one for one in members if self.core.sessions.address(one) == address]
-        if not lost:
-            after = membership.Budget(self.core.catch_up, self.change_took).replace_after()
-            missed = [one for one, unheard in out.items() if unheard >= after]
-            lost = [one for one in missed if members[one] == zone] or [
-                one
-                for one in missed
-                if membership.gains(self.core.consensus.membership.now, one, identity, zone, live)
+        address = self.daemon.sessions.address(identity)
+        replaceable = [member for member in members if self.daemon.sessions.address(member) == address]
+        if not replaceable:
+            replace_after = membership.ReplacementBudget(
+                self.daemon.catch_up, self.last_change_duration
+            ).replace_after()
+            unreachable = [
+                member
+                for member, unreachable_seconds in unreachable_for.items()
+                if unreachable_seconds >= replace_after
+            ]
+            replaceable = [member for member in unreachable if members[member] == zone] or [
+                member
+                for member in unreachable
+                if membership.improves_tolerance(
+                    self.daemon.consensus.membership.now, member, identity, zone, live
+                )
             ]
-        if lost:
-            leaves = max(lost, key=lambda one: (out.get(one, 0.0), one))
-            return membership.swapped(members, leaves, identity, zone)
-        if self.core.mode == "single":
+        if replaceable:
+            replaced = max(replaceable, key=lambda member: (unreachable_for.get(member, 0.0), member))
+            return membership.with_replacement(members, replaced, identity, zone)
+        if self.daemon.mode == "single":
             # so many that any two lost leave a majority, and no zone as many as would be missed
-            inside = sum(one == zone for one in members.values())
-            if len(members) < self.core.voters and inside < (self.core.voters - 1) // 2:
+            zone_voters = sum(member == zone for member in members.values())
+            if len(members) < self.daemon.voters and zone_voters < (self.daemon.voters - 1) // 2:
                 return {**members, identity: zone}
-            return self._spread_zones(identity, zone, members, live)
+            return self._rebalance_zones(identity, zone, members, live)
         if zone in members.values() or len(members) >= constants.MAX_CLUSTER_MEMBERS:
             return None  # a spare: a group of two would need both, so it waits for a loss
         return {**members, identity: zone}
 
-    def _spread_zones(self, identity: str, zone: str, members: Members, live: set[str]) -> Members | None:
+    def _rebalance_zones(self, identity: str, zone: str, members: Members, live: set[str]) -> Members | None:
         """The members once a newcomer has the seat of one whose zone holds several, as after a loss that
         one of another zone stood in for; None where that leaves no more to lose.
         """
-        for one, place in sorted(members.items()):
-            several = sum(other == place for other in members.values()) > 1
-            if not several or one == self.core.identity or place == zone:
+        for member, member_zone in sorted(members.items()):
+            zone_has_several = sum(other_zone == member_zone for other_zone in members.values()) > 1
+            if not zone_has_several or member == self.daemon.identity or member_zone == zone:
                 continue
-            if membership.gains(self.core.consensus.membership.now, one, identity, zone, live):
-                return membership.swapped(members, one, identity, zone)
+            if membership.improves_tolerance(
+                self.daemon.consensus.membership.now, member, identity, zone, live
+            ):
+                return membership.with_replacement(members, member, identity, zone)
         return None
 
     def _propose_members(self, members: Members, now: float) -> None:
         """Begins a joint change to these members."""
-        result = self.core.consensus.change_members(members, self.core.cluster_time(now), now)
+        result = self.daemon.consensus.change_members(members, self.daemon.cluster_time(now), now)
         if result is not None:
-            self.change_begun = now
-            self.core.agreement.run(result[1], now)
+            self.change_started_at = now
+            self.daemon.consensus_driver.execute(result[1], now)
 
     def on_join(self, identity: str, zone: str, address: str, now: float) -> None:
         """A daemon asks to join: it follows the log as a learner from now on, where there is a place."""
-        consensus = self.core.consensus
+        consensus = self.daemon.consensus
         if consensus is None or consensus.role != "leader" or not consensus.serving():
             return
         if identity in consensus.membership.members():
             return
-        self.core.sessions.greeted(identity, "accord", zone, address, now)
+        self.daemon.sessions.renew(identity, "accord", zone, address, now)
         if len(consensus.learners) >= constants.MAX_CLUSTER_MEMBERS:
             self._forget_lost_learners()
         if len(consensus.learners) < constants.MAX_CLUSTER_MEMBERS:
             consensus.learn(identity, zone, now)
-        self.core.send(address, ("admit", self.core.cluster, self.core.mode, self.core.identity))
+        self.daemon.send(address, ("admit", self.daemon.cluster, self.daemon.mode, self.daemon.identity))
 
     def _forget_lost_learners(self) -> None:
         """Makes a place free among the learners: one without a session asks again if it comes back."""
-        consensus = self.core.consensus
-        live = {session.identity for session in self.core.sessions.live("accord")}
+        consensus = self.daemon.consensus
+        live = {session.identity for session in self.daemon.sessions.live("accord")}
         for identity in set(consensus.learners) - live - set(consensus.membership.members()):
             consensus.forget_learner(identity)
 
     def on_leave(self, identity: str, now: float) -> None:
         """A daemon ends its session itself."""
-        if self.core.sessions.by_identity.pop(identity, None):
-            self.core.event(141, daemon=identity)
-        if self.core.consensus is not None and identity in self.core.consensus.membership.members():
+        if self.daemon.sessions.by_identity.pop(identity, None):
+            self.daemon.event(141, daemon=identity)
+        if self.daemon.consensus is not None and identity in self.daemon.consensus.membership.members():
             self.leaving[identity] = membership.Leave(now, None)
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -22,7 +22,7 @@
 Sample = tuple[Labels, Any]  # label values, and a number or a histogram
 
 RESOURCES = ("cpu", "memory", "accelerators")  # as in a worker's capacity
-MAX_TENANTS_TOLD = 20  # tenants; each has up to a label for each resource
+MAX_TENANTS_SHOWN = 20  # tenants; each has up to a label for each resource
 
 
 class Family(NamedTuple):
@@ -42,7 +42,13 @@
 
 def _by_label(kind: str, name: str, help_text: str, label: str, values: Mapping[str, Any]) -> Family:
     """A metric with one label, its samples in the order of the label's values."""
-    return Family(kind, name, help_text, (label,), [((one,), value) for one, value in sorted(values.items())])
+    return Family(
+        kind,
+        name,
+        help_text,
+        (label,),
+        [((label_value,), value) for label_value, value in sorted(values.items())],
+    )
 
 
 def _by_queue(name: str, help_text: str, queues: Iterable[str], values: Mapping[str, float]) -> Family:
@@ -86,7 +92,7 @@
 
 
 def _images(daemon: ControlDaemon) -> list[Family]:
-    size = daemon.agreement.image_size() if daemon.consensus else 0
+    size = daemon.consensus_driver.image_size() if daemon.consensus else 0
     largest = "Bytes of an image from which on what enlarges it is refused."
     differences = "Images that differ from the leader's at the same index."
     return [
@@ -151,15 +157,15 @@
 
 def _push_workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
     states = {"open": 0, "silent": 0, "on trial": 0}
-    for one in daemon.push_workers.values():
-        states["silent" if one.unresponsive(now) else "on trial" if one.poor() else "open"] += 1
+    for worker in daemon.push_workers.values():
+        states["silent" if worker.unresponsive(now) else "on trial" if worker.poor() else "open"] += 1
     return states
 
 
 def _tasks_on_unresponsive(daemon: ControlDaemon, now: float) -> int:
     """Tasks placed on workers that are not heard."""
     reserved = daemon.cluster_state.reserved
-    unresponsive = [name for name, one in daemon.push_workers.items() if one.unresponsive(now)]
+    unresponsive = [name for name, worker in daemon.push_workers.items() if worker.unresponsive(now)]
     return sum(len(reserved.get(name, ())) for name in unresponsive)
 
 
@@ -182,7 +188,7 @@
     tasks_waiting = "Tasks of jobs whose earlier steps are done, not placed, by queue."
     tasks_left = "Tasks of jobs that the leader's newest round left waiting, by queue and why."
     still_readable = "Final jobs whose state is still readable, by state."
-    left = sorted(_left_waiting(daemon).items())
+    left = sorted(_unplaced_by_reason(daemon).items())
     queues = {*waiting, *leased_jobs.configuration.routes}
     return [
         _by_label("gauge", "jobs_open", "Jobs not yet final, by state.", "state", open_jobs),
@@ -213,14 +219,14 @@
     return waiting
 
 
-def _left_waiting(daemon: ControlDaemon) -> dict[Labels, int]:
+def _unplaced_by_reason(daemon: ControlDaemon) -> dict[Labels, int]:
     """(queue, why) -> tasks that the newest round of this leader left waiting."""
     counts: dict[Labels, int] = {}
     for key, why in daemon.assignments.assigner.why.items():
         wave = daemon.cluster_state.leased_jobs.ready.get(key)
         if wave is not None:
-            place = (wave.job.queue, why)
-            counts[place] = counts.get(place, 0) + len(wave.waiting)
+            labels = (wave.job.queue, why)
+            counts[labels] = counts.get(labels, 0) + len(wave.waiting)
     return counts
 
 
@@ -240,7 +246,7 @@
     leased_jobs = daemon.cluster_state.leased_jobs
     at_maximum = daemon.assignments.assigner.tenants_at_maximum(leased_jobs)
     help_at_maximum = "Tenants with work that the leader's newest round left waiting for their maximum."
-    help_used = f"Part of its maximum that a tenant uses, of the {MAX_TENANTS_TOLD} that use most."
+    help_used = f"Part of its maximum that a tenant uses, of the {MAX_TENANTS_SHOWN} that use most."
     samples: list[Sample] = [
         ((name, resource), part)
         for name, parts in _largest_tenants(leased_jobs)
@@ -259,8 +265,10 @@
         tenant = leased_jobs.tenants.limited(name)
         if tenant is not None:
             limits = zip(RESOURCES, used, tenant.maximum, strict=True)
-            parts[name] = {one: taken / most for one, taken, most in limits if math.isfinite(most)}
-    largest = sorted(parts, key=lambda name: (-max(parts[name].values()), name))[:MAX_TENANTS_TOLD]
+            parts[name] = {
+                resource: amount / most for resource, amount, most in limits if math.isfinite(most)
+            }
+    largest = sorted(parts, key=lambda name: (-max(parts[name].values()), name))[:MAX_TENANTS_SHOWN]
     return [(name, parts[name]) for name in sorted(largest)]
 
 
@@ -292,16 +300,16 @@
         taken = daemon.cluster_state.leased_jobs.taken.get(worker.identity, (0, 0, 0))
         for resource, total, used in zip(RESOURCES, worker.capacity, taken, strict=True):
             for state, amount in (("taken", used), ("free", total - used)):
-                place = (worker.service, resource, state)
-                capacity[place] = capacity.get(place, 0) + amount
+                labels = (worker.service, resource, state)
+                capacity[labels] = capacity.get(labels, 0) + amount
     return capacity
 
 
 def _workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
     """Workers this leader knows, each under one state."""
     states = {"ready": 0, "draining": 0, "silent": 0}
-    for one in daemon.assignments.workers.values():
-        state = "silent" if one.unresponsive(now) else one.state
+    for worker in daemon.assignments.workers.values():
+        state = "silent" if worker.unresponsive(now) else worker.state
         states[state] = states.get(state, 0) + 1
     return states
 
--- a/src/pinepitch/control/outside_requests.py
+++ b/src/pinepitch/control/outside_requests.py
@@ -11,91 +11,91 @@
     from .daemon import ControlDaemon
 
 
-class OutsideRequests:
+class ClientRequests:
     """Invariant: each request has one reply, whatever the leader answers and how often."""
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
-        self.hinted: dict[str, float] = {}  # worker -> when it was last told where the leader is
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
+        self.hinted_at: dict[str, float] = {}  # worker -> when it was last told where the leader is
 
     def on_request(
-        self, request: Any, call: str, arguments: tuple[Any, ...], patience: float, now: float
+        self, request: Any, call: str, arguments: tuple[Any, ...], timeout: float, now: float
     ) -> None:
         """A call at this daemon's own ports: decided here, or forwarded to the leader."""
         if call == "ready":
-            self.core.effects.append(Reply(request, 200 if self.core.consensus is not None else 503, {}))
+            self.daemon.effects.append(Reply(request, 200 if self.daemon.consensus is not None else 503, {}))
             return
-        token = self.core.indexed_forwarder.begin(request, call, arguments, now, patience)
+        token = self.daemon.indexed_forwarder.begin(request, call, arguments, now, timeout)
         self._forward(token, now)
 
     def _forward(self, token: str, now: float) -> None:
         """Sends a request to whoever leads, perhaps this daemon."""
-        core = self.core
-        call = core.forwarder.calls[token]
+        daemon = self.daemon
+        call = daemon.forwarder.calls[token]
         end: Reading | None
-        if core.consensus is not None and core.consensus.role == "leader":
-            end = Reading(core.consensus.term, call.until)
-            attempt = core.forwarder.sent(token, core.address, now, end)
-            core.forwarded_requests.on_request(
-                core.address, token, call.call, call.arguments, attempt, end, now
+        if daemon.consensus is not None and daemon.consensus.role == "leader":
+            end = Reading(daemon.consensus.term, call.until)
+            attempt = daemon.forwarder.sent(token, daemon.address, now, end)
+            daemon.forwarded_requests.on_request(
+                daemon.address, token, call.call, call.arguments, attempt, end, now
             )
         else:
-            address = core.leader_address()
-            end = core.leader_clock.end(call.until, now)
-            attempt = core.forwarder.sent(token, address, now, end)
-            core.send(address, ("ask", core.address, token, call.call, call.arguments, attempt, end))
+            address = daemon.leader_address()
+            end = daemon.leader_clock.end(call.until, now)
+            attempt = daemon.forwarder.sent(token, address, now, end)
+            daemon.send(address, ("ask", daemon.address, token, call.call, call.arguments, attempt, end))
 
-    def forward_again(self, now: float) -> None:
+    def resend_due(self, now: float) -> None:
         """Sends again what is due, and gives up what nobody answered in time."""
-        due, effects = self.core.forwarder.due(now)
-        self.core.effects.extend(effects)
+        due, effects = self.daemon.forwarder.due(now)
+        self.daemon.effects.extend(effects)
         for token in due:
-            if token in self.core.forwarder.calls:
+            if token in self.daemon.forwarder.calls:
                 self._forward(token, now)
 
     def on_answer(self, token: str, answer: tuple[Any, ...], key: tuple[Any, ...], now: float) -> None:
         """The leader answers a request."""
-        if self.core.image_digests.take_answer(token, answer, key):
+        if self.daemon.image_digests.take_answer(token, answer, key):
             return
-        call = self.core.forwarder.waiting(token, key)
+        call = self.daemon.forwarder.waiting(token, key)
         if call is None:
             return
         if call.call == "beat" and "home" in answer[1]:
             # where the leader is, is told now and then only: a worker that can't reach it comes back here
             worker = call.arguments[0]
-            if now - self.hinted.get(worker, -1e9) < constants.HINT_EVERY:
+            if now - self.hinted_at.get(worker, -1e9) < constants.HINT_EVERY:
                 del answer[1]["home"]
             else:
-                self.hinted[worker] = now
-        self.core.effects.extend(self.core.indexed_forwarder.answered(token, answer, key, now))
+                self.hinted_at[worker] = now
+        self.daemon.effects.extend(self.daemon.indexed_forwarder.answered(token, answer, key, now))
 
-    def on_not_taken(
+    def on_refused(
         self, token: str, leader: str | None, attempt: int, reading: Reading | None, now: float
     ) -> None:
         """Whom an attempt of a request was sent to did not take it; it says who leads, if it knows."""
-        self.core.leader_clock.hear(reading, now)
-        self.core.forwarder.not_taken(token, attempt)
-        call = self.core.forwarder.calls.get(token)
-        if call is not None and leader is not None and (call.term or 0) < self.core.leader_clock.term:
+        self.daemon.leader_clock.hear(reading, now)
+        self.daemon.forwarder.not_taken(token, attempt)
+        call = self.daemon.forwarder.calls.get(token)
+        if call is not None and leader is not None and (call.term or 0) < self.daemon.leader_clock.term:
             self._forward(token, now)  # it lacked an end on this leader's clock
 
     def on_undelivered(self, token: str, attempt: int, now: float) -> None:
         """An attempt of a request reached nobody: no connection could be made."""
-        self.core.forwarder.not_taken(token, attempt)
+        self.daemon.forwarder.not_taken(token, attempt)
 
     def on_hung_up(self, request: Any, now: float) -> None:
         """The caller of a request has closed its connection."""
-        self.core.effects.extend(self.core.indexed_forwarder.hung_up(request))
+        self.daemon.effects.extend(self.daemon.indexed_forwarder.hung_up(request))
 
     def on_paused(self, seconds: float, now: float) -> None:
         """The process of this daemon did not run for so many seconds, until now."""
-        self.core.counts["pauses"] += 1
-        self.core.paused_seconds += seconds
-        self.core.indexed_forwarder.paused(seconds, now)
+        self.daemon.counts["pauses"] += 1
+        self.daemon.paused_seconds += seconds
+        self.daemon.indexed_forwarder.paused(seconds, now)
 
     def on_in_doubt(self, token: str, now: float) -> None:
         """Whom a request was sent to may have taken it, and can't say."""
-        self.core.forwarder.in_doubt(token)
+        self.daemon.forwarder.in_doubt(token)
 
     def on_http(self, request: Any, method: str, target: str, headers: Any, body: bytes, now: float) -> None:
         """The daemon's own small port: its health and metrics, nothing that is forwarded."""
@@ -107,6 +107,6 @@
                     "message": "an accord answers GET /v1/health and /v1/metrics",
                 }
             }
-            self.core.effects.append(Reply(request, 404, document))
+            self.daemon.effects.append(Reply(request, 404, document))
         else:
-            self.core.effects.append(Reply(request, 200, answer(self.core, now)))
+            self.daemon.effects.append(Reply(request, 200, answer(self.daemon, now)))
--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -14,17 +14,17 @@
 from ..common import constants
 from ..model.task import reference, unit_of
 from .placement_round import (
-    KEPT_FOR_OLDER,
     NO_CAPACITY,
     NO_CREDITS,
     QUEUE_LIMIT,
+    RESERVED_FOR_OLDER,
+    CandidateWorker,
     Charges,
     PlaceItem,
-    Round,
-    Seat,
+    PlacementRound,
     Shape,
+    StartableUnit,
     UnitKey,
-    Wanted,
 )
 from .preemption import Preemption, YieldItem
 
@@ -39,7 +39,7 @@
 
 ReadyUnits = dict[Shape, list[tuple[float, int, str]]]  # shape -> (due, number of the job, unit), sorted
 
-SHORT = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being kept back
+SHORTAGE_REASONS = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being kept back
 
 
 class Placer:
@@ -51,12 +51,12 @@
 
     def __init__(self) -> None:
         self.proposed: dict[str, tuple[Charges, str, int]] = {}  # reference -> (charges, queue, units)
-        self.why: dict[tuple[str, Shape], str] = {}
-        self.short: dict[UnitKey, float] = {}
+        self.reasons: dict[tuple[str, Shape], str] = {}
+        self.short_since: dict[UnitKey, float] = {}
         self._worker_of: dict[str, str] = {}
-        self.turn = 0  # of the front daemons, which send orders in turn
+        self.front_daemon_turn = 0  # of the front daemons, which send orders in turn
 
-    def round(
+    def run_round(
         self,
         cluster_state: ClusterState,
         workers: dict[str, PushWorker],
@@ -68,81 +68,85 @@
         `time` the cluster's, both in seconds.
         """
         cluster_state.promote_due_units(time)
-        this_round = Round(*self._seats(cluster_state, workers, now))
+        this_round = PlacementRound(*self._candidate_workers(cluster_state, workers, now))
         if not front_daemons:
             return (), ()
         for charges, queue, units in self.proposed.values():
-            this_round.count(charges, queue, units)
+            this_round.count_placed(charges, queue, units)
         items: list[PlaceItem] = []
-        self.why = {}
-        oldest = self._keep_for_oldest(cluster_state, this_round, now)
-        for wanted in itertools.chain(oldest, self._candidates(cluster_state)):
+        self.reasons = {}
+        oldest = self._reserve_for_oldest(cluster_state, this_round, now)
+        for startable in itertools.chain(oldest, self._startable_units(cluster_state)):
             if len(items) >= constants.MAX_PLACED_TASKS:
                 break
-            group = self._fit(cluster_state, wanted, this_round, front_daemons)
-            if isinstance(group, str):
-                self._left_waiting(wanted, group, now)
+            placements = self._fit(cluster_state, startable, this_round, front_daemons)
+            if isinstance(placements, str):
+                self._left_waiting(startable, placements, now)
             else:
-                self._propose(wanted, group)
-                items.extend(group)
-        preemption = Preemption(cluster_state, this_round, self.why, self.proposed)
-        return tuple(map(tuple, items)), tuple(preemption.yields(time))
+                self._propose(startable, placements)
+                items.extend(placements)
+        preemption = Preemption(cluster_state, this_round, self.reasons, self.proposed)
+        return tuple(map(tuple, items)), tuple(preemption.yield_items(time))
 
-    def _left_waiting(self, wanted: Wanted, why: str, now: float) -> None:
-        self.why[wanted.shape] = why
-        if why in SHORT:
-            self.short.setdefault(wanted.key, now)
+    def _left_waiting(self, startable: StartableUnit, reason: str, now: float) -> None:
+        self.reasons[startable.shape] = reason
+        if reason in SHORTAGE_REASONS:
+            self.short_since.setdefault(startable.key, now)
         else:
-            self.short.pop(wanted.key, None)
+            self.short_since.pop(startable.key, None)
 
-    def _propose(self, wanted: Wanted, group: list[PlaceItem]) -> None:
-        self.short.pop(wanted.key, None)
-        job = wanted.job
-        for item in group:
+    def _propose(self, startable: StartableUnit, placements: list[PlaceItem]) -> None:
+        self.short_since.pop(startable.key, None)
+        job = startable.job
+        for item in placements:
             name = item.reference.partition("/")[2]
             self.proposed[item.reference] = (item.charges, job.queue, job.tasks[name].units)
 
     def reason(self, cluster_state: ClusterState, job: PushedJob, name: str) -> str:
         """Why a task that could start was not placed by the newest round."""
         slot = cluster_state.slots.get((job.identity, unit_of(job.tasks[name])))
-        return self.why.get((slot[1], slot[3]), "not yet looked at") if slot else "its gang is not ready"
+        return self.reasons.get((slot[1], slot[3]), "not yet looked at") if slot else "its gang is not ready"
 
     # --- what is kept back ------------------------------------------------------------
-    def _keep_for_oldest(self, cluster_state: ClusterState, this_round: Round, now: float) -> list[Wanted]:
+    def _reserve_for_oldest(
+        self, cluster_state: ClusterState, this_round: PlacementRound, now: float
+    ) -> list[StartableUnit]:
         """For the unit of each queue that has been short the longest, and long enough:
         capacity on the workers where it will fit first, and its queue's credits and limit.
         Others still get what is left beside that, which delays it by nothing.
         """
-        self.short = {key: since for key, since in self.short.items() if key in cluster_state.slots}
+        self.short_since = {
+            key: since for key, since in self.short_since.items() if key in cluster_state.slots
+        }
         oldest = []
-        for key, since in sorted(self.short.items(), key=lambda one: (one[1], one[0])):
+        for key, since in sorted(self.short_since.items(), key=lambda item: (item[1], item[0])):
             identity, unit = key
             begins, queue, _, shape, _ = cluster_state.slots[key]
             job = cluster_state.pushed_jobs[identity]
             names = cluster_state.members(job, unit)
-            if queue in this_round.kept_of_queues or begins > cluster_state.promoted_until:
+            if queue in this_round.reserved_in_queues or begins > cluster_state.promoted_until:
                 continue
             if reference(identity, names[0]) in self.proposed:
                 continue
-            if now - since < _patience(cluster_state, job, unit, names):
+            if now - since < _reservation_delay(cluster_state, job, unit, names):
                 continue
-            kept_units = this_round.capacity_for(job, names)
-            if kept_units is not None:
-                this_round.kept_of_queues[queue] = (sum(job.tasks[name].units for name in names), key)
-                this_round.kept_on_workers.update(
-                    {worker: (units, key) for worker, units in kept_units.items()}
+            units_by_worker = this_round.find_reservation(job, names)
+            if units_by_worker is not None:
+                this_round.reserved_in_queues[queue] = (sum(job.tasks[name].units for name in names), key)
+                this_round.reserved_on_workers.update(
+                    {worker: (units, key) for worker, units in units_by_worker.items()}
                 )
-                oldest.append(Wanted(job, unit, names, (queue, shape)))
+                oldest.append(StartableUnit(job, unit, names, (queue, shape)))
         return oldest
 
     # --- workers and units ------------------------------------------------------------
-    def _seats(
+    def _candidate_workers(
         self, cluster_state: ClusterState, workers: dict[str, PushWorker], now: float
-    ) -> tuple[list[Seat], dict[str, int]]:
+    ) -> tuple[list[CandidateWorker], dict[str, int]]:
         """Workers that may get work, and the units free on each: every reservation in the cluster
         state and every one proposed is taken off.
         """
-        seats, free = [], {}
+        candidates, free = [], {}
         pending = self._proposed_units()
         for name in sorted(workers):
             worker = workers[name]
@@ -155,10 +159,12 @@
                 continue
             free[name] = report.capacity - taken
             labels = frozenset(report.labels)
-            seats.append(
-                Seat(name, report.zone, report.capacity, labels, report.incarnation, poor, report.address)
+            candidates.append(
+                CandidateWorker(
+                    name, report.zone, report.capacity, labels, report.incarnation, poor, report.address
+                )
             )
-        return seats, free
+        return candidates, free
 
     def _proposed_units(self) -> dict[str | None, int]:
         """Worker -> units proposed there, not yet applied."""
@@ -168,85 +174,97 @@
             pending[worker] = pending.get(worker, 0) + units
         return pending
 
-    def _candidates(self, cluster_state: ClusterState) -> Iterator[Wanted]:
+    def _startable_units(self, cluster_state: ClusterState) -> Iterator[StartableUnit]:
         """What could start now: most urgent first, queues in turn by how little of their
         share they use, within a queue by due. A shape of which one did not fit is left.
         """
-        heads: list[tuple[int, float, str, ReadyUnits]] = []
+        levels_in_order: list[tuple[int, float, str, ReadyUnits]] = []
         for queue, levels in cluster_state.ready_units.items():
             queue_settings = cluster_state.queue_settings.get(queue)
             if queue_settings is None:
                 continue
             load = cluster_state.used_units.get(queue, 0) / max(1, queue_settings.share)
-            heads.extend((-urgency, load, queue, shapes) for urgency, shapes in levels.items())
-        heads.sort(key=lambda one: one[:3])
-        for _, _, queue, shapes in heads:
-            yield from self._candidates_of(cluster_state, queue, shapes)
+            levels_in_order.extend((-urgency, load, queue, shapes) for urgency, shapes in levels.items())
+        levels_in_order.sort(key=lambda head: head[:3])
+        for _, _, queue, shapes in levels_in_order:
+            yield from self._startable_units_of(cluster_state, queue, shapes)
 
-    def _candidates_of(self, cluster_state: ClusterState, queue: str, shapes: ReadyUnits) -> Iterator[Wanted]:
+    def _startable_units_of(
+        self, cluster_state: ClusterState, queue: str, shapes: ReadyUnits
+    ) -> Iterator[StartableUnit]:
         """The units of one queue and urgency by due, merged from the lists of their shapes."""
         cursors = [(entries[0], shape, 0) for shape, entries in shapes.items()]
         heapq.heapify(cursors)
         while cursors:
-            entry, shape, place = cursors[0]
-            if (queue, shape) in self.why:
+            entry, shape, position = cursors[0]
+            if (queue, shape) in self.reasons:
                 heapq.heappop(cursors)
                 continue
-            if place + 1 < len(shapes[shape]):
-                heapq.heapreplace(cursors, (shapes[shape][place + 1], shape, place + 1))
+            if position + 1 < len(shapes[shape]):
+                heapq.heapreplace(cursors, (shapes[shape][position + 1], shape, position + 1))
             else:
                 heapq.heappop(cursors)
             _, number, unit = entry
             job = cluster_state.pushed_jobs[f"t{number}"]
             names = cluster_state.members(job, unit)
             if reference(job.identity, names[0]) not in self.proposed:
-                yield Wanted(job, unit, names, (queue, shape))
+                yield StartableUnit(job, unit, names, (queue, shape))
 
     # --- fitting ----------------------------------------------------------------------
     def _fit(
-        self, cluster_state: ClusterState, wanted: Wanted, this_round: Round, front_daemons: FrontDaemons
+        self,
+        cluster_state: ClusterState,
+        startable: StartableUnit,
+        this_round: PlacementRound,
+        front_daemons: FrontDaemons,
     ) -> list[PlaceItem] | str:
         """Items for all tasks of a unit, which are counted in the round, or the reason why not."""
-        job, queue = wanted.job, wanted.job.queue
-        units = sum(job.tasks[name].units for name in wanted.names)
-        kept = this_round.kept(this_round.kept_of_queues, queue, wanted)
+        job, queue = startable.job, startable.job.queue
+        units = sum(job.tasks[name].units for name in startable.names)
+        reserved = this_round.reserved_for_others(this_round.reserved_in_queues, queue, startable)
         used = cluster_state.used_units.get(queue, 0) + this_round.used.get(queue, 0)
-        if used + units > cluster_state.queue_settings[queue].limit - kept:
-            return KEPT_FOR_OLDER if kept else QUEUE_LIMIT
+        if used + units > cluster_state.queue_settings[queue].limit - reserved:
+            return RESERVED_FOR_OLDER if reserved else QUEUE_LIMIT
         taken: dict[str, int] = {}
         lent: dict[str, int] = {}
-        group = []
-        for name in wanted.largest_first():
+        placements = []
+        for name in startable.largest_first():
             task = job.tasks[name]
-            charges = this_round.charges(cluster_state, job, task.units, lent, kept)
+            charges = this_round.charges(cluster_state, job, task.units, lent, reserved)
             if charges is None:
-                return KEPT_FOR_OLDER if kept else NO_CREDITS
-            seat = this_round.draw(task, wanted, taken)
-            if isinstance(seat, str):
-                return seat
-            taken[seat.worker] = taken.get(seat.worker, 0) + task.units
-            group.append(self._item(reference(job.identity, name), seat, charges, front_daemons))
+                return RESERVED_FOR_OLDER if reserved else NO_CREDITS
+            candidate = this_round.choose_worker(task, startable, taken)
+            if isinstance(candidate, str):
+                return candidate
+            taken[candidate.worker] = taken.get(candidate.worker, 0) + task.units
+            placements.append(
+                self._place_item(reference(job.identity, name), candidate, charges, front_daemons)
+            )
         for worker, units_taken in taken.items():
             this_round.free[worker] -= units_taken
-        this_round.count(lent.items(), queue, units)
-        for item in group:
+        this_round.count_placed(lent.items(), queue, units)
+        for item in placements:
             self._worker_of[item.reference] = item.worker
-        return group
+        return placements
 
-    def _item(self, ref: str, seat: Seat, charges: Charges, front_daemons: FrontDaemons) -> PlaceItem:
+    def _place_item(
+        self, ref: str, candidate: CandidateWorker, charges: Charges, front_daemons: FrontDaemons
+    ) -> PlaceItem:
         """A task on a worker, its order sent by one of the front daemons of the zone in turn."""
-        self.turn += 1
-        near = [one for one, zone in front_daemons if zone == seat.zone] or [one for one, _ in front_daemons]
-        front_daemon = near[self.turn % len(near)]
+        self.front_daemon_turn += 1
+        senders = [identity for identity, zone in front_daemons if zone == candidate.zone] or [
+            identity for identity, _ in front_daemons
+        ]
+        front_daemon = senders[self.front_daemon_turn % len(senders)]
         return PlaceItem(
             ref,
-            seat.worker,
-            seat.zone,
-            seat.capacity,
-            seat.incarnation,
+            candidate.worker,
+            candidate.zone,
+            candidate.capacity,
+            candidate.incarnation,
             front_daemon,
             charges,
-            seat.address,
+            candidate.address,
         )
 
     def forget_proposed(self, references: Iterable[str]) -> None:
@@ -256,12 +274,12 @@
             self._worker_of.pop(ref, None)
 
 
-def _patience(cluster_state: ClusterState, job: PushedJob, unit: str, names: Sequence[str]) -> float:
+def _reservation_delay(cluster_state: ClusterState, job: PushedJob, unit: str, names: Sequence[str]) -> float:
     """For how many seconds a unit is short before capacity is kept back for it: less for a queue that
     preempts, and for the rest of a gang of which some run already.
     """
     is_gang = unit[0] == "/"
-    apart = is_gang and len(names) < sum(task.gang == unit[1:] for task in job.tasks.values())
-    if apart or cluster_state.queue_settings[job.queue].preempts:
+    partly_running = is_gang and len(names) < sum(task.gang == unit[1:] for task in job.tasks.values())
+    if partly_running or cluster_state.queue_settings[job.queue].preempts:
         return constants.PREEMPT_WAIT
     return constants.CAPACITY_RESERVE_AFTER
--- a/src/pinepitch/control/preemption.py
+++ b/src/pinepitch/control/preemption.py
@@ -14,7 +14,7 @@
     from ..model.pushed_job import PushedJob
     from ..model.task import Standing, Task
     from ..state.cluster_state import ClusterState
-    from .placement_round import Round, Shape
+    from .placement_round import PlacementRound, Shape
 
 YieldItem = tuple[str, int, str]  # (task reference, attempt, reference of whom it yields to)
 
@@ -27,86 +27,94 @@
     def __init__(
         self,
         cluster_state: ClusterState,
-        this_round: Round,
-        why: Mapping[tuple[str, Shape], str],
+        this_round: PlacementRound,
+        reasons: Mapping[tuple[str, Shape], str],
         proposed: Container[str],
     ) -> None:
         self._cluster_state, self._round = cluster_state, this_round
-        self._why = why  # (queue, shape) -> why the round left one waiting
+        self._reasons = reasons  # (queue, shape) -> why the round left one waiting
         self._proposed = proposed  # references proposed, not yet applied
-        self.named = set(cluster_state.yielding)
+        self.asked_to_yield = set(cluster_state.yielding)
 
-    def yields(self, time: float) -> Iterator[YieldItem]:
+    def yield_items(self, time: float) -> Iterator[YieldItem]:
         """Who should yield to urgent tasks that found no capacity or whose own credits were lent;
         `time` is the cluster's, in seconds.
         """
-        served = {found[2].yields_to for found in map(self._cluster_state.find, self.named) if found}
-        for job, name, why in self._wanting():
+        served = {
+            task_record[2].yields_to
+            for task_record in map(self._cluster_state.find, self.asked_to_yield)
+            if task_record
+        }
+        for job, name, reason in self._preempting_tasks():
             task, standing = job.tasks[name], job.standings[name]
-            whom = reference(job.identity, name)
-            if time - standing.since < constants.PREEMPT_WAIT or whom in served:
+            beneficiary = reference(job.identity, name)
+            if time - standing.since < constants.PREEMPT_WAIT or beneficiary in served:
                 continue
-            if why == NO_CREDITS:
+            if reason == NO_CREDITS:
                 victims = self._borrowers(job, task)
             else:
-                victims = self._fewest_of_one_worker(job, task)
+                victims = self._fewest_on_one_worker(job, task)
             for ref in victims or ():
-                self.named.add(ref)
-                yield (ref, self._cluster_state.find_known(ref)[2].attempt, whom)
+                self.asked_to_yield.add(ref)
+                yield (ref, self._cluster_state.find_known(ref)[2].attempt, beneficiary)
 
-    def _wanting(self) -> Iterator[tuple[PushedJob, str, str]]:
+    def _preempting_tasks(self) -> Iterator[tuple[PushedJob, str, str]]:
         """(job, task name, why) of the oldest single tasks of queues that preempt which found
         no capacity, or whose credits are lent out.
         """
-        for (queue, shape), why in self._why.items():
+        for (queue, shape), reason in self._reasons.items():
             preempts = self._cluster_state.queue_settings[queue].preempts
-            if why not in (NO_CAPACITY, NO_CREDITS) or not preempts or len(shape) != 2:
+            if reason not in (NO_CAPACITY, NO_CREDITS) or not preempts or len(shape) != 2:
                 continue
             levels = self._cluster_state.ready_units[queue]
             for urgency in sorted(levels, reverse=True):
                 for _, number, unit in levels[urgency].get(shape, ())[: constants.MAX_PREEMPTING_TASKS]:
                     job = self._cluster_state.pushed_jobs[f"t{number}"]
                     if unit in job.tasks and reference(job.identity, unit) not in self._proposed:
-                        yield job, unit, why
+                        yield job, unit, reason
 
-    def _fewest_of_one_worker(self, job: PushedJob, task: Task) -> list[str] | None:
+    def _fewest_on_one_worker(self, job: PushedJob, task: Task) -> list[str] | None:
         """The fewest tasks of one worker whose ends would free enough for a task."""
         best = None
         labels = frozenset(task.labels)
-        for seat in self._round.seats:
-            if not labels <= seat.labels or task.units > seat.capacity:
+        for candidate in self._round.candidates:
+            if not labels <= candidate.labels or task.units > candidate.capacity:
                 continue
-            reserved = self._cluster_state.reserved.get(seat.worker, {})
-            victims = self._victims(job, reserved, task.units - self._round.free[seat.worker])
+            reserved = self._cluster_state.reserved.get(candidate.worker, {})
+            victims = self._victims(job, reserved, task.units - self._round.free[candidate.worker])
             if victims and (best is None or len(victims) < len(best)):
                 best = victims
         return best
 
     def _borrowers(self, job: PushedJob, task: Task) -> list[str] | None:
         """Borrowers of a queue's own credits whose end would bring enough of them back."""
-        gains = {}
+        returned_credits = {}
         for reserved in self._cluster_state.reserved.values():
             for ref in reserved:
                 other, _, standing = self._cluster_state.find_known(ref)
-                back = sum(credits for lender, credits in standing.charges if lender == job.queue)
-                if back and other.queue != job.queue:
-                    gains[ref] = back
-        return self._victims(job, gains, task.units - max(0, self._cluster_state.balance(job.queue)))
-
-    def _victims(self, job: PushedJob, gains: Mapping[str, int], missing: int) -> list[str] | None:
+                returned = sum(credits for lender, credits in standing.charges if lender == job.queue)
+                if returned and other.queue != job.queue:
+                    returned_credits[ref] = returned
+        return self._victims(
+            job, returned_credits, task.units - max(0, self._cluster_state.balance(job.queue))
+        )
+
+    def _victims(self, job: PushedJob, freed_by_task: Mapping[str, int], missing: int) -> list[str] | None:
         """The least urgent, newest of the tasks in `gains` (reference -> what its end gives)
         that may be made to yield to a job and together give what is missing; None when
         they don't, or nothing is missing.
         """
-        running = {ref: self._cluster_state.find_known(ref) for ref in gains}
+        running = {ref: self._cluster_state.find_known(ref) for ref in freed_by_task}
         victims = []
-        for ref in sorted(running, key=lambda one: (*_urgency_and_age(*running[one]), one)):
+        for ref in sorted(
+            running, key=lambda task_reference: (*_urgency_and_age(*running[task_reference]), task_reference)
+        ):
             if missing <= 0:
                 break
             other, task, _ = running[ref]
-            if ref not in self.named and self._may_yield(other, task, job):
+            if ref not in self.asked_to_yield and self._may_yield(other, task, job):
                 victims.append(ref)
-                missing -= gains[ref]
+                missing -= freed_by_task[ref]
         return victims if victims and missing <= 0 else None
 
     def _may_yield(self, other: PushedJob, task: Task, job: PushedJob) -> bool:
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -34,41 +34,41 @@
 
     try:
         with open(path, encoding="utf-8") as file:
-            found, faults = read(file.read())
+            rules, faults = read(file.read())
     except (OSError, UnicodeDecodeError) as fault:
-        found, faults = None, (("", str(fault)),)
-    if found is None:
+        rules, faults = None, (("", str(fault)),)
+    if rules is None:
         _end(f"rules {path}: {location}: {message}" for location, message in faults)
-    return found
+    return rules
 
 
-def _serve(found: Settings, rules: tuple[Rule, ...]) -> None:
+def _serve(settings: Settings, rules: tuple[Rule, ...]) -> None:
     """Runs a control daemon with checked settings until it is told to stop."""
-    assert found.data is not None, "the settings of a control daemon name its data folder"
+    assert settings.data is not None, "the settings of a control daemon name its data folder"
     try:
-        lock = FolderLock(found.data)
-        store, base, steps, segments, damage = open_store(found.data)
+        lock = FolderLock(settings.data)
+        store, base, steps, segments, damage = open_store(settings.data)
         identity = identity_of(store, base, steps)
     except OSError as fault:
-        _end([f"data {found.data}: {fault}"])
-    log = events.logger("accord", identity, found.level)
+        _end([f"data {settings.data}: {fault}"])
+    log = events.logger("accord", identity, settings.level)
     if damage:
         events.emit(log, 103, why=damage)
     daemon = ControlDaemon(
         identity,
-        found.address,
-        found.zone,
-        found.seeds,
-        found.bootstrap_members,
-        found.mode,
+        settings.address,
+        settings.zone,
+        settings.seeds,
+        settings.bootstrap_members,
+        settings.mode,
         seed=secrets.token_hex(4),
     )
-    daemon.tracing = found.level == "debug"
+    daemon.tracing = settings.level == "debug"
     daemon.rules = rules
-    daemon.limits = Limits(found.memory, found.disk)
+    daemon.limits = Limits(settings.memory, settings.disk)
     daemon.begun_at = lock.since
     daemon.restore(base, steps, segments)
-    serve("accord", daemon, found, log, store)
+    serve("accord", daemon, settings, log, store)
 
 
 def run(
@@ -108,8 +108,8 @@
     flags["zone"] = None if zone is None else str(zone)
     flags["seeds"] = list(seeds) if isinstance(seeds, tuple) else seeds
     fields = {FIELDS.get(flag, flag): value for flag, value in flags.items()}
-    found = checked_settings("accord", settings, fields)
-    _serve(found, read_rules(found.rules))
+    checked = checked_settings("accord", settings, fields)
+    _serve(checked, read_rules(checked.rules))
 
 
 def main(arguments: list[str] | None = None) -> None:
--- a/src/pinepitch/control/proposals.py
+++ b/src/pinepitch/control/proposals.py
@@ -15,8 +15,8 @@
 
     address: str  # of the daemon that forwarded the request
     token: str  # of the request
-    shape: str  # of the answer: a key of requests.OUTCOME_ANSWERS
-    extra: Any  # what the shape needs beside the outcome
+    answer_kind: str  # of the answer: a key of requests.OUTCOME_ANSWERS
+    context: Any  # what the shape needs beside the outcome
 
 
 class Proposals:
@@ -24,19 +24,19 @@
     level it told last, does not know.
     """
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
         self.clear()
 
     def clear(self) -> None:
         """Forgets all, as a term begins or ends."""
-        self.awaiting: dict[int, list[OutcomeListener]] = {}  # index of an entry -> who is told its outcome
+        self.listeners: dict[int, list[OutcomeListener]] = {}  # index of an entry -> who is told its outcome
 
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
         """Proposes, and says at which index; None when it is held back."""
-        if self.core.cluster_state.levels.get(operation[0], 1) > self.common_level():
+        if self.daemon.cluster_state.levels.get(operation[0], 1) > self.common_level():
             return None
-        index: int = self.core.consensus.last_index() + 1
+        index: int = self.daemon.consensus.last_index() + 1
         self.propose(operation, None, now)
         return index
 
@@ -45,36 +45,39 @@
         advertised its own counts as 1. What was agreed stays: a member that is away knew it then.
         """
         advertised = min(
-            (self.core.advertised_levels.get(one, 1) for one in self.core.consensus.membership.members()),
+            (
+                self.daemon.advertised_levels.get(member, 1)
+                for member in self.daemon.consensus.membership.members()
+            ),
             default=1,
         )
-        return max(self.core.cluster_state.level, advertised)
+        return max(self.daemon.cluster_state.level, advertised)
 
-    def propose(self, operation: tuple[Any, ...], waiting: OutcomeListener | None, now: float) -> None:
+    def propose(self, operation: tuple[Any, ...], listener: OutcomeListener | None, now: float) -> None:
         """Puts one operation into the log; `waiting` is told the outcome. One that a member
         does not know yet is held back.
         """
-        if self.core.cluster_state.levels.get(operation[0], 1) > self.common_level():
-            self.core.event(133, operation=operation[0], level=self.common_level())
-            if waiting is not None:
-                self.core.forwarded_requests.not_taken(waiting.address, waiting.token, None, now)
+        if self.daemon.cluster_state.levels.get(operation[0], 1) > self.common_level():
+            self.daemon.event(133, operation=operation[0], level=self.common_level())
+            if listener is not None:
+                self.daemon.forwarded_requests.refuse_pending(listener.address, listener.token, None, now)
             return
-        if waiting is not None and operation[0] in GROWING and self.core.agreement.is_full():
-            self._refuse_growth(operation, waiting)
+        if listener is not None and operation[0] in GROWING and self.daemon.consensus_driver.is_full():
+            self._refuse_growth(operation, listener)
             return
-        if waiting is not None and self.core.consensus.log.size > self.core.limits.log:
-            self.core.event(134, operation=operation[0], bytes=self.core.consensus.log.size)
-            self.core.forwarded_requests.not_taken(waiting.address, waiting.token, None, now)
+        if listener is not None and self.daemon.consensus.log.size > self.daemon.limits.log:
+            self.daemon.event(134, operation=operation[0], bytes=self.daemon.consensus.log.size)
+            self.daemon.forwarded_requests.refuse_pending(listener.address, listener.token, None, now)
             return
-        start = self.core.consensus.last_index() + 1
-        if waiting is not None:
-            self.awaiting.setdefault(start, []).append(waiting)
-        result = self.core.consensus.propose([operation], self.core.cluster_time(now), now)
-        self.core.agreement.run(result[1], now)
+        index = self.daemon.consensus.last_index() + 1
+        if listener is not None:
+            self.listeners.setdefault(index, []).append(listener)
+        result = self.daemon.consensus.propose([operation], self.daemon.cluster_time(now), now)
+        self.daemon.consensus_driver.execute(result[1], now)
 
-    def _refuse_growth(self, operation: tuple[Any, ...], waiting: OutcomeListener) -> None:
+    def _refuse_growth(self, operation: tuple[Any, ...], listener: OutcomeListener) -> None:
         """Tells a caller at once that what it asks for would enlarge a state that is full."""
-        self.core.event(136, operation=operation[0], bytes=self.core.agreement.image_size())
+        self.daemon.event(136, operation=operation[0], bytes=self.daemon.consensus_driver.image_size())
         message = "the cluster state is as large as it may be; nothing was taken"
         refusal = problem(429, "state_full", message, constants.RETRY_AFTER)
-        self.core.forwarded_requests.answer(waiting.address, waiting.token, refusal)
+        self.daemon.forwarded_requests.answer(listener.address, listener.token, refusal)
--- a/src/pinepitch/control/rehearsal.py
+++ b/src/pinepitch/control/rehearsal.py
@@ -7,7 +7,7 @@
 
 from ..common import constants
 from ..model.queue_settings import objective_of
-from .replay import METRICS, Block, QueueMetrics, Replay, Work, resampled
+from .replay import METRICS, Block, QueueMetrics, Replay, WorkModel, resampled
 
 GUARDED = ("wait_median", "wait_99", "dues_missed", "failed", "shed")  # what a draft may not make worse
 
@@ -20,13 +20,13 @@
     """
     weights = objective["queues"]
     total: float = sum(
-        weights.get(queue, 1.0) * sum(objective[name] * one[name] for name in METRICS)
-        for queue, one in metrics.items()
+        weights.get(queue, 1.0) * sum(objective[name] * queue_metrics[name] for name in METRICS)
+        for queue, queue_metrics in metrics.items()
     )
     return total
 
 
-def harm(
+def guard_violation(
     queue: str,
     pairs: Sequence[tuple[dict[str, float], dict[str, float]]],
     needed: int,
@@ -34,8 +34,8 @@
 ) -> str | None:
     """What a draft does to one queue beyond the bounds of the guard, in words, or None."""
     for name in GUARDED:
-        before = [one[name] for one, _ in pairs]
-        after = [other[name] for _, other in pairs]
+        before = [before_metrics[name] for before_metrics, _ in pairs]
+        after = [after_metrics[name] for _, after_metrics in pairs]
         bound = (guard["factor"], guard["seconds"]) if name.startswith("wait") else (1.0, guard["part"])
         worse = sum(b > a * bound[0] + bound[1] for a, b in zip(before, after, strict=False))
         if worse >= needed:
@@ -49,7 +49,7 @@
 class Comparison(NamedTuple):
     """The costs of both tables over all replays. Invariant: better + worse <= pairs."""
 
-    in_force: float  # mean cost
+    active: float  # mean cost
     draft: float  # mean cost
     better: int  # replays in which the draft costs clearly less
     worse: int
@@ -68,18 +68,18 @@
     def why(self) -> str:
         """The verdict's reason, in words."""
         return (
-            f"cost {self.in_force:.3f} in force, {self.draft:.3f} draft; "
+            f"cost {self.active:.3f} in force, {self.draft:.3f} draft; "
             f"lower in {self.better}, higher in {self.worse} of {self.pairs} replays"
         )
 
 
 def _compared(replays: Sequence[Pair], objective: dict[str, Any]) -> Comparison:
     costs = [(cost(before, objective), cost(after, objective)) for before, after in replays]
-    in_force, draft = [sum(one) / len(costs) for one in zip(*costs, strict=False)]
-    least = max(constants.MIN_REHEARSAL_DIFFERENCE * in_force, 1e-9)
-    better = sum(after < before - least for before, after in costs)
-    worse = sum(after > before + least for before, after in costs)
-    return Comparison(in_force, draft, better, worse, len(costs))
+    active, draft = [sum(table_costs) / len(costs) for table_costs in zip(*costs, strict=False)]
+    min_difference = max(constants.MIN_REHEARSAL_DIFFERENCE * active, 1e-9)
+    better = sum(after < before - min_difference for before, after in costs)
+    worse = sum(after > before + min_difference for before, after in costs)
+    return Comparison(active, draft, better, worse, len(costs))
 
 
 def _by_queue(
@@ -87,20 +87,24 @@
 ) -> tuple[list[dict[str, Any]], list[str]]:
     """(mean metrics of each queue under both tables, harms beyond the guard)."""
     queues, harms = [], []
-    for queue in sorted({queue for in_force, _ in replays for queue in in_force}):
-        seen = [(before[queue], after[queue]) for before, after in replays if queue in before]
-        line: dict[str, Any] = {"queue": queue}
+    for queue in sorted({queue for active, _ in replays for queue in active}):
+        queue_pairs = [(before[queue], after[queue]) for before, after in replays if queue in before]
+        metrics_line: dict[str, Any] = {"queue": queue}
         for name in METRICS:
-            line[name] = round(sum(before[name] for before, _ in seen) / len(seen), 4)
-            line[f"draft_{name}"] = round(sum(after[name] for _, after in seen) / len(seen), 4)
-        queues.append(line)
-        harmed = harm(queue, seen, max(1, len(seen) * needed // len(replays)), guard)
-        if harmed:
-            harms.append(harmed)
+            metrics_line[name] = round(sum(before[name] for before, _ in queue_pairs) / len(queue_pairs), 4)
+            metrics_line[f"draft_{name}"] = round(
+                sum(after[name] for _, after in queue_pairs) / len(queue_pairs), 4
+            )
+        queues.append(metrics_line)
+        violation = guard_violation(
+            queue, queue_pairs, max(1, len(queue_pairs) * needed // len(replays)), guard
+        )
+        if violation:
+            harms.append(violation)
     return queues, harms
 
 
-def _too_little(blocks: Sequence[Block], worker_capacities: Sequence[Sequence[Any]]) -> str:
+def _why_not_measurable(blocks: Sequence[Block], worker_capacities: Sequence[Sequence[Any]]) -> str:
     """Why nothing can be measured, or ""."""
     count, nonempty = _traffic(blocks)
     if not worker_capacities:
@@ -115,7 +119,7 @@
 
 def _traffic(blocks: Sequence[Block]) -> tuple[int, int]:
     """(jobs that came, blocks in which some came)."""
-    return sum(len(one[2]) for one in blocks), sum(1 for one in blocks if one[2])
+    return sum(len(block[2]) for block in blocks), sum(1 for block in blocks if block[2])
 
 
 def _replayed(
@@ -126,21 +130,21 @@
     pairs: int,
 ) -> list[Pair]:
     """The metrics of both tables under each seed."""
-    work = Work(blocks)
+    work = WorkModel(blocks)
     replays = []
     for seed in range(pairs):
         running, arrivals = resampled(blocks, seed)
-        in_force, draft = [
+        active, draft = [
             Replay(table, worker_capacities, work, seed).run(arrivals, running, pause=pause)
             for table in tables
         ]
-        replays.append((in_force, draft))
+        replays.append((active, draft))
     return replays
 
 
 def measure(
     blocks: Sequence[Block],
-    in_force: dict[str, Any],
+    active: dict[str, Any],
     draft: dict[str, Any],
     worker_capacities: Sequence[Sequence[Any]],
     pause: Callable[[], None] | None = None,
@@ -150,11 +154,11 @@
     objective in force, or that there was too little traffic to tell.
     """
     count, nonempty = _traffic(blocks)
-    lacking = _too_little(blocks, worker_capacities)
-    if lacking:
-        return {"verdict": "not measured", "tickets": count, "why": lacking, "queues": []}
-    objective = objective_of(in_force)
-    replays = _replayed(blocks, (in_force, draft), worker_capacities, pause, pairs)
+    insufficient = _why_not_measurable(blocks, worker_capacities)
+    if insufficient:
+        return {"verdict": "not measured", "tickets": count, "why": insufficient, "queues": []}
+    objective = objective_of(active)
+    replays = _replayed(blocks, (active, draft), worker_capacities, pause, pairs)
     compared = _compared(replays, objective)
     queues, harms = _by_queue(replays, compared.needed(), objective["guard"])
     verdict, why = compared.verdict(), compared.why()
@@ -168,7 +172,7 @@
         "pairs": pairs,
         "better_in": compared.better,
         "worse_in": compared.worse,
-        "cost_in_force": compared.in_force,
+        "cost_in_force": compared.active,
         "cost_draft": compared.draft,
         "harms": harms,
         "queues": queues,
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -36,7 +36,7 @@
     gang: str
     attempts: int  # as asked for, 0 for the queue's
     limit: float
-    took: float | None  # None if it was not seen to end
+    duration: float | None  # None if it was not seen to end
     failures: int
     lost: float  # by all its failures
 
@@ -52,16 +52,16 @@
     tasks: Iterable[Fields]  # each of a SampledTask
 
 
-class Work:
+class WorkModel:
     """What the sample tells of each kind of work: how long it takes, how often it fails and
     after what time. Invariant: the same draw for the same seed, task and attempt, whatever
     the table.
     """
 
     def __init__(self, blocks: Iterable[Block]) -> None:
-        self.lengths: dict[WorkKind, list[float]] = {}
+        self.durations: dict[WorkKind, list[float]] = {}
         self.lost: dict[WorkKind, list[float]] = {}
-        self.tries: dict[WorkKind, int] = {}
+        self.attempt_counts: dict[WorkKind, int] = {}
         self.failures: dict[WorkKind, int] = {}
         for _, _, arrivals in blocks:
             for arrival in arrivals:
@@ -70,25 +70,25 @@
                     self._count(job, SampledTask._make(task))
 
     def _count(self, job: SampledJob, task: SampledTask) -> None:
-        known = (job.queue, job.kind, task.units, tuple(task.labels))
-        if task.took is not None:
-            self.lengths.setdefault(known, []).append(task.took)
-            self.tries[known] = self.tries.get(known, 0) + 1
+        kind = (job.queue, job.kind, task.units, tuple(task.labels))
+        if task.duration is not None:
+            self.durations.setdefault(kind, []).append(task.duration)
+            self.attempt_counts[kind] = self.attempt_counts.get(kind, 0) + 1
         if task.failures:
-            self.lost.setdefault(known, []).append(task.lost / task.failures)
-            self.tries[known] = self.tries.get(known, 0) + task.failures
-            self.failures[known] = self.failures.get(known, 0) + task.failures
+            self.lost.setdefault(kind, []).append(task.lost / task.failures)
+            self.attempt_counts[kind] = self.attempt_counts.get(kind, 0) + task.failures
+            self.failures[kind] = self.failures.get(kind, 0) + task.failures
 
-    def outcome(self, known: WorkKind, took: float | None, seed: str) -> tuple[float | None, str]:
+    def outcome(self, kind: WorkKind, duration: float | None, seed: str) -> tuple[float | None, str]:
         """(seconds, how it ended) of one attempt; a feed that was not seen to end never does."""
         draw = random.Random(seed)
-        if draw.random() * self.tries.get(known, 1) < self.failures.get(known, 0):
-            return draw.choice(self.lost[known]), "failed"
-        if took is None:
-            if known[1] == "feed":
+        if draw.random() * self.attempt_counts.get(kind, 1) < self.failures.get(kind, 0):
+            return draw.choice(self.lost[kind]), "failed"
+        if duration is None:
+            if kind[1] == "feed":
                 return None, "done"
-            took = draw.choice(self.lengths.get(known, (1.0,)))
-        return took, "done"
+            duration = draw.choice(self.durations.get(kind, (1.0,)))
+        return duration, "done"
 
 
 def resampled(blocks: Iterable[Block], seed: int) -> tuple[Running, list[Fields]]:
@@ -97,13 +97,13 @@
     """
     draw = random.Random(f"rehearsal-{seed}")
     blocks = [block for block in blocks if block[2]]
-    moment, running = 0.0, None
+    offset, running = 0.0, None
     arrivals: list[Fields] = []
-    while moment < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_JOBS:
+    while offset < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_JOBS:
         length, running_then, arrivals_then = draw.choice(blocks)
         running = running_then if running is None else running
-        arrivals.extend((moment + one[0], *one[1:]) for one in arrivals_then)
-        moment += length
+        arrivals.extend((offset + arrival[0], *arrival[1:]) for arrival in arrivals_then)
+        offset += length
     return running or (), arrivals
 
 
@@ -122,19 +122,23 @@
         self,
         queue_configuration: dict[str, Any],
         worker_capacities: Iterable[Sequence[Any]],
-        work: Work,
+        work: WorkModel,
         seed: int = 0,
     ) -> None:
         self.cluster_state, self.placer = ClusterState(), Placer()
         self.index = 0  # of the newest operation
         self.apply(0.0, ("setup", "rehearsal", None, "whole", queue_configuration, "rehearsal", ""))
         self.apply(0.0, ("duty", "placing", "rehearsal"))
-        self.workers = {one[0]: _worker(*one) for one in worker_capacities}
+        self.workers = {
+            capacity_fields[0]: _worker(*capacity_fields) for capacity_fields in worker_capacities
+        }
         self.work, self.seed = work, seed
         self.number = 0  # of the newest moment
         self.moments: list[Fields] = []  # a heap of (when, number, kind, ...)
-        self.took: dict[str, float | None] = {}  # task reference -> seconds it took where seen
-        self.names: dict[str, tuple[Any, bool]] = {}  # job -> (what tells its draws from others', counted)
+        self.durations: dict[str, float | None] = {}  # task reference -> seconds it took where seen
+        self.draw_keys: dict[
+            str, tuple[Any, bool]
+        ] = {}  # job -> (what tells its draws from others', counted)
         self.dues: dict[str, float] = {}  # job -> its due
         self.starts: list[tuple[float, str, int, str]] = []  # (when, task reference, attempt, worker)
         self.waits: dict[str, list[float]] = {}  # queue -> from ready to placed
@@ -143,7 +147,7 @@
         self.round_at: float | None = None
 
     # --- time -------------------------------------------------------------------------
-    def at(self, when: float, *moment: Any) -> None:
+    def schedule(self, when: float, *moment: Any) -> None:
         """Notes a moment to come: its kind and what belongs to it."""
         self.number += 1
         heapq.heappush(self.moments, (when, self.number, *moment))
@@ -158,11 +162,11 @@
         """The metrics of a replay of `arrivals`, with `running` under way at its start; `pause` is
         called now and then, so that a thread can leave the processor to others.
         """
-        for one in running:
-            self._begin_running(*one)
-        self.look(0.0)
-        for place, arrival in enumerate(arrivals):
-            self.at(arrival[0], "arrive", arrival, place)
+        for group in running:
+            self._add_running(*group)
+        self.schedule_round(0.0)
+        for position, arrival in enumerate(arrivals):
+            self.schedule(arrival[0], "arrive", arrival, position)
         last = arrivals[-1][0] if arrivals else 0.0
         steps = 0
         while self.moments and self.moments[0][0] <= last + lasting:
@@ -173,45 +177,45 @@
                 pause()
         return self.finish(last + lasting)
 
-    def _begin_running(self, queue: str, kind: str, units: int, labels: Sequence[str], count: int) -> None:
+    def _add_running(self, queue: str, kind: str, units: int, labels: Sequence[str], count: int) -> None:
         """So many alike tasks are under way as the replay begins; they count in no metric."""
         task = SampledTask("s", units, labels, (), 0.0, "", 0, 0.0, None, 0, 0.0)
-        for place in range(count):
+        for number in range(count):
             job = SampledJob(0.0, queue, kind, -1, 0.0, (task,))
-            self.arrive(0.0, job, f"running-{queue}-{units}-{place}", False)
+            self.arrive(0.0, job, f"running-{queue}-{units}-{number}", False)
 
-    def step(self, now: float, kind: str, *what: Any) -> None:
+    def step(self, now: float, kind: str, *fields: Any) -> None:
         """Handles one moment, and says when the next round is due."""
-        moved = True
+        progressed = True
         if kind == "arrive":
-            self.arrive(now, *what)
+            self.arrive(now, *fields)
         elif kind == "end":
-            self.apply(now, ("ended", (what,)))
+            self.apply(now, ("ended", (fields,)))
         elif kind == "round":
             if now != self.round_at:
                 return  # one that was overtaken
             self.round_at = None
-            moved = self.round(now)
-        when = self._next_round(now, moved)
+            progressed = self.run_round(now)
+        when = self._next_round(now, progressed)
         if when is not None and (self.round_at is None or when < self.round_at):
-            self.look(when)
+            self.schedule_round(when)
 
-    def _next_round(self, now: float, moved: bool) -> float | None:
+    def _next_round(self, now: float, progressed: bool) -> float | None:
         """When a round may next place something, None while only other moments can help."""
         next_due: float | None = self.cluster_state.promote_due_units(now)
         if not self.cluster_state.ready_units:
             return next_due
-        if moved:
+        if progressed:
             return now + constants.PLACE_EVERY
         if self.moments:  # what found no capacity is tried again when something has happened
             next_moment: float = self.moments[0][0]
             return max(now + constants.PLACE_EVERY, min(next_moment, now + 0.5))
         return None
 
-    def look(self, when: float) -> None:
+    def schedule_round(self, when: float) -> None:
         """Has a round at `when`, in the place of any that was due."""
         self.round_at = when
-        self.at(when, "round")
+        self.schedule(when, "round")
 
     def apply(self, now: float, operation: Fields) -> Fields:
         """The outcome of an operation on the cluster state."""
@@ -220,10 +224,10 @@
         return outcome
 
     # --- arrivals ---------------------------------------------------------------------
-    def arrive(self, now: float, arrival: Iterable[Any], place: Any, counted: bool = True) -> None:
+    def arrive(self, now: float, arrival: Iterable[Any], draw_key: Any, counted: bool = True) -> None:
         """A job of the sample comes; `place` tells its draws from others'."""
         job = SampledJob._make(arrival)
-        tasks = [SampledTask._make(one) for one in job.tasks]
+        tasks = [SampledTask._make(task_fields) for task_fields in job.tasks]
         plain = _submitted(job, tasks, now)
         outcome = self.apply(now, ("ticket", f"r{self.number}-{self.index}", "", plain))
         accepted = outcome[0] == "accepted"
@@ -232,9 +236,9 @@
         if not accepted:
             return
         identity = outcome[1]
-        self.names[identity] = (place, counted)
+        self.draw_keys[identity] = (draw_key, counted)
         for task in tasks:
-            self.took[f"{identity}/{task.name}"] = task.took
+            self.durations[f"{identity}/{task.name}"] = task.duration
         if job.due and counted:
             self.dues[identity] = now + job.due
 
@@ -246,17 +250,17 @@
             self.metrics[queue]["shed"] += 1
 
     # --- placing ----------------------------------------------------------------------
-    def round(self, now: float) -> bool:
+    def run_round(self, now: float) -> bool:
         """One placing round; whether it did anything."""
         for worker in self.workers.values():
             worker.heard_at = now
-        items, yields = self.placer.round(self.cluster_state, self.workers, [("verge", "")], now, now)
+        items, yields = self.placer.run_round(self.cluster_state, self.workers, [("verge", "")], now, now)
         if items:
             self._place(now, items)
         if yields:
-            self._yield(now, yields)
+            self._yield_tasks(now, yields)
         for ref, attempt in self.cluster_state.yielding.items():  # a stale end changes nothing
-            self.at(now + 0.1, "end", ref, attempt, "killed")
+            self.schedule(now + 0.1, "end", ref, attempt, "killed")
         return bool(items or yields)
 
     def _place(self, now: float, items: tuple[Fields, ...]) -> None:
@@ -264,9 +268,9 @@
         self.placer.forget_proposed([item[0] for item in items])
         for ref, refusal in outcome[1]:
             if not refusal:
-                self.placed(now, ref)
+                self.on_placed(now, ref)
 
-    def _yield(self, now: float, yields: tuple[Fields, ...]) -> None:
+    def _yield_tasks(self, now: float, yields: tuple[Fields, ...]) -> None:
         self.apply(now, ("yield", 1, yields))
         for ref, _attempt, _ in yields:
             if ref in self.cluster_state.yielding:
@@ -274,22 +278,22 @@
                 if job.queue in self.metrics:
                     self.metrics[job.queue]["preemptions"] += 1
 
-    def placed(self, now: float, ref: str) -> None:
+    def on_placed(self, now: float, ref: str) -> None:
         """A task was placed: draws how long it takes, and notes its end."""
         job, task, standing = self.cluster_state.find_known(ref)
-        place, counted = self.names[job.identity]
+        draw_key, counted = self.draw_keys[job.identity]
         seconds, how = self.work.outcome(
             (job.queue, job.kind, task.units, task.labels),
-            self.took[ref],
-            f"{self.seed}-{place}-{task.name}-{standing.attempt}",
+            self.durations[ref],
+            f"{self.seed}-{draw_key}-{task.name}-{standing.attempt}",
         )
         self.starts.append((now, ref, standing.attempt, standing.worker))
         if not counted and seconds is not None:
-            seconds *= random.Random(f"{self.seed}-{place}").random()  # it ran for a while already
+            seconds *= random.Random(f"{self.seed}-{draw_key}").random()  # it ran for a while already
         if seconds is not None:
             if task.limit and seconds > task.limit:
                 seconds, how = task.limit, "failed"
-            self.at(now + seconds, "end", ref, standing.attempt, how)
+            self.schedule(now + seconds, "end", ref, standing.attempt, how)
         if counted:
             if standing.attempt == 1:
                 self.waits[job.queue].append(max(0.0, now - job.ready_since(task)))
@@ -301,8 +305,8 @@
         queue's jobs.
         """
         for job in self.cluster_state.pushed_jobs.values():
-            if job.queue in self.metrics and self.names[job.identity][1]:
-                self._judge(job, end)
+            if job.queue in self.metrics and self.draw_keys[job.identity][1]:
+                self._count_result(job, end)
         for queue, metrics in self.metrics.items():
             waits = sorted(self.waits[queue])
             metrics["wait_median"] = waits[len(waits) // 2] if waits else 0.0
@@ -311,7 +315,7 @@
                 metrics[name] /= self.counts[queue]
         return self.metrics
 
-    def _judge(self, job: Any, end: float) -> None:
+    def _count_result(self, job: Any, end: float) -> None:
         """Counts what became of one job by the replay's end."""
         metrics, due = self.metrics[job.queue], self.dues.get(job.identity)
         metrics["dues_missed"] += due is not None and (job.state != "finished" or job.ended_at > due)
--- a/src/pinepitch/control/requests/cluster.py
+++ b/src/pinepitch/control/requests/cluster.py
@@ -13,9 +13,9 @@
 
 
 # --- queues --------------------------------------------------------------------------
-def pending(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def pending(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """What waits and runs at each queue, beside its settings."""
-    cluster_state = leader.cluster_state
+    cluster_state = daemon.cluster_state
     queues = [_queue_view(cluster_state, queue) for queue in sorted(cluster_state.queue_settings)]
     return Answer(200, {"queues": queues})
 
@@ -34,12 +34,12 @@
     }
 
 
-def list_placed_tasks(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_placed_tasks(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """Every placed task, for operators and history checks."""
     listed = []
-    for worker, reserved in sorted(leader.cluster_state.reserved.items()):
+    for worker, reserved in sorted(daemon.cluster_state.reserved.items()):
         for ref in sorted(reserved):
-            _, task, standing = leader.cluster_state.find_known(ref)
+            _, task, standing = daemon.cluster_state.find_known(ref)
             listed.append(
                 {
                     "task": ref,
@@ -52,23 +52,23 @@
     return Answer(200, {"tasks": listed})
 
 
-def list_approval_pauses(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_approval_pauses(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The alerts that pause approvals of drafts, and since when."""
     pauses = [
         {"alert": alert, "since": since, "why": why}
-        for alert, (since, why) in sorted(leader.cluster_state.approval_pauses.items())
+        for alert, (since, why) in sorted(daemon.cluster_state.approval_pauses.items())
     ]
     return Answer(200, {"holds": pauses})
 
 
 # --- members -------------------------------------------------------------------------
-def read_cluster(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_cluster(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The cluster as its leader sees it: quorums, roles, members and all daemons with a session."""
-    consensus = leader.consensus
+    consensus = daemon.consensus
     quorum = consensus.membership.now
     document = {
-        "cohort": leader.cluster,
-        "leader": leader.identity,
+        "cohort": daemon.cluster,
+        "leader": daemon.identity,
         "term": consensus.term,
         "commit": consensus.commit,
         "mode": quorum.mode,
@@ -76,52 +76,52 @@
         "commit_groups": quorum.commit_count(),
         "elect_groups": quorum.elect_count(),
         "groups": len(quorum.groups()),
-        "time": leader.cluster_time(now),
-        "leads_since": _leads_since(leader, now),
-        "may_lose": _may_lose(leader, now),
-        "epochs": {role: list(one) for role, one in leader.cluster_state.epochs.items()},
-        "members": _members(leader),
-        "daemons": _daemons(leader),
+        "time": daemon.cluster_time(now),
+        "leads_since": _leads_since(daemon, now),
+        "may_lose": _may_lose(daemon, now),
+        "epochs": {role: list(claim) for role, claim in daemon.cluster_state.epochs.items()},
+        "members": _members(daemon),
+        "daemons": _daemons(daemon),
     }
     return Answer(200, document)
 
 
-def _leads_since(leader: ControlDaemon, now: float) -> float:
+def _leads_since(daemon: ControlDaemon, now: float) -> float:
     """When this leader began to lead, in seconds of the cluster's clock."""
-    begun = now if leader.leader_since is None else leader.leader_since
-    return leader.cluster_time(now) - (now - begun)
+    begun = now if daemon.leader_since is None else daemon.leader_since
+    return daemon.cluster_time(now) - (now - begun)
 
 
-def _may_lose(leader: ControlDaemon, now: float) -> dict[str, Any]:
+def _may_lose(daemon: ControlDaemon, now: float) -> dict[str, Any]:
     """How many more control machines may be lost now, and what stands in the way of more."""
-    machines, any_zone, obstacles = loss_tolerance(leader, now)
+    machines, any_zone, obstacles = loss_tolerance(daemon, now)
     return {"machines": machines, "zone": any_zone, "obstacles": list(obstacles)}
 
 
-def _members(leader: ControlDaemon) -> list[dict[str, Any]]:
+def _members(daemon: ControlDaemon) -> list[dict[str, Any]]:
     return [
         {
             "accord": identity,
             "area": zone,
-            "address": leader.sessions.address(identity),
-            "live": identity == leader.identity or identity in leader.sessions.by_identity,
+            "address": daemon.sessions.address(identity),
+            "live": identity == daemon.identity or identity in daemon.sessions.by_identity,
         }
-        for identity, zone in sorted(leader.consensus.membership.members().items())
+        for identity, zone in sorted(daemon.consensus.membership.members().items())
     ]
 
 
-def _daemons(leader: ControlDaemon) -> list[dict[str, Any]]:
+def _daemons(daemon: ControlDaemon) -> list[dict[str, Any]]:
     return [
-        {"daemon": one.identity, "kind": one.kind, "area": one.zone, "address": one.address}
+        {"daemon": session.identity, "kind": session.kind, "area": session.zone, "address": session.address}
         for kind in ("accord", "verge")
-        for one in leader.sessions.live(kind)
+        for session in daemon.sessions.live(kind)
     ]
 
 
 # --- counts --------------------------------------------------------------------------
-def read_counts(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_counts(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """Counts of jobs, entries and messages, for the command line and for soaks."""
-    cluster_state, consensus = leader.cluster_state, leader.consensus
+    cluster_state, consensus = daemon.cluster_state, daemon.consensus
     document = {
         "tickets": _jobs_by_state(cluster_state),
         "waiting": dict(cluster_state.waiting_counts),
@@ -129,12 +129,12 @@
         "entries": consensus.last_index(),
         "commit": consensus.commit,
         "term": consensus.term,
-        "syncs": leader.counts["syncs"],
-        "rounds": leader.rounds,
-        "messages": leader.counts["sent"],
-        "minions": len(leader.push_workers),
+        "syncs": daemon.counts["syncs"],
+        "rounds": daemon.rounds,
+        "messages": daemon.counts["sent"],
+        "minions": len(daemon.push_workers),
         "setup_version": cluster_state.version,
-        "on_trial": sum(one.poor() for one in leader.push_workers.values()),
+        "on_trial": sum(worker.poor() for worker in daemon.push_workers.values()),
     }
     return Answer(200, document)
 
@@ -147,11 +147,11 @@
     return states
 
 
-def read_log_index(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_log_index(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """How far the log is, confirmed: what was acknowledged before has no higher index."""
-    return Answer(200, {"index": leader.cluster_state.index})
+    return Answer(200, {"index": daemon.cluster_state.index})
 
 
-def read_image_digests(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_image_digests(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The digests of the newest images that the leader encoded, as [index, digest]."""
-    return Answer(200, {"digests": [list(one) for one in sorted(leader.image_digests.own.items())]})
+    return Answer(200, {"digests": [list(item) for item in sorted(daemon.image_digests.own_digests.items())]})
--- a/src/pinepitch/control/requests/drafts.py
+++ b/src/pinepitch/control/requests/drafts.py
@@ -48,66 +48,66 @@
     return int(identity[1:])
 
 
-def list_drafts(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_drafts(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """All drafts that are kept, the oldest first."""
-    cluster_state = leader.cluster_state
-    drafts = [draft_view(cluster_state, one) for one in sorted(cluster_state.drafts, key=_number)]
+    cluster_state = daemon.cluster_state
+    drafts = [draft_view(cluster_state, identity) for identity in sorted(cluster_state.drafts, key=_number)]
     return Answer(200, {"drafts": drafts})
 
 
-def read_draft(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_draft(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """One draft with its measure, if it has one."""
-    if arguments[0] not in leader.cluster_state.drafts:
-        return _missing(leader, ("missing",))
-    return Answer(200, draft_view(leader.cluster_state, arguments[0]))
+    if arguments[0] not in daemon.cluster_state.drafts:
+        return _missing(daemon, ("missing",))
+    return Answer(200, draft_view(daemon.cluster_state, arguments[0]))
 
 
 # --- changing ------------------------------------------------------------------------
-def draft(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def draft(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Keeps a patch as a draft on the version it builds on."""
     base, patch, who, why = arguments
     return Propose(("draft", token, base, patch, who, why), "draft")
 
 
-def rehearse(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def rehearse(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Asks for a rehearsal of a draft, on the workers that are open now."""
     capacities = [
         [name, worker.report.zone, worker.report.capacity, list(worker.report.labels)]
-        for name, worker in sorted(leader.push_workers.items())
-        if not worker.unresponsive(now) and not leader.cluster_state.closed(name, worker.report.zone)
+        for name, worker in sorted(daemon.push_workers.items())
+        if not worker.unresponsive(now) and not daemon.cluster_state.closed(name, worker.report.zone)
     ]
     return Propose(("rehearse", arguments[0], capacities), "draft")
 
 
-def approve(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def approve(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Brings a draft into force that its rehearsal found better."""
     identity, who, why = arguments
     return Propose(("approve", token, identity, who, why), "draft")
 
 
-def drop(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def drop(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Forgets a draft."""
     return Propose(("drop", arguments[0]), "dropped", arguments[0])
 
 
 # --- outcomes ------------------------------------------------------------------------
-def _missing(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _missing(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(404, "unknown_draft", "no such draft")
 
 
-def _ended(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _ended(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "ended", f"the draft is already {outcome[1]}")
 
 
-def _unmeasured(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _unmeasured(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "not_measured", "rehearse the draft on the version in force first")
 
 
-def _worse(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _worse(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "not_better", f"the rehearsal's verdict: {outcome[1]}", verdict=outcome[1])
 
 
-def _paused(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _paused(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(
         409,
         "held",
@@ -117,8 +117,8 @@
     )
 
 
-def _drafted(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
-    return Answer(200, draft_view(leader.cluster_state, outcome[1]))
+def _drafted(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+    return Answer(200, draft_view(daemon.cluster_state, outcome[1]))
 
 
 # outcome of an operation on a draft -> what makes its answer; others are those of any change
@@ -133,13 +133,13 @@
 
 
 def draft_answer(
-    leader: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+    daemon: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
     """The answer to an operation on a draft: the draft, the version it brought, or what forbids it."""
     make = _DRAFT_ANSWERS.get(outcome[0])
-    return make(leader, outcome) if make is not None else CHANGE_ANSWERS[outcome[0]](outcome)
+    return make(daemon, outcome) if make is not None else CHANGE_ANSWERS[outcome[0]](outcome)
 
 
-def dropped_answer(leader: ControlDaemon, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
+def dropped_answer(daemon: ControlDaemon, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
     """The answer to the dropping of a draft."""
-    return _missing(leader, outcome) if outcome[0] == "missing" else Answer(200, {"dropped": identity})
+    return _missing(daemon, outcome) if outcome[0] == "missing" else Answer(200, {"dropped": identity})
--- a/src/pinepitch/control/requests/explanations.py
+++ b/src/pinepitch/control/requests/explanations.py
@@ -15,16 +15,16 @@
     from ..daemon import ControlDaemon
 
 
-def explain(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def explain(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """A job with the reason of each task, from the cluster state and the newest placing round."""
-    job = leader.cluster_state.pushed_job(arguments[0])
+    job = daemon.cluster_state.pushed_job(arguments[0])
     if job is None:
         return unknown_job(arguments[0])
-    cluster_state = leader.cluster_state
+    cluster_state = daemon.cluster_state
     queue_settings = cluster_state.queue_settings.get(job.queue)
     document = {
         **job_summary(job),
-        "tasks": [_task_view(leader, job, task, now) for task in job.tasks.values()],
+        "tasks": [_task_view(daemon, job, task, now) for task in job.tasks.values()],
         "setup_version": cluster_state.version,
         "placing": list(cluster_state.epochs.get("placing", (0, ""))),
         "credits": cluster_state.balance(job.queue),
@@ -34,7 +34,7 @@
     return Answer(200, document)
 
 
-def _task_view(leader: ControlDaemon, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
+def _task_view(daemon: ControlDaemon, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
     standing = job.standings[task.name]
     return {
         "task": task.name,
@@ -43,26 +43,26 @@
         "failures": standing.failures,
         "attempts": task.attempts,
         "since": standing.since,
-        **_reasons(leader, job, task, now),
+        **_reasons(daemon, job, task, now),
         "attempts_made": [_past_attempt(past) for past in standing.past],
     }
 
 
-def _reasons(leader: ControlDaemon, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
+def _reasons(daemon: ControlDaemon, job: PushedJob, task: Task, now: float) -> dict[str, Any]:
     """The fields that depend on the task's state."""
     standing = job.standings[task.name]
     if standing.state == "placed":
         return {
             "minion": standing.worker,
             "verge": standing.front_daemon,
-            "charges": [list(one) for one in standing.charges],
+            "charges": [list(charge) for charge in standing.charges],
             "yields_to": standing.yields_to,
-            "why": "placed: " + _lent(job, standing),
+            "why": "placed: " + _charges_text(job, standing),
         }
     if standing.state == "waiting":
         return {
-            "why": _waits_for(leader, job, task, standing, now),
-            "candidates": _candidates(leader, task, now),
+            "why": _why_waiting(daemon, job, task, standing, now),
+            "candidates": _candidates(daemon, task, now),
         }
     never_placed = "" if standing.attempt else " before it was placed"
     return {"minion": standing.worker, "why": f"ended {standing.state}" + never_placed}
@@ -79,11 +79,11 @@
         "ended": ended,
         "epoch": epoch,
         "setup_version": version,
-        "lenders": [list(one) for one in charges],
+        "lenders": [list(charge) for charge in charges],
     }
 
 
-def _lent(job: PushedJob, standing: Standing) -> str:
+def _charges_text(job: PushedJob, standing: Standing) -> str:
     """Whose credits back a placed task, in words."""
     parts = [
         f"{credits} credits of {'its own queue' if queue == job.queue else queue}"
@@ -92,32 +92,32 @@
     return f"attempt {standing.attempt} on {standing.worker} with " + ", ".join(parts)
 
 
-def _waits_for(leader: ControlDaemon, job: PushedJob, task: Task, standing: Standing, now: float) -> str:
+def _why_waiting(daemon: ControlDaemon, job: PushedJob, task: Task, standing: Standing, now: float) -> str:
     """What keeps a waiting task from being placed, in words."""
-    undone = [one for one in task.after if job.standings[one].state != "done"]
-    if undone:
-        return "waits for " + ", ".join(undone)
+    unfinished = [predecessor for predecessor in task.after if job.standings[predecessor].state != "done"]
+    if unfinished:
+        return "waits for " + ", ".join(unfinished)
     begins = max(task.not_before, standing.earliest)
-    if leader.cluster_time(now) < begins:
+    if daemon.cluster_time(now) < begins:
         return f"not before {begins:.3f}"
-    if reference(job.identity, task.name) in leader.placer.proposed:
+    if reference(job.identity, task.name) in daemon.placer.proposed:
         return "proposed, not yet agreed"
-    return leader.placer.reason(leader.cluster_state, job, task.name)
+    return daemon.placer.reason(daemon.cluster_state, job, task.name)
 
 
-def _candidates(leader: ControlDaemon, task: Task, now: float) -> list[dict[str, str]]:
+def _candidates(daemon: ControlDaemon, task: Task, now: float) -> list[dict[str, str]]:
     """What rules out, or doesn't, each worker."""
     return [
-        {"minion": name, "why": _ruled_out(leader, name, worker, task, now)}
-        for name, worker in sorted(leader.push_workers.items())
+        {"minion": name, "why": _why_unsuitable(daemon, name, worker, task, now)}
+        for name, worker in sorted(daemon.push_workers.items())
     ]
 
 
-def _ruled_out(leader: ControlDaemon, name: str, worker: PushWorker, task: Task, now: float) -> str:
+def _why_unsuitable(daemon: ControlDaemon, name: str, worker: PushWorker, task: Task, now: float) -> str:
     """What keeps a task from a worker, or "open"."""
     report = worker.report
-    left = report.capacity - sum(leader.cluster_state.reserved.get(name, {}).values())
-    closed = leader.cluster_state.closed(name, report.zone)
+    left = report.capacity - sum(daemon.cluster_state.reserved.get(name, {}).values())
+    closed = daemon.cluster_state.closed(name, report.zone)
     lacking = sorted(set(task.labels) - set(report.labels))
     if closed:
         return closed
--- a/src/pinepitch/control/requests/pushed_jobs.py
+++ b/src/pinepitch/control/requests/pushed_jobs.py
@@ -18,67 +18,67 @@
 
 
 # --- submitting ----------------------------------------------------------------------
-def submit(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+def submit(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
     """Takes a checked job; the same key with the same digest of its body is the same job."""
     key, digest, plain = arguments
-    cluster_state = leader.cluster_state
-    unplaceable = _why_unplaceable(leader, plain, now)
+    cluster_state = daemon.cluster_state
+    unplaceable = _why_unplaceable(daemon, plain, now)
     refusal = cluster_state.known(key, digest) or cluster_state.job_refusal(plain, unplaceable)
     if refusal is None:
         return Propose(("ticket", key, digest, plain, unplaceable), "submit")
     if refusal[0] == "shed":
-        leader.event(170, queue=plain["queue"], why=refusal[1])
-    return submit_answer(leader, refusal)
+        daemon.event(170, queue=plain["queue"], why=refusal[1])
+    return submit_answer(daemon, refusal)
 
 
-def _why_unplaceable(leader: ControlDaemon, plain: dict[str, Any], now: float) -> str:
+def _why_unplaceable(daemon: ControlDaemon, plain: dict[str, Any], now: float) -> str:
     """Why no known worker, heard of late or not, could take some task, or "". A leader that
     has not yet gathered its workers rules nothing out.
     """
-    since = leader.leader_since
-    if not leader.push_workers or since is None or now - since < constants.REPORT_GATHERING:
+    since = daemon.leader_since
+    if not daemon.push_workers or since is None or now - since < constants.REPORT_GATHERING:
         return ""
-    seen = set()
+    checked_shapes = set()
     for task in plain["tasks"]:
         shape = (task["units"], frozenset(task["labels"]))
-        if shape in seen:
+        if shape in checked_shapes:
             continue
-        seen.add(shape)
-        why = _why_none_fits(leader, task["name"], *shape)
+        checked_shapes.add(shape)
+        why = _why_none_fits(daemon, task["name"], *shape)
         if why:
             return why
     return ""
 
 
-def _why_none_fits(leader: ControlDaemon, name: str, units: int, labels: frozenset[str]) -> str:
+def _why_none_fits(daemon: ControlDaemon, name: str, units: int, labels: frozenset[str]) -> str:
     """Why no known worker could ever take a task of so many units with these labels, or ""."""
-    reports = [worker.report for worker in leader.push_workers.values()]
+    reports = [worker.report for worker in daemon.push_workers.values()]
     capacities = [report.capacity for report in reports if labels <= set(report.labels)]
     if not capacities:
         return f"task {name} asks for {', '.join(sorted(labels))}, which no known minion has"
-    most = max(capacities)
-    if most < units:
-        return f"task {name} asks for {units} units, over the {most} of any fitting minion"
+    largest = max(capacities)
+    if largest < units:
+        return f"task {name} asks for {units} units, over the {largest} of any fitting minion"
     return ""
 
 
-def _accepted(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
-    return Answer(201, _summary_of(leader, outcome[1]))
+def _accepted(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+    return Answer(201, _summary_of(daemon, outcome[1]))
 
 
-def _known(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
-    return Answer(200, _summary_of(leader, outcome[1]))
+def _known(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+    return Answer(200, _summary_of(daemon, outcome[1]))
 
 
-def _mismatch(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _mismatch(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(409, "key_reused", "this key came with another body before", ticket=outcome[1])
 
 
-def _rejected(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _rejected(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return problem(429, "shed", outcome[1], constants.RETRY_AFTER)
 
 
-def _invalid(leader: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
+def _invalid(daemon: ControlDaemon, outcome: tuple[Any, ...]) -> Answer:
     return faulty(outcome[1])
 
 
@@ -93,10 +93,10 @@
 
 
 def submit_answer(
-    leader: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+    daemon: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
     """The answer to a submission: 201 for a new job, 200 for one known by its key."""
-    return _SUBMIT_ANSWERS[outcome[0]](leader, outcome)
+    return _SUBMIT_ANSWERS[outcome[0]](daemon, outcome)
 
 
 # --- reading -------------------------------------------------------------------------
@@ -117,9 +117,9 @@
     }
 
 
-def _summary_of(leader: ControlDaemon, identity: str) -> dict[str, Any]:
+def _summary_of(daemon: ControlDaemon, identity: str) -> dict[str, Any]:
     """The summary of a job that is known to be there, as every accepted one is."""
-    job = leader.cluster_state.pushed_job(identity)
+    job = daemon.cluster_state.pushed_job(identity)
     assert job is not None, f"{identity} is not there"
     return job_summary(job)
 
@@ -149,20 +149,20 @@
     }
 
 
-def read_job(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_job(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """One job with its tasks, live or archived."""
-    job = leader.cluster_state.pushed_job(arguments[0])
+    job = daemon.cluster_state.pushed_job(arguments[0])
     if job is None:
         return unknown_job(arguments[0])
     return Answer(200, _job_with_tasks(job))
 
 
-def list_jobs(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_jobs(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """A page of jobs by number, or the one of a key; `next` says after which the next page begins."""
-    after, most, state, queue, key = arguments
+    after, page_size, state, queue, key = arguments
     if key:
-        return Answer(200, {"tickets": _jobs_of_key(leader, key), "next": None})
-    cluster_state, listed = leader.cluster_state, []
+        return Answer(200, {"tickets": _jobs_of_key(daemon, key), "next": None})
+    cluster_state, listed = daemon.cluster_state, []
     number, following = after, None
     while number < cluster_state.count:
         number += 1
@@ -170,27 +170,27 @@
         if job is None or (state and job.state != state) or (queue and job.queue != queue):
             continue
         listed.append(job_summary(job))
-        if len(listed) >= most:
+        if len(listed) >= page_size:
             following = number if number < cluster_state.count else None
             break
     return Answer(200, {"tickets": listed, "next": following})
 
 
-def _jobs_of_key(leader: ControlDaemon, key: str) -> list[dict[str, Any]]:
-    known = leader.cluster_state.known(key, "")
-    return [_summary_of(leader, known[1])] if known else []
+def _jobs_of_key(daemon: ControlDaemon, key: str) -> list[dict[str, Any]]:
+    known = daemon.cluster_state.known(key, "")
+    return [_summary_of(daemon, known[1])] if known else []
 
 
 # --- cancelling ----------------------------------------------------------------------
-def cancel(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
+def cancel(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
     """Cancels a job; what runs of it is told to yield."""
     return Propose(("cancel", arguments[0]), "cancel", arguments[0])
 
 
-def cancel_answer(leader: ControlDaemon, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
+def cancel_answer(daemon: ControlDaemon, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
     """The answer to a cancellation: 404 for an unknown job, 409 for one that has ended."""
     if outcome[0] == "missing":
         return unknown_job(identity)
     if outcome[0] == "ended":
         return problem(409, "ended", f"the ticket is already {outcome[1]}", state=outcome[1])
-    return Answer(200, _summary_of(leader, identity))
+    return Answer(200, _summary_of(daemon, identity))
--- a/src/pinepitch/control/requests/queue_configuration.py
+++ b/src/pinepitch/control/requests/queue_configuration.py
@@ -17,55 +17,55 @@
     return problem(404, "unknown_version", f"no setup {wanted} in the history")
 
 
-def _version_view(line: tuple[Any, ...]) -> dict[str, Any]:
-    return dict(zip(VERSION_FIELDS, line, strict=False))
+def _version_view(version_entry: tuple[Any, ...]) -> dict[str, Any]:
+    return dict(zip(VERSION_FIELDS, version_entry, strict=False))
 
 
-def read_version(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_version(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """One version with its document; 0 asks for the one in force."""
-    cluster_state = leader.cluster_state
+    cluster_state = daemon.cluster_state
     version = arguments[0] or cluster_state.version
-    line = cluster_state.queue_configurations.line(version)
-    if line is None:
+    version_entry = cluster_state.queue_configurations.line(version)
+    if version_entry is None:
         return _unknown_version(repr(arguments[0]))
-    in_force = version == cluster_state.version
+    is_active = version == cluster_state.version
     document = (
-        cluster_state.queue_configuration if in_force else cluster_state.queue_configurations.read(version)
+        cluster_state.queue_configuration if is_active else cluster_state.queue_configurations.read(version)
     )
-    return Answer(200, {**_version_view(line), "setup": document})
+    return Answer(200, {**_version_view(version_entry), "setup": document})
 
 
-def list_versions(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def list_versions(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The history that is kept, without the documents."""
-    cluster_state = leader.cluster_state
-    lines = [_version_view(line) for line in cluster_state.queue_configurations.lines]
-    return Answer(200, {"version": cluster_state.version, "setups": lines})
+    cluster_state = daemon.cluster_state
+    versions = [_version_view(version_entry) for version_entry in cluster_state.queue_configurations.lines]
+    return Answer(200, {"version": cluster_state.version, "setups": versions})
 
 
-def read_table(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
+def read_table(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The table in force, cell by cell."""
-    cluster_state = leader.cluster_state
+    cluster_state = daemon.cluster_state
     cells = queue_settings.cells(cluster_state.queue_configuration)
     return Answer(200, {"version": cluster_state.version, "rows": cells})
 
 
-def change(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+def change(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
     """Brings a document or a patch into force on the version it builds on."""
     base, manner, document, who, why = arguments
-    cluster_state = leader.cluster_state
-    moved = base is not None and base != cluster_state.version
-    if moved and cluster_state.marks.outcome(token) is None:  # one that was made already is told so below
-        return change_answer(leader, ("conflict", cluster_state.version))
+    cluster_state = daemon.cluster_state
+    outdated = base is not None and base != cluster_state.version
+    if outdated and cluster_state.marks.outcome(token) is None:  # one that was made already is told so below
+        return change_answer(daemon, ("conflict", cluster_state.version))
     return Propose(("setup", token, base, manner, document, who, why), "setup")
 
 
-def go_back(leader: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
+def go_back(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
     """Brings the document of an earlier version into force again, as a new version."""
     base, wanted, who, why = arguments
-    document = leader.cluster_state.queue_configurations.read(wanted)
+    document = daemon.cluster_state.queue_configurations.read(wanted)
     if document is None:
         return _unknown_version(str(wanted))
-    return change(leader, token, (base, "whole", document, who, why or f"back to version {wanted}"), now)
+    return change(daemon, token, (base, "whole", document, who, why or f"back to version {wanted}"), now)
 
 
 def _forgotten(outcome: tuple[Any, ...]) -> Answer:
@@ -80,7 +80,7 @@
     return faulty(outcome[1])
 
 
-def _in_force(outcome: tuple[Any, ...]) -> Answer:
+def _activated(outcome: tuple[Any, ...]) -> Answer:
     return Answer(200, {"version": outcome[1]})
 
 
@@ -89,12 +89,12 @@
     "forgotten": _forgotten,
     "conflict": _conflict,
     "invalid": _invalid,
-    "setup": _in_force,
+    "setup": _activated,
 }
 
 
 def change_answer(
-    leader: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
+    daemon: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
     """The answer to a change: the version that it brought, or why there is none."""
     return CHANGE_ANSWERS[outcome[0]](outcome)
--- a/src/pinepitch/control/sessions.py
+++ b/src/pinepitch/control/sessions.py
@@ -22,13 +22,13 @@
     kind: str
     zone: str
     address: str
-    heard: float
+    last_seen: float
     relayed_by: str  # "" for a session held here
 
     def expired(self, now: float) -> bool:
         """Whether the daemon counts as gone."""
         lasts = constants.RELAYED_SESSION_LASTS if self.relayed_by else constants.SESSION_LASTS
-        return now - self.heard > lasts
+        return now - self.last_seen > lasts
 
 
 class KnownEndpoint(NamedTuple):
@@ -36,7 +36,7 @@
 
     zone: str
     address: str
-    heard: float  # NEVER if only others know of it
+    last_seen: float  # NEVER if only others know of it
 
 
 class Sessions:
@@ -46,7 +46,7 @@
         self.by_identity: dict[str, Session] = {}
         self.control_daemons: dict[str, KnownEndpoint] = {}
 
-    def greeted(self, identity: str, kind: str, zone: str, address: str, now: float) -> bool:
+    def renew(self, identity: str, kind: str, zone: str, address: str, now: float) -> bool:
         """A daemon renews its session here; True when it is new."""
         fresh = identity not in self.by_identity or bool(self.by_identity[identity].relayed_by)
         self.by_identity[identity] = Session(identity, kind, zone, address, now, "")
@@ -54,19 +54,23 @@
             self.control_daemons[identity] = KnownEndpoint(zone, address, now)
         return fresh
 
-    def relayed(self, teller: str, sessions: Iterable[SessionEntry], now: float) -> None:
+    def add_relayed(self, reporter: str, sessions: Iterable[SessionEntry], now: float) -> None:
         """Another control daemon tells the sessions that it holds."""
         for identity, kind, zone, address in sessions:
-            own = self.by_identity.get(identity)
-            if own is None or own.relayed_by or now - own.heard > 2 * constants.GREET_EVERY:
-                self.by_identity[identity] = Session(identity, kind, zone, address, now, teller)
+            existing = self.by_identity.get(identity)
+            if (
+                existing is None
+                or existing.relayed_by
+                or now - existing.last_seen > 2 * constants.GREET_EVERY
+            ):
+                self.by_identity[identity] = Session(identity, kind, zone, address, now, reporter)
             if kind == CONTROL_DAEMON:
                 # the teller may not have heard it for as long as a session lasts
                 known = self.control_daemons.get(identity, KnownEndpoint(zone, address, NEVER))
-                heard = max(known.heard, now - constants.SESSION_LASTS)
-                self.control_daemons[identity] = KnownEndpoint(zone, known.address, heard)
+                last_seen = max(known.last_seen, now - constants.SESSION_LASTS)
+                self.control_daemons[identity] = KnownEndpoint(zone, known.address, last_seen)
 
-    def vouched(self, control_daemons: Iterable[Endpoint]) -> None:
+    def add_reported(self, control_daemons: Iterable[Endpoint]) -> None:
         """Control daemons that somebody knows of; an address heard directly is not overwritten."""
         for identity, zone, address in control_daemons:
             self.control_daemons.setdefault(identity, KnownEndpoint(zone, address, NEVER))
@@ -78,24 +82,26 @@
             del self.by_identity[identity]
         return expired
 
-    def own(self) -> tuple[SessionEntry, ...]:
+    def direct_sessions(self) -> tuple[SessionEntry, ...]:
         """What is told to other control daemons: the sessions held here."""
         return tuple(
-            (one.identity, one.kind, one.zone, one.address)
-            for one in self.by_identity.values()
-            if not one.relayed_by
+            (session.identity, session.kind, session.zone, session.address)
+            for session in self.by_identity.values()
+            if not session.relayed_by
         )
 
     def live(self, kind: str) -> list[Session]:
         """Sessions of one kind of daemon, in the agreed order (by identity)."""
         return [
-            self.by_identity[one] for one in sorted(self.by_identity) if self.by_identity[one].kind == kind
+            self.by_identity[identity]
+            for identity in sorted(self.by_identity)
+            if self.by_identity[identity].kind == kind
         ]
 
-    def heard(self, identity: str) -> float:
+    def last_seen(self, identity: str) -> float:
         """The latest time at which some control daemon is known to have heard this one, NEVER for none."""
         known = self.control_daemons.get(identity)
-        return known.heard if known else NEVER
+        return known.last_seen if known else NEVER
 
     def address(self, identity: str) -> str | None:
         """Where a control daemon was last known, or None."""
@@ -104,4 +110,6 @@
 
     def known_control_daemons(self) -> tuple[Endpoint, ...]:
         """The control daemons live now, for those who ask."""
-        return tuple((one.identity, one.zone, one.address) for one in self.live(CONTROL_DAEMON))
+        return tuple(
+            (session.identity, session.zone, session.address) for session in self.live(CONTROL_DAEMON)
+        )
