--- a/src/pinepitch/control/worker_reports.py
+++ b/src/pinepitch/control/worker_reports.py
@@ -16,47 +16,47 @@
     until it is agreed on.
     """
 
-    def __init__(self, core: "ControlDaemon") -> None:
-        self.core = core
+    def __init__(self, daemon: "ControlDaemon") -> None:
+        self.daemon = daemon
         self.clear()
 
     def clear(self) -> None:
         """Forgets all, as a term begins or ends."""
         self.push_workers: dict[str, PushWorker] = {}
         self.proposed_ends: set[tuple[str, int]] = set()  # (reference, attempt)
-        self.ends: list[tuple[Any, ...]] = []  # (reference, attempt, how) to be proposed together
-        self.ends_waiting: list[OutcomeListener] = []  # who is told once they are agreed on
+        self.gathered_ends: list[tuple[Any, ...]] = []  # (reference, attempt, how) to be proposed together
+        self.end_listeners: list[OutcomeListener] = []  # who is told once they are agreed on
 
     def take_report(self, report: Report, now: float) -> tuple[list[Any], list[Any], list[Any]]:
         """Gathers a worker's report; (ends to agree on, ends that are known, strays: runs that nobody
         wants).
         """
-        newest = self._keep_newest(report, now)
+        newest = self._store_if_newest(report, now)
         ends, acknowledged = [], []
         for ref, attempt, how in report.ended:
-            if self._runs(ref, attempt) is not None:
+            if self._placed_standing(ref, attempt) is not None:
                 ends.append((ref, attempt, how))
             else:
                 acknowledged.append((ref, attempt))
         if newest:
             listed = {(ref, attempt) for ref, attempt in report.running}
             listed.update((ref, attempt) for ref, attempt, _ in report.ended)
-            ends.extend(self._absent(report, listed))
+            ends.extend(self._ends_by_absence(report, listed))
         strays = []
         for ref, attempt in report.running:
-            standing = self._runs(ref, attempt)
+            standing = self._placed_standing(ref, attempt)
             if standing is None or standing.yields_to:
                 strays.append((ref, attempt))
         return ends, acknowledged, strays
 
-    def _runs(self, ref: str, attempt: int) -> Any:
+    def _placed_standing(self, ref: str, attempt: int) -> Any:
         """The standing of a task if that attempt of it is placed, else None."""
-        found = self.core.cluster_state.find(ref)
-        if found is None or found[2].state != "placed" or found[2].attempt != attempt:
+        task_record = self.daemon.cluster_state.find(ref)
+        if task_record is None or task_record[2].state != "placed" or task_record[2].attempt != attempt:
             return None
-        return found[2]
+        return task_record[2]
 
-    def _keep_newest(self, report: Report, now: float) -> bool:
+    def _store_if_newest(self, report: Report, now: float) -> bool:
         """Keeps a report if it is its worker's newest; whether it is."""
         known = self.push_workers.get(report.worker)
         newest = True
@@ -66,7 +66,7 @@
             newest = report.counter > known.report.counter
         elif report.address != known.report.address and not known.unresponsive(now):
             newest = False  # another machine under a name that is taken
-            self.core.event(158, minion=report.worker, address=report.address, known=known.report.address)
+            self.daemon.event(158, minion=report.worker, address=report.address, known=known.report.address)
         else:
             newest = report.heard >= known.report.heard or known.unresponsive(now)
             if newest:
@@ -75,13 +75,13 @@
             known.report, known.heard_at = report, now
         return newest
 
-    def _absent(self, report: Report, listed: set[tuple[str, int]]) -> Iterator[tuple[Any, ...]]:
+    def _ends_by_absence(self, report: Report, listed: set[tuple[str, int]]) -> Iterator[tuple[Any, ...]]:
         """Proof by absence: a report begun after send-by and a margin lists all that
         runs, so what it lacks has ended or never begun. A new start at another address
         may be another machine: it proves nothing of what the name's last one runs.
         """
-        for ref in sorted(self.core.cluster_state.reserved.get(report.worker, {})):
-            standing = self.core.cluster_state.find_known(ref)[2]
+        for ref in sorted(self.daemon.cluster_state.reserved.get(report.worker, {})):
+            standing = self.daemon.cluster_state.find_known(ref)[2]
             if (ref, standing.attempt) in listed:
                 continue
             if report.heard >= standing.send_by + constants.SEND_MARGIN:
@@ -90,21 +90,23 @@
                     continue
                 yield (ref, standing.attempt, "never" if same else "lost")
 
-    def propose_ends(
-        self, items: Iterable[tuple[Any, ...]], waiting: OutcomeListener | None, now: float
+    def gather_ends(
+        self, items: Iterable[tuple[Any, ...]], listener: OutcomeListener | None, now: float
     ) -> list[tuple[Any, ...]]:
         """Gathers proven ends; those of one tick become one entry and so one sync."""
-        fresh = [one for one in items if one[:2] not in self.proposed_ends]
-        self.proposed_ends.update(one[:2] for one in fresh)
-        self.ends.extend(fresh)
-        if waiting is not None and fresh:
-            self.ends_waiting.append(waiting)
+        fresh = [item for item in items if item[:2] not in self.proposed_ends]
+        self.proposed_ends.update(item[:2] for item in fresh)
+        self.gathered_ends.extend(fresh)
+        if listener is not None and fresh:
+            self.end_listeners.append(listener)
         return fresh
 
-    def propose_gathered(self, now: float) -> None:
+    def propose_gathered_ends(self, now: float) -> None:
         """One entry for all ends gathered, its outcome told to all who wait."""
-        if self.ends:
-            ends, waiting = tuple(self.ends), self.ends_waiting
-            self.ends, self.ends_waiting = [], []
-            self.core.proposals.awaiting.setdefault(self.core.consensus.last_index() + 1, []).extend(waiting)
-            self.core.proposals.propose(("ended", ends), None, now)
+        if self.gathered_ends:
+            ends, listener = tuple(self.gathered_ends), self.end_listeners
+            self.gathered_ends, self.end_listeners = [], []
+            self.daemon.proposals.listeners.setdefault(self.daemon.consensus.last_index() + 1, []).extend(
+                listener
+            )
+            self.daemon.proposals.propose(("ended", ends), None, now)
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -43,28 +43,28 @@
 
 def _unresponsive_report(self, report, listed):
     """Takes one silent report for a proof, however early it was begun."""
-    for ref in sorted(self.core.cluster_state.reserved.get(report.worker, {})):
-        standing = self.core.cluster_state.find(ref)[2]
+    for ref in sorted(self.daemon.cluster_state.reserved.get(report.worker, {})):
+        standing = self.daemon.cluster_state.find(ref)[2]
         if (ref, standing.attempt) not in listed:
             yield (ref, standing.attempt, "never")
 
 
 def _unresponsive_workers(self, now):
     """Places again what a silent worker ran."""
-    original_watch(self, now)
-    for name, known in self.core.push_workers.items():
+    original_check_runs(self, now)
+    for name, known in self.daemon.push_workers.items():
         if now - known.heard_at > constants.PUSH_WORKER_TIMEOUT:
-            self.core.worker_reports.propose_ends(
+            self.daemon.worker_reports.gather_ends(
                 [
-                    (ref, self.core.cluster_state.find(ref)[2].attempt, "never")
-                    for ref in self.core.cluster_state.reserved.get(name, {})
+                    (ref, self.daemon.cluster_state.find(ref)[2].attempt, "never")
+                    for ref in self.daemon.cluster_state.reserved.get(name, {})
                 ],
                 None,
                 now,
             )
 
 
-original_watch = Leadership._watch
+original_check_runs = Leadership._check_runs
 
 
 def _early_saved(self, node, sequence, change):
@@ -146,12 +146,12 @@
 def _all_orders(self, front, now):
     """Tells every placement of a front daemon again and again, sent or not."""
     orders_again = []
-    for references in self.core.cluster_state.reserved.values():
+    for references in self.daemon.cluster_state.reserved.values():
         for ref in references:
-            standing = self.core.cluster_state.find(ref)[2]
-            known = self.core.push_workers.get(standing.worker)
+            standing = self.daemon.cluster_state.find(ref)[2]
+            known = self.daemon.push_workers.get(standing.worker)
             if standing.front_daemon == front and known is not None:
-                self.order(ref, now)
+                self.queue_order(ref, now)
                 orders_again.append(self.outbox[front][(ref, standing.attempt)])
     return tuple(orders_again)
 
@@ -206,8 +206,8 @@
     "killed-once": [(constants, "KILL_AGAIN", 1e9), (WorkerReports, "take_report", _no_strays)],
     "history-cut": [(configuration_history.ConfigurationHistory, "add", _short_history)],
     "lost-not-counted": [(ending_operations, "conclude_attempt", _free_tries)],
-    "early-proof": [(WorkerReports, "_absent", _unresponsive_report)],
-    "silence-is-an-end": [(Leadership, "_watch", _unresponsive_workers)],
+    "early-proof": [(WorkerReports, "_ends_by_absence", _unresponsive_report)],
+    "silence-is-an-end": [(Leadership, "_check_runs", _unresponsive_workers)],
     "sent-again": [
         (FrontDaemon, "_on_updates", _repeated_updates),
         (FrontUpdates, "_due_orders", _all_orders),
@@ -227,7 +227,7 @@
     "base-ignored": [(configuration_operations, "apply_change", _no_base)],
     "refused-takes-effect": [(configuration_operations, "apply_change", _takes_refused)],
     "change-not-kept": [(configuration_operations, "put_in_force", _forgetful)],
-    "news-kept-back": [(FrontUpdates, "_update_version", lambda self: (self.core.consensus.term, 0))],
+    "news-kept-back": [(FrontUpdates, "_update_version", lambda self: (self.daemon.consensus.term, 0))],
     "failed-counts-as-done": [(ending_operations, "conclude_attempt", _as_if_done)],
     "lost-is-tried-again": [(ending_operations, "conclude_attempt", _repeats_lost)],
     "slow-elections": [
--- a/src/pinepitch/simulation/jobs/control_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/control_injected_faults.py
@@ -41,7 +41,7 @@
     """Never lets a newcomer in once the cluster is whole."""
     return (
         None
-        if len(members) >= self.core.voters
+        if len(members) >= self.daemon.voters
         else original_admission(self, identity, zone_name, members, *rest)
     )
 
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -75,8 +75,8 @@
 
 
 def _notified_levels_alone(self):
-    told, members = self.core.advertised_levels, self.core.consensus.membership.members()
-    return min((told.get(one, 1) for one in members), default=1)
+    advertised, members = self.daemon.advertised_levels, self.daemon.consensus.membership.members()
+    return min((advertised.get(one, 1) for one in members), default=1)
 
 
 def _capacity_twice(leased_jobs, workers, now):
