--- a/src/pinepitch/control/agreement.py
+++ b/src/pinepitch/control/agreement.py
@@ -1,4 +1,4 @@
-"""Between consensus and the daemon: what consensus decided is carried out, what is committed applied."""
+"""Connects consensus to the daemon: it executes the effects of consensus and applies committed entries."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any
@@ -26,27 +26,25 @@
 
 
 class ConsensusDriver:
-    """Invariant: the cluster state holds just the entries up to those applied; one snapshot is made at
-    a time.
+    """Invariants: the cluster state reflects exactly the entries that have been applied; one snapshot is made
+    at a time.
     """
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
         self.snapshot_in_progress = False
-        self.bytes_since_snapshot = 0  # bytes of entries applied since the newest snapshot was begun
-        self.bytes_before_snapshot = (
-            0  # bytes of those applied before, and after the base; 0 with no snapshot under way
-        )
-        self._bytes_until_full: int | None = None  # until images are full; None until it is asked for
-        self._snapshot_threshold: int | None = (
-            None  # of these, that make a snapshot due; None until it is asked for
-        )
-        self.snapshot_segments = (1, 0)  # of the archive, that the snapshot under way stands on
+        self.bytes_since_snapshot = 0  # applied since the newest snapshot was begun
+        # applied after the base and before the snapshot in progress; 0 without one
+        self.bytes_before_snapshot = 0
+        self._bytes_until_full: int | None = None  # computed when first needed
+        # bytes since the newest snapshot that make the next one due; computed when first needed
+        self._snapshot_threshold: int | None = None
+        self.snapshot_segments = (1, 0)  # range of archive segments of the snapshot in progress
 
     def on_raft(
         self, cluster: str | None, sender: str, receiver: str, message: tuple[Any, ...], now: float
     ) -> None:
-        """A message of another member's consensus."""
+        """Handles a consensus message of another member."""
         daemon = self.daemon
         if daemon.consensus is None or cluster != daemon.cluster or receiver != daemon.identity:
             daemon.event(147, kind="raft", cohort=cluster, receiver=receiver)
@@ -54,14 +52,14 @@
         self.execute(daemon.consensus.step(sender, consensus_messages.decode(message), now), now)
 
     def on_saved(self, sequence: int, now: float) -> None:
-        """All saves up to that one are durable."""
+        """Handles the report that all saves up to `sequence` are durable."""
         self.daemon.counts["syncs"] += 1
         if self.daemon.consensus.saving:
             self.daemon.sync_histogram.add(now - self.daemon.consensus.saving[0].begun_at)
         self.execute(self.daemon.consensus.saved(sequence, now), now)
 
     def on_disk(self, error: str | None, now: float) -> None:
-        """The disk refused to write, or (why is None) writes again."""
+        """Handles a failed write to the disk, or its recovery if `error` is None."""
         if error is None:
             self.daemon.event(107)
             return
@@ -70,7 +68,9 @@
             self.execute(self.daemon.consensus.disk_failed(now), now)
 
     def on_encoded(self, index: int, encoded: EncodedImage, now: float) -> None:
-        """A snapshot is encoded: the log is compacted up to it, unless it is out of date."""
+        """Handles a snapshot that has been encoded: compacts the log up to it, unless the snapshot is out of
+        date.
+        """
         daemon, data = self.daemon, encoded.data
         self.snapshot_in_progress = False
         self.bytes_before_snapshot, self._snapshot_threshold, self._bytes_until_full = 0, None, None
@@ -82,7 +82,7 @@
             daemon.event(126, index=index, bytes=len(data))
 
     def execute(self, effects: Iterable[Any], now: float) -> None:
-        """Carries out what consensus decided."""
+        """Executes the effects that consensus returned."""
         daemon = self.daemon
         for effect in effects:
             match effect:
@@ -109,7 +109,7 @@
                     daemon.forwarded_requests.answer_read(token, now)
 
     def _install(self, image: Any, segments: dict[int, bytes]) -> None:
-        """Takes the cluster state from a snapshot of the leader's, with segments that came beside it."""
+        """Replaces the cluster state by a snapshot of the leader and the segments that came with it."""
         self.bytes_since_snapshot, self.bytes_before_snapshot = 0, 0
         self._snapshot_threshold = self._bytes_until_full = None
         archive = self.daemon.cluster_state.archive
@@ -118,7 +118,7 @@
             self.daemon.effects.append(WriteSegment(number, data))
 
     def _step_down(self, now: float) -> None:
-        """Leads no more: all who wait are told so."""
+        """Gives up leadership, and reports that to all who wait for an answer."""
         listeners = [
             listener
             for entry_listeners in self.daemon.proposals.listeners.values()
@@ -129,14 +129,14 @@
         self.daemon.clear_leadership(now)
 
     def _apply(self, first: int, entries: list[tuple[Any, ...]], now: float) -> None:
-        """Applies committed entries, the first of which has the index `start`."""
+        """Applies committed entries; the first one has the index `first`."""
         daemon, consensus = self.daemon, self.daemon.consensus
         for offset, (term, time, operation) in enumerate(entries):
             index = first + offset
             operation = unpacked(operation)
             outcome = daemon.cluster_state.apply(index, time, operation)
             daemon.counts["applied"] += 1
-            # of what older leaders proposed only the outcome counts: nobody waits for it here
+            # nobody waits here for entries of earlier leaders: those are only applied
             if consensus.role == "leader" and consensus.commit >= index and term == consensus.term:
                 daemon.applied_entries.on_applied(operation, outcome, now)
                 for listener in daemon.proposals.listeners.pop(index, ()):
@@ -147,14 +147,14 @@
         self._write_sealed_segments()
 
     def _write_sealed_segments(self) -> None:
-        """Has the segments written that were sealed just now."""
+        """Writes the segments that were just sealed."""
         state = self.daemon.cluster_state
         for number, data in state.sealed:
             self.daemon.effects.append(WriteSegment(number, data))
         state.sealed.clear()
 
     def _begin_snapshot(self) -> None:
-        """Has an image of the cluster state encoded, once the segments that it names are being written."""
+        """Starts to encode an image of the cluster state. The segments that it names are written first."""
         self._write_sealed_segments()
         state = self.daemon.cluster_state
         self.snapshot_in_progress = True
@@ -167,8 +167,9 @@
         self.daemon.effects.append(EncodeSnapshot(state.index, state.image()))
 
     def _snapshot_due(self, index: int) -> bool:
-        """Whether a snapshot is to be made at `index`, the entry applied last: at each multiple of
-        SNAPSHOT_ENTRIES, which members share, or once so many bytes were applied since the last base.
+        """Whether a snapshot is due at `index`, the entry applied last. One is due at each multiple of
+        SNAPSHOT_ENTRIES, so that members make snapshots at the same indexes, or once enough bytes were
+        applied since the last base.
         """
         if index % constants.SNAPSHOT_ENTRIES == 0:
             return True
@@ -180,9 +181,9 @@
         return self.bytes_since_snapshot >= self._snapshot_threshold
 
     def _bytes_between_snapshots(self) -> int:
-        """Bytes of entries that make a snapshot due. A large image is made more rarely, so that writing it
-        costs no more than the entries did; near the bound of images more often, so that it is known how
-        much of it is free.
+        """Bytes of entries after which a snapshot is due. Large images are made less often, so that writing
+        them costs no more than writing the entries did. Near the size limit of images they are made more
+        often, so that the remaining space is known.
         """
         limits, image_size = self.daemon.limits, self._newest_image_size()
         if image_size > limits.image // 2:
@@ -194,7 +195,7 @@
         return len(self.daemon.consensus.base_image or b"")
 
     def is_full(self) -> bool:
-        """Whether an image would have as many bytes by now as it may have."""
+        """Whether an image made now would reach the size limit of images."""
         if self._bytes_until_full is None:
             self._bytes_until_full = (
                 self.daemon.limits.image - self._newest_image_size() - self.bytes_before_snapshot
@@ -202,12 +203,12 @@
         return self.bytes_since_snapshot >= self._bytes_until_full
 
     def image_size(self) -> int:
-        """About how many bytes an image would have now: those of the newest one and of the entries applied
-        since, most of which it would hold.
+        """Approximate bytes of an image made now: those of the newest image and of the entries applied since,
+        most of which it would contain.
         """
         return self._newest_image_size() + self.bytes_before_snapshot + self.bytes_since_snapshot
 
     def _notify(self, listener: OutcomeListener, outcome: tuple[Any, ...], now: float) -> None:
-        """Tells one who waits the outcome."""
+        """Sends the outcome of an operation to a listener."""
         answer = OUTCOME_ANSWERS[listener.answer_kind](self.daemon, outcome, listener.context, now)
         self.daemon.forwarded_requests.answer(listener.address, listener.token, answer)
--- a/src/pinepitch/control/applied_entries.py
+++ b/src/pinepitch/control/applied_entries.py
@@ -1,4 +1,4 @@
-"""What a leader does about an entry of its own term that was applied just now."""
+"""Follow-up work of a leader after an entry of its own term was applied."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -10,20 +10,20 @@
 
 
 class AppliedEntries:
-    """Counts, tells and carries on what was agreed on. `REACTIONS` says what for which operation."""
+    """Updates counters, logs events and triggers follow-up work; `HANDLERS` maps operations to methods."""
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
 
     def on_applied(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
-        """Takes one operation and its outcome."""
+        """Handles one applied operation and its outcome."""
         self.daemon.leadership.round_due = True
         handler = HANDLERS.get(operation[0])
         if handler is not None:
             handler(self, operation, outcome, now)
 
     def _role_claimed(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
-        """A role has a holder; if it is this leader's placing role, it may place from now on."""
+        """Handles a claimed role. If it is this leader's placing role, the leader may place from now on."""
         leadership = self.daemon.leadership
         if self.daemon.cluster_state.index != leadership.role_index:
             return
@@ -34,7 +34,7 @@
         self.daemon.front_updates.resend_orders(now)
 
     def _placements_applied(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
-        """A round of placements was taken or refused."""
+        """Handles the placements of a round, which were accepted or refused."""
         leadership = self.daemon.leadership
         leadership.pending_rounds = max(0, leadership.pending_rounds - 1)
         leadership.placer.forget_proposed([item[0] for item in operation[3]])
@@ -50,7 +50,7 @@
         self.daemon.front_updates.send_due_updates(now)
 
     def _attempts_ended(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
-        """Attempts have ended."""
+        """Handles attempts that have ended."""
         for (ref, attempt, how), result in zip(operation[1], outcome[1], strict=False):
             self.daemon.worker_reports.proposed_ends.discard((ref, attempt))
             self.daemon.front_updates.kills.pop(ref, None)
@@ -61,7 +61,7 @@
                 self._record_worker_result(task_record[2].worker, how == "done")
 
     def _record_worker_result(self, name: str, done: bool) -> None:
-        """Judges a worker, if it is known, by how an attempt ended there."""
+        """Updates the failure rating of a worker, if it is known, after an attempt ended there."""
         worker = self.daemon.worker_reports.push_workers.get(name)
         if worker is not None:
             worker.judge(done)
@@ -69,7 +69,7 @@
                 self.daemon.event(157, minion=name)
 
     def _leased_job_assigned(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
-        """Runs were placed under leases."""
+        """Handles runs that were placed under leases."""
         self.daemon.assignments.applied_assign(operation[2])
         if outcome[0] == "refused":
             self._count_refusal(outcome[1])
@@ -80,13 +80,13 @@
                 )
 
     def _leased_job_ended(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
-        """Runs under leases have ended."""
+        """Handles runs under leases that have ended."""
         self.daemon.assignments.ended(self.daemon.cluster_state.index, operation[1], outcome[1])
 
     def _leased_jobs_or_routes_changed(
         self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float
     ) -> None:
-        """What is asked of the assignments of leased jobs has changed."""
+        """Handles a change of leased jobs, routes or evacuations, which makes new assignments due."""
         self.daemon.assignments.due = True
         if outcome[0] == "accepted":
             self.daemon.trace(187, job=outcome[1])
@@ -97,7 +97,7 @@
     def _queues_or_workers_changed(
         self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float
     ) -> None:
-        """The queue configuration, or which workers and zones are open, has changed."""
+        """Handles a change of the queue configuration, or of which workers and zones are open."""
         if outcome[0] == "setup":
             self.daemon.event(160, version=outcome[1])
             if operation[0] == "approve":
@@ -108,28 +108,28 @@
         self._active_state_changed(now)
 
     def _active_state_changed(self, now: float) -> None:
-        """Front daemons are told at once."""
+        """Sends the changed state to front daemons at once."""
         self.daemon.front_updates.update_serial += 1
         self.daemon.front_updates.send_due_updates(now)
 
     def _stops_requested(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
-        """Runs are to end: front daemons are told at once."""
+        """Sends the runs that should end to front daemons at once."""
         self.daemon.front_updates.send_due_updates(now)
 
     def _count_refusal(self, why: str, **fields: Any) -> None:
-        """Counts and tells why a placement was not taken."""
+        """Counts and logs why a placement was not accepted."""
         self.daemon.refusals[why] = self.daemon.refusals.get(why, 0) + 1
         self.daemon.event(151, why=why, **fields)
 
     def _record_wait(self, ref: str) -> None:
-        """Notes how long a task just placed was ready."""
+        """Records how long a task that was just placed had been ready."""
         job, task, standing = self.daemon.cluster_state.find_known(ref)
         if standing.attempt == 1:
             histogram = self.daemon.wait_histograms.setdefault(job.queue, metrics.Histogram())
             histogram.add(max(0.0, standing.since - job.ready_since(task)))
 
 
-# The registry of reactions: operation -> what is done about it once it is applied.
+# Operation -> handler of its applied entries.
 HANDLERS: dict[str, Callable[[AppliedEntries, tuple[Any, ...], tuple[Any, ...], float], None]] = {
     "duty": AppliedEntries._role_claimed,
     "place": AppliedEntries._placements_applied,
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -1,7 +1,8 @@
-"""The control daemon as a decider: it takes messages, and returns effects of `common.effects`.
+"""The control daemon as a deterministic state machine: it takes messages and returns effects of
+`common.effects`.
 
-What it does is in the modules of this package, one part each; this one holds what they share, hands inputs
-to them, and is the way by which other packages reach them.
+Each module of this package implements one component. This module owns the state that the components share,
+dispatches inputs to them, and is the interface through which other packages reach them.
 """
 
 from collections.abc import Callable, Iterable
@@ -39,8 +40,9 @@
 
 
 class ControlDaemon:
-    """Invariants: with no cluster there is no consensus, and the other way round; the cluster state holds
-    just the entries up to those applied; what exists only while leading is as new unless it leads.
+    """Invariants: a daemon has a consensus replica exactly if it knows a cluster; the cluster state reflects
+    exactly the entries that have been applied; state that belongs to a leader is reset unless this daemon
+    leads.
     """
 
     level = constants.RECORD_LEVEL
@@ -63,19 +65,19 @@
         self.bootstrap = Bootstrap(identity, zone, bootstrap_members)
         self.time = ClusterClock()
         self.cluster: str | None = None
-        self.bootstrap_members: tuple[str, ...] = ()  # identities whose consent a founding needs
+        self.bootstrap_members: tuple[str, ...] = ()  # identities whose consent founds the cluster
         self.consented: set[str] = set()
         self.consensus: Any = None
         self.cluster_state = self.cluster_state_class()
         self.effects: list[Any] = []
         self.stopping = False
-        self.departure: membership.Departure | None = None  # of this daemon, once it stops
+        self.departure: membership.Departure | None = None  # set once this daemon is stopping
         self.first_tick_at: float | None = None
-        self.step_at = 0.0  # seconds of the steady clock; when it was stepped last
-        self.advertised_levels = {identity: self.level}  # control daemon -> the level it told last
+        self.step_at = 0.0  # seconds of the steady clock; time of the newest step
+        self.advertised_levels = {identity: self.level}  # control daemon -> the level that it advertised last
         self._set_default_settings()
         self._init_counters()
-        incarnation = f"{identity}~{seed}"  # the seed is drawn anew in each life
+        incarnation = f"{identity}~{seed}"  # the seed is new in each incarnation
         self.forwarder = Forwarder(incarnation, address, self.event)
         self.indexed_forwarder = IndexedForwarder(self.forwarder)
         self.leader_clock = LeaderClock()
@@ -84,33 +86,33 @@
         self.inputs = self._input_handlers()
 
     def _set_default_settings(self) -> None:
-        """What the program that runs this daemon may set anew before the first step."""
+        """Sets the defaults that the program running this daemon may override before the first step."""
         self.bootstrap_among: tuple[str, ...] | None = None  # addresses that may found; None for any
-        self.voters = constants.BOOTSTRAP_MEMBERS  # members wanted in single mode, where each is a group
-        self.may_bootstrap = True  # a daemon that has lost its disk joins, it never founds
+        self.voters = constants.BOOTSTRAP_MEMBERS  # target in single mode, where each is a group
+        self.may_bootstrap = True  # False after a loss of the disk: the daemon may then only join
         self.limits = limits.USUAL
-        self.catch_up = constants.CATCH_UP  # seconds; in which a lost voter's successor must be a voter
-        self.leave_within = constants.LEAVE_WITHIN  # seconds; from SIGTERM, in which a seat is handed on
-        self.begun_at: float | None = None  # when this process came to own its data folder, if known
-        self.rules: tuple[Any, ...] = ()  # alert rules of this machine's file
+        self.catch_up = constants.CATCH_UP  # seconds; within which a lost voter must be replaced
+        self.leave_within = constants.LEAVE_WITHIN  # seconds; from SIGTERM to the voter slot's handover
+        self.begun_at: float | None = None  # when this process locked its data folder, if known
+        self.rules: tuple[Any, ...] = ()  # alert rules from this machine's rules file
         self.lease_duration = constants.LEASE_DURATION  # seconds
-        self.far = constants.FAR  # times as long that a task takes away from its data
-        # seconds that jobs may come before the weight of their tenant has them due
+        self.far = constants.FAR  # factor by which a task takes longer away from its data
+        # seconds by which jobs may arrive earlier than the weight of their tenant entitles it to
         self.tenant_burst = constants.TENANT_BURST
-        self.tracing = False  # whether events for a timeline of jobs are written
+        self.tracing = False  # whether events for a timeline of jobs are logged
 
     def _init_counters(self) -> None:
-        """What the metrics tell of this life."""
+        """Initializes the counters that the metrics report for this incarnation."""
         self.counts = {"applied": 0, "sent": 0, "syncs": 0, "pauses": 0}
-        self.paused_seconds = 0.0  # that the process did not run, in pauses over CONFIRM_PAUSE
-        self.event_counts: dict[int, int] = {}  # number of an event -> how often
-        self.refusals: dict[str, int] = {}  # why a placement was refused -> how often
-        self.end_counts: dict[str, int] = {}  # how an attempt ended -> how often
+        self.paused_seconds = 0.0  # total of the pauses of this process that were longer than CONFIRM_PAUSE
+        self.event_counts: dict[int, int] = {}  # number of an event -> count
+        self.refusals: dict[str, int] = {}  # reason why a placement was refused -> count
+        self.end_counts: dict[str, int] = {}  # how an attempt ended -> count
         self.sync_histogram = metrics.Histogram()  # seconds
-        self.wait_histograms: dict[str, metrics.Histogram] = {}  # queue -> seconds that tasks were ready
+        self.wait_histograms: dict[str, metrics.Histogram] = {}  # queue -> seconds from ready to placed
 
     def _create_components(self) -> None:
-        """The parts, each of which reaches the others through this daemon."""
+        """Creates the components, which reach each other through this daemon."""
         self.consensus_driver = ConsensusDriver(self)
         self.image_digests = ImageDigests(self)
         self.handshakes = Handshakes(self)
@@ -127,7 +129,7 @@
         self.shutdown = Shutdown(self)
 
     def clear_leadership(self, now: float) -> None:
-        """Forgets what exists only while leading, as a term begins or ends."""
+        """Resets the state that belongs to a leader, as a term begins or ends."""
         self.assignments = AssignmentManager(self, now)
         self.worker_reports.clear()
         self.proposals.clear()
@@ -136,35 +138,37 @@
         self.leadership.clear()
         self.membership_changes.clear()
 
-    # --- what other packages and the parts ask of it --------------------------------------
+    # --- interface for other packages and the components -----------------------------------
     @property
     def push_workers(self) -> dict[str, PushWorker]:
-        """Workers that take orders, by name, as their reports tell; empty unless this daemon leads."""
+        """Workers that take orders, by name, as last reported; empty unless this daemon leads."""
         return self.worker_reports.push_workers
 
     @property
     def proposed_ends(self) -> set[tuple[str, int]]:
-        """(reference, attempt) of ends that were proposed in this term and are not agreed on."""
+        """(reference, attempt) of the ends that were proposed in this term and are not committed yet."""
         return self.worker_reports.proposed_ends
 
     @property
     def kills(self) -> dict[str, float]:
-        """Reference of a task -> when its end was last ordered, in seconds of the steady clock."""
+        """Reference of a task -> when a kill was last ordered for it, in seconds of the steady clock."""
         return self.front_updates.kills
 
     @property
     def placer(self) -> Placer:
-        """What decides on placements in this term."""
+        """The component that decides on placements in this term."""
         return self.leadership.placer
 
     @property
     def rounds(self) -> int:
-        """How many rounds of placing this term has had."""
+        """How many scheduling rounds this term has had."""
         return self.leadership.rounds
 
     @property
     def epoch(self) -> int:
-        """Of the placing role in this term; 0 before it is claimed, -1 while it is."""
+        """Epoch of the placing role in this term; 0 before the role is claimed, -1 while the claim is
+        pending.
+        """
         return self.leadership.epoch
 
     @property
@@ -173,19 +177,19 @@
         return self.leadership.leader_since
 
     def take_report(self, report: Report, now: float) -> tuple[list[Any], list[Any], list[Any]]:
-        """A worker's report: (ends to agree on, ends that are known, strays)."""
+        """Processes a worker's report; returns (ends to commit, ends already recorded, stray runs)."""
         return self.worker_reports.take_report(report, now)
 
     def answer(self, address: str, token: str, answer: Answer, until: float | None = None) -> None:
-        """Answers a pending request, until `until` at the latest."""
+        """Answers a pending request; the answer may be written until `until` at the latest."""
         self.forwarded_requests.answer(address, token, answer, until)
 
     def propose(self, operation: tuple[Any, ...], listener: OutcomeListener | None, now: float) -> None:
-        """Puts one operation into the log; `waiting` is told the outcome."""
+        """Proposes one operation for the log; `listener` is sent the outcome."""
         self.proposals.propose(operation, listener, now)
 
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
-        """Proposes, and says at which index; None when it is held back."""
+        """Proposes an operation and returns the index of its entry; None if some member does not know it."""
         return self.proposals.propose_at(operation, now)
 
     def common_level(self) -> int:
@@ -193,34 +197,36 @@
         return self.proposals.common_level()
 
     def leased(self, now: float) -> bool:
-        """Whether what this daemon says as a leader can be relied on now."""
+        """Whether this daemon holds the leader lease, so that what it answers now can be relied on."""
         return self.consensus is not None and self.consensus.leased(now)
 
     def trace(self, number: int, **fields: Any) -> None:
-        """An event for a timeline of jobs: there are many, so only where the log keeps them."""
+        """Logs an event for a timeline of jobs. There are many of them, so they are logged only where
+        enabled.
+        """
         if self.tracing:
             self.event(number, **fields)
 
     def event(self, number: int, **fields: Any) -> None:
-        """Tells a numbered event."""
+        """Logs and counts a numbered event."""
         self.event_counts[number] = self.event_counts.get(number, 0) + 1
         self.effects.append(Event(number, fields))
 
     def send(self, address: str | None, message: tuple[Any, ...]) -> None:
-        """Sends a message to another daemon; to nobody if the address is unknown or its own."""
+        """Sends a message to another daemon. Drops it if the address is unknown or this daemon's own."""
         if address is not None and address != self.address:
             self.counts["sent"] += 1
             self.effects.append(Send(address, message))
 
     def send_to_leader(self, message: tuple[Any, ...], now: float) -> None:
-        """Hands a message to whoever leads, perhaps this daemon."""
+        """Passes a message to the leader, which may be this daemon."""
         if self.consensus.role == "leader":
             self.inputs[message[0]](*message[1:], now)
         else:
             self.send(self.leader_address(), message)
 
     def leader_address(self) -> str | None:
-        """Where the leader is, as far as this daemon knows."""
+        """The address of the leader, as far as this daemon knows."""
         if self.consensus is None or self.consensus.following is None:
             return None
         if self.consensus.following == self.identity:
@@ -228,13 +234,13 @@
         return self.sessions.address(self.consensus.following)
 
     def leader_reading(self, now: float) -> Reading | None:
-        """The Reading that the leader's steady clock has passed, as far as this daemon knows."""
+        """A Reading that the leader's steady clock has passed, as far as this daemon knows."""
         if self.consensus is not None and self.consensus.role == "leader":
             return Reading(self.consensus.term, now)
         return self.leader_clock.floor(now)
 
     def cluster_time(self, now: float) -> float:
-        """Cluster time in seconds: the clocks' median, never behind the cluster state."""
+        """Cluster time in seconds: the median of the members' clocks, never behind the cluster state."""
         members = self.consensus.membership.members() if self.consensus is not None else ()
         return self.time.read(now, self.cluster_state.time, len(members) // 2 + 1)
 
@@ -245,7 +251,7 @@
         saved_steps: Iterable[list[Any]],
         segments: dict[int, bytes] | None = None,
     ) -> None:
-        """Takes what the store held; the identity was read from it already."""
+        """Restores the daemon from the contents of its store. The identity was read from the store before."""
         changes, raft_base = [], None
         if base is not None:
             _, self.cluster, raft_base, _ = base
@@ -267,23 +273,25 @@
             self.take_cluster_state(self.consensus.base_image, segments)
 
     def begin_consensus(self, members: Members | None) -> None:
-        """The daemon is in a cluster from now on; `members` found it, or are empty where it joins."""
+        """Creates the consensus replica. `members` are the founding members, or empty for a daemon that
+        joins.
+        """
         self.consensus = Consensus(self.identity, self.seed, members, self.mode, self.limits)
         self.consensus.begun_at = self.begun_at
         self.consensus.archive = self.cluster_state.archive
 
     def take_cluster_state(self, image: bytes, segments: dict[int, bytes] | None) -> None:
-        """Goes on from a snapshot, and the archive's segments that it names."""
+        """Replaces the cluster state by a snapshot and the archive segments that it names."""
         self.cluster_state = self.cluster_state_class.decode(image, segments)
         self.consensus.archive = self.cluster_state.archive
 
     def base(self, raft_base: Any) -> list[Any]:
-        """The payload of a base file; the store keeps the segments that its last part names."""
+        """The payload of a base file. The store retains the segments that its last element names."""
         return [self.identity, self.cluster, raft_base, list(self.consensus.base_segments)]
 
     # --- inputs -----------------------------------------------------------------------
     def _input_handlers(self) -> dict[str, Callable[..., None]]:
-        """The registry of inputs: message kind -> handler, which takes the message's fields and now."""
+        """The registry of inputs: message kind -> handler, called with the message's fields and `now`."""
         return {
             "tick": self._tick,
             "greet": self.handshakes.on_handshake,
@@ -315,8 +323,8 @@
         }
 
     def step(self, message: tuple[Any, ...], now: float, clock: float) -> list[Any]:
-        """Takes one message; returns the effects. `now` is the steady clock's, `clock` the wall clock's
-        time, both in seconds.
+        """Processes one message and returns the effects. `now` is the steady clock's time and `clock` the
+        wall clock's, both in seconds.
         """
         self.time.hear(self.identity, clock, now)
         self.step_at = now
@@ -326,13 +334,13 @@
             handler(*fields, now)
         else:
             self.event(147, kind=kind)
-        if not self.stopping:  # what was not agreed on by then is the successor's to decide
+        if not self.stopping:  # after that, undecided work is left to the next leader
             self._run_leader_work(now)
         effects, self.effects = self.effects, []
         return effects
 
     def _run_leader_work(self, now: float) -> None:
-        """What a leader decides beside what a message asks for."""
+        """Does the leader's work that is due and that no message asked for."""
         leadership = self.leadership
         if leadership.round_due and now - leadership.last_round_at >= constants.PLACE_EVERY:
             leadership.place_tasks(now)
@@ -344,7 +352,7 @@
             self.assignments.flush(now)
 
     def _tick(self, now: float) -> None:
-        """Time has passed."""
+        """Handles a tick of the clock."""
         self.client_requests.resend_due(now)
         if self.first_tick_at is None:
             self.first_tick_at = now
@@ -370,7 +378,7 @@
         self.image_digests.tick(now)
 
     def _bootstrapped(self) -> bool:
-        """Whether the cluster is founded: something was agreed on, or all who found it have consented."""
+        """Whether the cluster is founded: an entry exists, or all founding members have consented."""
         return (
             self.consensus.last_index() > 0
             or self.consensus.last_known_term > 0
@@ -378,10 +386,10 @@
         )
 
     def _on_seeds(self, seeds: Iterable[str], now: float) -> None:
-        """The settings name other seeds."""
+        """Replaces the seeds after a change of the settings."""
         self.seeds = tuple(seeds)
         self.event(182, seeds=list(seeds))
 
     def may_end(self, now: float) -> bool:
-        """Whether a stopping process may end as far as its seat and its leadership go."""
+        """Whether a stopping process may exit as far as its voter slot and its leadership are concerned."""
         return self.shutdown.may_end(now)
--- a/src/pinepitch/control/forwarded_requests.py
+++ b/src/pinepitch/control/forwarded_requests.py
@@ -1,4 +1,4 @@
-"""Requests that daemons forward to the leader: taken, answered, refused or left in doubt."""
+"""Requests that daemons forward to the leader: accepted, answered, refused or reported as in doubt."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -13,12 +13,12 @@
 if TYPE_CHECKING:
     from .daemon import ControlDaemon
 
-LEASED_CALLS = tuple(job_calls.CALLS)  # calls that only a leader with its lease and epoch may answer
+LEASED_CALLS = tuple(job_calls.CALLS)  # calls that need a leader with a valid lease and an epoch
 
 
 class PendingRequest(NamedTuple):
-    """A forwarded request that is being answered, and which attempt of it was taken. Invariant: the first
-    two are its request key.
+    """A forwarded request that is being processed, and the attempt of it that was accepted. Invariant: the
+    first two fields are its request key.
     """
 
     call: str
@@ -27,22 +27,22 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """What an answer to it tells that it is about."""
+        """The request key that its answer carries."""
         return self[:2]
 
 
 class PendingRead(NamedTuple):
-    """A forwarded request that waits until all is applied that was committed when it came."""
+    """A forwarded read that waits until every entry committed before its arrival is applied."""
 
     address: str  # of the daemon that forwarded it
     token: str
-    handler: Any  # of requests.REQUESTS
+    handler: Any  # a value of requests.REQUESTS
     arguments: Sequence[Any]
 
 
 class ForwardedRequests:
-    """Invariants: what it gathers is empty unless this daemon leads; a request is pending until it is
-    answered, and answered as the request that it was taken as.
+    """Invariants: it is empty unless this daemon leads; a request is pending until it is answered, and the
+    answer carries the key under which the request was accepted.
     """
 
     def __init__(self, daemon: "ControlDaemon") -> None:
@@ -50,14 +50,14 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all, as a term begins or ends."""
-        self.pending_reads: dict[int, PendingRead] = {}  # by the number that consensus knows the read by
+        """Resets all state, as a term begins or ends."""
+        self.pending_reads: dict[int, PendingRead] = {}  # by the number that consensus uses
         self.last_read_number = 0
         self.pending_requests: dict[str, PendingRequest] = {}  # by token
 
     def step_down(self, listeners: list[OutcomeListener], now: float) -> None:
-        """Tells all who wait that this daemon leads no more. What was proposed for those in `waiting`
-        may still be agreed on; whatever else was asked is not taken.
+        """Reports to all who wait that this daemon no longer leads. The operations of `listeners` may still
+        be committed, so these requests are in doubt; all other pending requests are refused.
         """
         for listener in listeners:
             self.in_doubt(listener.address, listener.token)
@@ -76,8 +76,9 @@
         end: Reading | None,
         now: float,
     ) -> None:
-        """A daemon forwards a request; every request is safe to be sent again. None is taken after its
-        end, a Reading of this leader's clock: whoever forwards it has given it up by then.
+        """Handles a request that a daemon forwards. Every request is safe to be sent again. A request is not
+        accepted after its end, a Reading of this leader's clock, because the forwarding daemon has given it
+        up by then.
         """
         consensus = self.daemon.consensus
         if consensus is None or consensus.role != "leader" or self.daemon.stopping:
@@ -115,18 +116,18 @@
         )
 
     def _in_time(self, end: Reading | None, now: float) -> bool:
-        """Whether a forwarded request may be taken; one without an end may not."""
+        """Whether a forwarded request may still be accepted; a request without an end may not."""
         return end is not None and end[0] == self.daemon.consensus.term and now <= end[1]
 
     def _decide(self, address: str, token: str, handler: Any, arguments: Sequence[Any], now: float) -> None:
-        """Asks a handler for an answer at once or an operation to agree on."""
+        """Calls the handler, which returns an answer or an operation to commit first."""
         decision = handler.make(self.daemon, token, arguments, now)
         if isinstance(decision, DeferHeartbeat):
             self.daemon.assignments.take_heartbeat(decision.identity, decision.document, address, token, now)
         elif isinstance(decision, Answer):
             if self.daemon.leased(now):
                 self.answer(address, token, decision, self.daemon.consensus.lease_end(now))
-            else:  # what stands in the state here may be old
+            else:  # the state here may be out of date
                 self.refuse_pending(address, token, None, now)
         elif isinstance(decision, ProposeEnds):
             listener = OutcomeListener(address, token, "report", decision.context)
@@ -137,15 +138,15 @@
             self.daemon.proposals.propose(operation, listener, now)
 
     def answer_read(self, read_number: int, now: float) -> None:
-        """What was read up to is applied now: the request is answered, if it is still pending."""
+        """Answers a read that has been confirmed, if it is still pending."""
         read = self.pending_reads.pop(read_number, None)
         if read is not None:
             answer = read.handler.make(self.daemon, read.token, read.arguments, now)
             self.answer(read.address, read.token, answer)
 
     def answer(self, address: str, token: str, answer: Answer, until: float | None = None) -> None:
-        """The answer to a pending request, perhaps to one that this daemon forwarded itself; what was
-        only read, and not agreed on, is written until `until` at the latest.
+        """Answers a pending request, which this daemon may have forwarded to itself. An answer that was read
+        and not committed may be written until `until` at the latest.
         """
         request = self.pending_requests.pop(token, None)
         if request is None:
@@ -156,24 +157,24 @@
                 forwarder.answered(token, answer, request.key, self.daemon.step_at, until)
             )
         else:
-            # as a plain tuple, which is encoded without a search for its type
+            # a plain tuple, because the encoder handles it without a type lookup
             self.daemon.send(address, ("answer", token, tuple(answer), request.key))
 
     def refuse_pending(self, address: str, token: str, leader: str | None, now: float) -> None:
-        """A pending request that this daemon does not take after all."""
+        """Refuses a request that was pending."""
         request = self.pending_requests.pop(token, None)
         if request is not None:
             self.refuse(address, token, leader, request.attempt, now)
 
     def refuse(self, address: str, token: str, leader: str | None, attempt: int, now: float) -> None:
-        """Says that one attempt of a request was not taken here, and never will be."""
+        """Reports that this attempt of a request was not accepted here and never will be."""
         if address == self.daemon.address:
             self.daemon.forwarder.not_taken(token, attempt)
         else:
             self.daemon.send(address, ("elsewhere", token, leader, attempt, self.daemon.leader_reading(now)))
 
     def in_doubt(self, address: str, token: str) -> None:
-        """A call that may have been taken, though this daemon can't say."""
+        """Reports that a request may have been accepted, and that its outcome is not known here."""
         self.pending_requests.pop(token, None)
         if address == self.daemon.address:
             self.daemon.forwarder.in_doubt(token)
--- a/src/pinepitch/control/leader.py
+++ b/src/pinepitch/control/leader.py
@@ -1,4 +1,4 @@
-"""What a leader does beside answering: claims the placing role, places tasks, watches runs and alerts."""
+"""A leader's periodic work: it claims the placing role, places tasks, and checks runs and alerts."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -11,30 +11,30 @@
 
 
 class Leadership:
-    """One term of leadership. Invariant: it is as new unless this daemon leads."""
+    """State and work of one term of leadership. Invariant: it is in its initial state unless this daemon
+    leads.
+    """
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all, as a term begins or ends."""
+        """Resets all state, as a term begins or ends."""
         self.leader_since: float | None = None  # seconds of the steady clock
-        self.epoch = 0  # of the placing role; -1 while it is claimed
-        self.role_index: int | None = None  # of the claim's entry: older claims may be applied now
-        self.proposed_level = 0  # the level that is proposed to be agreed on
+        self.epoch = 0  # of the placing role; -1 while the claim is pending
+        self.role_index: int | None = None  # of this term's claim; older claims may be applied too
+        self.proposed_level = 0  # the level that was proposed last
         self.placer = Placer()
-        self.last_round_at = self.runs_checked_at = (
-            self.alerts_checked_at
-        ) = -1e9  # seconds; when each was done last
-        self.round_due = False  # whether what was applied may let a task be placed
-        self.pending_rounds = 0  # rounds whose entries are not applied
+        self.last_round_at = self.runs_checked_at = self.alerts_checked_at = -1e9  # seconds; when last done
+        self.round_due = False  # whether an applied entry may allow a placement
+        self.pending_rounds = 0  # rounds whose entries are not applied yet
         self.rounds = 0
-        self.ending_runs: set[tuple[str, int]] = set()  # (reference, attempt) of runs that were told to end
+        self.ending_runs: set[tuple[str, int]] = set()  # (reference, attempt) of runs that were asked to end
         self.alerts = alert_watch.AlertWatch(self.daemon.rules)
 
     def tick(self, now: float) -> None:
-        """What a leader does on each tick once it serves."""
+        """Does the leader's periodic work once it serves."""
         if not self.daemon.consensus.serving():
             return
         if self.daemon.proposals.common_level() > max(self.daemon.cluster_state.level, self.proposed_level):
@@ -59,21 +59,21 @@
             self._maintain_alerts(now)
 
     def _reports_gathered(self, now: float) -> bool:
-        """Whether the workers had time to report to this leader."""
+        """Whether the workers have had time to report to this leader."""
         return self.leader_since is not None and now - self.leader_since >= constants.REPORT_GATHERING
 
     def claim_placing_role(self, now: float) -> None:
-        """Proposes to hold the placing role, beside the first entry of the term: nothing under leases is
-        answered before this one has brought its epoch, so it goes out with the other.
+        """Proposes the claim of the placing role together with the first entry of the term. Nothing under
+        leases is answered before the claim has brought its epoch, so it must not wait for that entry.
         """
         self.epoch = -1
         self.role_index = self.daemon.consensus.last_index() + 1
         self.daemon.proposals.propose(("duty", "placing", self.daemon.identity), None, now)
 
     def place_tasks(self, now: float) -> None:
-        """One round: at once when something was applied that may let a task be placed, and
-        now and then for what only time brings. Never from within applying, whose own
-        save must go first.
+        """Runs one scheduling round: soon after an entry was applied that may allow a placement, and
+        periodically for changes that only time brings. It is never called while entries are being applied,
+        because the save of those must be issued first.
         """
         if (
             self.pending_rounds
@@ -101,7 +101,9 @@
             self.daemon.proposals.propose(("yield", self.epoch, yields), None, now)
 
     def _check_runs(self, now: float) -> None:
-        """Overruns, feeds to be moved, withdrawals come due, workers long unresponsive."""
+        """Checks for runs over their time limit, feeds to move, withdrawals that are due, and workers that
+        have been unresponsive for long.
+        """
         time = self.daemon.cluster_time(now)
         for worker, (due, gone) in sorted(self.daemon.cluster_state.withdrawn.items()):
             if not gone and time >= due:
@@ -113,7 +115,7 @@
         self._forget_workers(now)
 
     def _runs_to_stop(self, time: float) -> list[tuple[str, int, str]]:
-        """(reference, attempt, why) of runs that are to end at that cluster time."""
+        """(reference, attempt, reason) of the runs that should end at cluster time `time`."""
         cluster_state, yields = self.daemon.cluster_state, []
         for worker, placed_references in cluster_state.reserved.items():
             push_worker = self.daemon.worker_reports.push_workers.get(worker)
@@ -129,7 +131,7 @@
         return yields
 
     def _forget_workers(self, now: float) -> None:
-        """Forgets workers that were not heard for long and run nothing."""
+        """Forgets workers that have been unresponsive for long and run nothing."""
         push_workers = self.daemon.worker_reports.push_workers
         for name, worker in list(push_workers.items()):
             expired = now - worker.heard_at > constants.PUSH_WORKER_FORGET_AFTER
@@ -137,8 +139,8 @@
                 del push_workers[name]
 
     def _maintain_alerts(self, now: float) -> None:
-        """The leader, under its epoch, judges the rules by its own metrics; what holds
-        approvals is an entry, so that it outlives the leader.
+        """Evaluates the alert rules on this leader's own metrics, under its epoch. A pause of approvals is an
+        entry of the log, so that it outlives the leader.
         """
         self.alerts_checked_at = now
         firing = self.alerts.firing(metrics_text.text(self.daemon, now), now)
--- a/src/pinepitch/control/proposals.py
+++ b/src/pinepitch/control/proposals.py
@@ -1,4 +1,4 @@
-"""Operations on their way into the log: which may be proposed, and who is told their outcome."""
+"""Proposals of operations for the log: which may be proposed, and who is sent their outcome."""
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
@@ -11,17 +11,17 @@
 
 
 class OutcomeListener(NamedTuple):
-    """Who is told the outcome of an operation, and what the answer is made of."""
+    """Who is sent the outcome of an operation, and from what the answer is built."""
 
     address: str  # of the daemon that forwarded the request
     token: str  # of the request
-    answer_kind: str  # of the answer: a key of requests.OUTCOME_ANSWERS
-    context: Any  # what the shape needs beside the outcome
+    answer_kind: str  # a key of requests.OUTCOME_ANSWERS
+    context: Any  # what the answer needs in addition to the outcome
 
 
 class Proposals:
-    """Invariants: nobody waits unless this daemon leads; no operation is proposed that a member, by the
-    level it told last, does not know.
+    """Invariants: there are no listeners unless this daemon leads; no operation is proposed that some member,
+    by the level it last advertised, does not know.
     """
 
     def __init__(self, daemon: "ControlDaemon") -> None:
@@ -29,11 +29,13 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all, as a term begins or ends."""
-        self.listeners: dict[int, list[OutcomeListener]] = {}  # index of an entry -> who is told its outcome
+        """Resets all state, as a term begins or ends."""
+        self.listeners: dict[int, list[OutcomeListener]] = {}  # by index of the entry
 
     def propose_at(self, operation: tuple[Any, ...], now: float) -> int | None:
-        """Proposes, and says at which index; None when it is held back."""
+        """Proposes an operation and returns the index of its entry; None if some member does not know the
+        operation.
+        """
         if self.daemon.cluster_state.levels.get(operation[0], 1) > self.common_level():
             return None
         index: int = self.daemon.consensus.last_index() + 1
@@ -41,8 +43,9 @@
         return index
 
     def common_level(self) -> int:
-        """The level agreed on, or the lowest of the members if it is higher by now; one that has not
-        advertised its own counts as 1. What was agreed stays: a member that is away knew it then.
+        """The committed level, or the lowest level that the members advertise if that is higher by now. A
+        member that has not advertised its level counts as level 1. The committed level never falls, because a
+        member that is away now knew it when it was committed.
         """
         advertised = min(
             (
@@ -54,8 +57,8 @@
         return max(self.daemon.cluster_state.level, advertised)
 
     def propose(self, operation: tuple[Any, ...], listener: OutcomeListener | None, now: float) -> None:
-        """Puts one operation into the log; `waiting` is told the outcome. One that a member
-        does not know yet is held back.
+        """Proposes one operation for the log; `listener` is sent the outcome. An operation that some member
+        does not know yet is not proposed, and its request is refused.
         """
         if self.daemon.cluster_state.levels.get(operation[0], 1) > self.common_level():
             self.daemon.event(133, operation=operation[0], level=self.common_level())
@@ -76,7 +79,7 @@
         self.daemon.consensus_driver.execute(result[1], now)
 
     def _refuse_growth(self, operation: tuple[Any, ...], listener: OutcomeListener) -> None:
-        """Tells a caller at once that what it asks for would enlarge a state that is full."""
+        """Refuses at once a request that would enlarge a cluster state that is full."""
         self.daemon.event(136, operation=operation[0], bytes=self.daemon.consensus_driver.image_size())
         message = "the cluster state is as large as it may be; nothing was taken"
         refusal = problem(429, "state_full", message, constants.RETRY_AFTER)
