--- a/src/pinepitch/control/loss_tolerance.py
+++ b/src/pinepitch/control/loss_tolerance.py
@@ -1,4 +1,4 @@
-"""How many more control machines the cluster may lose now, and what keeps it from bearing more."""
+"""How many more control machines the cluster may lose now, and the obstacles to more."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class LossTolerance(NamedTuple):
-    """What may be lost next while the cluster still commits and elects.
+    """Which losses would leave the cluster able to commit and elect.
 
-    Invariants: -1 machines says that it can't even without another loss; any_zone says whether any one
-    whole zone may be lost; each obstacle is a sentence for people.
+    Invariants: -1 machines means that it can't even without another loss; any_zone says whether any one whole
+    zone may be lost; each obstacle is a sentence for operators.
     """
 
-    machines: int  # any so many
+    machines: int  # how many, whichever they are
     any_zone: bool
     obstacles: tuple[str, ...]
 
 
 def loss_tolerance(daemon: ControlDaemon, now: float) -> LossTolerance:
-    """As the leader sees it: voters that are not heard, or lack more of the log than a newcomer may, count
-    as lost already; while the members change both lists must bear the loss.
+    """The tolerance of losses as the leader sees it. Voters that are unreachable, or lack more of the log
+    than a newcomer may, count as lost already. During a change of members both lists must tolerate the loss.
     """
     consensus = daemon.consensus
     obstacles = {identity: why for identity in _voters(daemon) if (why := _obstacle(daemon, identity, now))}
--- a/src/pinepitch/control/membership.py
+++ b/src/pinepitch/control/membership.py
@@ -1,5 +1,5 @@
-"""Decisions on who votes: what a list of members may lose, who takes a leaving voter's seat, and
-how long a voter must be unheard before a newcomer takes its place. Pure functions and values.
+"""Decisions on the list of voters: which losses a list tolerates, who takes the slot of a leaving voter, and
+how long a voter must be unreachable before a newcomer replaces it. Pure functions and values.
 """
 
 import functools
@@ -14,17 +14,17 @@
 
 
 class Tolerance(NamedTuple):
-    """What a list of members can lose next and still both commit and elect; larger is better.
+    """The next losses after which a list of members can still both commit and elect; larger is better.
 
-    Invariant: -1 machines says that it can't even without another loss.
+    Invariant: -1 machines means that it can't even without another loss.
     """
 
-    machines: int  # any so many
-    zones: bool  # whether any one whole zone
+    machines: int  # how many, whichever they are
+    zones: bool  # whether any one whole zone may be lost
 
 
 def _can_commit_and_elect(quorum: Quorum, live: Collection[str]) -> bool:
-    """Whether those live can commit and elect, whoever of them leads."""
+    """Whether the live members can commit and elect, whoever of them leads."""
     groups = quorum.majorities(live)
     if quorum.mode == "dynamic":
         return bool(groups == set(quorum.groups()))
@@ -32,7 +32,7 @@
 
 
 def tolerance(quorum: Quorum, live: Collection[str]) -> Tolerance:
-    """What may be lost next of the members that are live."""
+    """The further losses that the live members tolerate."""
     live_members = frozenset(quorum.members) & frozenset(live)
     return _tolerance(tuple(sorted(quorum.members.items())), quorum.mode, live_members)
 
@@ -57,7 +57,7 @@
 
 
 def with_replacement(members: Members, leaver: str, newcomer: str, zone: str) -> Members:
-    """The members once `newcomer`, of `zone`, has the seat of `leaver`."""
+    """The members after `newcomer`, of `zone`, has taken the slot of `leaver`."""
     return {
         **{member: member_zone for member, member_zone in members.items() if member != leaver},
         newcomer: zone,
@@ -67,7 +67,7 @@
 def _tolerances(
     quorum: Quorum, members: Mapping[str, str], live: Collection[str]
 ) -> tuple[Tolerance, Tolerance]:
-    """What the list of `quorum` can lose, and what `members` could."""
+    """The tolerance of the list of `quorum`, and that of `members`."""
     return tolerance(quorum, live), tolerance(Quorum(dict(members), quorum.mode), live)
 
 
@@ -76,14 +76,14 @@
 
 
 def retains_tolerance(quorum: Quorum, members: Mapping[str, str], live: Collection[str]) -> bool:
-    """Whether the list `members` can lose as much as that of `quorum` can now, by machines and by zones."""
+    """Whether the list `members` tolerates as many losses as that of `quorum`, by machines and by zones."""
     return _no_worse(*_tolerances(quorum, members, live))
 
 
 def successor(quorum: Quorum, leaver: str, spares: Mapping[str, str], live: Collection[str]) -> str | None:
-    """The spare (identity -> zone, in order) that may take the leaver's seat: one of its zone, or in
-    single mode, where a zone is no group, any that leaves as much to lose as the leaver itself would
-    once it is back. None without one.
+    """The spare (identity -> zone, in order) that may take the slot of a leaving voter, or None. It is one of
+    the same zone. In single mode, where a zone is not a group, it may also be any spare that leaves the
+    cluster as tolerant of losses as the leaving voter would once it is back.
     """
     zone = quorum.members[leaver]
     present = set(live) | {leaver}
@@ -99,24 +99,28 @@
 def improves_tolerance(
     quorum: Quorum, replaced: str, newcomer: str, zone: str, live: Collection[str]
 ) -> bool:
-    """Whether a newcomer of another zone in a member's seat leaves more to lose, and no less in any way."""
+    """Whether a newcomer of another zone in a member's slot increases the tolerance and lessens no part of
+    it.
+    """
     members = with_replacement(quorum.members, replaced, newcomer, zone)
     before, after = _tolerances(quorum, members, live)
     return after != before and _no_worse(before, after)
 
 
 class ReplacementBudget(NamedTuple):
-    """Where the time goes that a lost voter's successor has from its start until it may be needed.
+    """How the time is divided in which a newly started replacement of a lost voter must become a voter.
 
-    Invariant: what the parts take in sum, the silence included, is within catch_up.
+    Invariant: all steps together, including the time for which the lost voter must be unreachable, take at
+    most catch_up.
     """
 
-    catch_up: float  # seconds; what the platform grants
+    catch_up: float  # seconds; the time that the platform allows
     longest_change: float  # seconds; the longest joint change measured here
 
     def replace_after(self) -> float:
-        """For how many seconds a voter must be unheard before a newcomer takes its seat: what joining,
-        catching up and the joint change leave, with the change counted twice as another may be under way.
+        """For how many seconds a voter must be unreachable before a newcomer takes its slot: the time that
+        joining, catching up and the joint change leave. The change counts twice because another may be in
+        progress.
         """
         change = max(self.longest_change, constants.CHANGE_WITHIN)
         remaining = self.catch_up - constants.JOIN_WITHIN - constants.CATCH_UP_WITHIN - 2 * change
@@ -124,9 +128,9 @@
 
 
 class Leave(NamedTuple):
-    """What a leader knows of a voter that said it stops.
+    """What a leader knows of a voter that announced that it stops.
 
-    Invariant: kept is what the voter was told last of its seat, None for nothing yet.
+    Invariant: `retained` is what the voter was last sent about its slot, None for nothing yet.
     """
 
     since: float  # seconds of the leader's clock
@@ -134,27 +138,26 @@
 
 
 class Departure:
-    """A stopping control daemon's wait until it is decided who gets its seat.
+    """A stopping control daemon's wait for the decision on who takes its voter slot.
 
-    Invariants: it ends at the latest `within` after it began, and soon if no leader says anything.
+    Invariants: it ends at most `within` seconds after it began, and earlier if no leader answers.
     """
 
     def __init__(self, now: float, within: float) -> None:
         self.started_at, self.within = now, within
         self.announced_at = -1e9
-        self.retained: bool | None = (
-            None  # what the leader said: True keeps the seat for it, False gives it to a spare
-        )
+        # the leader's answer: True retains the slot for this voter, False gives it to a spare
+        self.retained: bool | None = None
 
     def due(self, now: float) -> bool:
-        """Whether the leave is to be told again."""
+        """Whether the leave must be announced again."""
         if self.retained is not None or now - self.announced_at < constants.GREET_EVERY:
             return False
         self.announced_at = now
         return True
 
     def finished(self, now: float, member: bool, leading: bool) -> bool:
-        """Whether the process may end: `member` says whether it still votes by what it knows."""
+        """Whether the process may end; `member` says whether it still votes, as far as it knows."""
         waited = now - self.started_at
         if waited >= self.within or not member or self.retained:
             return True
--- a/src/pinepitch/control/membership_changes.py
+++ b/src/pinepitch/control/membership_changes.py
@@ -1,4 +1,4 @@
-"""Who joins, who leaves, and who has whose voter seat: what the leader changes by joint consensus."""
+"""Membership changes that the leader makes by joint consensus: who joins, who leaves, who replaces whom."""
 
 from typing import TYPE_CHECKING
 
@@ -12,22 +12,22 @@
 
 
 class MembershipChanges:
-    """Invariants: one change is under way at a time; `leaving` holds only daemons that said that they
-    stop.
+    """Invariants: one change is in progress at a time; `leaving` contains only daemons that announced that
+    they stop.
     """
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
-        self.leaving: dict[str, membership.Leave] = {}  # control daemon that stops -> what is known of it
-        self.last_change_duration = 0.0  # seconds; of the newest joint change that this daemon led
+        self.leaving: dict[str, membership.Leave] = {}  # by identity of the stopping control daemon
+        self.last_change_duration = 0.0  # seconds; duration of the newest joint change that this daemon led
         self.clear()
 
     def clear(self) -> None:
-        """Forgets what exists only while leading."""
-        self.change_started_at: float | None = None  # when the joint change under way was proposed
+        """Resets the state that belongs to a leader."""
+        self.change_started_at: float | None = None  # when the joint change in progress was proposed
 
     def maintain(self, now: float) -> None:
-        """Lets caught-up newcomers in and long lost members out, by joint consensus."""
+        """Admits caught-up newcomers and removes members lost for long, by joint consensus."""
         consensus = self.daemon.consensus
         self._measure_change(now)
         live = {session.identity for session in self.daemon.sessions.live("accord")} - set(self.leaving)
@@ -43,7 +43,7 @@
             self._propose_members(change, now)
 
     def _wanted_members(self, members: Members, live: set[str], now: float) -> Members | None:
-        """The members that are to follow, or None while these are right."""
+        """The next list of members, or None if no change is needed."""
         caught_up = {
             peer: zone
             for peer, zone in self.daemon.consensus.learners.items()
@@ -72,17 +72,19 @@
         return None
 
     def _unreachable_seconds(self, identity: str, now: float) -> float:
-        """How long a member that is out of session was not heard, as far as this daemon can tell."""
+        """How long a member without a session has been unreachable, as far as this daemon can tell."""
         return now - max(self.daemon.sessions.last_seen(identity), self.daemon.first_tick_at or 0.0)
 
     def _measure_change(self, now: float) -> None:
-        """Measures how long the joint change that this daemon leads takes."""
+        """Measures the duration of the joint change that this daemon leads."""
         if self.change_started_at is None or self.daemon.consensus.changing():
             return
         self.last_change_duration, self.change_started_at = now - self.change_started_at, None
 
     def _notify_leaving_voters(self, live: set[str], now: float) -> None:
-        """Tells each stopping voter whether a spare is to have its seat, and forgets those long gone."""
+        """Notifies each stopping voter whether a spare will take its slot, and forgets voters that left long
+        ago.
+        """
         members = self.daemon.consensus.membership.members()
         spares = {
             learner: zone
@@ -102,8 +104,8 @@
     def _admission(
         self, identity: str, zone: str, members: Members, unreachable_for: dict[str, float], live: set[str]
     ) -> Members | None:
-        """The members once a newcomer is in: in a lost one's seat, its own zone's first, or in a zone
-        without any; else None, and it stays a spare that follows the log.
+        """The members after a newcomer is admitted: in the slot of a lost member, preferably of its own zone,
+        or in a zone without any member. Otherwise None, and the newcomer stays a spare that follows the log.
         """
         address = self.daemon.sessions.address(identity)
         replaceable = [member for member in members if self.daemon.sessions.address(member) == address]
@@ -127,18 +129,19 @@
             replaced = max(replaceable, key=lambda member: (unreachable_for.get(member, 0.0), member))
             return membership.with_replacement(members, replaced, identity, zone)
         if self.daemon.mode == "single":
-            # so many that any two lost leave a majority, and no zone as many as would be missed
+            # enough voters that losing any two leaves a majority, and no zone with enough to break it
             zone_voters = sum(member == zone for member in members.values())
             if len(members) < self.daemon.voters and zone_voters < (self.daemon.voters - 1) // 2:
                 return {**members, identity: zone}
             return self._rebalance_zones(identity, zone, members, live)
         if zone in members.values() or len(members) >= constants.MAX_CLUSTER_MEMBERS:
-            return None  # a spare: a group of two would need both, so it waits for a loss
+            return None  # a spare: a group of two would need both members, so it waits for a loss
         return {**members, identity: zone}
 
     def _rebalance_zones(self, identity: str, zone: str, members: Members, live: set[str]) -> Members | None:
-        """The members once a newcomer has the seat of one whose zone holds several, as after a loss that
-        one of another zone stood in for; None where that leaves no more to lose.
+        """The members after a newcomer takes the slot of a member whose zone has several, for example after a
+        loss for which a member of another zone was substituted. None if that would not improve the tolerance
+        of losses.
         """
         for member, member_zone in sorted(members.items()):
             zone_has_several = sum(other_zone == member_zone for other_zone in members.values()) > 1
@@ -158,7 +161,7 @@
             self.daemon.consensus_driver.execute(result[1], now)
 
     def on_join(self, identity: str, zone: str, address: str, now: float) -> None:
-        """A daemon asks to join: it follows the log as a learner from now on, where there is a place."""
+        """Handles a request to join: the daemon becomes a learner that follows the log, if a slot is free."""
         consensus = self.daemon.consensus
         if consensus is None or consensus.role != "leader" or not consensus.serving():
             return
@@ -172,14 +175,14 @@
         self.daemon.send(address, ("admit", self.daemon.cluster, self.daemon.mode, self.daemon.identity))
 
     def _forget_lost_learners(self) -> None:
-        """Makes a place free among the learners: one without a session asks again if it comes back."""
+        """Frees learner slots. A learner without a session asks again if it comes back."""
         consensus = self.daemon.consensus
         live = {session.identity for session in self.daemon.sessions.live("accord")}
         for identity in set(consensus.learners) - live - set(consensus.membership.members()):
             consensus.forget_learner(identity)
 
     def on_leave(self, identity: str, now: float) -> None:
-        """A daemon ends its session itself."""
+        """Handles a daemon that ends its session itself."""
         if self.daemon.sessions.by_identity.pop(identity, None):
             self.daemon.event(141, daemon=identity)
         if self.daemon.consensus is not None and identity in self.daemon.consensus.membership.members():
--- a/src/pinepitch/control/stopping.py
+++ b/src/pinepitch/control/stopping.py
@@ -1,4 +1,4 @@
-"""How a control daemon stops: it hands leadership and its seat on, and takes leave."""
+"""How a control daemon stops: it hands over leadership and its voter slot, and announces its leave."""
 
 from typing import TYPE_CHECKING
 
@@ -9,18 +9,20 @@
 
 
 class Shutdown:
-    """Invariant: `core.departure` is set once the daemon is stopping."""
+    """Invariant: `daemon.departure` is set once the daemon is stopping."""
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
 
     def on_slot(self, retained: bool, now: float) -> None:
-        """The leader says whether this stopping voter's seat is kept for it or goes to a spare."""
+        """Handles the leader's decision whether this stopping voter retains its slot or a spare gets it."""
         if self.daemon.departure is not None:
             self.daemon.departure.retained = retained
 
     def on_stop(self, now: float) -> None:
-        """SIGTERM: hands leadership to a voter that holds all, leaves the session, finishes nothing new."""
+        """Handles SIGTERM: hands leadership to a voter with the whole log, ends the session, and finishes
+        nothing new.
+        """
         daemon = self.daemon
         daemon.stopping = True
         daemon.departure = membership.Departure(now, daemon.leave_within)
@@ -33,12 +35,12 @@
         self.announce_leave()
 
     def announce_leave(self) -> None:
-        """Tells the other control daemons that this one stops."""
+        """Announces to the other control daemons that this one stops."""
         for session in self.daemon.sessions.live("accord"):
             self.daemon.send(session.address, ("leave", self.daemon.identity))
 
     def may_end(self, now: float) -> bool:
-        """Whether a stopping process may end as far as its seat and its leadership go."""
+        """Whether a stopping process may exit as far as its voter slot and its leadership are concerned."""
         daemon = self.daemon
         if daemon.departure is None or daemon.consensus is None:
             return True
