--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -1,7 +1,8 @@
-"""Placing: which waiting task goes to which worker, and who yields to whom.
+"""Placement of pushed jobs: which waiting task is placed on which worker, and which runs yield to which
+tasks.
 
-A decider: it reads the cluster state and the workers heard of and returns proposals; the cluster
-state checks each again when it is applied.
+The placer is a pure decider: it reads the cluster state and the reported workers and returns proposals. The
+cluster state checks each of them again when it is applied.
 """
 
 from __future__ import annotations
@@ -35,18 +36,18 @@
     from ..model.pushed_job import PushedJob
     from ..state.cluster_state import ClusterState
 
-FrontDaemons = list[tuple[str, str]]  # [(identity, zone), ...] of those with a session
+FrontDaemons = list[tuple[str, str]]  # [(identity, zone), ...] of the front daemons with a session
 
 ReadyUnits = dict[Shape, list[tuple[float, int, str]]]  # shape -> (due, number of the job, unit), sorted
 
-SHORTAGE_REASONS = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # what ends in capacity being kept back
+SHORTAGE_REASONS = (NO_CAPACITY, NO_CREDITS, QUEUE_LIMIT)  # reasons after which capacity is reserved
 
 
 class Placer:
-    """Invariants: proposed holds each reference proposed and not yet applied, so that no
-    round proposes one twice; why holds, for a shape of which the newest round placed not
-    all, the reason; short holds when each unit that now lacks capacity, credits or a place
-    under its limit was first seen to.
+    """Invariants: `proposed` contains each reference that is proposed and not yet applied, so that no round
+    proposes it twice; `reasons` contains the reason for each shape of which the newest round did not place
+    all units; `short_since` contains when each unit was first seen to lack capacity, credits or space under
+    its queue's limit.
     """
 
     def __init__(self) -> None:
@@ -54,7 +55,7 @@
         self.reasons: dict[tuple[str, Shape], str] = {}
         self.short_since: dict[UnitKey, float] = {}
         self._worker_of: dict[str, str] = {}
-        self.front_daemon_turn = 0  # of the front daemons, which send orders in turn
+        self.front_daemon_turn = 0  # counts up: front daemons send orders in turn
 
     def run_round(
         self,
@@ -64,8 +65,8 @@
         now: float,
         time: float,
     ) -> tuple[tuple[tuple[Any, ...], ...], tuple[YieldItem, ...]]:
-        """(place items, yield items) of one round, as the log holds them; `now` is this daemon's clock,
-        `time` the cluster's, both in seconds.
+        """Runs one scheduling round and returns (place items, yield items) in the form in which the log
+        stores them. `now` is this daemon's clock and `time` the cluster's, both in seconds.
         """
         cluster_state.promote_due_units(time)
         this_round = PlacementRound(*self._candidate_workers(cluster_state, workers, now))
@@ -103,17 +104,17 @@
             self.proposed[item.reference] = (item.charges, job.queue, job.tasks[name].units)
 
     def reason(self, cluster_state: ClusterState, job: PushedJob, name: str) -> str:
-        """Why a task that could start was not placed by the newest round."""
+        """Why a startable task was not placed by the newest round."""
         slot = cluster_state.slots.get((job.identity, unit_of(job.tasks[name])))
         return self.reasons.get((slot[1], slot[3]), "not yet looked at") if slot else "its gang is not ready"
 
-    # --- what is kept back ------------------------------------------------------------
+    # --- reservations -----------------------------------------------------------------
     def _reserve_for_oldest(
         self, cluster_state: ClusterState, this_round: PlacementRound, now: float
     ) -> list[StartableUnit]:
-        """For the unit of each queue that has been short the longest, and long enough:
-        capacity on the workers where it will fit first, and its queue's credits and limit.
-        Others still get what is left beside that, which delays it by nothing.
+        """Reserves capacity, credits and space under the limit for one unit of each queue: the one that has
+        been short the longest, and long enough. The capacity is reserved on the workers where the unit will
+        fit first. Other units can still use what is not reserved, which does not delay the unit.
         """
         self.short_since = {
             key: since for key, since in self.short_since.items() if key in cluster_state.slots
@@ -143,8 +144,8 @@
     def _candidate_workers(
         self, cluster_state: ClusterState, workers: dict[str, PushWorker], now: float
     ) -> tuple[list[CandidateWorker], dict[str, int]]:
-        """Workers that may get work, and the units free on each: every reservation in the cluster
-        state and every one proposed is taken off.
+        """Workers that may get tasks, and the free units of each: its capacity less every reservation in the
+        cluster state and every proposed one.
         """
         candidates, free = [], {}
         pending = self._proposed_units()
@@ -167,7 +168,7 @@
         return candidates, free
 
     def _proposed_units(self) -> dict[str | None, int]:
-        """Worker -> units proposed there, not yet applied."""
+        """Worker -> units that are proposed there and not yet applied."""
         pending: dict[str | None, int] = {}
         for ref, (_, _, units) in self.proposed.items():
             worker = self._worker_of.get(ref)
@@ -175,8 +176,8 @@
         return pending
 
     def _startable_units(self, cluster_state: ClusterState) -> Iterator[StartableUnit]:
-        """What could start now: most urgent first, queues in turn by how little of their
-        share they use, within a queue by due. A shape of which one did not fit is left.
+        """Units that could start now: the most urgent first, then queues by how little of their share they
+        use, and within a queue by due. Once a unit of a shape did not fit, the rest of that shape is skipped.
         """
         levels_in_order: list[tuple[int, float, str, ReadyUnits]] = []
         for queue, levels in cluster_state.ready_units.items():
@@ -218,7 +219,9 @@
         this_round: PlacementRound,
         front_daemons: FrontDaemons,
     ) -> list[PlaceItem] | str:
-        """Items for all tasks of a unit, which are counted in the round, or the reason why not."""
+        """The place items for all tasks of a unit, which are then counted in the round, or the reason why it
+        does not fit.
+        """
         job, queue = startable.job, startable.job.queue
         units = sum(job.tasks[name].units for name in startable.names)
         reserved = this_round.reserved_for_others(this_round.reserved_in_queues, queue, startable)
@@ -250,7 +253,9 @@
     def _place_item(
         self, ref: str, candidate: CandidateWorker, charges: Charges, front_daemons: FrontDaemons
     ) -> PlaceItem:
-        """A task on a worker, its order sent by one of the front daemons of the zone in turn."""
+        """The place item of a task on a worker. Front daemons of the worker's zone take turns to send orders,
+        or all front daemons if the zone has none.
+        """
         self.front_daemon_turn += 1
         senders = [identity for identity, zone in front_daemons if zone == candidate.zone] or [
             identity for identity, _ in front_daemons
@@ -268,15 +273,15 @@
         )
 
     def forget_proposed(self, references: Iterable[str]) -> None:
-        """Hears that proposed items were applied or lost with their leader."""
+        """Forgets proposed items that were applied or lost with their leader."""
         for ref in references:
             self.proposed.pop(ref, None)
             self._worker_of.pop(ref, None)
 
 
 def _reservation_delay(cluster_state: ClusterState, job: PushedJob, unit: str, names: Sequence[str]) -> float:
-    """For how many seconds a unit is short before capacity is kept back for it: less for a queue that
-    preempts, and for the rest of a gang of which some run already.
+    """For how many seconds a unit must be short before capacity is reserved for it. The time is shorter for a
+    queue that preempts, and for the remaining tasks of a gang of which some run already.
     """
     is_gang = unit[0] == "/"
     partly_running = is_gang and len(names) < sum(task.gang == unit[1:] for task in job.tasks.values())
--- a/src/pinepitch/control/placement_round.py
+++ b/src/pinepitch/control/placement_round.py
@@ -1,4 +1,4 @@
-"""What one placing round knows and counts: seats, free units, credits lent, and what is kept back."""
+"""State of one scheduling round: candidate workers, free units, lent credits, and reservations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     from ..model.task import Task
     from ..state.cluster_state import ClusterState
 
-# why a unit is not placed; callers see these words
+# Reasons why a unit is not placed, as shown to callers.
 NO_CAPACITY = "no room"
 NO_CREDITS = "no credits"
 QUEUE_LIMIT = "the queue's limit"
@@ -20,19 +20,19 @@
 
 Charges = tuple[tuple[str, int], ...]  # ((queue, credits that it lends), ...)
 UnitKey = tuple[str, str]  # (job, start unit)
-ReservedUnits = dict[str, tuple[int, UnitKey]]  # worker or queue -> (units kept back, for whom)
-Shape = tuple[Any, ...]  # units and labels of each task of a unit: what none fits of, none fits
+ReservedUnits = dict[str, tuple[int, UnitKey]]  # worker or queue -> (reserved units, unit that they are for)
+Shape = tuple[Any, ...]  # units and labels of each task; if one unit of a shape does not fit, none does
 
 
 class CandidateWorker(NamedTuple):
-    """A worker as one placing round sees it."""
+    """A worker as one scheduling round sees it."""
 
     worker: str
     zone: str
-    capacity: int  # units in all
+    capacity: int  # total units
     labels: frozenset[str]
     incarnation: str
-    poor: bool  # on trial: it gets one task at a time
+    poor: bool  # on trial: gets one task at a time
     address: str
 
 
@@ -42,61 +42,62 @@
     job: PushedJob
     unit: str
     names: tuple[str, ...]
-    shape: tuple[str, Shape]  # with its queue
+    shape: tuple[str, Shape]  # (queue, shape)
 
     @property
     def key(self) -> UnitKey:
-        """What tells it from other units."""
+        """Its identity among all units."""
         return (self.job.identity, self.unit)
 
     def largest_first(self) -> list[str]:
-        """Its tasks in the order in which they get their workers."""
+        """Its tasks in the order in which they are assigned to workers."""
         return largest_first(self.job, self.names)
 
 
 class PlaceItem(NamedTuple):
-    """One task on one worker, as proposed. The log holds it as an array in this order."""
+    """One task on one worker, as proposed. The log stores it as an array in this order."""
 
     reference: str
     worker: str
     zone: str
     capacity: int
     incarnation: str
-    front_daemon: str  # the one that is to send the start order
+    front_daemon: str  # sends the start order
     charges: Charges
     address: str
 
 
 def largest_first(job: PushedJob, names: Iterable[str]) -> list[str]:
-    """Tasks of a job by falling units, as the largest are the hardest to fit."""
+    """Tasks of a job by decreasing units, because the largest are the hardest to fit."""
     return sorted(names, key=lambda name: (-job.tasks[name].units, name))
 
 
 class PlacementRound:
-    """One round. Invariants: free counts every reservation in the cluster state, every one
-    proposed, and those of this round; what is kept back is for the unit named alone.
+    """One scheduling round. Invariants: `free` accounts for every reservation in the cluster state, every
+    proposed one, and those of this round; reserved units may only be used by the unit that they are reserved
+    for.
     """
 
     def __init__(self, candidates: list[CandidateWorker], free: dict[str, int]) -> None:
         self.candidates, self.free = candidates, free
-        self.borrowed: dict[str, int] = {}  # queue -> credits lent, proposed ones with them
-        self.used: dict[str, int] = {}  # queue -> units placed, proposed ones with them
-        self.reserved_on_workers: ReservedUnits = {}  # by worker: of its capacity
-        self.reserved_in_queues: ReservedUnits = {}  # by queue: of its credits and its limit
+        self.borrowed: dict[str, int] = {}  # queue -> credits lent, including proposed ones
+        self.used: dict[str, int] = {}  # queue -> units placed, including proposed ones
+        self.reserved_on_workers: ReservedUnits = {}  # worker -> reserved part of its capacity
+        self.reserved_in_queues: ReservedUnits = {}  # queue -> reserved part of its credits and limit
 
     def count_placed(self, charges: Iterable[tuple[str, int]], queue: str, units: int) -> None:
-        """Counts units of a queue as placed, on these credits."""
+        """Counts units of a queue as placed, paid for by these credits."""
         self.used[queue] = self.used.get(queue, 0) + units
         for lender, credits in charges:
             self.borrowed[lender] = self.borrowed.get(lender, 0) + credits
 
     def reserved_for_others(self, reserved_units: ReservedUnits, key: str, startable: StartableUnit) -> int:
-        """Units that are kept back from `wanted`."""
+        """Units that are reserved under `key` for a unit other than `startable`."""
         reservation = reserved_units.get(key)
         return 0 if reservation is None or reservation[1] == startable.key else reservation[0]
 
     def find_reservation(self, job: PushedJob, names: tuple[str, ...]) -> dict[str, int] | None:
-        """Worker -> units to keep back for a unit, where most is free; None if it fits nowhere."""
+        """Worker -> units to reserve for a unit, where most units are free; None if it fits nowhere."""
         taken: dict[str, int] = {}
         for name in largest_first(job, names):
             task = job.tasks[name]
@@ -116,7 +117,7 @@
         return taken
 
     def _reservation_rank(self, candidate: CandidateWorker, taken: dict[str, int]) -> tuple[int, int, str]:
-        """How good a worker is to keep units back on: most free units, fewest labels."""
+        """Rank of a worker for a reservation: most free units first, then fewest labels."""
         return (
             self.free[candidate.worker] - taken.get(candidate.worker, 0),
             -len(candidate.labels),
@@ -126,8 +127,9 @@
     def choose_worker(
         self, task: Task, startable: StartableUnit, taken: dict[str, int]
     ) -> CandidateWorker | str:
-        """The seat for a task: the one with most capacity left, so that load spreads; seats
-        with labels that the task does not ask for come last, so that they stay free.
+        """The worker for a task, or the reason why there is none. Prefers the worker with most free capacity,
+        so that load is balanced. Workers with labels that the task does not ask for come last, so that they
+        stay free.
         """
         best, best_rank, any_fits = None, None, False
         labels = frozenset(task.labels)
@@ -154,9 +156,9 @@
     def charges(
         self, cluster_state: ClusterState, job: PushedJob, units: int, lent: dict[str, int], reserved: int
     ) -> Charges | None:
-        """Who lends the credits for a task: the queue itself but for what it keeps, then the queues
-        with most idle; None if they don't suffice. A feed has no end, so it never borrows.
-        `lent` holds what the unit's earlier tasks took, and is added to.
+        """The queues that lend the credits for a task: first the queue itself, except for its reserved
+        credits, then the queues with most idle credits; None if they don't suffice. A feed has no end, so it
+        never borrows. `lent` contains what earlier tasks of the unit took, and is updated.
         """
 
         def balance(queue: str) -> int:
@@ -184,7 +186,7 @@
 
 
 def _lenders(cluster_state: ClusterState, borrower: str) -> list[str]:
-    """The other queues that lend and have nothing ready of their own."""
+    """The other queues that lend and have no ready tasks of their own."""
     return [
         queue
         for queue, queue_settings in cluster_state.queue_settings.items()
--- a/src/pinepitch/control/preemption.py
+++ b/src/pinepitch/control/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which running tasks should yield to more urgent ones that a placing round left waiting."""
+"""Preemption: which running tasks should yield to more urgent tasks that a scheduling round left waiting."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     from ..state.cluster_state import ClusterState
     from .placement_round import PlacementRound, Shape
 
-YieldItem = tuple[str, int, str]  # (task reference, attempt, reference of whom it yields to)
+YieldItem = tuple[str, int, str]  # (task reference, attempt, reference of the task that it yields to)
 
 
 class Preemption:
-    """The preemption of one round. Invariant: named holds every task that yields already,
-    agreed on or found here, so that none is asked for twice.
+    """The preemption of one round. Invariant: `asked_to_yield` contains every task that yields already,
+    committed or chosen here, so that none is asked twice.
     """
 
     def __init__(
@@ -32,13 +32,13 @@
         proposed: Container[str],
     ) -> None:
         self._cluster_state, self._round = cluster_state, this_round
-        self._reasons = reasons  # (queue, shape) -> why the round left one waiting
-        self._proposed = proposed  # references proposed, not yet applied
+        self._reasons = reasons  # (queue, shape) -> why the round left units waiting
+        self._proposed = proposed  # references that are proposed and not yet applied
         self.asked_to_yield = set(cluster_state.yielding)
 
     def yield_items(self, time: float) -> Iterator[YieldItem]:
-        """Who should yield to urgent tasks that found no capacity or whose own credits were lent;
-        `time` is the cluster's, in seconds.
+        """The runs that should yield to urgent tasks that found no capacity or whose queue's credits are lent
+        out; `time` is the cluster's, in seconds.
         """
         served = {
             task_record[2].yields_to
@@ -59,8 +59,8 @@
                 yield (ref, self._cluster_state.find_known(ref)[2].attempt, beneficiary)
 
     def _preempting_tasks(self) -> Iterator[tuple[PushedJob, str, str]]:
-        """(job, task name, why) of the oldest single tasks of queues that preempt which found
-        no capacity, or whose credits are lent out.
+        """(job, task name, reason) of the oldest single tasks of preempting queues that found no capacity, or
+        whose credits are lent out.
         """
         for (queue, shape), reason in self._reasons.items():
             preempts = self._cluster_state.queue_settings[queue].preempts
@@ -74,7 +74,7 @@
                         yield job, unit, reason
 
     def _fewest_on_one_worker(self, job: PushedJob, task: Task) -> list[str] | None:
-        """The fewest tasks of one worker whose ends would free enough for a task."""
+        """The fewest tasks of one worker whose ends would free enough units for a task."""
         best = None
         labels = frozenset(task.labels)
         for candidate in self._round.candidates:
@@ -87,7 +87,7 @@
         return best
 
     def _borrowers(self, job: PushedJob, task: Task) -> list[str] | None:
-        """Borrowers of a queue's own credits whose end would bring enough of them back."""
+        """Borrowers of a queue's own credits whose ends would return enough of them."""
         returned_credits = {}
         for reserved in self._cluster_state.reserved.values():
             for ref in reserved:
@@ -100,9 +100,9 @@
         )
 
     def _victims(self, job: PushedJob, freed_by_task: Mapping[str, int], missing: int) -> list[str] | None:
-        """The least urgent, newest of the tasks in `gains` (reference -> what its end gives)
-        that may be made to yield to a job and together give what is missing; None when
-        they don't, or nothing is missing.
+        """The least urgent and newest of the tasks in `freed_by_task` (reference -> what its end frees) that
+        may yield to a job and together free what is missing. None if they don't suffice, or if nothing is
+        missing.
         """
         running = {ref: self._cluster_state.find_known(ref) for ref in freed_by_task}
         victims = []
@@ -118,11 +118,11 @@
         return victims if victims and missing <= 0 else None
 
     def _may_yield(self, other: PushedJob, task: Task, job: PushedJob) -> bool:
-        """Whether a running task of another job may be made to yield to a job: no part of a gang does."""
+        """Whether a running task of another job may be asked to yield to a job. A task of a gang never is."""
         queue_settings = self._cluster_state.queue_settings[other.queue]
         return other.urgency < job.urgency and queue_settings.yields and not task.gang
 
 
 def _urgency_and_age(job: PushedJob, task: Task, standing: Standing) -> tuple[int, float]:
-    """What of the running tasks yields first: the least urgent, of these the newest."""
+    """The order in which running tasks yield: the least urgent first, and of these the newest."""
     return (job.urgency, -standing.since)
