--- a/src/pinepitch/control/requests/__init__.py
+++ b/src/pinepitch/control/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that daemons forward to the leader, one module a subject; `registry.py` names them all."""
+"""Requests that daemons forward to the leader, one module per subject; `registry.py` lists them all."""
 
 from .registry import OUTCOME_ANSWERS, REQUESTS, Request
 
--- a/src/pinepitch/control/requests/cluster.py
+++ b/src/pinepitch/control/requests/cluster.py
@@ -1,4 +1,4 @@
-"""Requests that read the state of the cluster: queues, members, metrics, pauses, what runs."""
+"""Requests that read the state of the cluster: queues, members, metrics, pauses, placed tasks."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 # --- queues --------------------------------------------------------------------------
 def pending(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """What waits and runs at each queue, beside its settings."""
+    """The waiting and running work of each queue, with its settings."""
     cluster_state = daemon.cluster_state
     queues = [_queue_view(cluster_state, queue) for queue in sorted(cluster_state.queue_settings)]
     return Answer(200, {"queues": queues})
@@ -87,13 +87,13 @@
 
 
 def _leads_since(daemon: ControlDaemon, now: float) -> float:
-    """When this leader began to lead, in seconds of the cluster's clock."""
+    """When this leader began to lead, in seconds of cluster time."""
     begun = now if daemon.leader_since is None else daemon.leader_since
     return daemon.cluster_time(now) - (now - begun)
 
 
 def _may_lose(daemon: ControlDaemon, now: float) -> dict[str, Any]:
-    """How many more control machines may be lost now, and what stands in the way of more."""
+    """How many more control machines may be lost now, and the obstacles to more."""
     machines, any_zone, obstacles = loss_tolerance(daemon, now)
     return {"machines": machines, "zone": any_zone, "obstacles": list(obstacles)}
 
@@ -120,7 +120,7 @@
 
 # --- counts --------------------------------------------------------------------------
 def read_counts(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """Counts of jobs, entries and messages, for the command line and for soaks."""
+    """Counts of jobs, entries and messages, for the command line and for soak tests."""
     cluster_state, consensus = daemon.cluster_state, daemon.consensus
     document = {
         "tickets": _jobs_by_state(cluster_state),
@@ -140,7 +140,7 @@
 
 
 def _jobs_by_state(cluster_state: ClusterState) -> dict[str, int]:
-    """How many pushed jobs are in each state, archived ones with them."""
+    """How many pushed jobs are in each state, including archived jobs."""
     states = dict(cluster_state.archive.states)
     for job in cluster_state.pushed_jobs.values():
         states[job.state] = states.get(job.state, 0) + 1
@@ -148,7 +148,7 @@
 
 
 def read_log_index(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """How far the log is, confirmed: what was acknowledged before has no higher index."""
+    """The confirmed index of the log: whatever was acknowledged before has no higher index."""
     return Answer(200, {"index": daemon.cluster_state.index})
 
 
--- a/src/pinepitch/control/requests/drafts.py
+++ b/src/pinepitch/control/requests/drafts.py
@@ -12,13 +12,13 @@
     from ...state.cluster_state import ClusterState
     from ..daemon import ControlDaemon
 
-# what of a draft callers see, in this order
+# the fields of a draft that callers see, in this order
 DRAFT_FIELDS = ("draft", "base", "patch", "who", "why", "time", "state", "measure")
 
 
 # --- reading -------------------------------------------------------------------------
 def draft_view(cluster_state: ClusterState, identity: str) -> dict[str, Any]:
-    """A draft as operators see it; `stale` says that another version came into force since."""
+    """A draft as operators see it; `stale` says that another version became active since."""
     draft = cluster_state.drafts[identity]
     return {
         "cells": _changed_cells(cluster_state, draft),
@@ -28,7 +28,7 @@
 
 
 def _changed_cells(cluster_state: ClusterState, draft: dict[str, Any]) -> list[list[Any]]:
-    """[cell, value in the version that the draft builds on, value in the draft] of all that it changes."""
+    """[cell, value in the version that the draft is based on, value in the draft] of every changed cell."""
     configuration = cluster_state.queue_configurations.read(draft["base"])
     assert configuration is not None, "the history keeps every version"
     base = configuration["queues"]
@@ -44,19 +44,19 @@
 
 
 def _number(identity: str) -> int:
-    """The number of a draft, by which drafts are listed."""
+    """The number of a draft; drafts are listed in this order."""
     return int(identity[1:])
 
 
 def list_drafts(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """All drafts that are kept, the oldest first."""
+    """All stored drafts, the oldest first."""
     cluster_state = daemon.cluster_state
     drafts = [draft_view(cluster_state, identity) for identity in sorted(cluster_state.drafts, key=_number)]
     return Answer(200, {"drafts": drafts})
 
 
 def read_draft(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """One draft with its measure, if it has one."""
+    """One draft with its measurement, if it has one."""
     if arguments[0] not in daemon.cluster_state.drafts:
         return _missing(daemon, ("missing",))
     return Answer(200, draft_view(daemon.cluster_state, arguments[0]))
@@ -64,13 +64,13 @@
 
 # --- changing ------------------------------------------------------------------------
 def draft(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
-    """Keeps a patch as a draft on the version it builds on."""
+    """Stores a patch as a draft based on a version."""
     base, patch, who, why = arguments
     return Propose(("draft", token, base, patch, who, why), "draft")
 
 
 def rehearse(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
-    """Asks for a rehearsal of a draft, on the workers that are open now."""
+    """Requests a rehearsal of a draft on the workers that are open now."""
     capacities = [
         [name, worker.report.zone, worker.report.capacity, list(worker.report.labels)]
         for name, worker in sorted(daemon.push_workers.items())
@@ -80,13 +80,13 @@
 
 
 def approve(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
-    """Brings a draft into force that its rehearsal found better."""
+    """Activates a draft that its rehearsal found better."""
     identity, who, why = arguments
     return Propose(("approve", token, identity, who, why), "draft")
 
 
 def drop(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
-    """Forgets a draft."""
+    """Deletes a draft."""
     return Propose(("drop", arguments[0]), "dropped", arguments[0])
 
 
@@ -121,7 +121,7 @@
     return Answer(200, draft_view(daemon.cluster_state, outcome[1]))
 
 
-# outcome of an operation on a draft -> what makes its answer; others are those of any change
+# outcome of an operation on a draft -> builder of its answer; CHANGE_ANSWERS has the other outcomes
 _DRAFT_ANSWERS = {
     "missing": _missing,
     "ended": _ended,
@@ -135,11 +135,11 @@
 def draft_answer(
     daemon: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
-    """The answer to an operation on a draft: the draft, the version it brought, or what forbids it."""
+    """The answer to an operation on a draft: the draft, the version it created, or why it was refused."""
     make = _DRAFT_ANSWERS.get(outcome[0])
     return make(daemon, outcome) if make is not None else CHANGE_ANSWERS[outcome[0]](outcome)
 
 
 def dropped_answer(daemon: ControlDaemon, outcome: tuple[Any, ...], identity: str, now: float) -> Answer:
-    """The answer to the dropping of a draft."""
+    """The answer to the deletion of a draft."""
     return _missing(daemon, outcome) if outcome[0] == "missing" else Answer(200, {"dropped": identity})
--- a/src/pinepitch/control/requests/explanations.py
+++ b/src/pinepitch/control/requests/explanations.py
@@ -1,4 +1,4 @@
-"""The request that explains a pushed job: why each of its tasks stands where it stands."""
+"""The request that explains a pushed job: why each of its tasks is in its state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 
 
 def explain(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """A job with the reason of each task, from the cluster state and the newest placing round."""
+    """A job with the reason for the state of each task, from the cluster state and the newest scheduling
+    round.
+    """
     job = daemon.cluster_state.pushed_job(arguments[0])
     if job is None:
         return unknown_job(arguments[0])
@@ -84,7 +86,7 @@
 
 
 def _charges_text(job: PushedJob, standing: Standing) -> str:
-    """Whose credits back a placed task, in words."""
+    """Whose credits pay for a placed task, in words."""
     parts = [
         f"{credits} credits of {'its own queue' if queue == job.queue else queue}"
         for queue, credits in standing.charges
@@ -93,7 +95,7 @@
 
 
 def _why_waiting(daemon: ControlDaemon, job: PushedJob, task: Task, standing: Standing, now: float) -> str:
-    """What keeps a waiting task from being placed, in words."""
+    """Why a waiting task is not placed, in words."""
     unfinished = [predecessor for predecessor in task.after if job.standings[predecessor].state != "done"]
     if unfinished:
         return "waits for " + ", ".join(unfinished)
@@ -106,7 +108,7 @@
 
 
 def _candidates(daemon: ControlDaemon, task: Task, now: float) -> list[dict[str, str]]:
-    """What rules out, or doesn't, each worker."""
+    """For each worker, why it can't run a task, or "open"."""
     return [
         {"minion": name, "why": _why_unsuitable(daemon, name, worker, task, now)}
         for name, worker in sorted(daemon.push_workers.items())
@@ -114,7 +116,7 @@
 
 
 def _why_unsuitable(daemon: ControlDaemon, name: str, worker: PushWorker, task: Task, now: float) -> str:
-    """What keeps a task from a worker, or "open"."""
+    """Why a worker can't run a task, or "open"."""
     report = worker.report
     left = report.capacity - sum(daemon.cluster_state.reserved.get(name, {}).values())
     closed = daemon.cluster_state.closed(name, report.zone)
--- a/src/pinepitch/control/requests/push_workers.py
+++ b/src/pinepitch/control/requests/push_workers.py
@@ -1,4 +1,4 @@
-"""Requests about the workers that take pushed tasks, and about their zones."""
+"""Requests about the workers that run pushed tasks, and about their zones."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 # --- reports -------------------------------------------------------------------------
 def report(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
-    """A worker's report: what it runs, and which ends it has not yet heard acknowledged."""
+    """Handles a worker's report: what it runs, and which ends were not acknowledged to it yet."""
     read = _report_of(arguments)
     ends, acknowledged, strays = daemon.take_report(read, now)
     for reference, attempt in strays:
@@ -28,7 +28,7 @@
 
 
 def _report_of(arguments: tuple[Any, ...]) -> Report:
-    """The Report of a request; what came over the wire as lists is tuples again."""
+    """The Report of a request, with the lists of the wire turned into tuples."""
     name, zone, address, capacity, labels, *other_fields, running, ended = arguments
     runs_and_ends = (tuple(map(tuple, running)), tuple(map(tuple, ended)))
     return Report._make((name, zone, address, capacity, tuple(labels), *other_fields, *runs_and_ends))
@@ -37,7 +37,7 @@
 def report_answer(
     daemon: ControlDaemon, outcome: tuple[Any, ...] | None, context: tuple[Any, ...], now: float
 ) -> Answer:
-    """The answer to a report, once its ends are agreed on."""
+    """The answer to a report, once its ends are committed."""
     acknowledged, strays, ends = context
     return Answer(
         200,
@@ -51,7 +51,7 @@
 
 # --- workers -------------------------------------------------------------------------
 def list_workers(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """Each worker heard of, and those that only the cluster state names."""
+    """Each worker that reported, and those that only the cluster state names."""
     cluster_state = daemon.cluster_state
     recorded = set(cluster_state.reserved) | set(cluster_state.drained) | set(cluster_state.withdrawn)
     names = sorted(set(daemon.push_workers) | recorded)
@@ -84,7 +84,7 @@
 
 
 def withdraw(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
-    """Announces that a worker goes at a time, in seconds of the cluster's clock."""
+    """Announces that a worker will be removed at a time, in seconds of cluster time."""
     worker, due = arguments
     return Propose(("withdraw", worker, due), "done", {"minion": worker, "withdrawn": due})
 
@@ -97,7 +97,7 @@
 
 
 def list_zones(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """The zones of the workers heard of, and those that are emptied."""
+    """The zones of the workers that reported, and those that are emptied."""
     counts: dict[str, int] = {}
     for worker in daemon.push_workers.values():
         counts[worker.report.zone] = counts.get(worker.report.zone, 0) + 1
@@ -113,5 +113,5 @@
 def done_answer(
     daemon: ControlDaemon, outcome: tuple[Any, ...], context: dict[str, Any], now: float
 ) -> Answer:
-    """The answer to an order that can't fail: what it asked for is in force."""
+    """The answer to an operation that can't fail: the requested state is active."""
     return Answer(200, context)
--- a/src/pinepitch/control/requests/pushed_jobs.py
+++ b/src/pinepitch/control/requests/pushed_jobs.py
@@ -19,7 +19,9 @@
 
 # --- submitting ----------------------------------------------------------------------
 def submit(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
-    """Takes a checked job; the same key with the same digest of its body is the same job."""
+    """Accepts a validated job. A submission with the same key and the same digest of its body is the same
+    job.
+    """
     key, digest, plain = arguments
     cluster_state = daemon.cluster_state
     unplaceable = _why_unplaceable(daemon, plain, now)
@@ -32,8 +34,8 @@
 
 
 def _why_unplaceable(daemon: ControlDaemon, plain: dict[str, Any], now: float) -> str:
-    """Why no known worker, heard of late or not, could take some task, or "". A leader that
-    has not yet gathered its workers rules nothing out.
+    """Why none of the known workers, responsive or not, could run some task, or "". A leader that has not yet
+    gathered the reports of its workers rules nothing out.
     """
     since = daemon.leader_since
     if not daemon.push_workers or since is None or now - since < constants.REPORT_GATHERING:
@@ -51,7 +53,7 @@
 
 
 def _why_none_fits(daemon: ControlDaemon, name: str, units: int, labels: frozenset[str]) -> str:
-    """Why no known worker could ever take a task of so many units with these labels, or ""."""
+    """Why no known worker could ever run a task of so many units with these labels, or ""."""
     reports = [worker.report for worker in daemon.push_workers.values()]
     capacities = [report.capacity for report in reports if labels <= set(report.labels)]
     if not capacities:
@@ -82,7 +84,7 @@
     return faulty(outcome[1])
 
 
-# outcome of a submission -> what makes its answer
+# outcome of a submission -> builder of its answer
 _SUBMIT_ANSWERS = {
     "accepted": _accepted,
     "known": _known,
@@ -95,13 +97,13 @@
 def submit_answer(
     daemon: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
-    """The answer to a submission: 201 for a new job, 200 for one known by its key."""
+    """The answer to a submission: 201 for a new job, 200 for a job known by its key."""
     return _SUBMIT_ANSWERS[outcome[0]](daemon, outcome)
 
 
 # --- reading -------------------------------------------------------------------------
 def job_summary(job: PushedJob) -> dict[str, Any]:
-    """A job without its tasks; times are seconds of the cluster's clock."""
+    """A job without its tasks; times are seconds of cluster time."""
     return {
         "ticket": job.identity,
         "key": job.key,
@@ -118,14 +120,14 @@
 
 
 def _summary_of(daemon: ControlDaemon, identity: str) -> dict[str, Any]:
-    """The summary of a job that is known to be there, as every accepted one is."""
+    """The summary of a job that must exist, as every accepted job does."""
     job = daemon.cluster_state.pushed_job(identity)
     assert job is not None, f"{identity} is not there"
     return job_summary(job)
 
 
 def _job_with_tasks(job: PushedJob) -> dict[str, Any]:
-    """A job with the standing of each task."""
+    """A job with the state of each task."""
     tasks = [_task_view(job, name) for name in job.tasks]
     return {**job_summary(job), "tasks": tasks}
 
@@ -158,7 +160,9 @@
 
 
 def list_jobs(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """A page of jobs by number, or the one of a key; `next` says after which the next page begins."""
+    """A page of jobs in the order of their numbers, or the job of a key. `next` is the number after which the
+    next page begins.
+    """
     after, page_size, state, queue, key = arguments
     if key:
         return Answer(200, {"tickets": _jobs_of_key(daemon, key), "next": None})
@@ -183,7 +187,7 @@
 
 # --- cancelling ----------------------------------------------------------------------
 def cancel(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Propose:
-    """Cancels a job; what runs of it is told to yield."""
+    """Cancels a job; its running tasks are asked to yield."""
     return Propose(("cancel", arguments[0]), "cancel", arguments[0])
 
 
--- a/src/pinepitch/control/requests/queue_configuration.py
+++ b/src/pinepitch/control/requests/queue_configuration.py
@@ -1,4 +1,4 @@
-"""Requests about the queue configuration: its versions, its table, changes without a draft."""
+"""Requests about the queue configuration: its versions, its table, and changes without a draft."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from ..daemon import ControlDaemon
 
-VERSION_FIELDS = ("version", "who", "why", "time", "base")  # as callers see a line of the history
+VERSION_FIELDS = ("version", "who", "why", "time", "base")  # of an entry of the history, as callers see it
 
 
 def _unknown_version(wanted: str) -> Answer:
@@ -22,7 +22,7 @@
 
 
 def read_version(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """One version with its document; 0 asks for the one in force."""
+    """One version with its document; 0 asks for the active version."""
     cluster_state = daemon.cluster_state
     version = arguments[0] or cluster_state.version
     version_entry = cluster_state.queue_configurations.line(version)
@@ -36,31 +36,31 @@
 
 
 def list_versions(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """The history that is kept, without the documents."""
+    """The stored history, without the documents."""
     cluster_state = daemon.cluster_state
     versions = [_version_view(version_entry) for version_entry in cluster_state.queue_configurations.lines]
     return Answer(200, {"version": cluster_state.version, "setups": versions})
 
 
 def read_table(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
-    """The table in force, cell by cell."""
+    """The active table, cell by cell."""
     cluster_state = daemon.cluster_state
     cells = queue_settings.cells(cluster_state.queue_configuration)
     return Answer(200, {"version": cluster_state.version, "rows": cells})
 
 
 def change(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
-    """Brings a document or a patch into force on the version it builds on."""
+    """Activates a document or a patch, if the version that it is based on is active."""
     base, manner, document, who, why = arguments
     cluster_state = daemon.cluster_state
     outdated = base is not None and base != cluster_state.version
-    if outdated and cluster_state.marks.outcome(token) is None:  # one that was made already is told so below
+    if outdated and cluster_state.marks.outcome(token) is None:  # a change made before is answered below
         return change_answer(daemon, ("conflict", cluster_state.version))
     return Propose(("setup", token, base, manner, document, who, why), "setup")
 
 
 def go_back(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Decision:
-    """Brings the document of an earlier version into force again, as a new version."""
+    """Activates the document of an earlier version again, as a new version."""
     base, wanted, who, why = arguments
     document = daemon.cluster_state.queue_configurations.read(wanted)
     if document is None:
@@ -84,7 +84,7 @@
     return Answer(200, {"version": outcome[1]})
 
 
-# outcome of a change -> what makes its answer
+# outcome of a change -> builder of its answer
 CHANGE_ANSWERS = {
     "forgotten": _forgotten,
     "conflict": _conflict,
@@ -96,5 +96,5 @@
 def change_answer(
     daemon: ControlDaemon, outcome: tuple[Any, ...], context: None = None, now: float | None = None
 ) -> Answer:
-    """The answer to a change: the version that it brought, or why there is none."""
+    """The answer to a change: the version that it created, or why there is none."""
     return CHANGE_ANSWERS[outcome[0]](outcome)
--- a/src/pinepitch/control/requests/registry.py
+++ b/src/pinepitch/control/requests/registry.py
@@ -1,8 +1,7 @@
-"""The registries of requests and of the answers that outcomes become: a new one is an entry here.
+"""Registries of requests and of the answers built from outcomes; a new request is a new entry here.
 
-A reading request is answered from the cluster state once leadership is confirmed; a deciding one is answered
-at once, or names what is to be agreed on first. `leader` is the daemon: its handlers are called only while
-it leads.
+A reading request is answered from the cluster state once leadership is confirmed. A deciding request is
+answered at once, or returns the operation to commit first. Handlers are called only while the daemon leads.
 """
 
 from __future__ import annotations
@@ -18,15 +17,15 @@
 
 
 class Request(NamedTuple):
-    """How one request is handled. Invariant: one that is confirmed by a round of
-    heartbeats changes nothing and always has an Answer; leased reads are confirmed by the lease.
+    """How one request is handled. Invariant: a request that is confirmed by a round of heartbeats changes
+    nothing and always returns an Answer; reads of leased jobs are confirmed by the lease instead.
     """
 
     confirm_by_round: bool
-    make: Callable[..., Decision]  # of (leader, token, arguments, now)
+    make: Callable[..., Decision]  # called with (daemon, token, arguments, now)
 
 
-# name on the wire -> how it is handled
+# name on the wire -> how the request is handled
 REQUESTS = {
     "submit": Request(False, pushed_jobs.submit),
     "ticket": Request(True, pushed_jobs.read_job),
@@ -60,7 +59,7 @@
     **{name: Request(False, make) for name, make in leased_jobs.CALLS.items()},
 }
 
-# name in Propose.outcome_answer -> what makes the answer, of (leader, outcome, context, now)
+# name in Propose.outcome_answer -> builder of the answer, called with (daemon, outcome, context, now)
 OUTCOME_ANSWERS: dict[str, Callable[..., Answer]] = {
     "submit": pushed_jobs.submit_answer,
     "cancel": pushed_jobs.cancel_answer,
