--- a/src/pinepitch/control/alert_rules.py
+++ b/src/pinepitch/control/alert_rules.py
@@ -1,5 +1,5 @@
-"""The file of alert rules, as Prometheus reads it; of expressions only a comparison of one
-metric, perhaps with labels, with a number. Loaded only by a daemon that is given such a file.
+"""Reads files of alert rules in the format of Prometheus. The only expressions are comparisons of one metric,
+perhaps with labels, with a number. Imported only by a daemon that is given such a file.
 """
 
 import re
@@ -17,13 +17,13 @@
 LABEL = re.compile(r'^\s*([a-zA-Z_][a-zA-Z0-9_]*)\s*=\s*"([^"\\]*)"\s*$')
 DURATION = re.compile(r"^(\d+)(ms|s|m|h)$")
 Expression = tuple[str, tuple[tuple[str, str], ...], str, float]  # (metric, labels, comparison, bound)
-Faults = tuple[tuple[str, str], ...]  # ((place, message), ...)
+Faults = tuple[tuple[str, str], ...]  # ((location, message), ...)
 
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 
 
 def _expression(text: Any) -> Expression:
-    """An expression in parts, or Invalid."""
+    """The parts of an expression; raises Invalid."""
     match = EXPRESSION.match(text) if isinstance(text, str) else None
     if not match:
         raise voluptuous.Invalid(
@@ -45,7 +45,7 @@
 
 
 def _duration(text: Any) -> float:
-    """Seconds, or Invalid."""
+    """Seconds of a duration; raises Invalid."""
     match = DURATION.match(text) if isinstance(text, str) else None
     if not match:
         raise voluptuous.Invalid("expected a duration like 30s, 5m or 1h")
@@ -78,7 +78,7 @@
 
 
 def read(text: str) -> tuple[tuple[Rule, ...] | None, Faults]:
-    """(rules, ()) or (None, faults), each named by its place."""
+    """(rules, ()) or (None, faults), each fault with its location."""
     try:
         document = yaml.safe_load(text)
     except (yaml.YAMLError, RecursionError, ValueError) as fault:
@@ -96,7 +96,7 @@
 
 
 def _rule(checked: dict[str, Any]) -> Rule:
-    """A rule of a checked document."""
+    """A rule of a validated document."""
     metric, labels, comparison, bound = checked["expr"]
     return Rule(
         alert=checked["alert"],
@@ -111,7 +111,7 @@
 
 
 def _duplicate_alerts(located_rules: list[tuple[str, Rule]]) -> Faults:
-    """A fault for each rule whose alert an earlier one has."""
+    """A fault for each rule whose alert an earlier rule has."""
     alerts: set[str] = set()
     faults = []
     for location, rule in located_rules:
--- a/src/pinepitch/control/alert_watch.py
+++ b/src/pinepitch/control/alert_watch.py
@@ -1,7 +1,7 @@
-"""Alert rules in the Prometheus manner, as inputs to the leader; `alert_rules.py` reads them from a file.
+"""Alert rules in the style of Prometheus, evaluated by the leader; `alert_rules.py` reads them from a file.
 
-A firing rule labelled `hold: approvals` pauses approvals until it clears; it never holds back
-an emergency change.
+A firing rule labelled `hold: approvals` pauses approvals until it clears. It never blocks an emergency
+change.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 
 class Rule(NamedTuple):
-    """One alert. Invariants: alert is unique in its file; pauses is "approvals" or ""."""
+    """One alert. Invariants: `alert` is unique in its file; `pauses` is "approvals" or ""."""
 
     alert: str
     metric: str
-    labels: tuple[tuple[str, str], ...]  # that a sample must have
+    labels: tuple[tuple[str, str], ...]  # required of a sample
     comparison: str  # one of COMPARISONS
     bound: float
-    min_seconds: float  # seconds for which the comparison must hold
+    min_seconds: float  # seconds for which the comparison must be true
     pauses: str
     summary: str
 
     def hits(self, series: Series) -> list[float]:
-        """The values for which the comparison holds."""
+        """The values for which the comparison is true."""
         compare = COMPARISONS[self.comparison]
         return [
             value
@@ -45,14 +45,14 @@
         ]
 
     def why(self, value: float) -> str:
-        """What is told of the alert while it fires on a value."""
+        """The reason shown while the alert fires on a value."""
         summary = f": {self.summary}" if self.summary else ""
         return f"{self.metric} is {value:g}, {self.comparison} {self.bound:g}" + summary
 
 
 class AlertWatch:
-    """What the leader knows of the rules. Invariant: since holds the alerts of the rules whose
-    comparison holds now, and from when on, in seconds of this daemon's clock.
+    """Evaluates the rules over time. Invariant: `since` contains the alerts of the rules whose comparison is
+    true now, and since when, in seconds of this daemon's clock.
     """
 
     def __init__(self, rules: Sequence[Rule]) -> None:
@@ -60,7 +60,9 @@
         self.since: dict[str, float] = {}
 
     def firing(self, metrics: str, now: float) -> dict[str, str]:
-        """Alert -> why, for the rules that fire by these metrics in the text format of Prometheus."""
+        """Alert -> reason of the rules that fire by these metrics, which are in the text format of
+        Prometheus.
+        """
         series = _parse(metrics)
         fires = {}
         for rule in self.rules:
@@ -73,7 +75,7 @@
 
 
 def _parse(metrics: str) -> Series:
-    # loaded by its first use: a daemon without rules starts sooner
+    # imported on first use, so that a daemon without rules starts sooner
     from prometheus_client.parser import text_string_to_metric_families
 
     series: Series = {}
--- a/src/pinepitch/control/bootstrap.py
+++ b/src/pinepitch/control/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap: how control daemons that know no cluster agree, once, on being one."""
+"""Bootstrap: how control daemons without a cluster found one together, exactly once."""
 
 import hashlib
 from collections.abc import Iterable
@@ -9,32 +9,32 @@
 
 
 class EmptyDaemon(NamedTuple):
-    """A control daemon that knows no cluster, as it was last heard."""
+    """A control daemon without a cluster, as last seen."""
 
     zone: str
-    view: tuple[str, ...]  # identities of the empty daemons that it sees itself
+    view: tuple[str, ...]  # identities of the empty daemons that it sees
     last_seen: float  # seconds of this daemon's clock
 
 
 class Bootstrap:
-    """What an empty control daemon has seen.
+    """What an empty control daemon has seen of others.
 
-    Invariants: consent is given at most once, to one list, and is durable before it is
-    told; no cluster begins while any daemon reached knows one.
+    Invariants: consent is given at most once, to one list of members, and is durable before it is sent; no
+    cluster is founded while any reachable daemon knows one.
     """
 
     def __init__(self, identity: str, zone: str, bootstrap_size: int) -> None:
         self.identity, self.zone = identity, zone
-        self.bootstrap_size = bootstrap_size  # how many empty daemons must see each other
+        self.bootstrap_size = bootstrap_size  # number of empty daemons that must see each other
         self.empty_daemons = {identity: EmptyDaemon(zone, (), 0.0)}
-        self.known_clusters: dict[str, tuple[str, float]] = {}  # daemon -> (cluster that it knows, heard)
+        self.known_clusters: dict[str, tuple[str, float]] = {}  # daemon -> (its cluster, last seen)
         self.agreed_since: float | None = None
         self.agreed: tuple[str, ...] = ()
 
     def observe(
         self, identity: str, kind: str, zone: str, cluster: str | None, view: Iterable[str], now: float
     ) -> None:
-        """A greeting by any daemon, with the list of empty control daemons it sees."""
+        """Records a handshake of any daemon, which carries the list of empty control daemons that it sees."""
         if cluster:
             self.known_clusters[identity] = (cluster, now)
             self.empty_daemons.pop(identity, None)
@@ -44,7 +44,7 @@
                 self.empty_daemons[identity] = EmptyDaemon(zone, tuple(view), now)
 
     def view(self, now: float) -> tuple[str, ...]:
-        """The empty control daemons seen now, in order, this one among them."""
+        """The empty control daemons seen now, in order, including this one."""
         self.empty_daemons[self.identity] = EmptyDaemon(self.zone, (), now)
         self.empty_daemons = {
             identity: empty_daemon
@@ -54,8 +54,8 @@
         return tuple(sorted(self.empty_daemons))
 
     def veto(self, now: float, other_than: str | None = None) -> str | None:
-        """The cluster, other than `other_than`, that some daemon knows, or None. What a daemon was
-        heard to know counts for long: it may greet this one only now and then.
+        """The cluster, other than `other_than`, that some daemon knows, or None. What a daemon was seen to
+        know counts for long, because its handshakes may reach this daemon only rarely.
         """
         for cluster, last_seen in self.known_clusters.values():
             if now - last_seen <= constants.BOOTSTRAP_VETO_LASTS and cluster != other_than:
@@ -63,7 +63,7 @@
         return None
 
     def ready(self, now: float) -> tuple[str, dict[str, str]] | None:
-        """(cluster identity, members) once the same list was seen by all for BOOTSTRAP_STABLE_TIME."""
+        """(cluster identity, members) once all saw the same list for BOOTSTRAP_STABLE_TIME, else None."""
         view = self.view(now)
         same = all(
             self.empty_daemons[identity].view == view for identity in view if identity != self.identity
@@ -80,5 +80,5 @@
 
 
 def cluster_identity(members: Iterable[str]) -> str:
-    """The identity of the cluster that a list of empty control daemons begins."""
+    """The identity of the cluster that a list of empty control daemons founds."""
     return hashlib.sha256("/".join(sorted(members)).encode()).hexdigest()[:16]
--- a/src/pinepitch/control/cluster_entry.py
+++ b/src/pinepitch/control/cluster_entry.py
@@ -1,4 +1,4 @@
-"""How a daemon comes into a cluster: founds one with others, or joins one that there is."""
+"""How a daemon enters a cluster: it founds one with others, or joins an existing one."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -17,11 +17,11 @@
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
-        self.last_join_at = -1e9  # seconds; when it asked to join last
-        self.last_deferral_event_at = -1e9  # seconds; when it told last that it waits
+        self.last_join_at = -1e9  # seconds; when it last asked to join
+        self.last_deferral_event_at = -1e9  # seconds; when it last logged that it waits
 
     def seek_cluster(self, now: float) -> None:
-        """Founds a cluster once that may be, or asks to join the one that was heard of."""
+        """Founds a cluster once that is allowed, or asks to join the one that was seen."""
         can_found = self.daemon.may_bootstrap and self._may_found(self.daemon.address)
         ready = self.daemon.bootstrap.ready(now) if can_found else None
         if ready is not None:
@@ -31,11 +31,11 @@
             self.ask_to_join(now)
 
     def _may_found(self, address: str) -> bool:
-        """Whether a daemon at that address may take part in a founding."""
+        """Whether a daemon at that address may take part in the founding of a cluster."""
         return self.daemon.bootstrap_among is None or address in self.daemon.bootstrap_among
 
     def on_handshake(self, handshake: Greeting, now: float) -> None:
-        """Takes what another tells while no cluster is known here."""
+        """Processes a handshake while this daemon knows no cluster."""
         if handshake.cluster or handshake.kind != "accord" or self._may_found(handshake.address):
             self.daemon.bootstrap.observe(
                 handshake.identity, handshake.kind, handshake.zone, handshake.cluster, handshake.view, now
@@ -46,7 +46,7 @@
                 self.consent(handshake.cluster, members, now)
 
     def _with_zones(self, identities: Iterable[str]) -> Members | None:
-        """The members of a founding that another tells, with their zones; None while one is unknown."""
+        """The founding members that another daemon names, with their zones; None while a zone is unknown."""
         members = {}
         for identity in identities:
             zone = self.daemon.bootstrap.empty_daemons.get(identity, (None,))[0] or self._zone_of(identity)
@@ -58,13 +58,15 @@
         return members
 
     def consent(self, cluster: str, members: Members, now: float) -> None:
-        """Consents to a founding, its own or one that names this daemon."""
+        """Consents to the founding of a cluster, proposed here or by another daemon's list that names this
+        one.
+        """
         if (
             self.daemon.cluster is not None
             or self.daemon.bootstrap.veto(now, cluster)
             or not self.daemon.may_bootstrap
         ):
-            return  # a cluster is known: no word of another's makes this daemon found one
+            return  # a daemon that knows a cluster founds none, whatever others report
         self.daemon.cluster = cluster
         self.daemon.bootstrap_members = tuple(sorted(members))
         self.daemon.begin_consensus(members)
@@ -77,7 +79,7 @@
         return endpoint[0] if endpoint else None
 
     def ask_to_join(self, now: float) -> None:
-        """Asks the control daemons in session to be taken in, now and then."""
+        """Asks the control daemons in session to be admitted, at intervals."""
         follows_leader = self.daemon.consensus is not None and self.daemon.consensus.leader_near(now)
         wait = constants.JOIN_AGAIN if follows_leader else constants.JOIN_SEEK
         if now - self.last_join_at < wait or self.daemon.stopping:
@@ -92,7 +94,7 @@
             )
 
     def on_admit(self, cluster: str | None, mode: str, leader: str | None, now: float) -> None:
-        """The leader of a cluster takes this daemon in as a learner."""
+        """Handles the admission by the leader of a cluster: this daemon becomes a learner."""
         if self.daemon.cluster is None:
             self.daemon.cluster, self.daemon.mode = cluster, mode
             self.daemon.begin_consensus({})
--- a/src/pinepitch/control/front_updates.py
+++ b/src/pinepitch/control/front_updates.py
@@ -1,4 +1,4 @@
-"""What the leader tells front daemons: updates of what is in force, orders to start tasks, kills."""
+"""What the leader sends to front daemons: updates of the active state, orders to start tasks, and kills."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -9,7 +9,7 @@
     from .daemon import ControlDaemon
 
 
-Order = dict[str, Any]  # the document that a worker is posted
+Order = dict[str, Any]  # the document that is posted to a worker
 
 
 class UpdateRequest(NamedTuple):
@@ -22,18 +22,18 @@
 
 
 class FrontUpdates:
-    """Invariant: what it gathers is empty unless this daemon leads."""
+    """Invariant: it is empty unless this daemon leads."""
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all, as a term begins or ends."""
+        """Resets all state, as a term begins or ends."""
         self.update_requests: dict[str, UpdateRequest] = {}  # by front daemon
         self.outbox: dict[str, dict[tuple[str, int], Order]] = {}  # by front daemon; (reference, attempt)
-        self.kills: dict[str, float] = {}  # reference -> when last ordered
-        self.update_serial = 0  # how often what is in force has changed in this term
+        self.kills: dict[str, float] = {}  # reference -> when a kill was last ordered
+        self.update_serial = 0  # number of changes of the active state in this term
 
     def send_due_updates(self, now: float) -> None:
         """Answers each request for updates that is due."""
@@ -50,7 +50,7 @@
         outcomes: Iterable[tuple[Any, ...]],
         now: float,
     ) -> None:
-        """A front daemon asks for updates and says how its orders went."""
+        """Handles a front daemon's request for updates, which also reports the outcomes of its orders."""
         consensus = self.daemon.consensus
         if consensus is None or consensus.role != "leader" or not consensus.serving():
             self.daemon.forwarded_requests.refuse(address, token, self.daemon.leader_address(), 0, now)
@@ -68,7 +68,9 @@
         self.send_updates(front, now)
 
     def _proven_end(self, ref: str, attempt: int, outcome: str) -> str | None:
-        """How an attempt ended by the outcome of its order, if that proves it; judges its worker."""
+        """How an attempt ended if the outcome of its order proves an end, else None. Also updates the failure
+        rating of its worker.
+        """
         task_record = self.daemon.cluster_state.find(ref)
         if task_record is None or task_record[2].state != "placed" or task_record[2].attempt != attempt:
             return None
@@ -80,7 +82,7 @@
         return "refused" if outcome == "refused" else None
 
     def _update_version(self) -> tuple[int, int]:
-        """Grows with each change of what front daemons are told, also from term to term."""
+        """A version that grows with each change of what front daemons are sent, across terms too."""
         return (self.daemon.consensus.term, self.update_serial)
 
     def send_updates(self, front: str, now: float) -> None:
@@ -114,7 +116,7 @@
         self.daemon.send(request.address, message)
 
     def _active_state(self) -> dict[str, Any]:
-        """What a front daemon knows of the cluster state."""
+        """The part of the cluster state that front daemons know."""
         state = self.daemon.cluster_state
         return {
             "setup_version": state.version,
@@ -125,7 +127,7 @@
         }
 
     def _due_orders(self, front: str, now: float) -> tuple[Order, ...]:
-        """Orders a front daemon has not yet taken; what was called off meanwhile is dropped."""
+        """Orders that a front daemon has not taken yet. Orders that were called off since are dropped."""
         outbox, time = self.outbox.get(front, {}), self.daemon.cluster_time(now)
         for (ref, attempt), order in list(outbox.items()):
             task_record = self.daemon.cluster_state.find(ref)
@@ -141,7 +143,7 @@
         return tuple(outbox.values())
 
     def _due_kills(self, now: float) -> tuple[tuple[Any, ...], ...]:
-        """(reference, attempt, worker's address) of runs that are to end and weren't told so just now."""
+        """(reference, attempt, worker's address) of runs that should end and got no kill recently."""
         state, kills = self.daemon.cluster_state, []
         for ref, attempt in list(state.yielding.items()):
             if now - self.kills.get(ref, -1e9) >= constants.KILL_AGAIN:
@@ -152,7 +154,7 @@
         return tuple(kills)
 
     def queue_order(self, ref: str, now: float) -> None:
-        """Puts a committed placement into the outbox of the front daemon that is to send it."""
+        """Puts a committed placement into the outbox of the front daemon that will send it."""
         job, task, standing = self.daemon.cluster_state.find_known(ref)
         worker = self.daemon.worker_reports.push_workers.get(standing.worker)
         if worker is None or standing.yields_to:
@@ -181,7 +183,9 @@
         self.outbox.setdefault(standing.front_daemon, {})[(ref, standing.attempt)] = order
 
     def resend_orders(self, now: float) -> None:
-        """A new leader tells again what may still be sent; front daemons send each only once."""
+        """Queues the orders that may still be sent again, for a new leader; front daemons send each only
+        once.
+        """
         time = self.daemon.cluster_time(now)
         for placed_references in list(self.daemon.cluster_state.reserved.values()):
             for ref in placed_references:
--- a/src/pinepitch/control/greetings.py
+++ b/src/pinepitch/control/greetings.py
@@ -1,4 +1,4 @@
-"""Greetings: how control daemons and front daemons learn of each other, and keep their sessions."""
+"""Handshakes: how control daemons and front daemons discover each other and renew their sessions."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -9,14 +9,14 @@
 
 
 class Handshakes:
-    """Greets all known control daemons now and then, and hears what others tell of themselves."""
+    """Sends handshakes to all known control daemons at intervals, and processes those of others."""
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
-        self.last_handshake_at = -1e9  # seconds; when it greeted last
+        self.last_handshake_at = -1e9  # seconds; when handshakes were last sent
 
     def _own_handshake(self, now: float) -> Greeting:
-        """What this daemon tells of itself."""
+        """The handshake of this daemon."""
         daemon = self.daemon
         view = () if daemon.cluster or not daemon.may_bootstrap else daemon.bootstrap.view(now)
         return Greeting(
@@ -33,7 +33,7 @@
         )
 
     def send_handshakes(self, now: float) -> None:
-        """Greets all control daemons known, and tells those in session who else is."""
+        """Sends a handshake to all known control daemons, and the direct sessions to those in session."""
         message = ("greet", *self._own_handshake(now))
         notice = ("tell", self.daemon.identity, self.daemon.sessions.direct_sessions())
         addresses = {endpoint[1] for endpoint in self.daemon.sessions.control_daemons.values()} | set(
@@ -46,7 +46,7 @@
                 self.daemon.send(session.address, notice)
 
     def _receive(self, handshake: Greeting, now: float) -> None:
-        """What a greeting and its answer have in common."""
+        """Processes what a handshake and its reply have in common."""
         daemon, identity = self.daemon, handshake.identity
         if identity == daemon.identity:
             return
@@ -64,7 +64,7 @@
             daemon.consented.add(identity)
 
     def on_handshake(self, *fields_and_now: Any) -> None:
-        """A daemon greets: it is answered with a greeting, and who leads."""
+        """Handles a handshake: replies with this daemon's own handshake and who leads."""
         *fields, now = fields_and_now
         handshake = Greeting(*fields)
         self._receive(handshake, now)
@@ -77,11 +77,13 @@
             self.daemon.send(handshake.address, ("greeted", *self._own_handshake(now), *notice))
 
     def on_handshake_reply(self, *fields_and_now: Any) -> None:
-        """The answer to a greeting: a Greeting, the leader's address, cluster time, the leader's clock."""
+        """Handles a reply: a Greeting, the leader's address, cluster time, and a reading of the leader's
+        clock.
+        """
         *fields, _, _, reading, now = fields_and_now
         self.daemon.leader_clock.hear(reading, now)
         self._receive(Greeting(*fields), now)
 
     def on_sessions_report(self, reporter: str, sessions: Any, now: float) -> None:
-        """A control daemon tells which sessions it has itself."""
+        """Handles the report of another control daemon's direct sessions."""
         self.daemon.sessions.add_relayed(reporter, sessions, now)
--- a/src/pinepitch/control/image_digests.py
+++ b/src/pinepitch/control/image_digests.py
@@ -1,10 +1,11 @@
-"""Members compare the digests of their images: replicas at one index must hold the same bytes.
-
-Each member notes the digest of every image that it encodes, and of each snapshot that it installs. One that
-does not lead asks the leader for its digests once it has a new one, and tells event 135 where two of one
-index differ. Images are made at the same indexes by all members (control/agreement.py), so that most meet.
-An installed snapshot is compared with its sender alone: an earlier version encodes other bytes for the same
-state. A leader of an earlier version does not know the request and refuses it, which compares nothing.
+"""Members compare the digests of their images, because replicas at one index must contain the same bytes.
+
+Each member records the digest of every image that it encodes and of each snapshot that it installs. A member
+that does not lead asks the leader for its digests once it has a new one, and logs event 135 if two digests of
+one index differ. All members make images at the same indexes (control/agreement.py), so that most can be
+compared. An installed snapshot is compared with its sender's digest only, because an earlier version encodes
+the same state to other bytes. A leader of an earlier version does not know the request and refuses it; then
+nothing is compared.
 """
 
 from collections.abc import Mapping
@@ -17,40 +18,40 @@
     from .daemon import ControlDaemon
 
 CALL = "image-digests"
-ATTEMPT = 1  # of a request: it is never sent again under its token
+ATTEMPT = 1  # of each request; a request is never sent again under its token
 
 
 class UncomparedDigest(NamedTuple):
-    """A digest that the leader was not yet seen to share."""
+    """A digest that was not yet compared with the leader's."""
 
     digest: str
-    sender: str | None  # of the snapshot that it is of, by identity; None for an image encoded here
-    asked: int  # how often the leader was asked and had none of that index
+    sender: str | None  # identity of the snapshot's sender; None for an image encoded here
+    asked: int  # how often the leader had no digest of that index
 
 
 class ImageDigests:
-    """Invariants: `own` holds the digests of the newest DIGESTS_KEPT images by index; `uncompared` those of
-    them that are still to be compared; one request at a time waits for its answer.
+    """Invariants: `own_digests` contains the digests of the newest DIGESTS_KEPT images by index, and
+    `uncompared` those that are still to be compared; one request at a time is pending.
     """
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
         self.own_digests: dict[int, str] = {}  # index -> digest
         self.uncompared: dict[int, UncomparedDigest] = {}  # by index
-        self.token: str | None = None  # of the request that waits
-        self.asked_leader: str | None = None  # its identity
+        self.token: str | None = None  # of the pending request
+        self.asked_leader: str | None = None  # identity of the leader that was asked last
         self.asked_at = -1e9  # seconds of the steady clock
-        self.count = 0  # of requests
-        self.compared = self.differences = 0  # images, in this incarnation
+        self.count = 0  # of requests so far
+        self.compared = self.differences = 0  # images compared or found different in this incarnation
 
     def add_encoded(self, index: int, digest: str) -> None:
-        """Notes an image that was encoded here."""
+        """Records an image that was encoded here."""
         self.own_digests[index] = digest
         self.uncompared[index] = UncomparedDigest(digest, None, 0)
         self._forget_oldest()
 
     def add_installed(self, index: int, digest: str, sender: str | None) -> None:
-        """Notes a snapshot that was installed; it is compared with its sender's digest alone."""
+        """Records a snapshot that was installed; it is compared with its sender's digest only."""
         self.uncompared[index] = UncomparedDigest(digest, sender, 0)
         self._forget_oldest()
 
@@ -60,7 +61,7 @@
                 del digests[index]
 
     def tick(self, now: float) -> None:
-        """Asks the leader for its digests, now and then while some are to be compared."""
+        """Asks the leader for its digests, at intervals while some are to be compared."""
         if not self.uncompared or now - self.asked_at < constants.DIGEST_ASK_EVERY:
             return
         consensus = self.daemon.consensus
@@ -77,7 +78,7 @@
         self.daemon.send(address, ("ask", self.daemon.address, self.token, CALL, (), ATTEMPT, end))
 
     def take_answer(self, token: str, answer: tuple[Any, ...], key: tuple[Any, ...]) -> bool:
-        """Takes the leader's answer; False for one to another request."""
+        """Processes the leader's answer; returns False for an answer to another request."""
         if token != self.token or tuple(key) != key_of(CALL, ()):
             return False
         self.token = None
@@ -87,7 +88,7 @@
         return True
 
     def _compare(self, digests: Mapping[int, str]) -> None:
-        """Compares what is left with the leader's digests, by index."""
+        """Compares the remaining digests with the leader's, by index."""
         for index, uncompared in list(self.uncompared.items()):
             if uncompared.sender not in (None, self.asked_leader):
                 del self.uncompared[index]
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -1,7 +1,7 @@
-"""What a control daemon tells of itself: health and metrics.
+"""Health and metrics of a control daemon.
 
-Each collector below returns the families of one subject; `COLLECTORS` names them in the order in which
-they are told. What only a leader gathers is told by the leader alone.
+Each collector below returns the families of one subject; `COLLECTORS` lists them in output order. What only a
+leader gathers is reported by the leader alone.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Family(NamedTuple):
-    """One metric with all its samples, as `common.metrics.text` takes it."""
+    """One metric with all its samples, in the form that `common.metrics.text` takes."""
 
     kind: str  # "gauge", "counter" or "histogram"
     name: str  # without the prefix
@@ -41,7 +41,7 @@
 
 
 def _by_label(kind: str, name: str, help_text: str, label: str, values: Mapping[str, Any]) -> Family:
-    """A metric with one label, its samples in the order of the label's values."""
+    """A metric with one label, its samples ordered by the label's values."""
     return Family(
         kind,
         name,
@@ -52,14 +52,14 @@
 
 
 def _by_queue(name: str, help_text: str, queues: Iterable[str], values: Mapping[str, float]) -> Family:
-    """A gauge of each of the queues, 0 for one that `values` lacks."""
+    """A gauge for each of the queues; 0 for a queue that `values` lacks."""
     samples: list[Sample] = [((queue,), values.get(queue, 0)) for queue in sorted(queues)]
     return Family("gauge", name, help_text, ("queue",), samples)
 
 
 # --- health --------------------------------------------------------------------------
 def health(daemon: ControlDaemon, now: float) -> dict[str, Any]:
-    """What this daemon knows of itself; `time` is the cluster's, in seconds."""
+    """The health document of this daemon; `time` is cluster time, in seconds."""
     consensus = daemon.consensus
     return {
         "identity": daemon.identity,
@@ -163,7 +163,7 @@
 
 
 def _tasks_on_unresponsive(daemon: ControlDaemon, now: float) -> int:
-    """Tasks placed on workers that are not heard."""
+    """Number of tasks placed on unresponsive workers."""
     reserved = daemon.cluster_state.reserved
     unresponsive = [name for name, worker in daemon.push_workers.items() if worker.unresponsive(now)]
     return sum(len(reserved.get(name, ())) for name in unresponsive)
@@ -181,7 +181,7 @@
 
 # --- leased jobs ---------------------------------------------------------------------
 def _leased_jobs(daemon: ControlDaemon, now: float) -> list[Family]:
-    """What is agreed on about leased jobs, which every daemon tells alike, and what was left waiting."""
+    """Committed facts about leased jobs, which every daemon reports alike, and what was left waiting."""
     leased_jobs = daemon.cluster_state.leased_jobs
     open_jobs, final = _jobs_by_state(leased_jobs)
     waiting = _tasks_waiting(leased_jobs)
@@ -212,7 +212,7 @@
 
 
 def _tasks_waiting(leased_jobs: LeasedJobState) -> dict[str, int]:
-    """Tasks whose earlier steps are done and which are not placed, by queue."""
+    """Number of tasks whose earlier steps are done and which are not placed, by queue."""
     waiting: dict[str, int] = {}
     for wave in leased_jobs.ready.values():
         waiting[wave.job.queue] = waiting.get(wave.job.queue, 0) + len(wave.waiting)
@@ -220,7 +220,7 @@
 
 
 def _unplaced_by_reason(daemon: ControlDaemon) -> dict[Labels, int]:
-    """(queue, why) -> tasks that the newest round of this leader left waiting."""
+    """(queue, reason) -> number of tasks that the newest scheduling round of this leader left waiting."""
     counts: dict[Labels, int] = {}
     for key, why in daemon.assignments.assigner.why.items():
         wave = daemon.cluster_state.leased_jobs.ready.get(key)
@@ -242,7 +242,9 @@
 
 
 def _tenants(daemon: ControlDaemon, now: float) -> list[Family]:
-    """What tenants use of their maxima, of the largest users alone: the number of labels stays bounded."""
+    """Used parts of the maxima of tenants, for the largest users only, so that the number of labels stays
+    bounded.
+    """
     leased_jobs = daemon.cluster_state.leased_jobs
     at_maximum = daemon.assignments.assigner.tenants_at_maximum(leased_jobs)
     help_at_maximum = "Tenants with work that the leader's newest round left waiting for their maximum."
@@ -292,7 +294,7 @@
 
 
 def _worker_capacity(daemon: ControlDaemon, now: float) -> dict[Labels, float]:
-    """(service, resource, "taken" or "free") -> capacity of the workers that are heard and ready."""
+    """(service, resource, "taken" or "free") -> capacity of the workers that are responsive and ready."""
     capacity: dict[Labels, float] = {}
     for worker in daemon.assignments.workers.values():
         if worker.unresponsive(now) or worker.state != "ready":
@@ -306,7 +308,7 @@
 
 
 def _workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
-    """Workers this leader knows, each under one state."""
+    """Number of workers that this leader knows, each under one state."""
     states = {"ready": 0, "draining": 0, "silent": 0}
     for worker in daemon.assignments.workers.values():
         state = "silent" if worker.unresponsive(now) else worker.state
@@ -315,7 +317,7 @@
 
 
 def _runs(daemon: ControlDaemon, now: float) -> list[Family]:
-    """What the assignment manager counts, while it leads."""
+    """Counters of the assignment manager, while it leads."""
     assignments = daemon.assignments
     counts = assignments.counts
     ends = "Ends of runs agreed on while leading, by how."
@@ -332,7 +334,7 @@
 
 
 # --- all -----------------------------------------------------------------------------
-# the subjects, in the order in which they are told
+# one collector for each subject, in output order
 COLLECTORS: tuple[Callable[[ControlDaemon, float], list[Family]], ...] = (
     _consensus,
     _daemon_counts,
--- a/src/pinepitch/control/outside_requests.py
+++ b/src/pinepitch/control/outside_requests.py
@@ -12,16 +12,16 @@
 
 
 class ClientRequests:
-    """Invariant: each request has one reply, whatever the leader answers and how often."""
+    """Invariant: each request gets one reply, whatever the leader answers and however often."""
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
-        self.hinted_at: dict[str, float] = {}  # worker -> when it was last told where the leader is
+        self.hinted_at: dict[str, float] = {}  # worker -> when it was last sent the leader's address
 
     def on_request(
         self, request: Any, call: str, arguments: tuple[Any, ...], timeout: float, now: float
     ) -> None:
-        """A call at this daemon's own ports: decided here, or forwarded to the leader."""
+        """Handles a call at this daemon's own ports: decided here, or forwarded to the leader."""
         if call == "ready":
             self.daemon.effects.append(Reply(request, 200 if self.daemon.consensus is not None else 503, {}))
             return
@@ -29,7 +29,7 @@
         self._forward(token, now)
 
     def _forward(self, token: str, now: float) -> None:
-        """Sends a request to whoever leads, perhaps this daemon."""
+        """Sends a request to the leader, which may be this daemon."""
         daemon = self.daemon
         call = daemon.forwarder.calls[token]
         end: Reading | None
@@ -46,7 +46,7 @@
             daemon.send(address, ("ask", daemon.address, token, call.call, call.arguments, attempt, end))
 
     def resend_due(self, now: float) -> None:
-        """Sends again what is due, and gives up what nobody answered in time."""
+        """Resends requests that are due, and gives up those that were not answered in time."""
         due, effects = self.daemon.forwarder.due(now)
         self.daemon.effects.extend(effects)
         for token in due:
@@ -54,14 +54,14 @@
                 self._forward(token, now)
 
     def on_answer(self, token: str, answer: tuple[Any, ...], key: tuple[Any, ...], now: float) -> None:
-        """The leader answers a request."""
+        """Handles the leader's answer to a request."""
         if self.daemon.image_digests.take_answer(token, answer, key):
             return
         call = self.daemon.forwarder.waiting(token, key)
         if call is None:
             return
         if call.call == "beat" and "home" in answer[1]:
-            # where the leader is, is told now and then only: a worker that can't reach it comes back here
+            # the leader's address is sent only at intervals: a worker that can't reach it comes back here
             worker = call.arguments[0]
             if now - self.hinted_at.get(worker, -1e9) < constants.HINT_EVERY:
                 del answer[1]["home"]
@@ -72,33 +72,35 @@
     def on_refused(
         self, token: str, leader: str | None, attempt: int, reading: Reading | None, now: float
     ) -> None:
-        """Whom an attempt of a request was sent to did not take it; it says who leads, if it knows."""
+        """Handles an attempt that its receiver refused; the receiver names the leader if it knows it."""
         self.daemon.leader_clock.hear(reading, now)
         self.daemon.forwarder.not_taken(token, attempt)
         call = self.daemon.forwarder.calls.get(token)
         if call is not None and leader is not None and (call.term or 0) < self.daemon.leader_clock.term:
-            self._forward(token, now)  # it lacked an end on this leader's clock
+            self._forward(token, now)  # that attempt had no end on this leader's clock
 
     def on_undelivered(self, token: str, attempt: int, now: float) -> None:
-        """An attempt of a request reached nobody: no connection could be made."""
+        """Handles an attempt that could not be delivered because no connection could be made."""
         self.daemon.forwarder.not_taken(token, attempt)
 
     def on_hung_up(self, request: Any, now: float) -> None:
-        """The caller of a request has closed its connection."""
+        """Handles the end of a connection by the caller of a request."""
         self.daemon.effects.extend(self.daemon.indexed_forwarder.hung_up(request))
 
     def on_paused(self, seconds: float, now: float) -> None:
-        """The process of this daemon did not run for so many seconds, until now."""
+        """Handles a pause: the process of this daemon did not run for so many seconds, until now."""
         self.daemon.counts["pauses"] += 1
         self.daemon.paused_seconds += seconds
         self.daemon.indexed_forwarder.paused(seconds, now)
 
     def on_in_doubt(self, token: str, now: float) -> None:
-        """Whom a request was sent to may have taken it, and can't say."""
+        """Handles the report that the receiver of a request may have accepted it and does not know the
+        outcome.
+        """
         self.daemon.forwarder.in_doubt(token)
 
     def on_http(self, request: Any, method: str, target: str, headers: Any, body: bytes, now: float) -> None:
-        """The daemon's own small port: its health and metrics, nothing that is forwarded."""
+        """Serves this daemon's own small HTTP port: its health and metrics, nothing that is forwarded."""
         answer = {"/v1/health": metrics_text.health, "/v1/metrics": metrics_text.text}.get(target)
         if method != "GET" or answer is None:
             document = {
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -16,7 +16,7 @@
 from .daemon import ControlDaemon
 from .startup import identity_of, open_store
 
-FIELDS = {"zone": "area", "bootstrap_size": "founders"}  # flag -> its field in the settings, where it differs
+FIELDS = {"zone": "area", "bootstrap_size": "founders"}  # flag -> field of the settings, if different
 
 
 def _end(faults: Iterable[str]) -> NoReturn:
@@ -27,10 +27,10 @@
 
 
 def read_rules(path: str | None) -> tuple[Rule, ...]:
-    """The alert rules of a file, or exit 2 with one line for each fault."""
+    """The alert rules of a file; ends the program with exit code 2 and one line for each fault."""
     if path is None:
         return ()
-    from .alert_rules import read  # most daemons have no such file
+    from .alert_rules import read  # imported late because most daemons have no such file
 
     try:
         with open(path, encoding="utf-8") as file:
@@ -43,7 +43,7 @@
 
 
 def _serve(settings: Settings, rules: tuple[Rule, ...]) -> None:
-    """Runs a control daemon with checked settings until it is told to stop."""
+    """Runs a control daemon with checked settings until it is asked to stop."""
     assert settings.data is not None, "the settings of a control daemon name its data folder"
     try:
         lock = FolderLock(settings.data)
--- a/src/pinepitch/control/rehearsal.py
+++ b/src/pinepitch/control/rehearsal.py
@@ -1,4 +1,4 @@
-"""Rehearsal: a draft and the table in force replayed on recent traffic under the same seeds, and compared."""
+"""Rehearsal: compares a draft with the active table in replays of recent traffic under the same seeds."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from ..model.queue_settings import objective_of
 from .replay import METRICS, Block, QueueMetrics, Replay, WorkModel, resampled
 
-GUARDED = ("wait_median", "wait_99", "dues_missed", "failed", "shed")  # what a draft may not make worse
+GUARDED = ("wait_median", "wait_99", "dues_missed", "failed", "shed")  # metrics that a draft may not worsen
 
-Pair = tuple[QueueMetrics, QueueMetrics]  # metrics of one seed: (in force, draft)
+Pair = tuple[QueueMetrics, QueueMetrics]  # metrics under one seed: (active table, draft)
 
 
 def cost(metrics: QueueMetrics, objective: dict[str, Any]) -> float:
-    """What the objective makes of a replay: less is better. Each queue counts alike but
-    for its weight, however many jobs it has.
+    """The cost of a replay by the objective; less is better. Each queue counts alike except for its weight,
+    however many jobs it has.
     """
     weights = objective["queues"]
     total: float = sum(
@@ -32,7 +32,7 @@
     needed: int,
     guard: dict[str, float],
 ) -> str | None:
-    """What a draft does to one queue beyond the bounds of the guard, in words, or None."""
+    """How a draft worsens one queue beyond the bounds of the guard, in words, or None."""
     for name in GUARDED:
         before = [before_metrics[name] for before_metrics, _ in pairs]
         after = [after_metrics[name] for _, after_metrics in pairs]
@@ -56,7 +56,7 @@
     pairs: int
 
     def needed(self) -> int:
-        """How many replays must agree."""
+        """How many replays must agree for a verdict."""
         return max(1, self.pairs * constants.REHEARSAL_AGREE // constants.REHEARSAL_PAIRS)
 
     def verdict(self) -> str:
@@ -66,7 +66,7 @@
         return "worse" if self.worse >= self.needed() else "no difference"
 
     def why(self) -> str:
-        """The verdict's reason, in words."""
+        """The reason for the verdict, in words."""
         return (
             f"cost {self.active:.3f} in force, {self.draft:.3f} draft; "
             f"lower in {self.better}, higher in {self.worse} of {self.pairs} replays"
@@ -85,7 +85,7 @@
 def _by_queue(
     replays: Sequence[Pair], needed: int, guard: dict[str, float]
 ) -> tuple[list[dict[str, Any]], list[str]]:
-    """(mean metrics of each queue under both tables, harms beyond the guard)."""
+    """(mean metrics of each queue under both tables, violations of the guard)."""
     queues, harms = [], []
     for queue in sorted({queue for active, _ in replays for queue in active}):
         queue_pairs = [(before[queue], after[queue]) for before, after in replays if queue in before]
@@ -105,7 +105,7 @@
 
 
 def _why_not_measurable(blocks: Sequence[Block], worker_capacities: Sequence[Sequence[Any]]) -> str:
-    """Why nothing can be measured, or ""."""
+    """Why a draft can't be measured, or ""."""
     count, nonempty = _traffic(blocks)
     if not worker_capacities:
         return "no minion is known"
@@ -118,7 +118,7 @@
 
 
 def _traffic(blocks: Sequence[Block]) -> tuple[int, int]:
-    """(jobs that came, blocks in which some came)."""
+    """(number of jobs, number of blocks that contain any)."""
     return sum(len(block[2]) for block in blocks), sum(1 for block in blocks if block[2])
 
 
@@ -150,8 +150,8 @@
     pause: Callable[[], None] | None = None,
     pairs: int = constants.REHEARSAL_PAIRS,
 ) -> dict[str, Any]:
-    """Replays both tables in pairs under the same seeds and says which is better by the
-    objective in force, or that there was too little traffic to tell.
+    """Replays both tables in pairs under the same seeds and decides which is better by the active objective,
+    or reports that there was too little traffic to decide.
     """
     count, nonempty = _traffic(blocks)
     insufficient = _why_not_measurable(blocks, worker_capacities)
--- a/src/pinepitch/control/rehearsal_role.py
+++ b/src/pinepitch/control/rehearsal_role.py
@@ -1,4 +1,4 @@
-"""The rehearsal role: which daemon measures a draft, and how its result comes to the leader."""
+"""The rehearsal role: which daemon measures a draft, and how the result reaches the leader."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -10,15 +10,16 @@
 
 
 class RehearsalRole:
-    """Invariant: this daemon measures one draft at a time, as the holder of the role only."""
+    """Invariant: this daemon measures one draft at a time, and only while it has the role."""
 
     def __init__(self, daemon: "ControlDaemon") -> None:
         self.daemon = daemon
-        self.rehearsing: tuple[str, int] | None = None  # (draft, asked) that is measured now
-        self.last_claim_at = -1e9  # seconds; when the role was claimed last
+        # (draft, number of the request) that is being measured
+        self.rehearsing: tuple[str, int] | None = None
+        self.last_claim_at = -1e9  # seconds; when the role was last claimed
 
     def maintain(self, now: float) -> None:
-        """Claims the role where it is this daemon's turn, and has the oldest draft measured."""
+        """Claims the role if this daemon should measure, and starts the measurement of the oldest draft."""
         requested = [
             draft for draft in self.daemon.cluster_state.drafts.values() if draft["state"] == "rehearsing"
         ]
@@ -46,8 +47,8 @@
         )
 
     def _is_measuring_daemon(self) -> bool:
-        """Whether this daemon measures: the first live one in the agreed order that does not lead;
-        the leader itself only when alone.
+        """Whether this daemon should measure: it is the first live member, by identity, that does not lead.
+        The leader itself measures only when it is alone.
         """
         leader = self.daemon.consensus.following
         members = self.daemon.consensus.membership.members()
@@ -58,19 +59,19 @@
         return order[0] == self.daemon.identity
 
     def on_claim(self, role: str, identity: str, now: float) -> None:
-        """A daemon claims a role: the leader has it agreed on."""
+        """Handles a daemon's claim of a role: the leader proposes it."""
         if self._serving() and self.daemon.cluster_state.epochs.get(role, (0, ""))[1] != identity:
             self.daemon.proposals.propose(("duty", role, identity), None, now)
 
     def on_rehearsed(self, epoch: int, draft: str, asked: int, measure: dict[str, Any], now: float) -> None:
-        """The measuring is done; its result is agreed on under the epoch it was begun in."""
+        """Handles the end of a measurement; its result is proposed under the epoch in which it was begun."""
         self.rehearsing = None
         self.daemon.event(162, draft=draft, verdict=measure["verdict"])
         if self.daemon.consensus is not None:
             self.daemon.send_to_leader(("measured", epoch, draft, asked, measure), now)
 
     def on_measured(self, epoch: int, draft: str, asked: int, measure: dict[str, Any], now: float) -> None:
-        """A draft was measured: the leader has the result agreed on."""
+        """Handles the result of a measurement: the leader proposes it."""
         if self._serving():
             self.daemon.proposals.propose(("measure", epoch, draft, asked, measure), None, now)
 
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -1,6 +1,6 @@
-"""Replays of recent traffic: the cluster state and the placing code in virtual time.
+"""Replays of recent traffic: the cluster state and the placement code in virtual time.
 
-Pure, so that they can run apart from the placing path. Times are seconds.
+Replays are pure, so that they can run apart from the live placement. Times are seconds.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 from .placement import Placer
 
 METRICS = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
-SHARES = ("dues_missed", "failed", "shed", "preemptions")  # told as shares of a queue's jobs
+SHARES = ("dues_missed", "failed", "shed", "preemptions")  # reported as shares of a queue's jobs
 
-Fields = tuple[Any, ...]  # of a SampledJob, a SampledTask, or an operation
-Running = tuple[Fields, ...]  # each (queue, kind, units, labels, how many)
-Block = tuple[float, Running, tuple[Fields, ...]]  # (length, what runs at its begin, arrivals)
+Fields = tuple[Any, ...]  # fields of a SampledJob, a SampledTask, or an operation
+Running = tuple[Fields, ...]  # each (queue, kind, units, labels, count)
+Block = tuple[float, Running, tuple[Fields, ...]]  # (length, running at its start, arrivals)
 WorkKind = tuple[str, str, int, tuple[str, ...]]  # (queue, kind, units, labels)
 QueueMetrics = dict[str, dict[str, float]]  # queue -> metric -> value
 
 
 class SampledTask(NamedTuple):
-    """A task as the traffic sample tells it (`state/traffic_sample.py`)."""
+    """A task of the traffic sample (`state/traffic_sample.py`)."""
 
     name: str
     units: int
     labels: Sequence[str]
     after: Sequence[str]
-    wait: float  # from the job's arrival to the task's time, 0 for none
+    wait: float  # from the job's arrival to the task's earliest start, 0 for none
     gang: str
-    attempts: int  # as asked for, 0 for the queue's
+    attempts: int  # as requested, 0 for the queue's
     limit: float
-    duration: float | None  # None if it was not seen to end
+    duration: float | None  # None if its end was not sampled
     failures: int
-    lost: float  # by all its failures
+    lost: float  # total time lost by its failures
 
 
 class SampledJob(NamedTuple):
-    """A job as the traffic sample tells it."""
+    """A job of the traffic sample."""
 
-    arrival: float  # from the begin of its block
+    arrival: float  # from the start of its block
     queue: str
     kind: str
     urgency: int  # -1 for the queue's
@@ -53,9 +53,8 @@
 
 
 class WorkModel:
-    """What the sample tells of each kind of work: how long it takes, how often it fails and
-    after what time. Invariant: the same draw for the same seed, task and attempt, whatever
-    the table.
+    """Statistics of each kind of work in the sample: its durations, how often it fails and after what time.
+    Invariant: the same seed, task and attempt give the same draw, whatever the table.
     """
 
     def __init__(self, blocks: Iterable[Block]) -> None:
@@ -80,7 +79,7 @@
             self.failures[kind] = self.failures.get(kind, 0) + task.failures
 
     def outcome(self, kind: WorkKind, duration: float | None, seed: str) -> tuple[float | None, str]:
-        """(seconds, how it ended) of one attempt; a feed that was not seen to end never does."""
+        """(seconds, how it ended) of one attempt. A feed whose end was not sampled never ends."""
         draw = random.Random(seed)
         if draw.random() * self.attempt_counts.get(kind, 1) < self.failures.get(kind, 0):
             return draw.choice(self.lost[kind]), "failed"
@@ -92,8 +91,8 @@
 
 
 def resampled(blocks: Iterable[Block], seed: int) -> tuple[Running, list[Fields]]:
-    """(running at the start, arrivals) of whole blocks drawn anew and put one after another
-    until they last REPLAY_LASTS or hold REPLAY_JOBS; some block must hold an arrival.
+    """(running at the start, arrivals) of whole blocks, drawn at random and put one after another until they
+    last REPLAY_LASTS or contain REPLAY_JOBS jobs. Some block must contain an arrival.
     """
     draw = random.Random(f"rehearsal-{seed}")
     blocks = [block for block in blocks if block[2]]
@@ -108,14 +107,14 @@
 
 
 def _worker(name: str, zone: str, capacity: int, labels: Iterable[str]) -> PushWorker:
-    """A worker that reported nothing but its capacity."""
+    """A worker that reported only its capacity."""
     report = Report(name, zone, "", capacity, tuple(labels), False, "one", 1, 0.0, (), ())
     return PushWorker(report, 0.0)
 
 
 class Replay:
-    """One table on some workers in virtual time. Invariants: moments are handled in order of
-    (time, number); a round is due while something is ready and nothing else comes first.
+    """One table on some workers in virtual time. Invariants: moments are handled in order of (time, number);
+    a scheduling round is due while something is ready and no other moment comes first.
     """
 
     def __init__(
@@ -135,20 +134,18 @@
         self.work, self.seed = work, seed
         self.number = 0  # of the newest moment
         self.moments: list[Fields] = []  # a heap of (when, number, kind, ...)
-        self.durations: dict[str, float | None] = {}  # task reference -> seconds it took where seen
-        self.draw_keys: dict[
-            str, tuple[Any, bool]
-        ] = {}  # job -> (what tells its draws from others', counted)
+        self.durations: dict[str, float | None] = {}  # task reference -> seconds that it took, if sampled
+        self.draw_keys: dict[str, tuple[Any, bool]] = {}  # job -> (key of its random draws, counted)
         self.dues: dict[str, float] = {}  # job -> its due
         self.starts: list[tuple[float, str, int, str]] = []  # (when, task reference, attempt, worker)
-        self.waits: dict[str, list[float]] = {}  # queue -> from ready to placed
+        self.waits: dict[str, list[float]] = {}  # queue -> seconds from ready to placed
         self.metrics: QueueMetrics = {}
-        self.counts: dict[str, int] = {}  # queue -> jobs that came
+        self.counts: dict[str, int] = {}  # queue -> jobs that arrived
         self.round_at: float | None = None
 
     # --- time -------------------------------------------------------------------------
     def schedule(self, when: float, *moment: Any) -> None:
-        """Notes a moment to come: its kind and what belongs to it."""
+        """Schedules a moment: its kind and its fields."""
         self.number += 1
         heapq.heappush(self.moments, (when, self.number, *moment))
 
@@ -159,8 +156,8 @@
         lasting: float = constants.REHEARSAL_LONGEST,
         pause: Callable[[], None] | None = None,
     ) -> QueueMetrics:
-        """The metrics of a replay of `arrivals`, with `running` under way at its start; `pause` is
-        called now and then, so that a thread can leave the processor to others.
+        """The metrics of a replay of `arrivals`, with `running` in progress at its start. `pause` is called
+        at intervals, so that a thread can yield the processor to others.
         """
         for group in running:
             self._add_running(*group)
@@ -178,14 +175,14 @@
         return self.finish(last + lasting)
 
     def _add_running(self, queue: str, kind: str, units: int, labels: Sequence[str], count: int) -> None:
-        """So many alike tasks are under way as the replay begins; they count in no metric."""
+        """Adds `count` identical tasks that run when the replay begins; they count in no metric."""
         task = SampledTask("s", units, labels, (), 0.0, "", 0, 0.0, None, 0, 0.0)
         for number in range(count):
             job = SampledJob(0.0, queue, kind, -1, 0.0, (task,))
             self.arrive(0.0, job, f"running-{queue}-{units}-{number}", False)
 
     def step(self, now: float, kind: str, *fields: Any) -> None:
-        """Handles one moment, and says when the next round is due."""
+        """Handles one moment and schedules the next round."""
         progressed = True
         if kind == "arrive":
             self.arrive(now, *fields)
@@ -193,7 +190,7 @@
             self.apply(now, ("ended", (fields,)))
         elif kind == "round":
             if now != self.round_at:
-                return  # one that was overtaken
+                return  # superseded by an earlier round
             self.round_at = None
             progressed = self.run_round(now)
         when = self._next_round(now, progressed)
@@ -201,19 +198,19 @@
             self.schedule_round(when)
 
     def _next_round(self, now: float, progressed: bool) -> float | None:
-        """When a round may next place something, None while only other moments can help."""
+        """When a round may next place something; None while only other moments can help."""
         next_due: float | None = self.cluster_state.promote_due_units(now)
         if not self.cluster_state.ready_units:
             return next_due
         if progressed:
             return now + constants.PLACE_EVERY
-        if self.moments:  # what found no capacity is tried again when something has happened
+        if self.moments:  # tasks without capacity are tried again after another moment
             next_moment: float = self.moments[0][0]
             return max(now + constants.PLACE_EVERY, min(next_moment, now + 0.5))
         return None
 
     def schedule_round(self, when: float) -> None:
-        """Has a round at `when`, in the place of any that was due."""
+        """Schedules a round at `when`, which replaces any round that was due."""
         self.round_at = when
         self.schedule(when, "round")
 
@@ -225,7 +222,9 @@
 
     # --- arrivals ---------------------------------------------------------------------
     def arrive(self, now: float, arrival: Iterable[Any], draw_key: Any, counted: bool = True) -> None:
-        """A job of the sample comes; `place` tells its draws from others'."""
+        """Handles the arrival of a sampled job; `draw_key` separates its random draws from those of other
+        jobs.
+        """
         job = SampledJob._make(arrival)
         tasks = [SampledTask._make(task_fields) for task_fields in job.tasks]
         plain = _submitted(job, tasks, now)
@@ -251,7 +250,7 @@
 
     # --- placing ----------------------------------------------------------------------
     def run_round(self, now: float) -> bool:
-        """One placing round; whether it did anything."""
+        """Runs one scheduling round; returns whether it changed anything."""
         for worker in self.workers.values():
             worker.heard_at = now
         items, yields = self.placer.run_round(self.cluster_state, self.workers, [("verge", "")], now, now)
@@ -259,7 +258,7 @@
             self._place(now, items)
         if yields:
             self._yield_tasks(now, yields)
-        for ref, attempt in self.cluster_state.yielding.items():  # a stale end changes nothing
+        for ref, attempt in self.cluster_state.yielding.items():  # a repeated end changes nothing
             self.schedule(now + 0.1, "end", ref, attempt, "killed")
         return bool(items or yields)
 
@@ -279,7 +278,7 @@
                     self.metrics[job.queue]["preemptions"] += 1
 
     def on_placed(self, now: float, ref: str) -> None:
-        """A task was placed: draws how long it takes, and notes its end."""
+        """Handles a placed task: draws its duration and schedules its end."""
         job, task, standing = self.cluster_state.find_known(ref)
         draw_key, counted = self.draw_keys[job.identity]
         seconds, how = self.work.outcome(
@@ -301,8 +300,8 @@
 
     # --- metrics ----------------------------------------------------------------------
     def finish(self, end: float) -> QueueMetrics:
-        """The metrics: waits in seconds, capacity used in unit seconds, the rest as shares of the
-        queue's jobs.
+        """The metrics: waits in seconds, used capacity in unit seconds, the others as shares of the queue's
+        jobs.
         """
         for job in self.cluster_state.pushed_jobs.values():
             if job.queue in self.metrics and self.draw_keys[job.identity][1]:
@@ -316,7 +315,7 @@
         return self.metrics
 
     def _count_result(self, job: Any, end: float) -> None:
-        """Counts what became of one job by the replay's end."""
+        """Counts the result of one job at the replay's end."""
         metrics, due = self.metrics[job.queue], self.dues.get(job.identity)
         metrics["dues_missed"] += due is not None and (job.state != "finished" or job.ended_at > due)
         metrics["failed"] += job.state in ("failed", "failing")
@@ -329,7 +328,7 @@
 
 
 def _submitted(job: SampledJob, tasks: Iterable[SampledTask], now: float) -> dict[str, Any]:
-    """The checked document of a job that comes now."""
+    """The validated document of a job that arrives now."""
     return {
         "queue": job.queue,
         "kind": job.kind,
--- a/src/pinepitch/control/sessions.py
+++ b/src/pinepitch/control/sessions.py
@@ -1,21 +1,21 @@
-"""Sessions: which daemons are live now, and where control daemons are known to be."""
+"""Sessions: which daemons are live, and the last known addresses of control daemons."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from ..common import constants
 
-NEVER = -1e9  # a time before any other, in seconds
-CONTROL_DAEMON = "accord"  # the kind of a control daemon, as on the wire
+NEVER = -1e9  # seconds; earlier than any other time
+CONTROL_DAEMON = "accord"  # the kind of control daemons, as on the wire
 
 SessionEntry = tuple[str, str, str, str]  # (identity, kind, zone, address) of a session, as on the wire
 Endpoint = tuple[str, str, str]  # (identity, zone, address) of a control daemon, as on the wire
 
 
 class Session(NamedTuple):
-    """Invariant: heard is when the daemon, or the control daemon that holds its session, last
-    said that it stands, in seconds of this daemon's clock; it expires SESSION_LASTS later, or
-    RELAYED_SESSION_LASTS if it was relayed.
+    """A daemon's session. Invariant: last_seen is when the daemon, or the control daemon that relayed its
+    session, last confirmed it, in seconds of this daemon's clock. The session expires SESSION_LASTS later, or
+    RELAYED_SESSION_LASTS later if it was relayed.
     """
 
     identity: str
@@ -23,7 +23,7 @@
     zone: str
     address: str
     last_seen: float
-    relayed_by: str  # "" for a session held here
+    relayed_by: str  # identity of a control daemon; "" for a direct session
 
     def expired(self, now: float) -> bool:
         """Whether the daemon counts as gone."""
@@ -32,22 +32,22 @@
 
 
 class KnownEndpoint(NamedTuple):
-    """Where a control daemon was last known, and when it was last heard; its session may have expired."""
+    """The last known address of a control daemon and when it was last seen; its session may have expired."""
 
     zone: str
     address: str
-    last_seen: float  # NEVER if only others know of it
+    last_seen: float  # NEVER if it was only reported by others
 
 
 class Sessions:
-    """Invariant: one session a daemon; one held here wins over one that another relayed."""
+    """Invariant: one session per daemon; a direct session takes precedence over a relayed one."""
 
     def __init__(self) -> None:
         self.by_identity: dict[str, Session] = {}
         self.control_daemons: dict[str, KnownEndpoint] = {}
 
     def renew(self, identity: str, kind: str, zone: str, address: str, now: float) -> bool:
-        """A daemon renews its session here; True when it is new."""
+        """Renews a daemon's direct session; returns whether the session is new."""
         fresh = identity not in self.by_identity or bool(self.by_identity[identity].relayed_by)
         self.by_identity[identity] = Session(identity, kind, zone, address, now, "")
         if kind == CONTROL_DAEMON:
@@ -55,7 +55,7 @@
         return fresh
 
     def add_relayed(self, reporter: str, sessions: Iterable[SessionEntry], now: float) -> None:
-        """Another control daemon tells the sessions that it holds."""
+        """Adds the direct sessions of another control daemon."""
         for identity, kind, zone, address in sessions:
             existing = self.by_identity.get(identity)
             if (
@@ -65,25 +65,25 @@
             ):
                 self.by_identity[identity] = Session(identity, kind, zone, address, now, reporter)
             if kind == CONTROL_DAEMON:
-                # the teller may not have heard it for as long as a session lasts
+                # the reporter may not have seen it for as long as a session lasts
                 known = self.control_daemons.get(identity, KnownEndpoint(zone, address, NEVER))
                 last_seen = max(known.last_seen, now - constants.SESSION_LASTS)
                 self.control_daemons[identity] = KnownEndpoint(zone, known.address, last_seen)
 
     def add_reported(self, control_daemons: Iterable[Endpoint]) -> None:
-        """Control daemons that somebody knows of; an address heard directly is not overwritten."""
+        """Adds control daemons reported by others, without overwriting an address that is known already."""
         for identity, zone, address in control_daemons:
             self.control_daemons.setdefault(identity, KnownEndpoint(zone, address, NEVER))
 
     def expire(self, now: float) -> list[str]:
-        """Drops the sessions that have expired; their daemons' identities."""
+        """Drops expired sessions and returns the identities of their daemons."""
         expired = [identity for identity, session in self.by_identity.items() if session.expired(now)]
         for identity in expired:
             del self.by_identity[identity]
         return expired
 
     def direct_sessions(self) -> tuple[SessionEntry, ...]:
-        """What is told to other control daemons: the sessions held here."""
+        """The direct sessions, as reported to other control daemons."""
         return tuple(
             (session.identity, session.kind, session.zone, session.address)
             for session in self.by_identity.values()
@@ -91,7 +91,7 @@
         )
 
     def live(self, kind: str) -> list[Session]:
-        """Sessions of one kind of daemon, in the agreed order (by identity)."""
+        """Sessions of one kind of daemon, ordered by identity, which is the order that all daemons share."""
         return [
             self.by_identity[identity]
             for identity in sorted(self.by_identity)
@@ -99,17 +99,17 @@
         ]
 
     def last_seen(self, identity: str) -> float:
-        """The latest time at which some control daemon is known to have heard this one, NEVER for none."""
+        """The latest time at which some control daemon is known to have seen this one; NEVER for none."""
         known = self.control_daemons.get(identity)
         return known.last_seen if known else NEVER
 
     def address(self, identity: str) -> str | None:
-        """Where a control daemon was last known, or None."""
+        """The last known address of a control daemon, or None."""
         known = self.control_daemons.get(identity)
         return known.address if known else None
 
     def known_control_daemons(self) -> tuple[Endpoint, ...]:
-        """The control daemons live now, for those who ask."""
+        """The control daemons that are live now, for those who ask."""
         return tuple(
             (session.identity, session.zone, session.address) for session in self.live(CONTROL_DAEMON)
         )
--- a/src/pinepitch/control/startup.py
+++ b/src/pinepitch/control/startup.py
@@ -1,4 +1,4 @@
-"""How a control daemon opens its data folder: the store, and the identity that stands in it."""
+"""How a control daemon opens its data folder: the store, and the identity stored in it."""
 
 import secrets
 from typing import Any, NamedTuple
@@ -10,24 +10,24 @@
 
 
 class ClusterPlan(NamedTuple):
-    """How a cluster is made to serve on after the loss of so many machines."""
+    """How a cluster keeps serving after the loss of a number of machines."""
 
-    mode: str  # quorum mode, as consensus.quorum has them
-    voters: int  # members wanted
+    mode: str  # a quorum mode of consensus.quorum
+    voters: int  # target number of members
 
 
 def cluster_plan_of(machines_lost: int) -> ClusterPlan:
-    """What serves on after any `machines_lost` machines are lost at once: a majority of 2 n + 1 voters
-    is left after n. For one machine zones are the groups ("static", FlexiRaft's quorums, with the
-    usual three voters); for more each voter is a group of its own ("single"), as no zone may hold a
-    majority.
+    """The plan that keeps the cluster serving after any `machines_lost` machines are lost at once: a majority
+    of 2 n + 1 voters is left after n losses. For one machine, zones are the groups ("static", FlexiRaft's
+    quorums, with the usual three voters). For more, each voter is a group of its own ("single"), as no zone
+    may contain a majority.
     """
     return ClusterPlan("single" if machines_lost > 1 else "static", 2 * machines_lost + 1)
 
 
 def open_store(folder: str) -> Opened:
-    """(store, snapshot base, steps, segments, why it was damaged or None). A damaged store counts as
-    empty; one of another version is left as it is, and OSError says so.
+    """(store, snapshot base, steps, segments, why it was damaged or None). A damaged store counts as empty. A
+    store of another version is left as it is, and OSError is raised.
     """
     store = Store(folder)
     loaded = store.load(packed_step)
@@ -42,7 +42,7 @@
 
 
 def identity_of(store: Store, base: Any, steps: list[Any]) -> str:
-    """The store's identity; an empty store gets a new one, durable before it is used."""
+    """The store's identity. An empty store gets a new one, which is durable before it is used."""
     if base is not None:
         return str(base[0])
     for step in steps:
--- a/src/pinepitch/control/worker_reports.py
+++ b/src/pinepitch/control/worker_reports.py
@@ -1,4 +1,4 @@
-"""Reports of workers that take orders: who runs what, and which attempts have provably ended."""
+"""Reports of workers that take orders: what each runs, and which attempts have provably ended."""
 
 from collections.abc import Iterable, Iterator
 from typing import TYPE_CHECKING, Any
@@ -12,8 +12,8 @@
 
 
 class WorkerReports:
-    """Invariants: what it gathers is empty unless this daemon leads; an end is proposed once in a term
-    until it is agreed on.
+    """Invariants: it is empty unless this daemon leads; an end is proposed once in a term until it is
+    committed.
     """
 
     def __init__(self, daemon: "ControlDaemon") -> None:
@@ -21,15 +21,15 @@
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all, as a term begins or ends."""
+        """Resets all state, as a term begins or ends."""
         self.push_workers: dict[str, PushWorker] = {}
         self.proposed_ends: set[tuple[str, int]] = set()  # (reference, attempt)
-        self.gathered_ends: list[tuple[Any, ...]] = []  # (reference, attempt, how) to be proposed together
-        self.end_listeners: list[OutcomeListener] = []  # who is told once they are agreed on
+        self.gathered_ends: list[tuple[Any, ...]] = []  # (reference, attempt, how), to be proposed together
+        self.end_listeners: list[OutcomeListener] = []  # sent the outcome of the gathered ends
 
     def take_report(self, report: Report, now: float) -> tuple[list[Any], list[Any], list[Any]]:
-        """Gathers a worker's report; (ends to agree on, ends that are known, strays: runs that nobody
-        wants).
+        """Processes a worker's report. Returns (ends to commit, ends already recorded, strays: runs that are
+        not wanted).
         """
         newest = self._store_if_newest(report, now)
         ends, acknowledged = [], []
@@ -50,14 +50,14 @@
         return ends, acknowledged, strays
 
     def _placed_standing(self, ref: str, attempt: int) -> Any:
-        """The standing of a task if that attempt of it is placed, else None."""
+        """The standing of a task if this attempt of it is placed, else None."""
         task_record = self.daemon.cluster_state.find(ref)
         if task_record is None or task_record[2].state != "placed" or task_record[2].attempt != attempt:
             return None
         return task_record[2]
 
     def _store_if_newest(self, report: Report, now: float) -> bool:
-        """Keeps a report if it is its worker's newest; whether it is."""
+        """Stores a report if it is its worker's newest; returns whether it is."""
         known = self.push_workers.get(report.worker)
         newest = True
         if known is None:
@@ -65,7 +65,7 @@
         elif report.incarnation == known.report.incarnation:
             newest = report.counter > known.report.counter
         elif report.address != known.report.address and not known.unresponsive(now):
-            newest = False  # another machine under a name that is taken
+            newest = False  # another machine uses a name that is taken
             self.daemon.event(158, minion=report.worker, address=report.address, known=known.report.address)
         else:
             newest = report.heard >= known.report.heard or known.unresponsive(now)
@@ -76,9 +76,9 @@
         return newest
 
     def _ends_by_absence(self, report: Report, listed: set[tuple[str, int]]) -> Iterator[tuple[Any, ...]]:
-        """Proof by absence: a report begun after send-by and a margin lists all that
-        runs, so what it lacks has ended or never begun. A new start at another address
-        may be another machine: it proves nothing of what the name's last one runs.
+        """Ends that are proven by absence. A report begun after send-by and a margin lists all that runs, so
+        a placed attempt that it lacks has ended or never begun. A new incarnation at another address may be
+        another machine, so it proves nothing about what the earlier one of that name runs.
         """
         for ref in sorted(self.daemon.cluster_state.reserved.get(report.worker, {})):
             standing = self.daemon.cluster_state.find_known(ref)[2]
@@ -93,7 +93,9 @@
     def gather_ends(
         self, items: Iterable[tuple[Any, ...]], listener: OutcomeListener | None, now: float
     ) -> list[tuple[Any, ...]]:
-        """Gathers proven ends; those of one tick become one entry and so one sync."""
+        """Gathers proven ends; those of one tick become one entry and thus one sync. Returns the ends that
+        are new.
+        """
         fresh = [item for item in items if item[:2] not in self.proposed_ends]
         self.proposed_ends.update(item[:2] for item in fresh)
         self.gathered_ends.extend(fresh)
@@ -102,7 +104,7 @@
         return fresh
 
     def propose_gathered_ends(self, now: float) -> None:
-        """One entry for all ends gathered, its outcome told to all who wait."""
+        """Proposes one entry for all gathered ends; its outcome is sent to all who wait for it."""
         if self.gathered_ends:
             ends, listener = tuple(self.gathered_ends), self.end_listeners
             self.gathered_ends, self.end_listeners = [], []
