--- a/src/pinepitch/control/alert_rules.py
+++ b/src/pinepitch/control/alert_rules.py
@@ -1,5 +1,5 @@
-"""The file of alert rules, as Prometheus reads it; of expressions only a comparison of one
-metric, perhaps with labels, with a number. Loaded only by a daemon that is given such a file.
+"""Reads files of alert rules in the format of Prometheus. The only expressions are comparisons of one metric,
+perhaps with labels, with a number. Imported only by a daemon that is given such a file.
 """
 
 import re
@@ -17,39 +17,39 @@
 LABEL = re.compile(r'^\s*([a-zA-Z_][a-zA-Z0-9_]*)\s*=\s*"([^"\\]*)"\s*$')
 DURATION = re.compile(r"^(\d+)(ms|s|m|h)$")
 Expression = tuple[str, tuple[tuple[str, str], ...], str, float]  # (metric, labels, comparison, bound)
-Faults = tuple[tuple[str, str], ...]  # ((place, message), ...)
+Faults = tuple[tuple[str, str], ...]  # ((location, message), ...)
 
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 
 
 def _expression(text: Any) -> Expression:
-    """An expression in parts, or Invalid."""
-    found = EXPRESSION.match(text) if isinstance(text, str) else None
-    if not found:
+    """The parts of an expression; raises Invalid."""
+    match = EXPRESSION.match(text) if isinstance(text, str) else None
+    if not match:
         raise voluptuous.Invalid(
             'expected METRIC or METRIC{label="value"}, a comparison and a number; nothing else is read'
         )
-    labels = tuple(_label(one) for one in (found[2] or "").split(",") if one.strip())
+    labels = tuple(_label(label) for label in (match[2] or "").split(",") if label.strip())
     try:
-        bound = float(found[4])
+        bound = float(match[4])
     except ValueError:
-        raise voluptuous.Invalid(f"{found[4]} is no number") from None
-    return (found[1], labels, found[3], bound)
+        raise voluptuous.Invalid(f"{match[4]} is no number") from None
+    return (match[1], labels, match[3], bound)
 
 
 def _label(text: str) -> tuple[str, str]:
-    found = LABEL.match(text)
-    if not found:
+    match = LABEL.match(text)
+    if not match:
         raise voluptuous.Invalid('expected labels as label="value"')
-    return (found[1], found[2])
+    return (match[1], match[2])
 
 
 def _duration(text: Any) -> float:
-    """Seconds, or Invalid."""
-    found = DURATION.match(text) if isinstance(text, str) else None
-    if not found:
+    """Seconds of a duration; raises Invalid."""
+    match = DURATION.match(text) if isinstance(text, str) else None
+    if not match:
         raise voluptuous.Invalid("expected a duration like 30s, 5m or 1h")
-    return int(found[1]) * UNITS[found[2]]
+    return int(match[1]) * UNITS[match[2]]
 
 
 TEXTS: dict[Any, Any] = {str: str}
@@ -78,7 +78,7 @@
 
 
 def read(text: str) -> tuple[tuple[Rule, ...] | None, Faults]:
-    """(rules, ()) or (None, faults), each named by its place."""
+    """(rules, ()) or (None, faults), each fault with its location."""
     try:
         document = yaml.safe_load(text)
     except (yaml.YAMLError, RecursionError, ValueError) as fault:
@@ -86,17 +86,17 @@
     plain, faults = shaped(SHAPE, document)
     if faults:
         return None, faults
-    found = [
-        (f"groups.{place}.rules.{position}.alert", _rule(one))
-        for place, group in enumerate(plain["groups"])
-        for position, one in enumerate(group["rules"])
+    located_rules = [
+        (f"groups.{group_number}.rules.{rule_number}.alert", _rule(checked_rule))
+        for group_number, group in enumerate(plain["groups"])
+        for rule_number, checked_rule in enumerate(group["rules"])
     ]
-    faults = _named_twice(found)
-    return (None, faults) if faults else (tuple(rule for _, rule in found), ())
+    faults = _duplicate_alerts(located_rules)
+    return (None, faults) if faults else (tuple(rule for _, rule in located_rules), ())
 
 
 def _rule(checked: dict[str, Any]) -> Rule:
-    """A rule of a checked document."""
+    """A rule of a validated document."""
     metric, labels, comparison, bound = checked["expr"]
     return Rule(
         alert=checked["alert"],
@@ -104,18 +104,18 @@
         labels=labels,
         comparison=comparison,
         bound=bound,
-        lasting=checked["for"],
+        min_seconds=checked["for"],
         pauses=checked["labels"].get("hold", ""),
         summary=checked["annotations"].get("summary", ""),
     )
 
 
-def _named_twice(found: list[tuple[str, Rule]]) -> Faults:
-    """A fault for each rule whose alert an earlier one has."""
-    seen: set[str] = set()
+def _duplicate_alerts(located_rules: list[tuple[str, Rule]]) -> Faults:
+    """A fault for each rule whose alert an earlier rule has."""
+    alerts: set[str] = set()
     faults = []
-    for place, rule in found:
-        if rule.alert in seen:
-            faults.append((place, f"{rule.alert!r} is named twice"))
-        seen.add(rule.alert)
+    for location, rule in located_rules:
+        if rule.alert in alerts:
+            faults.append((location, f"{rule.alert!r} is named twice"))
+        alerts.add(rule.alert)
     return tuple(faults)
--- a/src/pinepitch/control/membership.py
+++ b/src/pinepitch/control/membership.py
@@ -1,5 +1,5 @@
-"""Decisions on who votes: what a list of members may lose, who takes a leaving voter's seat, and
-how long a voter must be unheard before a newcomer takes its place. Pure functions and values.
+"""Decisions on the list of voters: which losses a list tolerates, who takes the slot of a leaving voter, and
+how long a voter must be unreachable before a newcomer replaces it. Pure functions and values.
 """
 
 import functools
@@ -14,17 +14,17 @@
 
 
 class Tolerance(NamedTuple):
-    """What a list of members can lose next and still both commit and elect; larger is better.
+    """The next losses after which a list of members can still both commit and elect; larger is better.
 
-    Invariant: -1 machines says that it can't even without another loss.
+    Invariant: -1 machines means that it can't even without another loss.
     """
 
-    machines: int  # any so many
-    zones: bool  # whether any one whole zone
+    machines: int  # how many, whichever they are
+    zones: bool  # whether any one whole zone may be lost
 
 
-def _works(quorum: Quorum, live: Collection[str]) -> bool:
-    """Whether those live can commit and elect, whoever of them leads."""
+def _can_commit_and_elect(quorum: Quorum, live: Collection[str]) -> bool:
+    """Whether the live members can commit and elect, whoever of them leads."""
     groups = quorum.majorities(live)
     if quorum.mode == "dynamic":
         return bool(groups == set(quorum.groups()))
@@ -32,35 +32,42 @@
 
 
 def tolerance(quorum: Quorum, live: Collection[str]) -> Tolerance:
-    """What may be lost next of the members that are live."""
-    inside = frozenset(quorum.members) & frozenset(live)
-    return _tolerance(tuple(sorted(quorum.members.items())), quorum.mode, inside)
+    """The further losses that the live members tolerate."""
+    live_members = frozenset(quorum.members) & frozenset(live)
+    return _tolerance(tuple(sorted(quorum.members.items())), quorum.mode, live_members)
 
 
 @functools.lru_cache(maxsize=64)
-def _tolerance(members: tuple[tuple[str, str], ...], mode: str, inside: frozenset[str]) -> Tolerance:
+def _tolerance(members: tuple[tuple[str, str], ...], mode: str, live: frozenset[str]) -> Tolerance:
     quorum = Quorum(dict(members), mode)
-    if not _works(quorum, inside):
+    if not _can_commit_and_elect(quorum, live):
         return Tolerance(-1, False)
     machines = 0
-    while machines < len(inside) and all(
-        _works(quorum, inside - set(lost)) for lost in itertools.combinations(sorted(inside), machines + 1)
+    while machines < len(live) and all(
+        _can_commit_and_elect(quorum, live - set(lost))
+        for lost in itertools.combinations(sorted(live), machines + 1)
     ):
         machines += 1
     zones = set(quorum.members.values())
-    any_zone = all(_works(quorum, {one for one in inside if quorum.members[one] != zone}) for zone in zones)
+    any_zone = all(
+        _can_commit_and_elect(quorum, {member for member in live if quorum.members[member] != zone})
+        for zone in zones
+    )
     return Tolerance(machines, any_zone)
 
 
-def swapped(members: Members, leaver: str, newcomer: str, zone: str) -> Members:
-    """The members once `newcomer`, of `zone`, has the seat of `leaver`."""
-    return {**{one: member_zone for one, member_zone in members.items() if one != leaver}, newcomer: zone}
+def with_replacement(members: Members, leaver: str, newcomer: str, zone: str) -> Members:
+    """The members after `newcomer`, of `zone`, has taken the slot of `leaver`."""
+    return {
+        **{member: member_zone for member, member_zone in members.items() if member != leaver},
+        newcomer: zone,
+    }
 
 
-def _before_and_after(
+def _tolerances(
     quorum: Quorum, members: Mapping[str, str], live: Collection[str]
 ) -> tuple[Tolerance, Tolerance]:
-    """What the list of `quorum` can lose, and what `members` could."""
+    """The tolerance of the list of `quorum`, and that of `members`."""
     return tolerance(quorum, live), tolerance(Quorum(dict(members), quorum.mode), live)
 
 
@@ -68,85 +75,90 @@
     return after.machines >= before.machines and after.zones >= before.zones
 
 
-def without_harm(quorum: Quorum, members: Mapping[str, str], live: Collection[str]) -> bool:
-    """Whether the list `members` can lose as much as that of `quorum` can now, by machines and by zones."""
-    return _no_worse(*_before_and_after(quorum, members, live))
+def retains_tolerance(quorum: Quorum, members: Mapping[str, str], live: Collection[str]) -> bool:
+    """Whether the list `members` tolerates as many losses as that of `quorum`, by machines and by zones."""
+    return _no_worse(*_tolerances(quorum, members, live))
 
 
 def successor(quorum: Quorum, leaver: str, spares: Mapping[str, str], live: Collection[str]) -> str | None:
-    """The spare (identity -> zone, in order) that may take the leaver's seat: one of its zone, or in
-    single mode, where a zone is no group, any that leaves as much to lose as the leaver itself would
-    once it is back. None without one.
+    """The spare (identity -> zone, in order) that may take the slot of a leaving voter, or None. It is one of
+    the same zone. In single mode, where a zone is not a group, it may also be any spare that leaves the
+    cluster as tolerant of losses as the leaving voter would once it is back.
     """
     zone = quorum.members[leaver]
     present = set(live) | {leaver}
-    for identity in sorted(spares, key=lambda one: (spares[one] != zone, one)):
+    for identity in sorted(spares, key=lambda spare: (spares[spare] != zone, spare)):
         if spares[identity] != zone and quorum.mode != "single":
             continue
-        members = swapped(quorum.members, leaver, identity, spares[identity])
-        if identity in live and without_harm(quorum, members, present):
+        members = with_replacement(quorum.members, leaver, identity, spares[identity])
+        if identity in live and retains_tolerance(quorum, members, present):
             return identity
     return None
 
 
-def gains(quorum: Quorum, lost: str, newcomer: str, zone: str, live: Collection[str]) -> bool:
-    """Whether a newcomer of another zone in a member's seat leaves more to lose, and no less in any way."""
-    members = swapped(quorum.members, lost, newcomer, zone)
-    before, after = _before_and_after(quorum, members, live)
+def improves_tolerance(
+    quorum: Quorum, replaced: str, newcomer: str, zone: str, live: Collection[str]
+) -> bool:
+    """Whether a newcomer of another zone in a member's slot increases the tolerance and lessens no part of
+    it.
+    """
+    members = with_replacement(quorum.members, replaced, newcomer, zone)
+    before, after = _tolerances(quorum, members, live)
     return after != before and _no_worse(before, after)
 
 
-class Budget(NamedTuple):
-    """Where the time goes that a lost voter's successor has from its start until it may be needed.
+class ReplacementBudget(NamedTuple):
+    """How the time is divided in which a newly started replacement of a lost voter must become a voter.
 
-    Invariant: what the parts take in sum, the silence included, is within catch_up.
+    Invariant: all steps together, including the time for which the lost voter must be unreachable, take at
+    most catch_up.
     """
 
-    catch_up: float  # seconds; what the platform grants
-    change: float  # seconds; the longest joint change measured here
+    catch_up: float  # seconds; the time that the platform allows
+    longest_change: float  # seconds; the longest joint change measured here
 
     def replace_after(self) -> float:
-        """For how many seconds a voter must be unheard before a newcomer takes its seat: what joining,
-        catching up and the joint change leave, with the change counted twice as another may be under way.
+        """For how many seconds a voter must be unreachable before a newcomer takes its slot: the time that
+        joining, catching up and the joint change leave. The change counts twice because another may be in
+        progress.
         """
-        change = max(self.change, constants.CHANGE_WITHIN)
-        left = self.catch_up - constants.JOIN_WITHIN - constants.CATCH_UP_WITHIN - 2 * change
-        return max(constants.SESSION_LASTS, left)
+        change = max(self.longest_change, constants.CHANGE_WITHIN)
+        remaining = self.catch_up - constants.JOIN_WITHIN - constants.CATCH_UP_WITHIN - 2 * change
+        return max(constants.SESSION_LASTS, remaining)
 
 
 class Leave(NamedTuple):
-    """What a leader knows of a voter that said it stops.
+    """What a leader knows of a voter that announced that it stops.
 
-    Invariant: kept is what the voter was told last of its seat, None for nothing yet.
+    Invariant: `retained` is what the voter was last sent about its slot, None for nothing yet.
     """
 
     since: float  # seconds of the leader's clock
-    kept: bool | None
+    retained: bool | None
 
 
 class Departure:
-    """A stopping control daemon's wait until it is decided who gets its seat.
+    """A stopping control daemon's wait for the decision on who takes its voter slot.
 
-    Invariants: it ends at the latest `within` after it began, and soon if no leader says anything.
+    Invariants: it ends at most `within` seconds after it began, and earlier if no leader answers.
     """
 
     def __init__(self, now: float, within: float) -> None:
-        self.begun, self.within = now, within
+        self.started_at, self.within = now, within
         self.announced_at = -1e9
-        self.kept: bool | None = (
-            None  # what the leader said: True keeps the seat for it, False gives it to a spare
-        )
+        # the leader's answer: True retains the slot for this voter, False gives it to a spare
+        self.retained: bool | None = None
 
     def due(self, now: float) -> bool:
-        """Whether the leave is to be told again."""
-        if self.kept is not None or now - self.announced_at < constants.GREET_EVERY:
+        """Whether the leave must be announced again."""
+        if self.retained is not None or now - self.announced_at < constants.GREET_EVERY:
             return False
         self.announced_at = now
         return True
 
-    def over(self, now: float, member: bool, leading: bool) -> bool:
-        """Whether the process may end: `member` says whether it still votes by what it knows."""
-        waited = now - self.begun
-        if waited >= self.within or not member or self.kept:
+    def finished(self, now: float, member: bool, leading: bool) -> bool:
+        """Whether the process may end; `member` says whether it still votes, as far as it knows."""
+        waited = now - self.started_at
+        if waited >= self.within or not member or self.retained:
             return True
-        return self.kept is None and not leading and waited >= constants.VOTER_SEAT_ANSWER
+        return self.retained is None and not leading and waited >= constants.VOTER_SEAT_ANSWER
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -1,7 +1,7 @@
-"""What a control daemon tells of itself: health and metrics.
+"""Health and metrics of a control daemon.
 
-Each collector below returns the families of one subject; `COLLECTORS` names them in the order in which
-they are told. What only a leader gathers is told by the leader alone.
+Each collector below returns the families of one subject; `COLLECTORS` lists them in output order. What only a
+leader gathers is reported by the leader alone.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 Sample = tuple[Labels, Any]  # label values, and a number or a histogram
 
 RESOURCES = ("cpu", "memory", "accelerators")  # as in a worker's capacity
-MAX_TENANTS_TOLD = 20  # tenants; each has up to a label for each resource
+MAX_TENANTS_SHOWN = 20  # tenants; each has up to a label for each resource
 
 
 class Family(NamedTuple):
-    """One metric with all its samples, as `common.metrics.text` takes it."""
+    """One metric with all its samples, in the form that `common.metrics.text` takes."""
 
     kind: str  # "gauge", "counter" or "histogram"
     name: str  # without the prefix
@@ -41,19 +41,25 @@
 
 
 def _by_label(kind: str, name: str, help_text: str, label: str, values: Mapping[str, Any]) -> Family:
-    """A metric with one label, its samples in the order of the label's values."""
-    return Family(kind, name, help_text, (label,), [((one,), value) for one, value in sorted(values.items())])
+    """A metric with one label, its samples ordered by the label's values."""
+    return Family(
+        kind,
+        name,
+        help_text,
+        (label,),
+        [((label_value,), value) for label_value, value in sorted(values.items())],
+    )
 
 
 def _by_queue(name: str, help_text: str, queues: Iterable[str], values: Mapping[str, float]) -> Family:
-    """A gauge of each of the queues, 0 for one that `values` lacks."""
+    """A gauge for each of the queues; 0 for a queue that `values` lacks."""
     samples: list[Sample] = [((queue,), values.get(queue, 0)) for queue in sorted(queues)]
     return Family("gauge", name, help_text, ("queue",), samples)
 
 
 # --- health --------------------------------------------------------------------------
 def health(daemon: ControlDaemon, now: float) -> dict[str, Any]:
-    """What this daemon knows of itself; `time` is the cluster's, in seconds."""
+    """The health document of this daemon; `time` is cluster time, in seconds."""
     consensus = daemon.consensus
     return {
         "identity": daemon.identity,
@@ -86,7 +92,7 @@
 
 
 def _images(daemon: ControlDaemon) -> list[Family]:
-    size = daemon.agreement.image_size() if daemon.consensus else 0
+    size = daemon.consensus_driver.image_size() if daemon.consensus else 0
     largest = "Bytes of an image from which on what enlarges it is refused."
     differences = "Images that differ from the leader's at the same index."
     return [
@@ -151,15 +157,15 @@
 
 def _push_workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
     states = {"open": 0, "silent": 0, "on trial": 0}
-    for one in daemon.push_workers.values():
-        states["silent" if one.unresponsive(now) else "on trial" if one.poor() else "open"] += 1
+    for worker in daemon.push_workers.values():
+        states["silent" if worker.unresponsive(now) else "on trial" if worker.poor() else "open"] += 1
     return states
 
 
 def _tasks_on_unresponsive(daemon: ControlDaemon, now: float) -> int:
-    """Tasks placed on workers that are not heard."""
+    """Number of tasks placed on unresponsive workers."""
     reserved = daemon.cluster_state.reserved
-    unresponsive = [name for name, one in daemon.push_workers.items() if one.unresponsive(now)]
+    unresponsive = [name for name, worker in daemon.push_workers.items() if worker.unresponsive(now)]
     return sum(len(reserved.get(name, ())) for name in unresponsive)
 
 
@@ -175,14 +181,14 @@
 
 # --- leased jobs ---------------------------------------------------------------------
 def _leased_jobs(daemon: ControlDaemon, now: float) -> list[Family]:
-    """What is agreed on about leased jobs, which every daemon tells alike, and what was left waiting."""
+    """Committed facts about leased jobs, which every daemon reports alike, and what was left waiting."""
     leased_jobs = daemon.cluster_state.leased_jobs
     open_jobs, final = _jobs_by_state(leased_jobs)
     waiting = _tasks_waiting(leased_jobs)
     tasks_waiting = "Tasks of jobs whose earlier steps are done, not placed, by queue."
     tasks_left = "Tasks of jobs that the leader's newest round left waiting, by queue and why."
     still_readable = "Final jobs whose state is still readable, by state."
-    left = sorted(_left_waiting(daemon).items())
+    left = sorted(_unplaced_by_reason(daemon).items())
     queues = {*waiting, *leased_jobs.configuration.routes}
     return [
         _by_label("gauge", "jobs_open", "Jobs not yet final, by state.", "state", open_jobs),
@@ -206,21 +212,21 @@
 
 
 def _tasks_waiting(leased_jobs: LeasedJobState) -> dict[str, int]:
-    """Tasks whose earlier steps are done and which are not placed, by queue."""
+    """Number of tasks whose earlier steps are done and which are not placed, by queue."""
     waiting: dict[str, int] = {}
     for wave in leased_jobs.ready.values():
         waiting[wave.job.queue] = waiting.get(wave.job.queue, 0) + len(wave.waiting)
     return waiting
 
 
-def _left_waiting(daemon: ControlDaemon) -> dict[Labels, int]:
-    """(queue, why) -> tasks that the newest round of this leader left waiting."""
+def _unplaced_by_reason(daemon: ControlDaemon) -> dict[Labels, int]:
+    """(queue, reason) -> number of tasks that the newest scheduling round of this leader left waiting."""
     counts: dict[Labels, int] = {}
     for key, why in daemon.assignments.assigner.why.items():
         wave = daemon.cluster_state.leased_jobs.ready.get(key)
         if wave is not None:
-            place = (wave.job.queue, why)
-            counts[place] = counts.get(place, 0) + len(wave.waiting)
+            labels = (wave.job.queue, why)
+            counts[labels] = counts.get(labels, 0) + len(wave.waiting)
     return counts
 
 
@@ -236,11 +242,13 @@
 
 
 def _tenants(daemon: ControlDaemon, now: float) -> list[Family]:
-    """What tenants use of their maxima, of the largest users alone: the number of labels stays bounded."""
+    """Used parts of the maxima of tenants, for the largest users only, so that the number of labels stays
+    bounded.
+    """
     leased_jobs = daemon.cluster_state.leased_jobs
     at_maximum = daemon.assignments.assigner.tenants_at_maximum(leased_jobs)
     help_at_maximum = "Tenants with work that the leader's newest round left waiting for their maximum."
-    help_used = f"Part of its maximum that a tenant uses, of the {MAX_TENANTS_TOLD} that use most."
+    help_used = f"Part of its maximum that a tenant uses, of the {MAX_TENANTS_SHOWN} that use most."
     samples: list[Sample] = [
         ((name, resource), part)
         for name, parts in _largest_tenants(leased_jobs)
@@ -259,8 +267,10 @@
         tenant = leased_jobs.tenants.limited(name)
         if tenant is not None:
             limits = zip(RESOURCES, used, tenant.maximum, strict=True)
-            parts[name] = {one: taken / most for one, taken, most in limits if math.isfinite(most)}
-    largest = sorted(parts, key=lambda name: (-max(parts[name].values()), name))[:MAX_TENANTS_TOLD]
+            parts[name] = {
+                resource: amount / most for resource, amount, most in limits if math.isfinite(most)
+            }
+    largest = sorted(parts, key=lambda name: (-max(parts[name].values()), name))[:MAX_TENANTS_SHOWN]
     return [(name, parts[name]) for name in sorted(largest)]
 
 
@@ -284,7 +294,7 @@
 
 
 def _worker_capacity(daemon: ControlDaemon, now: float) -> dict[Labels, float]:
-    """(service, resource, "taken" or "free") -> capacity of the workers that are heard and ready."""
+    """(service, resource, "taken" or "free") -> capacity of the workers that are responsive and ready."""
     capacity: dict[Labels, float] = {}
     for worker in daemon.assignments.workers.values():
         if worker.unresponsive(now) or worker.state != "ready":
@@ -292,22 +302,22 @@
         taken = daemon.cluster_state.leased_jobs.taken.get(worker.identity, (0, 0, 0))
         for resource, total, used in zip(RESOURCES, worker.capacity, taken, strict=True):
             for state, amount in (("taken", used), ("free", total - used)):
-                place = (worker.service, resource, state)
-                capacity[place] = capacity.get(place, 0) + amount
+                labels = (worker.service, resource, state)
+                capacity[labels] = capacity.get(labels, 0) + amount
     return capacity
 
 
 def _workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
-    """Workers this leader knows, each under one state."""
+    """Number of workers that this leader knows, each under one state."""
     states = {"ready": 0, "draining": 0, "silent": 0}
-    for one in daemon.assignments.workers.values():
-        state = "silent" if one.unresponsive(now) else one.state
+    for worker in daemon.assignments.workers.values():
+        state = "silent" if worker.unresponsive(now) else worker.state
         states[state] = states.get(state, 0) + 1
     return states
 
 
 def _runs(daemon: ControlDaemon, now: float) -> list[Family]:
-    """What the assignment manager counts, while it leads."""
+    """Counters of the assignment manager, while it leads."""
     assignments = daemon.assignments
     counts = assignments.counts
     ends = "Ends of runs agreed on while leading, by how."
@@ -324,7 +334,7 @@
 
 
 # --- all -----------------------------------------------------------------------------
-# the subjects, in the order in which they are told
+# one collector for each subject, in output order
 COLLECTORS: tuple[Callable[[ControlDaemon, float], list[Family]], ...] = (
     _consensus,
     _daemon_counts,
--- a/src/pinepitch/control/replay.py
+++ b/src/pinepitch/control/replay.py
@@ -1,6 +1,6 @@
-"""Replays of recent traffic: the cluster state and the placing code in virtual time.
+"""Replays of recent traffic: the cluster state and the placement code in virtual time.
 
-Pure, so that they can run apart from the placing path. Times are seconds.
+Replays are pure, so that they can run apart from the live placement. Times are seconds.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 from .placement import Placer
 
 METRICS = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
-SHARES = ("dues_missed", "failed", "shed", "preemptions")  # told as shares of a queue's jobs
+SHARES = ("dues_missed", "failed", "shed", "preemptions")  # reported as shares of a queue's jobs
 
-Fields = tuple[Any, ...]  # of a SampledJob, a SampledTask, or an operation
-Running = tuple[Fields, ...]  # each (queue, kind, units, labels, how many)
-Block = tuple[float, Running, tuple[Fields, ...]]  # (length, what runs at its begin, arrivals)
+Fields = tuple[Any, ...]  # fields of a SampledJob, a SampledTask, or an operation
+Running = tuple[Fields, ...]  # each (queue, kind, units, labels, count)
+Block = tuple[float, Running, tuple[Fields, ...]]  # (length, running at its start, arrivals)
 WorkKind = tuple[str, str, int, tuple[str, ...]]  # (queue, kind, units, labels)
 QueueMetrics = dict[str, dict[str, float]]  # queue -> metric -> value
 
 
 class SampledTask(NamedTuple):
-    """A task as the traffic sample tells it (`state/traffic_sample.py`)."""
+    """A task of the traffic sample (`state/traffic_sample.py`)."""
 
     name: str
     units: int
     labels: Sequence[str]
     after: Sequence[str]
-    wait: float  # from the job's arrival to the task's time, 0 for none
+    wait: float  # from the job's arrival to the task's earliest start, 0 for none
     gang: str
-    attempts: int  # as asked for, 0 for the queue's
+    attempts: int  # as requested, 0 for the queue's
     limit: float
-    took: float | None  # None if it was not seen to end
+    duration: float | None  # None if its end was not sampled
     failures: int
-    lost: float  # by all its failures
+    lost: float  # total time lost by its failures
 
 
 class SampledJob(NamedTuple):
-    """A job as the traffic sample tells it."""
+    """A job of the traffic sample."""
 
-    arrival: float  # from the begin of its block
+    arrival: float  # from the start of its block
     queue: str
     kind: str
     urgency: int  # -1 for the queue's
@@ -52,16 +52,15 @@
     tasks: Iterable[Fields]  # each of a SampledTask
 
 
-class Work:
-    """What the sample tells of each kind of work: how long it takes, how often it fails and
-    after what time. Invariant: the same draw for the same seed, task and attempt, whatever
-    the table.
+class WorkModel:
+    """Statistics of each kind of work in the sample: its durations, how often it fails and after what time.
+    Invariant: the same seed, task and attempt give the same draw, whatever the table.
     """
 
     def __init__(self, blocks: Iterable[Block]) -> None:
-        self.lengths: dict[WorkKind, list[float]] = {}
+        self.durations: dict[WorkKind, list[float]] = {}
         self.lost: dict[WorkKind, list[float]] = {}
-        self.tries: dict[WorkKind, int] = {}
+        self.attempt_counts: dict[WorkKind, int] = {}
         self.failures: dict[WorkKind, int] = {}
         for _, _, arrivals in blocks:
             for arrival in arrivals:
@@ -70,81 +69,83 @@
                     self._count(job, SampledTask._make(task))
 
     def _count(self, job: SampledJob, task: SampledTask) -> None:
-        known = (job.queue, job.kind, task.units, tuple(task.labels))
-        if task.took is not None:
-            self.lengths.setdefault(known, []).append(task.took)
-            self.tries[known] = self.tries.get(known, 0) + 1
+        kind = (job.queue, job.kind, task.units, tuple(task.labels))
+        if task.duration is not None:
+            self.durations.setdefault(kind, []).append(task.duration)
+            self.attempt_counts[kind] = self.attempt_counts.get(kind, 0) + 1
         if task.failures:
-            self.lost.setdefault(known, []).append(task.lost / task.failures)
-            self.tries[known] = self.tries.get(known, 0) + task.failures
-            self.failures[known] = self.failures.get(known, 0) + task.failures
+            self.lost.setdefault(kind, []).append(task.lost / task.failures)
+            self.attempt_counts[kind] = self.attempt_counts.get(kind, 0) + task.failures
+            self.failures[kind] = self.failures.get(kind, 0) + task.failures
 
-    def outcome(self, known: WorkKind, took: float | None, seed: str) -> tuple[float | None, str]:
-        """(seconds, how it ended) of one attempt; a feed that was not seen to end never does."""
+    def outcome(self, kind: WorkKind, duration: float | None, seed: str) -> tuple[float | None, str]:
+        """(seconds, how it ended) of one attempt. A feed whose end was not sampled never ends."""
         draw = random.Random(seed)
-        if draw.random() * self.tries.get(known, 1) < self.failures.get(known, 0):
-            return draw.choice(self.lost[known]), "failed"
-        if took is None:
-            if known[1] == "feed":
+        if draw.random() * self.attempt_counts.get(kind, 1) < self.failures.get(kind, 0):
+            return draw.choice(self.lost[kind]), "failed"
+        if duration is None:
+            if kind[1] == "feed":
                 return None, "done"
-            took = draw.choice(self.lengths.get(known, (1.0,)))
-        return took, "done"
+            duration = draw.choice(self.durations.get(kind, (1.0,)))
+        return duration, "done"
 
 
 def resampled(blocks: Iterable[Block], seed: int) -> tuple[Running, list[Fields]]:
-    """(running at the start, arrivals) of whole blocks drawn anew and put one after another
-    until they last REPLAY_LASTS or hold REPLAY_JOBS; some block must hold an arrival.
+    """(running at the start, arrivals) of whole blocks, drawn at random and put one after another until they
+    last REPLAY_LASTS or contain REPLAY_JOBS jobs. Some block must contain an arrival.
     """
     draw = random.Random(f"rehearsal-{seed}")
     blocks = [block for block in blocks if block[2]]
-    moment, running = 0.0, None
+    offset, running = 0.0, None
     arrivals: list[Fields] = []
-    while moment < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_JOBS:
+    while offset < constants.REPLAY_LASTS and len(arrivals) < constants.REPLAY_JOBS:
         length, running_then, arrivals_then = draw.choice(blocks)
         running = running_then if running is None else running
-        arrivals.extend((moment + one[0], *one[1:]) for one in arrivals_then)
-        moment += length
+        arrivals.extend((offset + arrival[0], *arrival[1:]) for arrival in arrivals_then)
+        offset += length
     return running or (), arrivals
 
 
 def _worker(name: str, zone: str, capacity: int, labels: Iterable[str]) -> PushWorker:
-    """A worker that reported nothing but its capacity."""
+    """A worker that reported only its capacity."""
     report = Report(name, zone, "", capacity, tuple(labels), False, "one", 1, 0.0, (), ())
     return PushWorker(report, 0.0)
 
 
 class Replay:
-    """One table on some workers in virtual time. Invariants: moments are handled in order of
-    (time, number); a round is due while something is ready and nothing else comes first.
+    """One table on some workers in virtual time. Invariants: moments are handled in order of (time, number);
+    a scheduling round is due while something is ready and no other moment comes first.
     """
 
     def __init__(
         self,
         queue_configuration: dict[str, Any],
         worker_capacities: Iterable[Sequence[Any]],
-        work: Work,
+        work: WorkModel,
         seed: int = 0,
     ) -> None:
         self.cluster_state, self.placer = ClusterState(), Placer()
         self.index = 0  # of the newest operation
         self.apply(0.0, ("setup", "rehearsal", None, "whole", queue_configuration, "rehearsal", ""))
         self.apply(0.0, ("duty", "placing", "rehearsal"))
-        self.workers = {one[0]: _worker(*one) for one in worker_capacities}
+        self.workers = {
+            capacity_fields[0]: _worker(*capacity_fields) for capacity_fields in worker_capacities
+        }
         self.work, self.seed = work, seed
         self.number = 0  # of the newest moment
         self.moments: list[Fields] = []  # a heap of (when, number, kind, ...)
-        self.took: dict[str, float | None] = {}  # task reference -> seconds it took where seen
-        self.names: dict[str, tuple[Any, bool]] = {}  # job -> (what tells its draws from others', counted)
+        self.durations: dict[str, float | None] = {}  # task reference -> seconds that it took, if sampled
+        self.draw_keys: dict[str, tuple[Any, bool]] = {}  # job -> (key of its random draws, counted)
         self.dues: dict[str, float] = {}  # job -> its due
         self.starts: list[tuple[float, str, int, str]] = []  # (when, task reference, attempt, worker)
-        self.waits: dict[str, list[float]] = {}  # queue -> from ready to placed
+        self.waits: dict[str, list[float]] = {}  # queue -> seconds from ready to placed
         self.metrics: QueueMetrics = {}
-        self.counts: dict[str, int] = {}  # queue -> jobs that came
+        self.counts: dict[str, int] = {}  # queue -> jobs that arrived
         self.round_at: float | None = None
 
     # --- time -------------------------------------------------------------------------
-    def at(self, when: float, *moment: Any) -> None:
-        """Notes a moment to come: its kind and what belongs to it."""
+    def schedule(self, when: float, *moment: Any) -> None:
+        """Schedules a moment: its kind and its fields."""
         self.number += 1
         heapq.heappush(self.moments, (when, self.number, *moment))
 
@@ -155,14 +156,14 @@
         lasting: float = constants.REHEARSAL_LONGEST,
         pause: Callable[[], None] | None = None,
     ) -> QueueMetrics:
-        """The metrics of a replay of `arrivals`, with `running` under way at its start; `pause` is
-        called now and then, so that a thread can leave the processor to others.
+        """The metrics of a replay of `arrivals`, with `running` in progress at its start. `pause` is called
+        at intervals, so that a thread can yield the processor to others.
         """
-        for one in running:
-            self._begin_running(*one)
-        self.look(0.0)
-        for place, arrival in enumerate(arrivals):
-            self.at(arrival[0], "arrive", arrival, place)
+        for group in running:
+            self._add_running(*group)
+        self.schedule_round(0.0)
+        for position, arrival in enumerate(arrivals):
+            self.schedule(arrival[0], "arrive", arrival, position)
         last = arrivals[-1][0] if arrivals else 0.0
         steps = 0
         while self.moments and self.moments[0][0] <= last + lasting:
@@ -173,45 +174,45 @@
                 pause()
         return self.finish(last + lasting)
 
-    def _begin_running(self, queue: str, kind: str, units: int, labels: Sequence[str], count: int) -> None:
-        """So many alike tasks are under way as the replay begins; they count in no metric."""
+    def _add_running(self, queue: str, kind: str, units: int, labels: Sequence[str], count: int) -> None:
+        """Adds `count` identical tasks that run when the replay begins; they count in no metric."""
         task = SampledTask("s", units, labels, (), 0.0, "", 0, 0.0, None, 0, 0.0)
-        for place in range(count):
+        for number in range(count):
             job = SampledJob(0.0, queue, kind, -1, 0.0, (task,))
-            self.arrive(0.0, job, f"running-{queue}-{units}-{place}", False)
+            self.arrive(0.0, job, f"running-{queue}-{units}-{number}", False)
 
-    def step(self, now: float, kind: str, *what: Any) -> None:
-        """Handles one moment, and says when the next round is due."""
-        moved = True
+    def step(self, now: float, kind: str, *fields: Any) -> None:
+        """Handles one moment and schedules the next round."""
+        progressed = True
         if kind == "arrive":
-            self.arrive(now, *what)
+            self.arrive(now, *fields)
         elif kind == "end":
-            self.apply(now, ("ended", (what,)))
+            self.apply(now, ("ended", (fields,)))
         elif kind == "round":
             if now != self.round_at:
-                return  # one that was overtaken
+                return  # superseded by an earlier round
             self.round_at = None
-            moved = self.round(now)
-        when = self._next_round(now, moved)
+            progressed = self.run_round(now)
+        when = self._next_round(now, progressed)
         if when is not None and (self.round_at is None or when < self.round_at):
-            self.look(when)
+            self.schedule_round(when)
 
-    def _next_round(self, now: float, moved: bool) -> float | None:
-        """When a round may next place something, None while only other moments can help."""
+    def _next_round(self, now: float, progressed: bool) -> float | None:
+        """When a round may next place something; None while only other moments can help."""
         next_due: float | None = self.cluster_state.promote_due_units(now)
         if not self.cluster_state.ready_units:
             return next_due
-        if moved:
+        if progressed:
             return now + constants.PLACE_EVERY
-        if self.moments:  # what found no capacity is tried again when something has happened
+        if self.moments:  # tasks without capacity are tried again after another moment
             next_moment: float = self.moments[0][0]
             return max(now + constants.PLACE_EVERY, min(next_moment, now + 0.5))
         return None
 
-    def look(self, when: float) -> None:
-        """Has a round at `when`, in the place of any that was due."""
+    def schedule_round(self, when: float) -> None:
+        """Schedules a round at `when`, which replaces any round that was due."""
         self.round_at = when
-        self.at(when, "round")
+        self.schedule(when, "round")
 
     def apply(self, now: float, operation: Fields) -> Fields:
         """The outcome of an operation on the cluster state."""
@@ -220,10 +221,12 @@
         return outcome
 
     # --- arrivals ---------------------------------------------------------------------
-    def arrive(self, now: float, arrival: Iterable[Any], place: Any, counted: bool = True) -> None:
-        """A job of the sample comes; `place` tells its draws from others'."""
+    def arrive(self, now: float, arrival: Iterable[Any], draw_key: Any, counted: bool = True) -> None:
+        """Handles the arrival of a sampled job; `draw_key` separates its random draws from those of other
+        jobs.
+        """
         job = SampledJob._make(arrival)
-        tasks = [SampledTask._make(one) for one in job.tasks]
+        tasks = [SampledTask._make(task_fields) for task_fields in job.tasks]
         plain = _submitted(job, tasks, now)
         outcome = self.apply(now, ("ticket", f"r{self.number}-{self.index}", "", plain))
         accepted = outcome[0] == "accepted"
@@ -232,9 +235,9 @@
         if not accepted:
             return
         identity = outcome[1]
-        self.names[identity] = (place, counted)
+        self.draw_keys[identity] = (draw_key, counted)
         for task in tasks:
-            self.took[f"{identity}/{task.name}"] = task.took
+            self.durations[f"{identity}/{task.name}"] = task.duration
         if job.due and counted:
             self.dues[identity] = now + job.due
 
@@ -246,17 +249,17 @@
             self.metrics[queue]["shed"] += 1
 
     # --- placing ----------------------------------------------------------------------
-    def round(self, now: float) -> bool:
-        """One placing round; whether it did anything."""
+    def run_round(self, now: float) -> bool:
+        """Runs one scheduling round; returns whether it changed anything."""
         for worker in self.workers.values():
             worker.heard_at = now
-        items, yields = self.placer.round(self.cluster_state, self.workers, [("verge", "")], now, now)
+        items, yields = self.placer.run_round(self.cluster_state, self.workers, [("verge", "")], now, now)
         if items:
             self._place(now, items)
         if yields:
-            self._yield(now, yields)
-        for ref, attempt in self.cluster_state.yielding.items():  # a stale end changes nothing
-            self.at(now + 0.1, "end", ref, attempt, "killed")
+            self._yield_tasks(now, yields)
+        for ref, attempt in self.cluster_state.yielding.items():  # a repeated end changes nothing
+            self.schedule(now + 0.1, "end", ref, attempt, "killed")
         return bool(items or yields)
 
     def _place(self, now: float, items: tuple[Fields, ...]) -> None:
@@ -264,9 +267,9 @@
         self.placer.forget_proposed([item[0] for item in items])
         for ref, refusal in outcome[1]:
             if not refusal:
-                self.placed(now, ref)
+                self.on_placed(now, ref)
 
-    def _yield(self, now: float, yields: tuple[Fields, ...]) -> None:
+    def _yield_tasks(self, now: float, yields: tuple[Fields, ...]) -> None:
         self.apply(now, ("yield", 1, yields))
         for ref, _attempt, _ in yields:
             if ref in self.cluster_state.yielding:
@@ -274,22 +277,22 @@
                 if job.queue in self.metrics:
                     self.metrics[job.queue]["preemptions"] += 1
 
-    def placed(self, now: float, ref: str) -> None:
-        """A task was placed: draws how long it takes, and notes its end."""
+    def on_placed(self, now: float, ref: str) -> None:
+        """Handles a placed task: draws its duration and schedules its end."""
         job, task, standing = self.cluster_state.find_known(ref)
-        place, counted = self.names[job.identity]
+        draw_key, counted = self.draw_keys[job.identity]
         seconds, how = self.work.outcome(
             (job.queue, job.kind, task.units, task.labels),
-            self.took[ref],
-            f"{self.seed}-{place}-{task.name}-{standing.attempt}",
+            self.durations[ref],
+            f"{self.seed}-{draw_key}-{task.name}-{standing.attempt}",
         )
         self.starts.append((now, ref, standing.attempt, standing.worker))
         if not counted and seconds is not None:
-            seconds *= random.Random(f"{self.seed}-{place}").random()  # it ran for a while already
+            seconds *= random.Random(f"{self.seed}-{draw_key}").random()  # it ran for a while already
         if seconds is not None:
             if task.limit and seconds > task.limit:
                 seconds, how = task.limit, "failed"
-            self.at(now + seconds, "end", ref, standing.attempt, how)
+            self.schedule(now + seconds, "end", ref, standing.attempt, how)
         if counted:
             if standing.attempt == 1:
                 self.waits[job.queue].append(max(0.0, now - job.ready_since(task)))
@@ -297,12 +300,12 @@
 
     # --- metrics ----------------------------------------------------------------------
     def finish(self, end: float) -> QueueMetrics:
-        """The metrics: waits in seconds, capacity used in unit seconds, the rest as shares of the
-        queue's jobs.
+        """The metrics: waits in seconds, used capacity in unit seconds, the others as shares of the queue's
+        jobs.
         """
         for job in self.cluster_state.pushed_jobs.values():
-            if job.queue in self.metrics and self.names[job.identity][1]:
-                self._judge(job, end)
+            if job.queue in self.metrics and self.draw_keys[job.identity][1]:
+                self._count_result(job, end)
         for queue, metrics in self.metrics.items():
             waits = sorted(self.waits[queue])
             metrics["wait_median"] = waits[len(waits) // 2] if waits else 0.0
@@ -311,8 +314,8 @@
                 metrics[name] /= self.counts[queue]
         return self.metrics
 
-    def _judge(self, job: Any, end: float) -> None:
-        """Counts what became of one job by the replay's end."""
+    def _count_result(self, job: Any, end: float) -> None:
+        """Counts the result of one job at the replay's end."""
         metrics, due = self.metrics[job.queue], self.dues.get(job.identity)
         metrics["dues_missed"] += due is not None and (job.state != "finished" or job.ended_at > due)
         metrics["failed"] += job.state in ("failed", "failing")
@@ -325,7 +328,7 @@
 
 
 def _submitted(job: SampledJob, tasks: Iterable[SampledTask], now: float) -> dict[str, Any]:
-    """The checked document of a job that comes now."""
+    """The validated document of a job that arrives now."""
     return {
         "queue": job.queue,
         "kind": job.kind,
