--- a/features/steps/progress.py
+++ b/features/steps/progress.py
@@ -10,7 +10,7 @@
 from pinepitch.scheduling import leased_job as jobs
 from pinepitch.scheduling.leased_job_state import LeasedJobState
 from pinepitch.scheduling.progress import ProgressWatch
-from pinepitch.scheduling.run_speed import Pace
+from pinepitch.scheduling.run_speed import RunTimeEstimator
 from pinepitch.scheduling.worker import Worker
 
 SERVICE = "web"
@@ -65,7 +65,7 @@
         self.members, self.gang, self.now = members, gang, 100.0
         names = [f"w{place}" for place in range(len(members))]
         self.leased_jobs, _ = one_step(self.now, names, gang, guess)
-        self.watch = ProgressWatch(Pace(2.0))
+        self.watch = ProgressWatch(RunTimeEstimator(2.0))
         self.workers = {name: Worker(name, self.now) for name in names}
         self.sequence, self.stops = 0, {}  # worker -> when its run was stopped as stalled
         self.slow = []  # RunStop of runs stopped as slow
@@ -222,7 +222,7 @@
         self.leased_jobs, placements = one_step(
             self.now, placed_at or list(speeds)[: len(lengths)], False, GUESS
         )
-        self.watch = ProgressWatch(Pace(2.0))
+        self.watch = ProgressWatch(RunTimeEstimator(2.0))
         self.workers = {name: Worker(name, self.now) for name in speeds}
         self.at, self.done, self.slow = {}, {}, []  # task -> worker; task -> seconds of work; RunStop
         for placement in placements:
@@ -235,7 +235,7 @@
     def _begin(self, placement):
         self.at[placement.index], self.done[placement.index] = placement.worker_id, 0.0
         key = (placement.worker_id, placement.reference(), placement.run)
-        self.watch.pace.record_start(*key, False, self.now)
+        self.watch.estimator.record_start(*key, False, self.now)
 
     def run_of(self, task):
         return self.leased_jobs.jobs[JOB].waves[(0, 0)].tasks[task].run
@@ -262,7 +262,7 @@
             worker, reference, run = self.at.pop(task), f"{JOB}.0.0.{task}", self.run_of(task)
             del self.done[task]
             wave = self.leased_jobs.jobs[JOB].waves[(0, 0)]
-            self.watch.pace.record_end(self.workers[worker], wave, reference, run, "done", self.now)
+            self.watch.estimator.record_end(self.workers[worker], wave, reference, run, "done", self.now)
             self.leased_jobs.end(self.now, ((worker, reference, run, "done", "", True),))
             self.watch.ended(worker, reference, run, "done")
 
@@ -327,21 +327,21 @@
 # --- what is known of lengths --------------------------------------------------------------
 @when("{count:d} waves of jobs that end soon after are learnt, {most:d} of them open at a time")
 def step_learnt(context, count, most):
-    pace, leased_jobs = Pace(2.0), one_step(100.0, ["w0"], False, GUESS)[0]
+    estimator, leased_jobs = RunTimeEstimator(2.0), one_step(100.0, ["w0"], False, GUESS)[0]
     wave = leased_jobs.jobs[JOB].waves[(0, 0)]
     jobs_open, context.most, context.lost = collections.deque(), 0, []
     for place in range(count):
         wave.job.identity = f"{place:016x}"
         jobs_open.append(wave.job.identity)
         reference = f"{wave.job.identity}.0.0.0"
-        pace.record_start("w0", reference, 1, False, 100.0)
+        estimator.record_start("w0", reference, 1, False, 100.0)
         if place % 2:
-            pace.record_end(Worker("w0", 100.0), wave, reference, 1, "done", 101.0)
+            estimator.record_end(Worker("w0", 100.0), wave, reference, 1, "done", 101.0)
         if len(jobs_open) > most:
             jobs_open.popleft()
-        pace.drop_finished(jobs_open)
-        context.most = max(context.most, len(pace.waves) + len(pace.started))
-    known = {key[0] for key in pace.waves} | {key[1].partition(".")[0] for key in pace.started}
+        estimator.drop_finished(jobs_open)
+        context.most = max(context.most, len(estimator.waves) + len(estimator.started))
+    known = {key[0] for key in estimator.waves} | {key[1].partition(".")[0] for key in estimator.started}
     context.lost = set(jobs_open) - known
 
 
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -8,7 +8,7 @@
 from pinepitch.scheduling import policy as policies
 from pinepitch.scheduling.assigner import Assigner
 from pinepitch.scheduling.leased_job_state import LeasedJobState
-from pinepitch.scheduling.run_speed import Pace
+from pinepitch.scheduling.run_speed import RunTimeEstimator
 from pinepitch.scheduling.worker import Worker
 
 SERVICE = "imaging"
@@ -49,7 +49,7 @@
         self.rack_size, self.zone_size = rack_size, zone_size  # workers; all are in one zone where None
         self.now, self.made, self.sequence = 100.0, 0, 0
         self.leased_jobs, self.assignments = LeasedJobState(), AssignmentsStandIn()
-        self.assigner = Assigner(Pace(2.0), policy)
+        self.assigner = Assigner(RunTimeEstimator(2.0), policy)
         self.lengths = {}  # job -> seconds that each of its tasks takes
         self.ends_at = {}  # (minion, reference, run) -> when it ends
         self.stops_at = {}  # the same of runs that are being stopped
--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -16,7 +16,7 @@
 from .leased_job_state import LeasedJobState, WaveAssignment
 from .reservations import PendingStops, Reservations
 from .resources import RESOURCE_KINDS, Resources, fitting_tasks, times
-from .run_speed import Pace
+from .run_speed import RunTimeEstimator
 from .run_stop import StopItem
 from .tenant_shares import TenantShares
 from .tenants import TenantCapacity, Tenants
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        estimator: Pace,
+        estimator: RunTimeEstimator,
         policy: policies.Policy = policies.DEFAULT,
         tenant_burst: float = constants.TENANT_BURST,
     ) -> None:
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -30,7 +30,7 @@
 from .plain_types import Document
 from .progress import ProgressWatch
 from .run_ends import RunEndCollector
-from .run_speed import Pace
+from .run_speed import RunTimeEstimator
 from .run_stop import StopItem
 from .worker import READY, Worker
 
@@ -72,7 +72,7 @@
         self.answers_to_check: dict[str, bool] = {}  # workers whose deferred answer may be due
         # oldest first
         self.idle_heartbeats: collections.deque[IdleHeartbeat] = collections.deque()
-        self.estimator = Pace(core.far)
+        self.estimator = RunTimeEstimator(core.far)
         self.ends = RunEndCollector(core, self.estimator)
         self.leases = LeaseWatch(core, now)
         self.assigner = Assigner(self.estimator, policy, core.tenant_burst)
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -22,7 +22,7 @@
     more,
     times,
 )
-from .run_speed import Pace
+from .run_speed import RunTimeEstimator
 from .tenant_shares import EXCESS_PRIORITY, TenantShares
 from .tenants import TenantCapacity
 
@@ -51,7 +51,10 @@
     """
 
     def __init__(
-        self, estimator: Pace, policy: policies.Policy = policies.DEFAULT, shares: TenantShares | None = None
+        self,
+        estimator: RunTimeEstimator,
+        policy: policies.Policy = policies.DEFAULT,
+        shares: TenantShares | None = None,
     ) -> None:
         self.estimator, self.policy = estimator, policy
         self.shares = shares or TenantShares()
--- a/src/pinepitch/scheduling/progress.py
+++ b/src/pinepitch/scheduling/progress.py
@@ -14,7 +14,7 @@
 from .leased_job import Wave, WaveKey
 from .leased_job_state import LeasedJobState
 from .placement import RUN_DONE, RunKey, WorkerRun
-from .run_speed import Pace
+from .run_speed import RunTimeEstimator
 from .run_stop import SLOW, STALLED, RunStop
 from .worker import Progress, Worker
 
@@ -108,8 +108,8 @@
     is under way.
     """
 
-    def __init__(self, pace: Pace, policy: policies.Policy = policies.DEFAULT) -> None:
-        self.pace, self.policy = pace, policy
+    def __init__(self, estimator: RunTimeEstimator, policy: policies.Policy = policies.DEFAULT) -> None:
+        self.estimator, self.policy = estimator, policy
         # (worker, reference, run) of the runs stopped as stalled -> the percentage they had reported by then
         self.stopped_stalled: dict[WorkerRun, float] = {}
         # (worker, reference, run) of the runs stopped as stalled that made progress after all, since
@@ -138,9 +138,9 @@
                 self.stopped_stalled[(watched.worker.identity, *watched.key)] = watched.progress.percent
                 stops.append(watched.stop_order(STALLED))
                 continue
-            projection = self.pace.projected(watched.worker, watched.key)
+            projection = self.estimator.projected(watched.worker, watched.key)
             if projection is not None and not watched.wave.step.gang:
-                far_factor = self.pace.far if self.pace.is_far(watched.wave, watched.worker) else 1
+                far_factor = self.estimator.far if self.estimator.is_far(watched.wave, watched.worker) else 1
                 projected.append(ProjectedRun(watched, projection.left, projection.total / far_factor))
         return (*stops, *(self._slow_run_stops(projected) if self.policy.stop_slow else ()))
 
@@ -244,7 +244,7 @@
             progressed = [member.changed_at for member in members] if is_finished else [still_since]
             still_since = max(begun, *progressed)
         by_progress = (progress.changed_at - begun) * 100 / progress.percent if progress.percent else 0
-        seconds_per_percent = max(self.pace.expected(wave), by_progress) / 100
+        seconds_per_percent = max(self.estimator.expected(wave), by_progress) / 100
         timeout = constants.STALLED + constants.STALLED_STEPS * seconds_per_percent
         return watched.worker.heard_at - still_since > timeout
 
@@ -263,7 +263,7 @@
                 continue
             ratio = _median(ratios)
             if ratio > (constants.SLOW if len(slowdowns) > 1 else constants.SLOW_ALONE):
-                slowdowns[0].projected.watched.worker.pace(ratio, constants.SLOW_WEIGHT)
+                slowdowns[0].projected.watched.worker.update_speed(ratio, constants.SLOW_WEIGHT)
                 stops.extend(self._stops_with_gain(slowdowns))
         self.stopped_slow.update(stop.reference for stop in stops)
         return stops
@@ -275,8 +275,8 @@
             by_wave[run.watched.wave.key()].append(run)
         durations = {}
         for key, runs in by_wave.items():
-            known = self.pace.waves.get(key)
-            ended = [known.usual] * min(2, known.runs) if known else []
+            known = self.estimator.waves.get(key)
+            ended = [known.mean_seconds] * min(2, known.runs) if known else []
             durations[key] = BatchDurations(runs, ended)
         return durations
 
--- a/src/pinepitch/scheduling/run_ends.py
+++ b/src/pinepitch/scheduling/run_ends.py
@@ -6,7 +6,7 @@
 from .daemon_interface import Daemon
 from .leased_job import Wave
 from .placement import RunEndItem, RunKey, WorkerRun, parse_reference
-from .run_speed import Pace
+from .run_speed import RunTimeEstimator
 from .worker import Worker
 
 
@@ -33,7 +33,7 @@
     proposed.
     """
 
-    def __init__(self, core: Daemon, estimator: Pace) -> None:
+    def __init__(self, core: Daemon, estimator: RunTimeEstimator) -> None:
         self.core, self.estimator = core, estimator
         self.collected: list[RunEnd] = []  # not proposed yet
         self.collected_numbers: list[tuple[str, int]] = []  # (worker, number) of the collected, reported ends
--- a/src/pinepitch/scheduling/run_speed.py
+++ b/src/pinepitch/scheduling/run_speed.py
@@ -41,12 +41,12 @@
         self.runs += 1
 
     @property
-    def usual(self) -> float:
+    def mean_seconds(self) -> float:
         """The mean length of a run, seconds."""
         return self.seconds / self.runs
 
 
-class Pace:
+class RunTimeEstimator:
     """Estimates the length of runs and the speed of workers.
 
     Invariants: all lengths and speeds are positive. The lengths of a wave's runs come from that wave alone,
@@ -74,7 +74,7 @@
         seconds = max(0.01, (now - started.started_at) / (self.far if started.is_far else 1))
         lengths = self.waves.setdefault(wave.key(), RunLengths())
         if lengths.runs >= 2:
-            worker.pace(seconds / lengths.usual, constants.SPEED_WEIGHT)
+            worker.update_speed(seconds / lengths.mean_seconds, constants.SPEED_WEIGHT)
         normalised = seconds / worker.speed
         lengths.add(normalised)
         queue = wave.job.queue
@@ -98,7 +98,7 @@
         """Seconds that a task of a wave is expected to take on a worker of usual speed near its data."""
         lengths = self.waves.get(wave.key())
         if lengths is not None:
-            return lengths.usual
+            return lengths.mean_seconds
         caller_estimate = wave.step.est_ms / 1000
         queue_average = self.queue_lengths.get(wave.job.queue)
         return caller_estimate if queue_average is None else queue_average
--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -138,7 +138,7 @@
         """Whether no heartbeat arrived for more than WORKER_TIMEOUT seconds."""
         return now - self.heard_at > constants.WORKER_TIMEOUT
 
-    def pace(self, ratio: float, weight: float) -> None:
+    def update_speed(self, ratio: float, weight: float) -> None:
         """Updates `speed` with the duration of a run, as a multiple of the duration of similar runs."""
         ratio = min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, ratio))
         self.speed += (ratio - self.speed) * weight
