--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -15,7 +15,7 @@
 from .leased_job import Step, Wave, WaveKey
 from .leased_job_state import LeasedJobState, WaveAssignment
 from .reservations import PendingStops, Reservations
-from .resources import RESOURCE_KINDS, Resources, fitting_tasks, times
+from .resources import RESOURCE_KINDS, Resources, fitting_tasks, multiply
 from .run_speed import RunTimeEstimator
 from .run_stop import StopItem
 from .tenant_shares import TenantShares
@@ -147,7 +147,7 @@
             assigned = self._assign_wave(wave, service_candidates, reservations, time)
             if assigned:
                 count += len(assigned)
-                self.tenant_capacity.charge(wave.job.tenant, times(wave.step.resources, len(assigned)))
+                self.tenant_capacity.charge(wave.job.tenant, multiply(wave.step.resources, len(assigned)))
                 items.append((wave.job.identity, wave.time, wave.number, tuple(assigned)))
             self._record_shortage(wave, len(assigned), reservations, now)
         return items, count < constants.MAX_ASSIGNED_TASKS
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -15,12 +15,12 @@
     NO_RESOURCES,
     RESOURCE_KINDS,
     Amount,
-    Level,
+    PriorityClass,
     Resources,
+    add,
     fitting_tasks,
-    less,
-    more,
-    times,
+    multiply,
+    subtract,
 )
 from .run_speed import RunTimeEstimator
 from .tenant_shares import EXCESS_PRIORITY, TenantShares
@@ -58,17 +58,18 @@
     ) -> None:
         self.estimator, self.policy = estimator, policy
         self.shares = shares or TenantShares()
-        self.peaks: dict[Level, list[float]] = {}  # (service, priority) -> recent peak of the capacity used
+        # (service, priority) -> recent peak of the capacity used
+        self.peaks: dict[PriorityClass, list[float]] = {}
         self.peaks_updated_at: float | None = None
         self.total_capacity: dict[str, list[float]] = {}  # service -> capacity of all its candidates
         # (service, priority) -> capacity that its work uses, including placements of this round
-        self.used: dict[Level, Amount] = {}
+        self.used: dict[PriorityClass, Amount] = {}
         # (service, priority) -> seconds that its work can wait for capacity and still be in time
-        self.longest_waits: dict[Level, float] = {}
+        self.longest_waits: dict[PriorityClass, float] = {}
         # (service, priority) -> capacity that more urgent work must leave to it
-        self.claims: dict[Level, Resources] = {}
+        self.claims: dict[PriorityClass, Resources] = {}
         # (service, priority) -> capacity used by work of this and lower urgency; recomputed after a charge
-        self.cumulative_used: dict[Level, Resources] = {}
+        self.cumulative_used: dict[PriorityClass, Resources] = {}
 
     def update_peaks(self, leased_jobs: LeasedJobState, now: float) -> None:
         """Updates the recent peak of the capacity used by each priority; a peak halves in PEAK_HALF
@@ -109,13 +110,11 @@
 
     def _used_on(
         self, leased_jobs: LeasedJobState, candidates: dict[str, list[CandidateWorker]]
-    ) -> dict[Level, Amount]:
+    ) -> dict[PriorityClass, Amount]:
         """(service, priority) -> capacity that its work uses on these candidates. Runs on workers that get no
         new work, because they are unresponsive or closed, use none of the capacity that is shared.
         """
-        used = {
-            key: more(resources, NO_RESOURCES) for key, resources in self.shares.used(leased_jobs).items()
-        }
+        used = {key: add(resources, NO_RESOURCES) for key, resources in self.shares.used(leased_jobs).items()}
         candidate_ids = {
             candidate.identity
             for service_candidates in candidates.values()
@@ -124,7 +123,7 @@
         for identity in leased_jobs.placements.keys() - candidate_ids:
             for placement in leased_jobs.placements[identity].values():
                 key = self.shares.priority_class_of(placement)
-                used[key] = less(used[key], placement.resources)
+                used[key] = subtract(used[key], placement.resources)
         return used
 
     def guaranteed(self, service: str) -> list[float]:
@@ -140,11 +139,11 @@
         waves: list[Wave],
         tenant_capacity: TenantCapacity,
         time: float,
-    ) -> dict[Level, Resources]:
+    ) -> dict[PriorityClass, Resources]:
         """(service, priority) -> the part of its guaranteed capacity that it lacks and has long waited for.
         Tenants claim no more than they may have running: `tenant_capacity` is charged for each claim.
         """
-        claims: dict[Level, Resources] = {}
+        claims: dict[PriorityClass, Resources] = {}
         runnable: dict[tuple[Any, ...], bool] = {}
         if not self.policy.guarantee_shares:
             return claims
@@ -170,30 +169,30 @@
                 claimed = claims.get(key, NO_RESOURCES)
                 claim = self._additional_claim(key, wave, claimed, tenant_capacity)
                 tenant_capacity.charge(wave.job.tenant, claim)
-                claims[key] = more(claimed, claim)
+                claims[key] = add(claimed, claim)
         return claims
 
     def _additional_claim(
-        self, key: Level, wave: Wave, claimed: Resources, tenant_capacity: TenantCapacity
+        self, key: PriorityClass, wave: Wave, claimed: Resources, tenant_capacity: TenantCapacity
     ) -> Amount:
         """What a waiting wave adds to the claim of its (service, priority), which is `claimed` so far."""
-        used_or_claimed = more(claimed, self.used.get(key, NO_RESOURCES))
-        count = fitting_tasks(less(self.guaranteed(key[0]), used_or_claimed), wave.step.resources)
+        used_or_claimed = add(claimed, self.used.get(key, NO_RESOURCES))
+        count = fitting_tasks(subtract(self.guaranteed(key[0]), used_or_claimed), wave.step.resources)
         if not any(used_or_claimed):
             count = max(1, count or 0)
         waiting = tenant_capacity.allowance(wave.job.tenant, wave.step.resources, len(wave.waiting))
-        return times(wave.step.resources, waiting if count is None else min(waiting, count))
+        return multiply(wave.step.resources, waiting if count is None else min(waiting, count))
 
     def _longest_wait(self, wave: Wave) -> float:
         """Seconds that a wave can wait for capacity and still be in time."""
         job = wave.job
         return constants.WAIT_PART * slack(job.latency_target_ms, job.stretch, self.estimator.expected(wave))
 
-    def _compute_longest_waits(self, routes: dict[str, Document]) -> dict[Level, float]:
+    def _compute_longest_waits(self, routes: dict[str, Document]) -> dict[PriorityClass, float]:
         """(service, priority) -> seconds that its work can wait for capacity and still be in time: WAIT_PART
         of its slack, for the queue with the least.
         """
-        longest_waits: dict[Level, float] = {}
+        longest_waits: dict[PriorityClass, float] = {}
         for queue, length in self.estimator.queue_lengths.items():
             route = routes.get(queue)
             if route is None:
@@ -209,10 +208,10 @@
         remaining: Resources = self.total_capacity[service]
         for (other_service, _), used in self.used.items():
             if other_service == service:
-                remaining = less(remaining, used)
+                remaining = subtract(remaining, used)
         for (other_service, other_priority), claim in self.claims.items():
             if other_service == service and other_priority > priority:
-                remaining = less(remaining, claim)
+                remaining = subtract(remaining, claim)
         return remaining
 
     def remaining(self, wave: Wave) -> Amount:
@@ -220,7 +219,7 @@
         less what work of the same and lower urgency uses. That work may in any case use BUDGET_PART of the
         total. Gangs have no such limit: they need all their capacity at once, and waiting costs them most.
         """
-        return less(self._limit(wave), self._used_up_to(wave))
+        return subtract(self._limit(wave), self._used_up_to(wave))
 
     def _limit(self, wave: Wave) -> Resources:
         """The capacity that work of a wave's urgency and less urgent work may use together."""
@@ -232,7 +231,7 @@
         for key, peak in self.peaks.items():
             if key[0] == service and key[1] < priority:
                 can_wait = occupancy <= self.longest_waits.get(key, 0)
-                reserved = more(reserved, self.used.get(key, NO_RESOURCES) if can_wait else peak)
+                reserved = add(reserved, self.used.get(key, NO_RESOURCES) if can_wait else peak)
         total = self.total_capacity[service]
         return [
             max(capacity * constants.BUDGET_PART, capacity - reserved_amount)
@@ -252,7 +251,7 @@
             total: Resources = NO_RESOURCES
             for (service, priority), used in self.used.items():
                 if service == key[0] and priority >= key[1]:
-                    total = more(total, used)
+                    total = add(total, used)
             self.cumulative_used[key] = total
         return self.cumulative_used[key]
 
@@ -280,7 +279,7 @@
     def charge(self, wave: Wave, count: int) -> None:
         """Charges the budget for `count` tasks of a wave that were placed."""
         key = self.shares.priority_class(wave.job)
-        self.used[key] = more(self.used.get(key, NO_RESOURCES), times(wave.step.resources, count))
+        self.used[key] = add(self.used.get(key, NO_RESOURCES), multiply(wave.step.resources, count))
         self.cumulative_used.clear()
 
     def reservable(self, wave: Wave, reserved: Resources) -> int:
@@ -296,18 +295,18 @@
             if other_service == service and other_priority > priority
         ]
         exempt = wave.step.gang and not any(map(any, claims))
-        used = reserved if exempt else more(reserved, self.used.get((service, priority), NO_RESOURCES))
+        used = reserved if exempt else add(reserved, self.used.get((service, priority), NO_RESOURCES))
         if not wave.step.gang and not self._is_below(used, self._limit(wave), wave.step.resources):
             return 0
-        allowed = less(self.total_capacity[service], times(self.guaranteed(service), len(claims)))
-        most = fitting_tasks(less(allowed, used), wave.step.resources)
+        allowed = subtract(self.total_capacity[service], multiply(self.guaranteed(service), len(claims)))
+        most = fitting_tasks(subtract(allowed, used), wave.step.resources)
         return len(wave.waiting) if most is None else most
 
     def _is_below(self, used: Resources, limit: Resources, request: Resources) -> bool:
         """Whether `used` is below `limit` in every resource that a request asks for."""
         return all(used[kind] < limit[kind] for kind in RESOURCE_KINDS if request[kind])
 
-    def is_guaranteed(self, key: Level) -> bool:
+    def is_guaranteed(self, key: PriorityClass) -> bool:
         """Whether all the capacity that a (service, priority) uses is guaranteed to it."""
         if key[1] == EXCESS_PRIORITY:
             return False
--- a/src/pinepitch/scheduling/candidate_workers.py
+++ b/src/pinepitch/scheduling/candidate_workers.py
@@ -6,7 +6,7 @@
 from .leased_job import Step, Wave
 from .leased_job_state import LeasedJobState
 from .placement import Placements
-from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, fitting_tasks, less
+from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, fitting_tasks, subtract
 from .worker import READY, Worker
 
 # Identifies a step regardless of its time: (identity of the job, number of the step).
@@ -94,7 +94,7 @@
 
     def add_task(self, wave: Wave) -> None:
         """Places one task of a wave here."""
-        self.free = less(self.free, wave.step.resources)
+        self.free = subtract(self.free, wave.step.resources)
         key = (wave.job.identity, wave.number)
         self.placed[key] = self.placed.get(key, 0) + 1
 
@@ -102,7 +102,7 @@
         """How many more tasks of a wave this worker could run at once if only its long-running tasks
         remained; `long_running` is the capacity that these use.
         """
-        step, resources = wave.step, less(self.worker.capacity, long_running)
+        step, resources = wave.step, subtract(self.worker.capacity, long_running)
         if step.needs and not self.labels.issuperset(step.needs):
             return 0
         count = fitting_tasks(resources, step.resources)
@@ -155,7 +155,7 @@
         unreliable = worker.failing > constants.LIVENESS_POOR
         if unreliable and placements:
             continue
-        free = less(worker.capacity, leased_jobs.taken.get(worker.identity, NO_RESOURCES))
+        free = subtract(worker.capacity, leased_jobs.taken.get(worker.identity, NO_RESOURCES))
         candidates.setdefault(worker.service, []).append(
             CandidateWorker(worker, free, placements, unreliable)
         )
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -12,7 +12,7 @@
 from .leased_job_state import FinalJob, LeasedJobState
 from .placement import Placements
 from .plain_types import Arguments, Document
-from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, less, more, times
+from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, add, multiply, subtract
 from .worker import READY, Worker
 
 RESOURCE_NAMES = ("cpu", "mem_mb", "gpu")
@@ -26,13 +26,13 @@
     """The sum of the resources of placements."""
     used = NO_RESOURCES
     for placement in placements.values():
-        used = more(used, placement.resources)
+        used = add(used, placement.resources)
     return used
 
 
 def _free_capacity(leased_jobs: LeasedJobState, worker: Worker) -> Amount:
     """A worker's capacity minus the resources of its placements; below 0 if these exceed the capacity."""
-    return less(worker.capacity, _used(leased_jobs.placements.get(worker.identity, {})))
+    return subtract(worker.capacity, _used(leased_jobs.placements.get(worker.identity, {})))
 
 
 # --- jobs ----------------------------------------------------------------------------
@@ -139,7 +139,7 @@
     if tenant is None:
         return ""
     used = leased_jobs.used_by_tenant.get(tenant.name, NO_RESOURCES)
-    asked = times(step.resources, len(wave.waiting) if step.gang else 1)
+    asked = multiply(step.resources, len(wave.waiting) if step.gang else 1)
     figures = [
         f"{RESOURCE_NAMES[kind]} {used[kind]} of {tenant.maximum[kind]} used, {asked[kind]} more asked for"
         for kind in RESOURCE_KINDS
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -16,7 +16,7 @@
 from .leased_job import DONE, PLACED, WAITING, LeasedJob, PlainJob, Task, Wave, WaveKey
 from .placement import RUN_DONE, RUN_FAILED, RUN_NEVER_STARTED, Placement, Placements, RunEndItem, RunKey
 from .plain_types import Document, Image, Outcome
-from .resources import NO_RESOURCES, Amount, Level, Resources, less, more, times
+from .resources import NO_RESOURCES, Amount, PriorityClass, Resources, add, multiply, subtract
 from .run_stop import StopItem
 from .tenants import Tenants
 
@@ -79,7 +79,8 @@
         self.placements: dict[str, Placements] = {}  # worker -> {(reference, run): Placement}
         # worker -> [thousandths of a core, megabytes, accelerators] of its placements
         self.taken: dict[str, list[float]] = {}
-        self.used: dict[Level, list[float]] = {}  # (service, priority) -> resources of all its placements
+        # (service, priority) -> resources of all its placements
+        self.used: dict[PriorityClass, list[float]] = {}
         self.used_by_tenant: dict[str, Amount] = {}  # name of a tenant -> resources of its placements
         self.configuration = Configuration()
         self.evacuations = Evacuations()
@@ -143,12 +144,14 @@
         self.placements.setdefault(placement.worker_id, {})[(placement.reference(), placement.run)] = (
             placement
         )
-        worker_id, level = placement.worker_id, (placement.service, placement.priority)
-        self.taken[worker_id] = list(more(self.taken.get(worker_id, NO_RESOURCES), placement.resources))
-        self.used[level] = list(more(self.used.get(level, NO_RESOURCES), placement.resources))
+        worker_id, priority_class = placement.worker_id, (placement.service, placement.priority)
+        self.taken[worker_id] = list(add(self.taken.get(worker_id, NO_RESOURCES), placement.resources))
+        self.used[priority_class] = list(
+            add(self.used.get(priority_class, NO_RESOURCES), placement.resources)
+        )
         if placement.tenant:
             used = self.used_by_tenant.get(placement.tenant, NO_RESOURCES)
-            self.used_by_tenant[placement.tenant] = more(used, placement.resources)
+            self.used_by_tenant[placement.tenant] = add(used, placement.resources)
 
     def _remove_placement(self, worker_id: str, key: RunKey) -> Placement | None:
         """Removes the placement of a run and counts its resources as free. Returns the placement, or None
@@ -158,19 +161,19 @@
         placement = placements.pop(key, None)
         if placement is None:
             return None
-        level = (placement.service, placement.priority)
-        self.used[level] = list(less(self.used[level], placement.resources))
+        priority_class = (placement.service, placement.priority)
+        self.used[priority_class] = list(subtract(self.used[priority_class], placement.resources))
         if placement.tenant:
             self._release_from_tenant(placement.tenant, placement.resources)
         if placements:
-            self.taken[worker_id] = list(less(self.taken[worker_id], placement.resources))
+            self.taken[worker_id] = list(subtract(self.taken[worker_id], placement.resources))
         else:
             del self.placements[worker_id], self.taken[worker_id]
         return placement
 
     def _release_from_tenant(self, tenant: str, resources: Resources) -> None:
         """Subtracts resources from what a tenant uses. A tenant that uses nothing has no entry."""
-        still_used = less(self.used_by_tenant[tenant], resources)
+        still_used = subtract(self.used_by_tenant[tenant], resources)
         if any(still_used):
             self.used_by_tenant[tenant] = still_used
         else:
@@ -220,7 +223,7 @@
         tenant = self.tenants.limited(placement.tenant)
         if tenant is None:
             return False
-        others = less(self.used_by_tenant[tenant.name], placement.resources)
+        others = subtract(self.used_by_tenant[tenant.name], placement.resources)
         return not tenant.admits_task(others, placement.resources)
 
     # --- operations -------------------------------------------------------------------
@@ -352,7 +355,7 @@
             return True
         used = self.used_by_tenant.get(tenant.name, NO_RESOURCES)
         if count > 1:
-            return tenant.admits(used, times(wave.step.resources, count))
+            return tenant.admits(used, multiply(wave.step.resources, count))
         return tenant.admits_task(used, wave.step.resources)
 
     def stop(self, now: float, items: Sequence[StopItem]) -> Outcome:
--- a/src/pinepitch/scheduling/reservations.py
+++ b/src/pinepitch/scheduling/reservations.py
@@ -12,7 +12,7 @@
 from .leased_job import Wave, WaveKey
 from .leased_job_state import LeasedJobState
 from .placement import Placement, RunKey
-from .resources import NO_RESOURCES, Level, Resources, less, more, times
+from .resources import NO_RESOURCES, PriorityClass, Resources, add, multiply, subtract
 from .run_stop import PREEMPTED, RunStop
 from .tenants import TenantCapacity
 
@@ -76,7 +76,7 @@
         self.candidate_counts: dict[str, int] = {}  # service -> candidates reserved
         self.reserved: dict[WaveKey, list[CandidateWorker]] = {}  # key of a wave -> its reserved candidates
         # (service, priority) -> capacity reserved for its waves
-        self.reserved_resources: dict[Level, Resources] = {}
+        self.reserved_resources: dict[PriorityClass, Resources] = {}
         # worker -> capacity that its long-running tasks use
         self.long_running_resources: dict[str, Resources] = {}
         # whether any open job has a long-running step; None until it is computed
@@ -163,9 +163,9 @@
         stops: list[RunStop] = []
         enough, self.waste_allowed = True, constants.YIELD_WASTE
         self.reserved[wave.key()] = [option.candidate for option in chosen]
-        resources = times(wave.step.resources, sum(option.members for option in chosen))
+        resources = multiply(wave.step.resources, sum(option.members for option in chosen))
         self.tenant_capacity.charge(wave.job.tenant, resources)
-        self.reserved_resources[self._priority_class(wave)] = more(
+        self.reserved_resources[self._priority_class(wave)] = add(
             self.reserved_resources.get(self._priority_class(wave), NO_RESOURCES), resources
         )
         for candidate, members in chosen:
@@ -207,7 +207,7 @@
         )
         return self.tenant_capacity.allowance(wave.job.tenant, wave.step.resources, reservable)
 
-    def _priority_class(self, wave: Wave) -> Level:
+    def _priority_class(self, wave: Wave) -> PriorityClass:
         """The (service, priority) of a wave."""
         return (wave.job.service, wave.job.priority)
 
@@ -261,7 +261,7 @@
             for placement in self.leased_jobs.placements.get(candidate.identity, {}).values():
                 wave_and_task = None if placement.stop else self.leased_jobs.task(placement)
                 if wave_and_task is not None and wave_and_task[0].step.lasts:
-                    resources = more(resources, placement.resources)
+                    resources = add(resources, placement.resources)
             self.long_running_resources[candidate.identity] = resources
         return self.long_running_resources[candidate.identity]
 
@@ -293,11 +293,11 @@
             if max(missing) <= 0:
                 break
             if placement.stop or key in self.pending_stops.stopping:
-                missing = less(missing, placement.resources)
+                missing = subtract(missing, placement.resources)
                 continue
             if not self._may_preempt(wave, candidate, key, placement):
                 continue
-            missing = less(missing, placement.resources)
+            missing = subtract(missing, placement.resources)
             stops.append(RunStop(candidate.identity, key[0], key[1], PREEMPTED))
         return stops if max(missing) <= 0 else None
 
--- a/src/pinepitch/scheduling/resources.py
+++ b/src/pinepitch/scheduling/resources.py
@@ -6,23 +6,23 @@
 Resources = Sequence[float]
 Amount = tuple[float, float, float]
 # (service, priority); priority 0 is the most urgent.
-Level = tuple[str, int]
+PriorityClass = tuple[str, int]
 
 NO_RESOURCES: Amount = (0, 0, 0)
 RESOURCE_KINDS = range(3)  # indices of the resources in an amount
 
 
-def less(total: Resources, deducted: Resources) -> Amount:
+def subtract(total: Resources, deducted: Resources) -> Amount:
     """`total` minus `deducted`; negative for each resource of which more is deducted than there is."""
     return (total[0] - deducted[0], total[1] - deducted[1], total[2] - deducted[2])
 
 
-def more(first: Resources, second: Resources) -> Amount:
+def add(first: Resources, second: Resources) -> Amount:
     """The sum of two amounts."""
     return (first[0] + second[0], first[1] + second[1], first[2] + second[2])
 
 
-def times(resources: Resources, count: int) -> Amount:
+def multiply(resources: Resources, count: int) -> Amount:
     """The resources of `count` tasks that need `resources` each."""
     return (resources[0] * count, resources[1] * count, resources[2] * count)
 
--- a/src/pinepitch/scheduling/tenant_shares.py
+++ b/src/pinepitch/scheduling/tenant_shares.py
@@ -9,7 +9,7 @@
 from .leased_job import LeasedJob
 from .leased_job_state import LeasedJobState
 from .placement import Placement
-from .resources import NO_RESOURCES, Level, Resources, less, more
+from .resources import NO_RESOURCES, PriorityClass, Resources, add, subtract
 from .tenants import Tenants
 
 EXCESS_PRIORITY = constants.MAX_NUMBER + 1  # less urgent than the priority of any queue
@@ -74,25 +74,25 @@
         """The priority by which a job shares capacity."""
         return EXCESS_PRIORITY if job.identity in self.excess else job.priority
 
-    def priority_class(self, job: LeasedJob) -> Level:
+    def priority_class(self, job: LeasedJob) -> PriorityClass:
         """The (service, priority) by which a job shares capacity."""
         return (job.service, self.priority(job))
 
-    def priority_class_of(self, placement: Placement) -> Level:
+    def priority_class_of(self, placement: Placement) -> PriorityClass:
         """The (service, priority) by which the job of a placement shares capacity."""
         priority = EXCESS_PRIORITY if placement.job in self.excess else placement.priority
         return (placement.service, priority)
 
-    def used(self, leased_jobs: LeasedJobState) -> dict[Level, Resources]:
+    def used(self, leased_jobs: LeasedJobState) -> dict[PriorityClass, Resources]:
         """LeasedJobState.used, with the placements of excess jobs counted under EXCESS_PRIORITY."""
-        used: dict[Level, Resources] = dict(leased_jobs.used)
+        used: dict[PriorityClass, Resources] = dict(leased_jobs.used)
         if not self.excess:
             return used
         for placements in leased_jobs.placements.values():
             for placement in placements.values():
                 if placement.job in self.excess:
                     key = (placement.service, placement.priority)
-                    used[key] = less(used[key], placement.resources)
+                    used[key] = subtract(used[key], placement.resources)
                     excess_key = self.priority_class_of(placement)
-                    used[excess_key] = more(used.get(excess_key, NO_RESOURCES), placement.resources)
+                    used[excess_key] = add(used.get(excess_key, NO_RESOURCES), placement.resources)
         return used
--- a/src/pinepitch/scheduling/tenants.py
+++ b/src/pinepitch/scheduling/tenants.py
@@ -11,7 +11,7 @@
 from ..model.validation import number as _number
 from ..model.validation import shaped
 from .plain_types import Document, Faults
-from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, more
+from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, add
 
 _NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_NAME_LENGTH))
 _KEY = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_KEY_LENGTH))
@@ -48,7 +48,7 @@
 
     def admits(self, used: Resources, requested: Resources) -> bool:
         """Whether the tenant may use `requested` in addition to `used`."""
-        total = more(used, requested)
+        total = add(used, requested)
         return all(total[kind] <= self.maximum[kind] or not requested[kind] for kind in RESOURCE_KINDS)
 
     def admits_task(self, used: Resources, task: Resources) -> bool:
@@ -176,4 +176,4 @@
     def charge(self, name: str, resources: Resources) -> None:
         """Counts resources that a tenant is given as used."""
         if name:
-            self.used[name] = more(self.used.get(name, NO_RESOURCES), resources)
+            self.used[name] = add(self.used.get(name, NO_RESOURCES), resources)
