--- a/features/steps/assigning_tenants.py
+++ b/features/steps/assigning_tenants.py
@@ -103,7 +103,7 @@
     keys = [key for job in context.jobs for key in context.fleet.leased_jobs.ready if key[0] == job]
     assert keys
     for key in keys:
-        assert assigner.why[key] == REASON_TENANT_AT_MAXIMUM, assigner.why
+        assert assigner.waiting_reasons[key] == REASON_TENANT_AT_MAXIMUM, assigner.waiting_reasons
         assert key not in assigner.short_since
 
 
--- a/features/steps/progress.py
+++ b/features/steps/progress.py
@@ -107,7 +107,7 @@
 
     def _look(self):
         stopping = {(f"{JOB}.0.0.{identity[1:]}", 1) for identity in self.stops}
-        for stop in self.watch.look(self.workers, self.leased_jobs, stopping, self.now):
+        for stop in self.watch.find_stops(self.workers, self.leased_jobs, stopping, self.now):
             if stop.reason == "stalled":
                 self.stops.setdefault(stop.worker_id, self.now)
             else:
@@ -249,7 +249,7 @@
             self._end()
             for worker in self.workers:
                 self._beat(worker)
-            for stop in self.watch.look(self.workers, self.leased_jobs, set(), self.now):
+            for stop in self.watch.find_stops(self.workers, self.leased_jobs, set(), self.now):
                 self.slow.append(stop)
                 task = int(stop.reference.rpartition(".")[2])
                 self.leased_jobs.end(
--- a/features/steps/round_cost.py
+++ b/features/steps/round_cost.py
@@ -39,7 +39,7 @@
         self._beat()
         sys.settrace(count)
         try:
-            self.assigner.round(self.leased_jobs, self.workers, self.assignments, self.now, self.now)
+            self.assigner.run_round(self.leased_jobs, self.workers, self.assignments, self.now, self.now)
         finally:
             sys.settrace(before)
         return counted
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -159,7 +159,7 @@
                     self.done[job] = self.now
 
     def _round(self):
-        items, stops = self.assigner.round(
+        items, stops = self.assigner.run_round(
             self.leased_jobs, self.workers, self.assignments, self.now, self.now
         )
         placed = self.leased_jobs.assign(self.now, 1, items)
--- a/src/pinepitch/control/applied_entries.py
+++ b/src/pinepitch/control/applied_entries.py
@@ -81,13 +81,13 @@
 
     def _leased_job_ended(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
         """Handles runs under leases that have ended."""
-        self.daemon.assignments.ended(self.daemon.cluster_state.index, operation[1], outcome[1])
+        self.daemon.assignments.on_ends_applied(self.daemon.cluster_state.index, operation[1], outcome[1])
 
     def _leased_jobs_or_routes_changed(
         self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float
     ) -> None:
         """Handles a change of leased jobs, routes or evacuations, which makes new assignments due."""
-        self.daemon.assignments.due = True
+        self.daemon.assignments.round_due = True
         if outcome[0] == "accepted":
             self.daemon.trace(187, job=outcome[1])
         if outcome[0] == "configured":
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..common import metrics
-from ..scheduling.idle_capacity import IDLE_BESIDE_WORK, KEPT_UNTAKEN
+from ..scheduling.idle_capacity import IDLE_BESIDE_WORK, RESERVATION_UNUSED
 
 if TYPE_CHECKING:
     from ..common.metrics import Histogram
@@ -222,7 +222,7 @@
 def _unplaced_by_reason(daemon: ControlDaemon) -> dict[Labels, int]:
     """(queue, reason) -> number of tasks that the newest scheduling round of this leader left waiting."""
     counts: dict[Labels, int] = {}
-    for key, why in daemon.assignments.assigner.why.items():
+    for key, why in daemon.assignments.assigner.waiting_reasons.items():
         wave = daemon.cluster_state.leased_jobs.ready.get(key)
         if wave is not None:
             labels = (wave.job.queue, why)
@@ -237,7 +237,7 @@
         "placing_violations",
         "Invariants of placing found broken while leading, by which; always 0 but for a fault.",
         ("invariant",),
-        [((invariant,), counts[invariant]) for invariant in (KEPT_UNTAKEN, IDLE_BESIDE_WORK)],
+        [((invariant,), counts[invariant]) for invariant in (RESERVATION_UNUSED, IDLE_BESIDE_WORK)],
     )
 
 
--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -61,12 +61,13 @@
         self.demand_decayed_at: float | None = None
         self.rack_demand: dict[str, float] = {}  # rack -> recent demand of work whose data is near it
         self.highest_demand = 1.0  # the highest demand for any rack, at least 1
-        self.why: dict[WaveKey, str] = {}  # key of a wave -> why the newest round left tasks of it waiting
+        # key of a wave -> why the newest round left tasks of it waiting
+        self.waiting_reasons: dict[WaveKey, str] = {}
         # state of the current round
         self.tenant_capacity = TenantCapacity(Tenants(None), {})
         self.indices: dict[str, CandidateIndex] = {}  # by service
 
-    def round(
+    def run_round(
         self,
         leased_jobs: LeasedJobState,
         workers: dict[str, Worker],
@@ -82,7 +83,7 @@
             self.shares.judge_new_jobs(leased_jobs)
         self.budgets.update_peaks(leased_jobs, now)
         self._decay_rack_demand(now)
-        self.tasks_near, self.why, self.exhausted = {}, {}, set()
+        self.tasks_near, self.waiting_reasons, self.exhausted = {}, {}, set()
         self.tenant_capacity = TenantCapacity(leased_jobs.tenants, leased_jobs.used_by_tenant)
         waves = [wave for wave in leased_jobs.ready.values() if wave.due <= time and self._is_admitted(wave)]
         if not waves:
@@ -121,7 +122,7 @@
         least = len(wave.waiting) if wave.step.gang else 1
         if self.tenant_capacity.allowance(wave.job.tenant, wave.step.resources, least) >= least:
             return True
-        self.why[wave.key()] = REASON_TENANT_AT_MAXIMUM
+        self.waiting_reasons[wave.key()] = REASON_TENANT_AT_MAXIMUM
         self.short_since.pop(wave.key(), None)
         return False
 
@@ -142,7 +143,7 @@
                 break
             service_candidates = candidates.get(wave.job.service, ())
             if not service_candidates:
-                self.why.setdefault(wave.key(), REASON_NO_WORKER)
+                self.waiting_reasons.setdefault(wave.key(), REASON_NO_WORKER)
                 continue
             assigned = self._assign_wave(wave, service_candidates, reservations, time)
             if assigned:
@@ -164,7 +165,7 @@
 
     def tenants_at_maximum(self, leased_jobs: LeasedJobState) -> set[str]:
         """The tenants with tasks that the newest round left waiting because the tenant is at its maximum."""
-        waiting = [key for key, reason in self.why.items() if reason == REASON_TENANT_AT_MAXIMUM]
+        waiting = [key for key, reason in self.waiting_reasons.items() if reason == REASON_TENANT_AT_MAXIMUM]
         return {leased_jobs.ready[key].job.tenant for key in waiting if key in leased_jobs.ready}
 
     def _record_shortage(self, wave: Wave, placed: int, reservations: Reservations, now: float) -> None:
@@ -174,11 +175,11 @@
         left = len(wave.waiting) - placed
         least = left if wave.step.gang else 1
         if left and self.tenant_capacity.allowance(wave.job.tenant, wave.step.resources, least) < least:
-            self.why[wave.key()] = REASON_TENANT_AT_MAXIMUM
+            self.waiting_reasons[wave.key()] = REASON_TENANT_AT_MAXIMUM
             self.short_since.pop(wave.key(), None)
         elif left:
             self.short_since.setdefault(wave.key(), now)
-            self.why.setdefault(wave.key(), self._shortage_reason(wave, reservations))
+            self.waiting_reasons.setdefault(wave.key(), self._shortage_reason(wave, reservations))
         else:
             self.short_since.pop(wave.key(), None)
 
@@ -295,7 +296,7 @@
         waiting = waiting[len(assigned) :]
         allowed = self.budgets.allowance(wave, len(waiting))
         if allowed < len(waiting):
-            self.why[wave.key()] = REASON_OVER_BUDGET
+            self.waiting_reasons[wave.key()] = REASON_OVER_BUDGET
         near_candidates = (
             [candidate for candidate in candidates if step.near in candidate.labels] if near_limit else ()
         )
@@ -306,7 +307,7 @@
                 wave, candidates, waiting[near_count:allowed], unreserved=not reserved
             )
         if len(additional) < allowed:
-            self.why.pop(wave.key(), None)  # the limit was capacity, not the budget
+            self.waiting_reasons.pop(wave.key(), None)  # the limit was capacity, not the budget
         self.budgets.charge(wave, len(additional))
         return assigned + additional
 
@@ -398,7 +399,7 @@
         """
         wanted = len(wave.waiting)
         if not is_reserved and self.budgets.allowance_beside_claims(wave, wanted) < wanted:
-            self.why[wave.key()] = REASON_OVER_BUDGET
+            self.waiting_reasons[wave.key()] = REASON_OVER_BUDGET
             return []
         ranked = self._ranked_for_gang(wave, candidates, is_reserved, time)
         if ranked is None:
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -81,7 +81,7 @@
         self.unapplied_runs: dict[str, int] = {}  # worker -> runs in those entries
         self.stopping: set[RunKey] = set()  # (reference, run) whose stop is proposed
         self.ticked_at = self.watched_at = self.progress_checked_at = self.round_at = -1e9
-        self.due = True
+        self.round_due = True
         self.counts = {"beats": 0, "starts": 0, "stops": 0}
         self.end_counts: collections.Counter[str] = collections.Counter()  # kind of end -> runs
         self.stop_counts: collections.Counter[str] = collections.Counter()  # reason to stop a run -> runs
@@ -95,8 +95,9 @@
     def take_heartbeat(
         self, identity: str, heartbeat: Document, address: str, token: Any, now: float
     ) -> None:
-        """Receives a worker's heartbeat that passed worker.checked; flush() answers it. `token` identifies
-        the request. A heartbeat older than the newest one is answered immediately with an empty document.
+        """Receives a worker's heartbeat that passed worker.is_valid_heartbeat; flush() answers it. `token`
+        identifies the request. A heartbeat older than the newest one is answered immediately with an empty
+        document.
         """
         self.counts["beats"] += 1
         worker = self.workers.get(identity)
@@ -110,7 +111,7 @@
         self._propose_never_started(worker, now)
         self.deferred_heartbeats[identity] = DeferredHeartbeat(address, token, now)
         self.answers_to_check[identity] = True
-        self.due = self.due or worker.scheduling_state != worker.previous_scheduling_state
+        self.round_due = self.round_due or worker.scheduling_state != worker.previous_scheduling_state
 
     def _answer_deferred(self, identity: str) -> None:
         """Answers a worker's earlier heartbeat, if one is deferred, with an empty document."""
@@ -126,7 +127,7 @@
         worker = self.workers.get(identity)
         if worker is not None and worker.leave():
             self.leases.record_leave(identity, now)
-        self.due = True
+        self.round_due = True
 
     def _propose_never_started(self, worker: Worker, now: float) -> None:
         """Proposes the end of runs that never started: those that the worker lists neither as running nor as
@@ -284,7 +285,7 @@
             self._watch(now)
         pause = constants.ROUND_REST * (len(self.leased_jobs.ready) + len(self.workers))
         if now - self.round_at >= (
-            pause if self.due and not self.unapplied_assignments else max(pause, constants.PLACE_IDLE)
+            pause if self.round_due and not self.unapplied_assignments else max(pause, constants.PLACE_IDLE)
         ):
             self._assign(now)
 
@@ -294,8 +295,8 @@
         """
         if self.unapplied_assignments:
             return
-        self.due, self.round_at = False, now
-        items, stops = self.assigner.round(
+        self.round_due, self.round_at = False, now
+        items, stops = self.assigner.run_round(
             self.leased_jobs, self.workers, self, now, self.core.cluster_time(now)
         )
         for violation in self.assigner.violations:
@@ -332,7 +333,7 @@
         """Stops stalled and slow runs. As progress arrives only with heartbeats, this check runs once per
         heartbeat interval of a worker with capacity.
         """
-        self._propose_stops(self.progress.look(self.workers, self.leased_jobs, self.stopping, now), now)
+        self._propose_stops(self.progress.find_stops(self.workers, self.leased_jobs, self.stopping, now), now)
         for worker_id, reference, run in self.progress.take_misjudged():
             self.core.event(185, minion=worker_id, task=reference, run=run)
 
@@ -367,9 +368,9 @@
             self.core.propose(("job-stop", self.core.epoch, stops), None, now)
 
     # --- applied entries --------------------------------------------------------------
-    def ended(self, index: int, items: Sequence[RunEndItem], outcomes: Sequence[str]) -> None:
+    def on_ends_applied(self, index: int, items: Sequence[RunEndItem], outcomes: Sequence[str]) -> None:
         """Handles an applied "job-ended" entry."""
-        self.due = True
+        self.round_due = True
         for (worker_id, reference, run, how, _, reported), result in zip(items, outcomes, strict=False):
             self.end_counts[how] += 1
             self.stopping.discard((reference, run))
@@ -378,7 +379,7 @@
             if worker is not None and reported:
                 if how in (RUN_DONE, RUN_FAILED):
                     worker.judge(how == RUN_DONE)
-                elif how == RUN_REFUSED and self.policy.avoid_troubled_workers:
+                elif how == RUN_REFUSED and self.policy.avoid_failing_workers:
                     worker.avoided_until = self.core.step_at + constants.AVOID_AFTER_REFUSAL
             self.core.event(155, task=reference, attempt=run, how=how, result=result)
         self.ends.applied(index, items, self.workers)
@@ -387,7 +388,7 @@
         """Handles an applied "job-assign" entry: the answers to the workers that it names may now be due, as
         they may have runs to start.
         """
-        self.due = True
+        self.round_due = True
         self.unapplied_assignments = max(0, self.unapplied_assignments - 1)
         for _, _, _, assigned in items:
             for _, worker_id in assigned:
--- a/src/pinepitch/scheduling/evacuation.py
+++ b/src/pinepitch/scheduling/evacuation.py
@@ -41,7 +41,7 @@
         newest = tuple((zone, *order) for zone, order in self.newest.items())
         return (tuple(self.since.items()), newest, self.forgotten)
 
-    def take(self, index: int, now: float, zone: str, begun: bool, confirmed: int) -> Outcome:
+    def apply_order(self, index: int, now: float, zone: str, begun: bool, confirmed: int) -> Outcome:
         """Applies the order at entry `index`, which was received when the log had reached index `confirmed`
         or a higher one.
         """
@@ -56,7 +56,7 @@
         self._forget_oldest()
         return ("ok",)
 
-    def take_unconfirmed(self, index: int, now: float, zone: str, begun: bool) -> Outcome:
+    def apply_unconfirmed_order(self, index: int, now: float, zone: str, begun: bool) -> Outcome:
         """Applies an order proposed by a member of level 2, which carries no confirmed index: it is applied
         however late it arrives.
         """
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -128,7 +128,7 @@
         return f"not before {wave.due:.3f}"
     if wave.is_partly_placed():
         return "waits for the ends of the rest of its gang"
-    reason = core.assignments.assigner.why.get(wave.key(), "not yet looked at by a round")
+    reason = core.assignments.assigner.waiting_reasons.get(wave.key(), "not yet looked at by a round")
     return reason + _over_maximum(core, wave) if reason == REASON_TENANT_AT_MAXIMUM else reason
 
 
--- a/src/pinepitch/scheduling/idle_capacity.py
+++ b/src/pinepitch/scheduling/idle_capacity.py
@@ -9,7 +9,7 @@
 from .leased_job import PLACED, Wave, WaveKey
 from .leased_job_state import LeasedJobState
 
-KEPT_UNTAKEN = "kept room is not taken by the wave it is kept for"
+RESERVATION_UNUSED = "kept room is not taken by the wave it is kept for"
 IDLE_BESIDE_WORK = "a job waits beside ample idle room"
 
 
@@ -25,11 +25,11 @@
 class IdleCapacityCheck:
     """Checks the outcome of each scheduling round, and counts violations of two invariants.
 
-    KEPT_UNTAKEN: after a round, a wave that is not a gang is short of capacity although a candidate reserved
-    for it could run one more of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had nothing
-    placed and waited for capacity, while its service had capacity for twice what the job needs at once and
-    less than RESERVE_BUSY of its capacity was in use. A wave whose tenant is at its maximum does not count as
-    short of capacity.
+    RESERVATION_UNUSED: after a round, a wave that is not a gang is short of capacity although a candidate
+    reserved for it could run one more of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had
+    nothing placed and waited for capacity, while its service had capacity for twice what the job needs at
+    once and less than RESERVE_BUSY of its capacity was in use. A wave whose tenant is at its maximum does not
+    count as short of capacity.
 
     Invariant: a violation is counted once per wave each time it begins.
     """
@@ -49,16 +49,16 @@
         short_since: dict[WaveKey, float],
         now: float,
     ) -> tuple[Violation, ...]:
-        """Returns new violations of KEPT_UNTAKEN. All mappings are by the key of a wave: `reserved` to (wave,
-        candidates), `placed` to the tasks placed in this round, `short_since` to the time since when it has
-        been short of capacity.
+        """Returns new violations of RESERVATION_UNUSED. All mappings are by the key of a wave: `reserved` to
+        (wave, candidates), `placed` to the tasks placed in this round, `short_since` to the time since when
+        it has been short of capacity.
         """
         violating = {}
         for key, (wave, candidates) in reserved.items():
             is_short = len(wave.waiting) > placed.get(key, 0) and key in short_since and not wave.step.gang
             if is_short and any(candidate.may_place(wave, wave.job.priority) for candidate in candidates):
                 violating[key] = wave
-        return self._count_new(KEPT_UNTAKEN, violating, short_since, now)
+        return self._count_new(RESERVATION_UNUSED, violating, short_since, now)
 
     def check_waiting_jobs(
         self,
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -491,8 +491,8 @@
         self, now: float, zone: str, begun: bool, index: int, confirmed: int | None = None
     ) -> Outcome:
         """Applies an order that begins or ends the evacuation of a zone, from the log entry `index`.
-        `confirmed` is described at Evacuations.take; members of level 2 propose orders without it.
+        `confirmed` is described at Evacuations.apply_order; members of level 2 propose orders without it.
         """
         if confirmed is None:
-            return self.evacuations.take_unconfirmed(index, now, zone, begun)
-        return self.evacuations.take(index, now, zone, begun, confirmed)
+            return self.evacuations.apply_unconfirmed_order(index, now, zone, begun)
+        return self.evacuations.apply_order(index, now, zone, begun, confirmed)
--- a/src/pinepitch/scheduling/policy.py
+++ b/src/pinepitch/scheduling/policy.py
@@ -23,7 +23,7 @@
     avoid_contended_racks: bool = True  # for work that prefers no rack
     prefer_fast_workers: bool = True  # by their estimated speed
     # give no new work for a while to a worker that refused a start or whose run stalled
-    avoid_troubled_workers: bool = True
+    avoid_failing_workers: bool = True
     stop_stalled: bool = True
     stop_slow: bool = True
     gang_in_one_rack: bool = True  # if its step asks for that
--- a/src/pinepitch/scheduling/progress.py
+++ b/src/pinepitch/scheduling/progress.py
@@ -119,7 +119,7 @@
         # references of the tasks of which a run was stopped as slow and that are not done
         self.stopped_slow: set[str] = set()
 
-    def look(
+    def find_stops(
         self, workers: dict[str, Worker], leased_jobs: LeasedJobState, stopping: Set[RunKey], now: float
     ) -> tuple[RunStop, ...]:
         """The stops of runs that have stalled, and of runs so much slower than those of the same batch on
@@ -131,7 +131,7 @@
         stops, projected = [], []
         for watched in self._watched_runs(workers, leased_jobs, stopping, now):
             if self.policy.stop_stalled and self._is_stalled(watched):
-                if self.policy.avoid_troubled_workers:
+                if self.policy.avoid_failing_workers:
                     watched.worker.avoided_until = max(
                         watched.worker.avoided_until, now + constants.AVOID_AFTER_STALL
                     )
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -223,7 +223,7 @@
 
 
 def answer_evacuated(core: Daemon, outcome: tuple[Any, ...], extra: Any, now: float) -> Answer:
-    """The answer to an order for a zone, from the outcome of Evacuations.take."""
+    """The answer to an order for a zone, from the outcome of Evacuations.apply_order."""
     if outcome[0] == "superseded":
         message = "another order for the zone came first; this one was not taken, send it again"
         return problem(503, "superseded", message, constants.RETRY_AFTER)
--- a/src/pinepitch/simulation/order_injected_faults.py
+++ b/src/pinepitch/simulation/order_injected_faults.py
@@ -46,19 +46,19 @@
     return 0
 
 
-original_take = Evacuations.take
+original_apply_order = Evacuations.apply_order
 
 
 def _late_orders_taken(self, index, now, zone, begun, confirmed):
     """Takes an order for a zone however late it comes."""
-    return original_take(self, index, now, zone, begun, index)
+    return original_apply_order(self, index, now, zone, begun, index)
 
 
 def _holding_orders_unnoted(self, index, now, zone, begun, confirmed):
     """Notes an order only if it changes something."""
     before = dict(self.newest)
     kept = (zone in self.since) == begun
-    outcome = original_take(self, index, now, zone, begun, confirmed)
+    outcome = original_apply_order(self, index, now, zone, begun, confirmed)
     if kept:
         self.newest = before
     return outcome
@@ -74,7 +74,7 @@
     return ()
 
 
-LATE_ORDERS = ((Evacuations, "take", _late_orders_taken),)
+LATE_ORDERS = ((Evacuations, "apply_order", _late_orders_taken),)
 INJECTED_FAULTS = {
     "base-unheeded": [(Configuration, "_earlier_outcome", _base_unheeded)],
     "number-is-enough": [(Configuration, "_earlier_outcome", _number_is_enough)],
@@ -88,7 +88,7 @@
         *LATE_ORDERS,
         (ForwardedRequests, "_in_time", lambda self, end, now: True),
     ],
-    "holding-orders-unnoted": [(Evacuations, "take", _holding_orders_unnoted)],
+    "holding-orders-unnoted": [(Evacuations, "apply_order", _holding_orders_unnoted)],
     "hang-ups-unseen": [(IndexedForwarder, "hung_up", _hang_ups_unseen)],
     "pauses-unseen": [(IndexedForwarder, "_unread", _pauses_unseen)],
     "orders-confirmed-late": [(constants, "CONFIRM_WITHIN", constants.CALL_PATIENCE)],
--- a/src/pinepitch/simulation/scale/costs.py
+++ b/src/pinepitch/simulation/scale/costs.py
@@ -152,7 +152,7 @@
     assert sum(map(len, alone.core.cluster_state.leased_jobs.placements.values())) == alike
     assignments = alone.core.assignments
     return _best(
-        lambda: assignments.progress.look(
+        lambda: assignments.progress.find_stops(
             assignments.workers, assignments.leased_jobs, assignments.stopping, alone.now
         )
     )
@@ -221,7 +221,7 @@
         for _ in range(waves - len(leased_jobs.ready)):
             alone.hand_in(5, cpu=9000, queue="more")  # more than any worker has: they wait for ever
         results["round"][f"{size}, {waves} waves wait"] = _best(
-            lambda: assignments.assigner.round(
+            lambda: assignments.assigner.run_round(
                 leased_jobs, assignments.workers, assignments, alone.now, alone.core.cluster_time(alone.now)
             )
         )
@@ -249,7 +249,7 @@
         for place in range(waits):
             scratch.accept(alone.now, f"{place:016x}", "held", plain)
         found[name] = _best(
-            lambda scratch=scratch: assignments.assigner.round(
+            lambda scratch=scratch: assignments.assigner.run_round(
                 scratch, assignments.workers, assignments, alone.now, alone.core.cluster_time(alone.now)
             )
         )
