--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -419,7 +419,7 @@
     assert found["run_ends_total"] == {("stopped",): 3}, found["run_ends_total"]
     assert found["job_tasks_left"] == {("plans", "no room"): 4}, found["job_tasks_left"]
     total = sum(worker.capacity[0] for worker in assignments.workers.values())
-    taken = sum(capacity[0] for capacity in leased_jobs.taken.values())
+    taken = sum(capacity[0] for capacity in leased_jobs.used_by_worker.values())
     capacity = {place: amount for place, amount in found["worker_room"].items() if "cpu" in place}
     assert sorted(capacity.values()) == sorted((taken, total - taken)) and 0 < taken < total, capacity
 
--- a/features/steps/leased_jobs.py
+++ b/features/steps/leased_jobs.py
@@ -185,7 +185,7 @@
 
 @then("the leased job state counts {count:d} job that has not begun")
 def step_counts(context, count):
-    assert context.leased_jobs.counts.get(QUEUE, 0) == count, context.leased_jobs.counts
+    assert context.leased_jobs.queued_counts.get(QUEUE, 0) == count, context.leased_jobs.queued_counts
 
 
 @then('the leased job state has "{waves}" ready')
@@ -226,13 +226,13 @@
 
 @then('run {run:d} of "{task}" of {job_letter:w} is held and wanted')
 def step_wanted(context, run, task, job_letter):
-    assert context.leased_jobs.wanted(placement_of(context, job_letter, tasks_of(task)[0], run))
+    assert context.leased_jobs.should_run(placement_of(context, job_letter, tasks_of(task)[0], run))
 
 
 @then('run {run:d} of "{task}" of {job_letter:w} is held and not wanted')
 def step_unwanted(context, run, task, job_letter):
     placement = placement_of(context, job_letter, tasks_of(task)[0], run)
-    assert placement is not None and not context.leased_jobs.wanted(placement)
+    assert placement is not None and not context.leased_jobs.should_run(placement)
 
 
 @then("no other member of {job_letter:w} is wanted any more")
@@ -243,7 +243,7 @@
         for one in placements.values()
         if one.job == NAMES[job_letter]
     ]
-    assert rest and not any(map(context.leased_jobs.wanted, rest)), [one.image() for one in rest]
+    assert rest and not any(map(context.leased_jobs.should_run, rest)), [one.image() for one in rest]
 
 
 # --- tenants -------------------------------------------------------------------------
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -166,7 +166,7 @@
         self.refused += sum(len(group) for *_, group in items) - len(placed)
         for placement in placed:
             key = (placement.worker_id, placement.reference(), placement.run)
-            lasts = self.leased_jobs.task(placement)[0].step.lasts
+            lasts = self.leased_jobs.current_task(placement)[0].step.lasts
             self.assigner.estimator.record_start(*key, False, self.now)
             self.ends_at[key] = 1e9 if lasts else self.now + self.lengths[placement.job]
         self.leased_jobs.stop(self.now, stops)
@@ -177,7 +177,7 @@
 
     # --- what is judged ---------------------------------------------------------------
     def free(self, identity):
-        taken = self.leased_jobs.taken.get(identity, (0, 0, 0))
+        taken = self.leased_jobs.used_by_worker.get(identity, (0, 0, 0))
         return [total - less for total, less in zip(WORKER_CAPACITY, taken, strict=True)]
 
     def _takes(self, identity, wave):
@@ -241,7 +241,7 @@
         }
         wanted = len(wave.waiting) if wave.step.gang else 1
         capacity = sum(self._takes(identity, wave) for identity in self.workers)
-        used = [sum(taken[kind] for taken in self.leased_jobs.taken.values()) for kind in range(3)]
+        used = [sum(taken[kind] for taken in self.leased_jobs.used_by_worker.values()) for kind in range(3)]
         share = max(
             one / (total * len(self.workers)) for one, total in zip(used, WORKER_CAPACITY, strict=True)
         )
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -299,7 +299,7 @@
     for worker in daemon.assignments.workers.values():
         if worker.unresponsive(now) or worker.state != "ready":
             continue
-        taken = daemon.cluster_state.leased_jobs.taken.get(worker.identity, (0, 0, 0))
+        taken = daemon.cluster_state.leased_jobs.used_by_worker.get(worker.identity, (0, 0, 0))
         for resource, total, used in zip(RESOURCES, worker.capacity, taken, strict=True):
             for state, amount in (("taken", used), ("free", total - used)):
                 labels = (worker.service, resource, state)
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -148,7 +148,7 @@
         may have been lowered since the run was placed.
         """
         return (
-            self.leased_jobs.wanted(placement)
+            self.leased_jobs.should_run(placement)
             and self._accepts_starts(worker)
             and not self.leased_jobs.over_maximum(placement)
         )
@@ -238,7 +238,7 @@
         start, stop = [], []
         for key, placement in placements.items():
             if key in worker.running:
-                if not self.leased_jobs.wanted(placement):
+                if not self.leased_jobs.should_run(placement):
                     stop.append(key)
             elif (
                 may_start
@@ -253,8 +253,8 @@
     def _start_order(self, worker: Worker, key: RunKey, placement: Placement, now: float) -> StartOrder:
         """Records that the start of a placed run is sent, and returns the order."""
         reference, run = key
-        wave_and_task = self.leased_jobs.task(placement)
-        assert wave_and_task is not None, "a start is sent only for a placement that is wanted"
+        wave_and_task = self.leased_jobs.current_task(placement)
+        assert wave_and_task is not None, "a start is sent only for a placement that should run"
         wave, task = wave_and_task
         self.core.trace(189, task=reference, run=run, minion=worker.identity)
         self.estimator.record_start(worker.identity, reference, run, self.estimator.is_far(wave, worker), now)
@@ -347,7 +347,7 @@
             if not worker.unresponsive(now):
                 continue
             for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
-                wave_and_task = self.leased_jobs.task(placement)
+                wave_and_task = self.leased_jobs.current_task(placement)
                 if (
                     wave_and_task is not None
                     and self.leased_jobs.tenants.limited(placement.tenant) is None
--- a/src/pinepitch/scheduling/candidate_workers.py
+++ b/src/pinepitch/scheduling/candidate_workers.py
@@ -155,7 +155,7 @@
         unreliable = worker.failing > constants.LIVENESS_POOR
         if unreliable and placements:
             continue
-        free = subtract(worker.capacity, leased_jobs.taken.get(worker.identity, NO_RESOURCES))
+        free = subtract(worker.capacity, leased_jobs.used_by_worker.get(worker.identity, NO_RESOURCES))
         candidates.setdefault(worker.service, []).append(
             CandidateWorker(worker, free, placements, unreliable)
         )
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -66,8 +66,8 @@
     Invariants:
     - `jobs` contains the jobs that are not over, and `final` the records of those that are, ordered by when
       they ended.
-    - `taken`, `used` and `used_by_tenant` are sums of the resources of the placements. No placement takes its
-      tenant over the tenant's maximum (Tenant.admits_task).
+    - `used_by_worker`, `used_by_priority_class` and `used_by_tenant` are sums of the resources of the
+      placements. No placement takes its tenant over the tenant's maximum (Tenant.admits_task).
     - `ready` contains every batch of tasks that has waiting tasks, whose earlier steps are all done, and that
       is not a partly placed gang.
     - `placements[worker]` contains every run assigned to the worker whose end is not proven.
@@ -78,14 +78,15 @@
         self.final: dict[str, FinalJob] = {}  # identity of a job -> its record
         self.placements: dict[str, Placements] = {}  # worker -> {(reference, run): Placement}
         # worker -> [thousandths of a core, megabytes, accelerators] of its placements
-        self.taken: dict[str, list[float]] = {}
+        self.used_by_worker: dict[str, list[float]] = {}
         # (service, priority) -> resources of all its placements
-        self.used: dict[PriorityClass, list[float]] = {}
+        self.used_by_priority_class: dict[PriorityClass, list[float]] = {}
         self.used_by_tenant: dict[str, Amount] = {}  # name of a tenant -> resources of its placements
         self.configuration = Configuration()
         self.evacuations = Evacuations()
         self.ready: dict[WaveKey, Wave] = {}
-        self.counts: dict[str, int] = {}  # queue -> number of its jobs of which no task was ever placed
+        # queue -> number of its jobs of which no task was ever placed
+        self.queued_counts: dict[str, int] = {}
 
     # --- image ------------------------------------------------------------------------
     def image(self) -> Image:
@@ -117,7 +118,7 @@
             job = LeasedJob.from_image(job_image)
             leased_jobs.jobs[job.identity] = job
             if not job.begun:
-                leased_jobs.counts[job.queue] = leased_jobs.counts.get(job.queue, 0) + 1
+                leased_jobs.queued_counts[job.queue] = leased_jobs.queued_counts.get(job.queue, 0) + 1
             for wave in job.waves.values():
                 leased_jobs._update_ready(wave)
         return leased_jobs
@@ -145,9 +146,11 @@
             placement
         )
         worker_id, priority_class = placement.worker_id, (placement.service, placement.priority)
-        self.taken[worker_id] = list(add(self.taken.get(worker_id, NO_RESOURCES), placement.resources))
-        self.used[priority_class] = list(
-            add(self.used.get(priority_class, NO_RESOURCES), placement.resources)
+        self.used_by_worker[worker_id] = list(
+            add(self.used_by_worker.get(worker_id, NO_RESOURCES), placement.resources)
+        )
+        self.used_by_priority_class[priority_class] = list(
+            add(self.used_by_priority_class.get(priority_class, NO_RESOURCES), placement.resources)
         )
         if placement.tenant:
             used = self.used_by_tenant.get(placement.tenant, NO_RESOURCES)
@@ -162,13 +165,17 @@
         if placement is None:
             return None
         priority_class = (placement.service, placement.priority)
-        self.used[priority_class] = list(subtract(self.used[priority_class], placement.resources))
+        self.used_by_priority_class[priority_class] = list(
+            subtract(self.used_by_priority_class[priority_class], placement.resources)
+        )
         if placement.tenant:
             self._release_from_tenant(placement.tenant, placement.resources)
         if placements:
-            self.taken[worker_id] = list(subtract(self.taken[worker_id], placement.resources))
+            self.used_by_worker[worker_id] = list(
+                subtract(self.used_by_worker[worker_id], placement.resources)
+            )
         else:
-            del self.placements[worker_id], self.taken[worker_id]
+            del self.placements[worker_id], self.used_by_worker[worker_id]
         return placement
 
     def _release_from_tenant(self, tenant: str, resources: Resources) -> None:
@@ -198,7 +205,7 @@
         final = self.final.get(identity)
         return final.state if final else None
 
-    def task(self, placement: Placement) -> tuple[Wave, Task] | None:
+    def current_task(self, placement: Placement) -> tuple[Wave, Task] | None:
         """The (batch of tasks, task) whose current run has this placement, or None if it is outdated."""
         job = self.jobs.get(placement.job)
         wave = job.waves.get((placement.time, placement.number)) if job else None
@@ -209,11 +216,11 @@
             return wave, task
         return None
 
-    def wanted(self, placement: Placement) -> bool:
+    def should_run(self, placement: Placement) -> bool:
         """Whether a placed run should start, or continue."""
         if placement.stop:
             return False
-        current = self.task(placement)
+        current = self.current_task(placement)
         return current is not None and not current[0].is_partly_placed()
 
     def over_maximum(self, placement: Placement) -> bool:
@@ -257,7 +264,7 @@
             route.get("stretch", 1),
         )
         job = self.jobs[identity] = LeasedJob(identity, queue, route_settings, plain, now, tenant or "")
-        self.counts[queue] = self.counts.get(queue, 0) + 1
+        self.queued_counts[queue] = self.queued_counts.get(queue, 0) + 1
         for wave in job.waves.values():
             wave.since = max(wave.due, now)
             self._update_ready(wave)
@@ -278,7 +285,7 @@
         """Replaces a job by its final record, and drops final records that are too old or too many."""
         del self.jobs[job.identity]
         if not job.begun:
-            self.counts[job.queue] -= 1
+            self.queued_counts[job.queue] -= 1
         for wave in job.waves.values():
             self.ready.pop(wave.key(), None)
         self.final[job.identity] = FinalJob(state, now, job.queue, job.digest, job.tenant)
@@ -309,7 +316,7 @@
             placements.extend(self._place_tasks(now, epoch, wave, assigned))
             if not job.begun and assigned:
                 job.begun = True
-                self.counts[job.queue] -= 1
+                self.queued_counts[job.queue] -= 1
             self._update_ready(wave)
         return tuple(placements)
 
--- a/src/pinepitch/scheduling/progress.py
+++ b/src/pinepitch/scheduling/progress.py
@@ -191,7 +191,9 @@
             for key, progress in worker.progress.items():
                 placement = placements.get(key)
                 current = (
-                    leased_jobs.task(placement) if placement is not None and not placement.stop else None
+                    leased_jobs.current_task(placement)
+                    if placement is not None and not placement.stop
+                    else None
                 )
                 if current is None or current[0].step.lasts or key in stopping:
                     continue
--- a/src/pinepitch/scheduling/requests.py
+++ b/src/pinepitch/scheduling/requests.py
@@ -128,7 +128,7 @@
     route, identity = authorized
     leased_jobs = core.cluster_state.leased_jobs
     if not identity:
-        return Answer(200, {"waiting": leased_jobs.counts.get(route["name"], 0)})
+        return Answer(200, {"waiting": leased_jobs.queued_counts.get(route["name"], 0)})
     state = leased_jobs.state(identity)
     if state is None:
         return problem(410, "no_job", "no such job")
--- a/src/pinepitch/scheduling/reservations.py
+++ b/src/pinepitch/scheduling/reservations.py
@@ -259,7 +259,7 @@
         if candidate.identity not in self.long_running_resources:
             resources: Resources = NO_RESOURCES
             for placement in self.leased_jobs.placements.get(candidate.identity, {}).values():
-                wave_and_task = None if placement.stop else self.leased_jobs.task(placement)
+                wave_and_task = None if placement.stop else self.leased_jobs.current_task(placement)
                 if wave_and_task is not None and wave_and_task[0].step.lasts:
                     resources = add(resources, placement.resources)
             self.long_running_resources[candidate.identity] = resources
@@ -305,7 +305,7 @@
         """Whether a run may be stopped for a wave. If so, the work that this discards is deducted from the
         waste allowed.
         """
-        wave_and_task = self.leased_jobs.task(placement)
+        wave_and_task = self.leased_jobs.current_task(placement)
         if not self.policy.preempt or wave_and_task is None or key not in candidate.worker.running:
             return False
         step = wave_and_task[0].step
--- a/src/pinepitch/scheduling/tenant_shares.py
+++ b/src/pinepitch/scheduling/tenant_shares.py
@@ -84,8 +84,10 @@
         return (placement.service, priority)
 
     def used(self, leased_jobs: LeasedJobState) -> dict[PriorityClass, Resources]:
-        """LeasedJobState.used, with the placements of excess jobs counted under EXCESS_PRIORITY."""
-        used: dict[PriorityClass, Resources] = dict(leased_jobs.used)
+        """LeasedJobState.used_by_priority_class, with the placements of excess jobs counted under
+        EXCESS_PRIORITY.
+        """
+        used: dict[PriorityClass, Resources] = dict(leased_jobs.used_by_priority_class)
         if not self.excess:
             return used
         for placements in leased_jobs.placements.values():
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -275,7 +275,7 @@
 
 
 def _counted(leased_jobs):
-    return {queue: count for queue, count in leased_jobs.counts.items() if count}
+    return {queue: count for queue, count in leased_jobs.queued_counts.items() if count}
 
 
 def _waves(leased_jobs):
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -26,7 +26,7 @@
         if (reference, run) not in worker.running and (reference, run) not in worker.listed:
             if (
                 placement.epoch != self.core.epoch
-                or not self.leased_jobs.wanted(placement)
+                or not self.leased_jobs.should_run(placement)
                 or not self._accepts_starts(worker)
             ):
                 self.ends.propose(worker.identity, reference, run, "unsent", "", False)
@@ -84,7 +84,7 @@
     seats = original_seats(leased_jobs, workers, now)
     for seat in itertools.chain(*seats.values()):
         for placement in leased_jobs.placements.get(seat.identity, {}).values():
-            if not leased_jobs.wanted(placement):
+            if not leased_jobs.should_run(placement):
                 seat.free = tuple(
                     free + capacity for free, capacity in zip(seat.free, placement.resources, strict=False)
                 )
@@ -128,7 +128,7 @@
     "failures-forgotten": [(LeasedJobState, "_apply_end", _failures_forgotten)],
     "room-given-early": [(assigner, "candidate_workers", _capacity_twice)],
     "cancel-in-word": [(LeasedJobState, "cancel", _cancel_in_word)],
-    "stops-forgotten": [(LeasedJobState, "wanted", lambda self, placement: True)],
+    "stops-forgotten": [(LeasedJobState, "should_run", lambda self, placement: True)],
     "leaves-are-ends": [(Worker, "leave", lambda self: True)],
     "drain-unseen": [(Worker, "take_heartbeat", _always_ready)],
     "order-unheeded": [(LeasedJobState, "_update_ready", _after_unheeded)],
