--- a/features/steps/platform_adapters.py
+++ b/features/steps/platform_adapters.py
@@ -584,7 +584,7 @@
     assert found.running == {
         (one[0], one[1]): (*one[2:], *("", 0)[len(one) - 2 :]) for one in sent.get("running", ())
     }, found.running
-    assert found.listed == {(one[1], one[2]) for one in sent.get("endedAt", ())}
+    assert found.listed_ends == {(one[1], one[2]) for one in sent.get("endedAt", ())}
     assert [list(one) for one in context.heartbeat["ended"]] == [
         [*one, ""][:5] for one in sent.get("endedAt", ())
     ], context.heartbeat
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -136,7 +136,7 @@
         if worker.stale or worker.heartbeats < 2:
             return
         for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
-            if (reference, run) in worker.running or (reference, run) in worker.listed:
+            if (reference, run) in worker.running or (reference, run) in worker.listed_ends:
                 continue
             if placement.epoch != self.core.epoch and now - self.leader_since < constants.REPORT_GATHERING:
                 continue
@@ -183,7 +183,7 @@
             worker = self.workers[identity]
             address, token, received_at = self.deferred_heartbeats[identity]
             if now - received_at < constants.HEARTBEAT_DEFERRAL and (
-                worker.pending or self.unapplied_runs.get(identity)
+                worker.pending_ends or self.unapplied_runs.get(identity)
             ):
                 continue
             del self.answers_to_check[identity]
@@ -203,7 +203,7 @@
             and self._heartbeat_interval() > constants.HEARTBEAT_INTERVAL
             and worker.state == READY
             and not worker.running
-            and not worker.listed
+            and not worker.listed_ends
             and worker.heartbeats > 1
             and worker.identity not in self.leased_jobs.placements
         )
@@ -242,7 +242,7 @@
                     stop.append(key)
             elif (
                 may_start
-                and key not in worker.listed
+                and key not in worker.listed_ends
                 and self._may_start(worker, placement)
                 and not worker.stale
                 and (worker.identity, *key) not in self.ends.proposed
@@ -378,7 +378,7 @@
             worker = self.workers.get(worker_id)
             if worker is not None and reported:
                 if how in (RUN_DONE, RUN_FAILED):
-                    worker.judge(how == RUN_DONE)
+                    worker.record_end(how == RUN_DONE)
                 elif how == RUN_REFUSED and self.policy.avoid_failing_workers:
                     worker.avoided_until = self.core.step_at + constants.AVOID_AFTER_REFUSAL
             self.core.event(155, task=reference, attempt=run, how=how, result=result)
--- a/src/pinepitch/scheduling/leased_job.py
+++ b/src/pinepitch/scheduling/leased_job.py
@@ -149,11 +149,11 @@
     """One task of a batch.
 
     Invariants: `state` is WAITING, PLACED or DONE. `run` is the highest run number that the task was ever
-    given. `open_runs` contains the runs that were given up before their worker reported an end: if the report
-    comes later, it still counts, once.
+    given. `unreported_runs` contains the runs that were given up before their worker reported an end: if the
+    report comes later, it still counts, once.
     """
 
-    __slots__ = ("failures", "open_runs", "run", "saved", "state", "worker_id")
+    __slots__ = ("failures", "run", "saved", "state", "unreported_runs", "worker_id")
 
     def __init__(
         self,
@@ -162,10 +162,10 @@
         failures: int = 0,
         saved: str = "",
         worker_id: str = "",
-        open_runs: Iterable[int] = (),
+        unreported_runs: Iterable[int] = (),
     ) -> None:
         self.state, self.run, self.failures, self.saved = state, run, failures, saved
-        self.worker_id, self.open_runs = worker_id, set(open_runs)
+        self.worker_id, self.unreported_runs = worker_id, set(unreported_runs)
 
     def image(self) -> Image:
         """The fields as plain values, for a snapshot. Task(*image) rebuilds the task."""
@@ -175,7 +175,7 @@
             self.failures,
             self.saved,
             self.worker_id,
-            tuple(sorted(self.open_runs)),
+            tuple(sorted(self.unreported_runs)),
         )
 
 
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -406,11 +406,11 @@
         task = wave.tasks[index]
         is_current = placement is not None and task.state == PLACED and task.run == run
         if not is_current:
-            if run not in task.open_runs or not reported:
+            if run not in task.unreported_runs or not reported:
                 return END_STALE
-            task.open_runs.discard(run)
+            task.unreported_runs.discard(run)
         elif not reported and how != RUN_NEVER_STARTED:
-            task.open_runs.add(run)
+            task.unreported_runs.add(run)
         self._store_saved_progress(wave, task, run, saved)
         if task.state == DONE:
             return END_STALE
--- a/src/pinepitch/scheduling/run_ends.py
+++ b/src/pinepitch/scheduling/run_ends.py
@@ -45,18 +45,18 @@
     def receive(self, worker: Worker, ended: Iterable[tuple[int, str, int, str, str]]) -> None:
         """Receives the ends that a worker's heartbeat lists."""
         placements = self.core.cluster_state.leased_jobs.placements.get(worker.identity, {})
-        blocked, worker.blocked = worker.blocked, set()
+        blocked, worker.blocked_ends = worker.blocked_ends, set()
         for number, reference, run, how, saved in ended:
-            if number in worker.pending or (number <= worker.seen and number not in blocked):
+            if number in worker.pending_ends or (number <= worker.last_end_number and number not in blocked):
                 continue
-            worker.seen = max(worker.seen, number)
+            worker.last_end_number = max(worker.last_end_number, number)
             if (worker.identity, reference, run) in self.proposed:
-                worker.blocked.add(number)  # the end that is proposed may leave the run open
+                worker.blocked_ends.add(number)  # the end that is proposed may leave the run open
                 continue
             if (reference, run) in placements or self._is_open(reference, run):
                 self.propose(worker.identity, reference, run, how, saved, True)
                 self.estimator.record_end(worker, self._wave(reference), reference, run, how, worker.heard_at)
-                worker.pending.add(number)
+                worker.pending_ends.add(number)
                 self.collected_numbers.append((worker.identity, number))
 
     def propose(self, worker_id: str, reference: str, run: int, how: str, saved: str, reported: bool) -> None:
@@ -88,7 +88,7 @@
             self.proposed.discard((worker_id, reference, run))
         for worker_id, number in self.proposed_numbers.pop(index, ()):
             if worker_id in workers:
-                workers[worker_id].pending.discard(number)
+                workers[worker_id].pending_ends.discard(number)
 
     def _wave(self, reference: str) -> Wave | None:
         """The wave of a task, or None if its job is final or unknown."""
@@ -104,4 +104,4 @@
         if wave is None or parsed is None:
             return False
         index = parsed[3]
-        return index < len(wave.tasks) and run in wave.tasks[index].open_runs
+        return index < len(wave.tasks) and run in wave.tasks[index].unreported_runs
--- a/src/pinepitch/scheduling/worker.py
+++ b/src/pinepitch/scheduling/worker.py
@@ -34,7 +34,8 @@
 
     Invariants: `sequence` is that of the newest heartbeat that was accepted. `leased_from` is when the newest
     of the heartbeats arrived that were answered with a lease, so nothing on the worker runs for longer than
-    one lease after it. `pending` contains the numbers of the ends that are proposed and not yet committed.
+    one lease after it. `pending_ends` contains the numbers of the ends that are proposed and not yet
+    committed.
     """
 
     def __init__(self, identity: str, now: float) -> None:
@@ -62,11 +63,11 @@
         self.left_undrained = False
         self.running: dict[RunKey, tuple[str, float]] = {}  # (reference, run) -> (saved progress, percent)
         # (reference, run) of the runs that its newest heartbeat lists as ended
-        self.listed: set[RunKey] = set()
-        self.pending: set[int] = set()
+        self.listed_ends: set[RunKey] = set()
+        self.pending_ends: set[int] = set()
         # numbers of ends that wait until another end of the same run is committed
-        self.blocked: set[int] = set()
-        self.seen = 0  # the highest number of an end that the worker has reported
+        self.blocked_ends: set[int] = set()
+        self.last_end_number = 0  # the highest number of an end that the worker has reported
         self.progress: dict[RunKey, Progress] = {}  # (reference, run) -> Progress
         # It gets no new work before this time, because it refused a run or a run stalled on it.
         self.avoided_until = -1e9
@@ -106,7 +107,7 @@
         self.running = {
             (reference, run): (saved, percent) for reference, run, saved, percent in heartbeat["running"]
         }
-        self.listed = {(reference, run) for _, reference, run, _, _ in heartbeat["ended"]}
+        self.listed_ends = {(reference, run) for _, reference, run, _, _ in heartbeat["ended"]}
         self.scheduling_state = (
             self.heartbeats >= 2,
             self.stale,
@@ -131,8 +132,8 @@
 
     def acknowledged(self) -> int:
         """The number up to which all ends that the worker reported are committed."""
-        uncommitted = self.pending | self.blocked
-        return min(uncommitted) - 1 if uncommitted else self.seen
+        uncommitted = self.pending_ends | self.blocked_ends
+        return min(uncommitted) - 1 if uncommitted else self.last_end_number
 
     def unresponsive(self, now: float) -> bool:
         """Whether no heartbeat arrived for more than WORKER_TIMEOUT seconds."""
@@ -143,7 +144,7 @@
         ratio = min(constants.MAX_SPEED_RATIO, max(1 / constants.MAX_SPEED_RATIO, ratio))
         self.speed += (ratio - self.speed) * weight
 
-    def judge(self, succeeded: bool) -> None:
+    def record_end(self, succeeded: bool) -> None:
         """Updates the failure rate with the end of a run that says something about the worker itself."""
         self.failing += ((0.0 if succeeded else 1.0) - self.failing) / constants.LIVENESS_HALF
 
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -23,7 +23,7 @@
 def _absent_at_once(self, worker, now):
     """Takes what is missing in a heartbeat for a proof, whoever gave the start and however old it is."""
     for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
-        if (reference, run) not in worker.running and (reference, run) not in worker.listed:
+        if (reference, run) not in worker.running and (reference, run) not in worker.listed_ends:
             if (
                 placement.epoch != self.core.epoch
                 or not self.leased_jobs.should_run(placement)
@@ -122,7 +122,7 @@
         (AssignmentManager, "_assign", _starts_proposed),
         (AssignmentManager, "_heartbeat_answer", _orders_early),
     ],
-    "ends-noted-early": [(Worker, "acknowledged", lambda self: self.seen)],
+    "ends-noted-early": [(Worker, "acknowledged", lambda self: self.last_end_number)],
     "levels-forgotten": [(Proposals, "common_level", _notified_levels_alone)],
     "evacuation-in-word": [(LeasedJobState, "evacuate", lambda self, *order: ("ok",))],
     "failures-forgotten": [(LeasedJobState, "_apply_end", _failures_forgotten)],
