--- a/features/steps/assigning.py
+++ b/features/steps/assigning.py
@@ -205,7 +205,7 @@
 @then("within {seconds:g} seconds all its tasks have started")
 def step_started(context, seconds):
     context.fleet.run(seconds)
-    states = [task.state for task in context.fleet.leased_jobs.jobs[context.job].waves[(0, 0)].tasks]
+    states = [task.state for task in context.fleet.leased_jobs.jobs[context.job].batches[(0, 0)].tasks]
     assert set(states) == {"placed"}, states
 
 
@@ -260,10 +260,10 @@
     assert not any(sum(one.values()) for one in counts.values()), counts
 
 
-def _without_reserved(self, wave, candidates, indices):
-    """Places no task on a candidate that is reserved for the wave."""
+def _without_reserved(self, batch, candidates, indices):
+    """Places no task on a candidate that is reserved for the batch."""
     return original_place_on(
-        self, wave, [candidate for candidate in candidates if candidate.reserved_for is not wave], indices
+        self, batch, [candidate for candidate in candidates if candidate.reserved_for is not batch], indices
     )
 
 
@@ -271,8 +271,8 @@
 FAULTS = {
     "a wave may not take what is kept for it": [(Assigner, "_place_on", _without_reserved)],
     "every budget is used up": [
-        (CapacityBudgets, "allowance", lambda self, wave, wanted: 0),
-        (CapacityBudgets, "reservable", lambda self, wave, reserved: 0),
+        (CapacityBudgets, "allowance", lambda self, batch, wanted: 0),
+        (CapacityBudgets, "reservable", lambda self, batch, reserved: 0),
     ],
 }
 
--- a/features/steps/assigning_tenants.py
+++ b/features/steps/assigning_tenants.py
@@ -68,7 +68,7 @@
     waited = 0
     for _ in range(seconds * 2):
         while (
-            sum(len(wave.waiting) for wave in fleet.leased_jobs.ready.values() if wave.job.tenant == name)
+            sum(len(batch.waiting) for batch in fleet.leased_jobs.ready.values() if batch.job.tenant == name)
             < 64
         ):
             fleet.put("inspections", 8, 1, draw.uniform(1, 4), tenant=name)
@@ -92,7 +92,9 @@
 @then("all tasks that came last have started")
 def step_started(context):
     states = {
-        task.state for job in context.jobs for task in context.fleet.leased_jobs.jobs[job].waves[(0, 0)].tasks
+        task.state
+        for job in context.jobs
+        for task in context.fleet.leased_jobs.jobs[job].batches[(0, 0)].tasks
     }
     assert states == {"placed"}, states
 
--- a/features/steps/jobs_api.py
+++ b/features/steps/jobs_api.py
@@ -233,9 +233,9 @@
 
 @then("the first step shows the failure and is done, and the second runs")
 def step_second_runs(context):
-    waves = {one["step"]: one for one in explained(context)["waves"]}
-    assert (waves[0]["done"], waves[0]["failures"], waves[0]["most_failures"]) == (3, 1, 1), waves[0]
-    assert (waves[1]["placed"], waves[1]["why"]) == (2, ""), waves[1]
+    batches = {one["step"]: one for one in explained(context)["waves"]}
+    assert (batches[0]["done"], batches[0]["failures"], batches[0]["most_failures"]) == (3, 1, 1), batches[0]
+    assert (batches[1]["placed"], batches[1]["why"]) == (2, ""), batches[1]
 
 
 @when("the second step ends")
@@ -281,9 +281,9 @@
 
 @then("its candidates are {count:d} workers under {why}")
 def step_candidates(context, count, why):
-    wave = explained(context)["waves"][0]
-    assert wave["waiting"] > 0 and wave["why"] != "", wave
-    assert wave["candidates"].get(why) == count and sum(wave["candidates"].values()) == 3, wave
+    batch = explained(context)["waves"][0]
+    assert batch["waiting"] > 0 and batch["why"] != "", batch
+    assert batch["candidates"].get(why) == count and sum(batch["candidates"].values()) == 3, batch
     if count == 1:
         assert not context.workers[0].started, context.workers[0].started
 
--- a/features/steps/leased_jobs.py
+++ b/features/steps/leased_jobs.py
@@ -126,10 +126,10 @@
 
 @when('the leased job state places "{tasks}" of {job_letter:w} on {worker:w}')
 def step_place(context, tasks, job_letter, worker):
-    waves = {}
+    batches = {}
     for time, number, index in tasks_of(tasks):
-        waves.setdefault((time, number), []).append((index, worker))
-    items = tuple((NAMES[job_letter], *place, tuple(group)) for place, group in waves.items())
+        batches.setdefault((time, number), []).append((index, worker))
+    items = tuple((NAMES[job_letter], *place, tuple(group)) for place, group in batches.items())
     context.placed = context.leased_jobs.assign(context.now, 1, items)
     for one in context.placed:
         assert (one.reference(), one.run) not in context.met, "a run number was given twice"
@@ -444,10 +444,10 @@
         items = []
         keys = list(leased_jobs.ready)
         if self.random.random() < 0.1:
-            keys = [wave.key() for job in leased_jobs.jobs.values() for wave in job.waves.values()]
+            keys = [batch.key() for job in leased_jobs.jobs.values() for batch in job.batches.values()]
         for key in self.random.sample(keys, min(len(keys), self.random.randint(1, 4))):
-            wave = leased_jobs.jobs[key[0]].waves[key[1:]]
-            indices = sorted(wave.waiting)
+            batch = leased_jobs.jobs[key[0]].batches[key[1:]]
+            indices = sorted(batch.waiting)
             if self.random.random() < 0.2:
                 indices = indices[:-1]
             items.append((*key, tuple((index, self.random.choice(WORKERS)) for index in indices)))
@@ -607,16 +607,16 @@
 
 
 def may_start(leased_jobs):
-    """The waves that may start, counted anew from the tasks alone."""
+    """The batches that may start, counted anew from the tasks alone."""
     found = set()
     for job in leased_jobs.jobs.values():
-        for key, wave in job.waves.items():
-            waits = [task.state == "waiting" for task in wave.tasks]
-            undone = [task.state != "done" for task in wave.tasks]
+        for key, batch in job.batches.items():
+            waits = [task.state == "waiting" for task in batch.tasks]
+            undone = [task.state != "done" for task in batch.tasks]
             before = [
-                task.state == "done" for one in wave.step.after for task in job.waves[(key[0], one)].tasks
+                task.state == "done" for one in batch.step.after for task in job.batches[(key[0], one)].tasks
             ]
-            complete = not wave.step.gang or sum(waits) == sum(undone)
+            complete = not batch.step.gang or sum(waits) == sum(undone)
             if any(waits) and all(before) and complete:
                 found.add((job.identity, *key))
     return found
@@ -682,11 +682,11 @@
         key = (one.reference(), one.run)
         assert key not in context.given, f"{key} was given twice"
         context.given.add(key)
-        wave = leased_jobs.jobs[one.job].waves[(one.time, one.number)]
-        if wave.step.gang:
-            gangs.setdefault((one.job, one.time, one.number), (wave, []))[1].append(one.run)
+        batch = leased_jobs.jobs[one.job].batches[(one.time, one.number)]
+        if batch.step.gang:
+            gangs.setdefault((one.job, one.time, one.number), (batch, []))[1].append(one.run)
     context.parts.extend(
-        key for key, (wave, runs) in gangs.items() if len(runs) != len(wave.tasks) or len(set(runs)) != 1
+        key for key, (batch, runs) in gangs.items() if len(runs) != len(batch.tasks) or len(set(runs)) != 1
     )
 
 
--- a/features/steps/progress.py
+++ b/features/steps/progress.py
@@ -238,7 +238,7 @@
         self.watch.estimator.record_start(*key, False, self.now)
 
     def run_of(self, task):
-        return self.leased_jobs.jobs[JOB].waves[(0, 0)].tasks[task].run
+        return self.leased_jobs.jobs[JOB].batches[(0, 0)].tasks[task].run
 
     def run(self, seconds, other_queue):
         end = self.now + seconds
@@ -261,8 +261,8 @@
         for task in [one for one, done in self.done.items() if done >= self.lengths[one]]:
             worker, reference, run = self.at.pop(task), f"{JOB}.0.0.{task}", self.run_of(task)
             del self.done[task]
-            wave = self.leased_jobs.jobs[JOB].waves[(0, 0)]
-            self.watch.estimator.record_end(self.workers[worker], wave, reference, run, "done", self.now)
+            batch = self.leased_jobs.jobs[JOB].batches[(0, 0)]
+            self.watch.estimator.record_end(self.workers[worker], batch, reference, run, "done", self.now)
             self.leased_jobs.end(self.now, ((worker, reference, run, "done", "", True),))
             self.watch.ended(worker, reference, run, "done")
 
@@ -328,20 +328,20 @@
 @when("{count:d} waves of jobs that end soon after are learnt, {most:d} of them open at a time")
 def step_learnt(context, count, most):
     estimator, leased_jobs = RunTimeEstimator(2.0), one_step(100.0, ["w0"], False, GUESS)[0]
-    wave = leased_jobs.jobs[JOB].waves[(0, 0)]
+    batch = leased_jobs.jobs[JOB].batches[(0, 0)]
     jobs_open, context.most, context.lost = collections.deque(), 0, []
     for place in range(count):
-        wave.job.identity = f"{place:016x}"
-        jobs_open.append(wave.job.identity)
-        reference = f"{wave.job.identity}.0.0.0"
+        batch.job.identity = f"{place:016x}"
+        jobs_open.append(batch.job.identity)
+        reference = f"{batch.job.identity}.0.0.0"
         estimator.record_start("w0", reference, 1, False, 100.0)
         if place % 2:
-            estimator.record_end(Worker("w0", 100.0), wave, reference, 1, "done", 101.0)
+            estimator.record_end(Worker("w0", 100.0), batch, reference, 1, "done", 101.0)
         if len(jobs_open) > most:
             jobs_open.popleft()
         estimator.drop_finished(jobs_open)
-        context.most = max(context.most, len(estimator.waves) + len(estimator.started))
-    known = {key[0] for key in estimator.waves} | {key[1].partition(".")[0] for key in estimator.started}
+        context.most = max(context.most, len(estimator.batches) + len(estimator.started))
+    known = {key[0] for key in estimator.batches} | {key[1].partition(".")[0] for key in estimator.started}
     context.lost = set(jobs_open) - known
 
 
--- a/features/steps/round_fleet.py
+++ b/features/steps/round_fleet.py
@@ -146,13 +146,13 @@
                 del ends[key]
                 worker_name, reference, run = key
                 job, time, number, _ = reference.split(".")
-                wave = (
-                    self.leased_jobs.jobs[job].waves[(int(time), int(number))]
+                batch = (
+                    self.leased_jobs.jobs[job].batches[(int(time), int(number))]
                     if job in self.leased_jobs.jobs
                     else None
                 )
                 self.assigner.estimator.record_end(
-                    self.workers[worker_name], wave, reference, run, how, self.now
+                    self.workers[worker_name], batch, reference, run, how, self.now
                 )
                 outcome = self.leased_jobs.end(self.now, ((*key, how, "", True),))[1][0]
                 if outcome == "completed":
@@ -180,12 +180,12 @@
         taken = self.leased_jobs.used_by_worker.get(identity, (0, 0, 0))
         return [total - less for total, less in zip(WORKER_CAPACITY, taken, strict=True)]
 
-    def _takes(self, identity, wave):
-        """How many tasks of a wave a worker has room for, by all that is placed there."""
-        free, step = self.free(identity), wave.step
+    def _takes(self, identity, batch):
+        """How many tasks of a batch a worker has room for, by all that is placed there."""
+        free, step = self.free(identity), batch.step
         fits = min(have // capacity for have, capacity in zip(free, step.resources, strict=True) if capacity)
         placed_here = self.leased_jobs.placements.get(identity, {}).values()
-        beside = sum((one.job, one.number) == (wave.job.identity, wave.number) for one in placed_here)
+        beside = sum((one.job, one.number) == (batch.job.identity, batch.number) for one in placed_here)
         return max(0, min(fits, step.apart - beside) if step.apart else fits)
 
     def _look(self):
@@ -197,17 +197,17 @@
                     self.capacity_used.get(queue, 0.0) + one.resources[2] * ROUND_EVERY
                 )
         used = self._note_tenants()
-        waves = [wave for wave in self.leased_jobs.ready.values() if self._may_run(wave, used)]
-        singles = [wave for wave in waves if not wave.step.gang]
+        batches = [batch for batch in self.leased_jobs.ready.values() if self._may_run(batch, used)]
+        singles = [batch for batch in batches if not batch.step.gang]
         for identity in self.workers:
             idle = identity not in self.leased_jobs.placements and any(
-                self._takes(identity, wave) for wave in singles
+                self._takes(identity, batch) for batch in singles
             )
             since = self.empty_since.setdefault(identity, self.now) if idle else self.now
             if not idle:
                 self.empty_since.pop(identity, None)
             self.longest_empty = max(self.longest_empty, self.now - since)
-        waiting = {wave.job.identity: wave for wave in waves if self._ample(wave)}
+        waiting = {batch.job.identity: batch for batch in batches if self._ample(batch)}
         self.idle_since = {job: self.idle_since.get(job, self.now) for job in waiting}
         for since in self.idle_since.values():
             self.longest_idle = max(self.longest_idle, self.now - since)
@@ -223,26 +223,26 @@
             self.most_used[tenant] = max(self.most_used.get(tenant, 0), amount[2])
         return used
 
-    def _may_run(self, wave, used):
-        """Whether a wave's tenant may have running what of it must start together."""
-        maximum = self.maxima.get(wave.job.tenant) or {}
-        count = len(wave.waiting) if wave.step.gang else 1
-        has = used.get(wave.job.tenant, (0, 0, 0))
+    def _may_run(self, batch, used):
+        """Whether a batch's tenant may have running what of it must start together."""
+        maximum = self.maxima.get(batch.job.tenant) or {}
+        count = len(batch.waiting) if batch.step.gang else 1
+        has = used.get(batch.job.tenant, (0, 0, 0))
         return all(
             not maximum.get(name) or had + count * asked <= maximum[name]
-            for name, had, asked in zip(("cpu", "mem_mb", "gpu"), has, wave.step.resources, strict=True)
+            for name, had, asked in zip(("cpu", "mem_mb", "gpu"), has, batch.step.resources, strict=True)
         )
 
-    def _ample(self, wave):
-        """Whether nothing of a wave's job runs, all of it that must start together would fit twice, and
+    def _ample(self, batch):
+        """Whether nothing of a batch's job runs, all of it that must start together would fit twice, and
         under half of the service's room is in use."""
         placed = {
             one.job for placed_here in self.leased_jobs.placements.values() for one in placed_here.values()
         }
-        wanted = len(wave.waiting) if wave.step.gang else 1
-        capacity = sum(self._takes(identity, wave) for identity in self.workers)
+        wanted = len(batch.waiting) if batch.step.gang else 1
+        capacity = sum(self._takes(identity, batch) for identity in self.workers)
         used = [sum(taken[kind] for taken in self.leased_jobs.used_by_worker.values()) for kind in range(3)]
         share = max(
             one / (total * len(self.workers)) for one, total in zip(used, WORKER_CAPACITY, strict=True)
         )
-        return wave.job.identity not in placed and capacity >= 2 * wanted and share < HALF
+        return batch.job.identity not in placed and capacity >= 2 * wanted and share < HALF
--- a/src/pinepitch/cli/leased_jobs.py
+++ b/src/pinepitch/cli/leased_jobs.py
@@ -5,7 +5,7 @@
 from .front_commands import Document, FrontCommands, as_json_text, text_argument
 from .text_tables import table
 
-WAVE_COLUMNS = ("time", "step", "waiting", "placed", "done", "failures", "why")
+BATCH_COLUMNS = ("time", "step", "waiting", "placed", "done", "failures", "why")
 PLACEMENT_COLUMNS = ("task", "run", "minion", "since", "epoch", "running", "percent", "stop")
 WORKER_COLUMNS = (
     "minion",
@@ -46,8 +46,8 @@
     """A leased job in words."""
     lines = [f"{key}: {value}" for key, value in document.items() if key not in LISTS and value is not None]
     if document["waves"]:
-        waves = [{**wave, "why": why_of(wave)} for wave in document["waves"]]
-        lines += ["waves:", table(waves, WAVE_COLUMNS)]
+        batches = [{**batch, "why": why_of(batch)} for batch in document["waves"]]
+        lines += ["waves:", table(batches, BATCH_COLUMNS)]
     if document["more_waves"]:
         lines.append(f"and {document['more_waves']} more waves")
     if document["placements"]:
@@ -55,11 +55,11 @@
     return "\n".join(lines)
 
 
-def why_of(wave: dict[str, Any]) -> str:
-    """Why some of a wave waits, with how many workers each reason rules out."""
-    candidates = sorted(wave.get("candidates", {}).items())
+def why_of(batch: dict[str, Any]) -> str:
+    """Why some of a batch waits, with how many workers each reason rules out."""
+    candidates = sorted(batch.get("candidates", {}).items())
     ruled_out = ", ".join(f"{count} {why}" for why, count in candidates)
-    return str(wave["why"]) + (f" (workers: {ruled_out})" if ruled_out else "")
+    return str(batch["why"]) + (f" (workers: {ruled_out})" if ruled_out else "")
 
 
 def workers_text(document: Document) -> str:
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -214,8 +214,8 @@
 def _tasks_waiting(leased_jobs: LeasedJobState) -> dict[str, int]:
     """Number of tasks whose earlier steps are done and which are not placed, by queue."""
     waiting: dict[str, int] = {}
-    for wave in leased_jobs.ready.values():
-        waiting[wave.job.queue] = waiting.get(wave.job.queue, 0) + len(wave.waiting)
+    for batch in leased_jobs.ready.values():
+        waiting[batch.job.queue] = waiting.get(batch.job.queue, 0) + len(batch.waiting)
     return waiting
 
 
@@ -223,10 +223,10 @@
     """(queue, reason) -> number of tasks that the newest scheduling round of this leader left waiting."""
     counts: dict[Labels, int] = {}
     for key, why in daemon.assignments.assigner.waiting_reasons.items():
-        wave = daemon.cluster_state.leased_jobs.ready.get(key)
-        if wave is not None:
-            labels = (wave.job.queue, why)
-            counts[labels] = counts.get(labels, 0) + len(wave.waiting)
+        batch = daemon.cluster_state.leased_jobs.ready.get(key)
+        if batch is not None:
+            labels = (batch.job.queue, why)
+            counts[labels] = counts.get(labels, 0) + len(batch.waiting)
     return counts
 
 
--- a/src/pinepitch/scheduling/assigner.py
+++ b/src/pinepitch/scheduling/assigner.py
@@ -1,4 +1,4 @@
-"""Assigns waiting tasks to workers: one scheduling round over the ready waves and the candidate workers.
+"""Assigns waiting tasks to workers: one scheduling round over the ready batches and the candidate workers.
 
 The rules and the alternatives that were considered: docs/design/sharing.md.
 """
@@ -12,8 +12,8 @@
 from .candidate_order import CandidateIndex, Rank, fill
 from .candidate_workers import CandidateWorker, candidate_workers
 from .idle_capacity import IdleCapacityCheck, Violation
-from .leased_job import Step, Wave, WaveKey
-from .leased_job_state import LeasedJobState, WaveAssignment
+from .leased_job import Step, TaskBatch, TaskBatchKey
+from .leased_job_state import LeasedJobState, TaskBatchAssignment
 from .reservations import PendingStops, Reservations
 from .resources import RESOURCE_KINDS, Resources, fitting_tasks, multiply
 from .run_speed import RunTimeEstimator
@@ -29,7 +29,7 @@
 REASON_OVER_BUDGET = "held back for other work"
 REASON_TENANT_AT_MAXIMUM = "its tenant is at its maximum"
 
-# (index of the task, identity of its worker) for tasks of one wave that were placed.
+# (index of the task, identity of its worker) for tasks of one batch that were placed.
 TaskAssignments = list[tuple[int, str]]
 
 
@@ -48,7 +48,7 @@
         tenant_burst: float = constants.TENANT_BURST,
     ) -> None:
         self.estimator, self.policy = estimator, policy
-        self.short_since: dict[WaveKey, float] = {}  # key of a wave -> since when it lacks capacity
+        self.short_since: dict[TaskBatchKey, float] = {}  # key of a batch -> since when it lacks capacity
         # service -> since when some of its candidates have been reserved without interruption
         self.reserved_since: dict[str, float] = {}
         # resource requests that no candidate can satisfy any more in this round
@@ -61,8 +61,8 @@
         self.demand_decayed_at: float | None = None
         self.rack_demand: dict[str, float] = {}  # rack -> recent demand of work whose data is near it
         self.highest_demand = 1.0  # the highest demand for any rack, at least 1
-        # key of a wave -> why the newest round left tasks of it waiting
-        self.waiting_reasons: dict[WaveKey, str] = {}
+        # key of a batch -> why the newest round left tasks of it waiting
+        self.waiting_reasons: dict[TaskBatchKey, str] = {}
         # state of the current round
         self.tenant_capacity = TenantCapacity(Tenants(None), {})
         self.indices: dict[str, CandidateIndex] = {}  # by service
@@ -74,8 +74,8 @@
         assignments: PendingStops,
         now: float,
         time: float,
-    ) -> tuple[tuple[WaveAssignment, ...], tuple[StopItem, ...]]:
-        """Runs a scheduling round over the waves that are due. Returns (assign items, stop items) for the
+    ) -> tuple[tuple[TaskBatchAssignment, ...], tuple[StopItem, ...]]:
+        """Runs a scheduling round over the batches that are due. Returns (assign items, stop items) for the
         operations "job-assign" and "job-stop". `now` is the daemon's clock and `time` the clock of the
         cluster state, both in seconds.
         """
@@ -85,15 +85,17 @@
         self._decay_rack_demand(now)
         self.tasks_near, self.waiting_reasons, self.exhausted = {}, {}, set()
         self.tenant_capacity = TenantCapacity(leased_jobs.tenants, leased_jobs.used_by_tenant)
-        waves = [wave for wave in leased_jobs.ready.values() if wave.due <= time and self._is_admitted(wave)]
-        if not waves:
+        batches = [
+            batch for batch in leased_jobs.ready.values() if batch.due <= time and self._is_admitted(batch)
+        ]
+        if not batches:
             self.reserved_since.clear()
             self.violations = ()
             self._drop_old_shortages(leased_jobs)
             return (), ()
         candidates = candidate_workers(leased_jobs, workers, now)
-        self.budgets.begin_round(leased_jobs, candidates, waves, self.tenant_capacity, time)
-        waves.sort(key=self._rank)
+        self.budgets.begin_round(leased_jobs, candidates, batches, self.tenant_capacity, time)
+        batches.sort(key=self._rank)
         reservations = Reservations(
             leased_jobs,
             assignments,
@@ -104,87 +106,89 @@
             time,
             self.policy,
         )
-        stops = reservations.reserve(waves, self.short_since, now) if self.policy.reserve_for_waiting else ()
+        stops = (
+            reservations.reserve(batches, self.short_since, now) if self.policy.reserve_for_waiting else ()
+        )
         self.indices = {
             service: CandidateIndex(service_candidates, self._suitability, self.shares.priority)
             for service, service_candidates in candidates.items()
         }
-        items, complete = self._place_waves(waves, candidates, reservations, now, time)
+        items, complete = self._place_batches(batches, candidates, reservations, now, time)
         self._drop_old_shortages(leased_jobs)
         if complete:
             self._check_idle_capacity(leased_jobs, candidates, reservations, items, now)
         return tuple(items), tuple(stop.plain() for stop in stops)
 
-    def _is_admitted(self, wave: Wave) -> bool:
-        """Whether the maximum of a wave's tenant admits one more task of it, or all members of a gang. A wave
-        that is not admitted does not count as short of capacity, and no capacity is reserved for it.
+    def _is_admitted(self, batch: TaskBatch) -> bool:
+        """Whether the maximum of a batch's tenant admits one more task of it, or all members of a gang. A
+        batch that is not admitted does not count as short of capacity, and no capacity is reserved for it.
         """
-        least = len(wave.waiting) if wave.step.gang else 1
-        if self.tenant_capacity.allowance(wave.job.tenant, wave.step.resources, least) >= least:
+        least = len(batch.waiting) if batch.step.gang else 1
+        if self.tenant_capacity.allowance(batch.job.tenant, batch.step.resources, least) >= least:
             return True
-        self.waiting_reasons[wave.key()] = REASON_TENANT_AT_MAXIMUM
-        self.short_since.pop(wave.key(), None)
+        self.waiting_reasons[batch.key()] = REASON_TENANT_AT_MAXIMUM
+        self.short_since.pop(batch.key(), None)
         return False
 
-    def _place_waves(
+    def _place_batches(
         self,
-        waves: list[Wave],
+        batches: list[TaskBatch],
         candidates: dict[str, list[CandidateWorker]],
         reservations: Reservations,
         now: float,
         time: float,
-    ) -> tuple[list[WaveAssignment], bool]:
-        """Places tasks of the waves in order. Returns (assign items, whether every wave was processed): a
-        round ends once it has placed MAX_ASSIGNED_TASKS tasks, and exceeds that by one wave at most.
+    ) -> tuple[list[TaskBatchAssignment], bool]:
+        """Places tasks of the batches in order. Returns (assign items, whether every batch was processed): a
+        round ends once it has placed MAX_ASSIGNED_TASKS tasks, and exceeds that by one batch at most.
         """
         items, count = [], 0
-        for wave in waves:
+        for batch in batches:
             if count >= constants.MAX_ASSIGNED_TASKS:
                 break
-            service_candidates = candidates.get(wave.job.service, ())
+            service_candidates = candidates.get(batch.job.service, ())
             if not service_candidates:
-                self.waiting_reasons.setdefault(wave.key(), REASON_NO_WORKER)
+                self.waiting_reasons.setdefault(batch.key(), REASON_NO_WORKER)
                 continue
-            assigned = self._assign_wave(wave, service_candidates, reservations, time)
+            assigned = self._assign_batch(batch, service_candidates, reservations, time)
             if assigned:
                 count += len(assigned)
-                self.tenant_capacity.charge(wave.job.tenant, multiply(wave.step.resources, len(assigned)))
-                items.append((wave.job.identity, wave.time, wave.number, tuple(assigned)))
-            self._record_shortage(wave, len(assigned), reservations, now)
+                self.tenant_capacity.charge(batch.job.tenant, multiply(batch.step.resources, len(assigned)))
+                items.append((batch.job.identity, batch.time, batch.number, tuple(assigned)))
+            self._record_shortage(batch, len(assigned), reservations, now)
         return items, count < constants.MAX_ASSIGNED_TASKS
 
-    def _assign_wave(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], reservations: Reservations, time: float
+    def _assign_batch(
+        self, batch: TaskBatch, candidates: Sequence[CandidateWorker], reservations: Reservations, time: float
     ) -> TaskAssignments:
-        """Places the tasks of a wave for which there is a worker."""
-        if not self._is_admitted(wave):
+        """Places the tasks of a batch for which there is a worker."""
+        if not self._is_admitted(batch):
             return []
-        if wave.step.gang:
-            return self._place_gang(wave, candidates, wave.key() in reservations.reserved, time)
-        return self._place_single_tasks(wave, candidates, reservations.reserved.get(wave.key(), ()), time)
+        if batch.step.gang:
+            return self._place_gang(batch, candidates, batch.key() in reservations.reserved, time)
+        return self._place_single_tasks(batch, candidates, reservations.reserved.get(batch.key(), ()), time)
 
     def tenants_at_maximum(self, leased_jobs: LeasedJobState) -> set[str]:
         """The tenants with tasks that the newest round left waiting because the tenant is at its maximum."""
         waiting = [key for key, reason in self.waiting_reasons.items() if reason == REASON_TENANT_AT_MAXIMUM]
         return {leased_jobs.ready[key].job.tenant for key in waiting if key in leased_jobs.ready}
 
-    def _record_shortage(self, wave: Wave, placed: int, reservations: Reservations, now: float) -> None:
-        """Records why a wave has tasks left after `placed` of them were placed, and since when it is short of
-        capacity.
+    def _record_shortage(self, batch: TaskBatch, placed: int, reservations: Reservations, now: float) -> None:
+        """Records why a batch has tasks left after `placed` of them were placed, and since when it is short
+        of capacity.
         """
-        left = len(wave.waiting) - placed
-        least = left if wave.step.gang else 1
-        if left and self.tenant_capacity.allowance(wave.job.tenant, wave.step.resources, least) < least:
-            self.waiting_reasons[wave.key()] = REASON_TENANT_AT_MAXIMUM
-            self.short_since.pop(wave.key(), None)
+        left = len(batch.waiting) - placed
+        least = left if batch.step.gang else 1
+        if left and self.tenant_capacity.allowance(batch.job.tenant, batch.step.resources, least) < least:
+            self.waiting_reasons[batch.key()] = REASON_TENANT_AT_MAXIMUM
+            self.short_since.pop(batch.key(), None)
         elif left:
-            self.short_since.setdefault(wave.key(), now)
-            self.waiting_reasons.setdefault(wave.key(), self._shortage_reason(wave, reservations))
+            self.short_since.setdefault(batch.key(), now)
+            self.waiting_reasons.setdefault(batch.key(), self._shortage_reason(batch, reservations))
         else:
-            self.short_since.pop(wave.key(), None)
+            self.short_since.pop(batch.key(), None)
 
     def _drop_old_shortages(self, leased_jobs: LeasedJobState) -> None:
-        """Drops the shortage records of waves that are no longer ready."""
+        """Drops the shortage records of batches that are no longer ready."""
         for key in [key for key in self.short_since if key not in leased_jobs.ready]:
             del self.short_since[key]
 
@@ -193,7 +197,7 @@
         leased_jobs: LeasedJobState,
         candidates: dict[str, list[CandidateWorker]],
         reservations: Reservations,
-        items: list[WaveAssignment],
+        items: list[TaskBatchAssignment],
         now: float,
     ) -> None:
         """Checks whether a complete round left work waiting beside idle capacity."""
@@ -207,14 +211,14 @@
             *self.idle_capacity.check_waiting_jobs(leased_jobs, candidates, self.short_since, now),
         )
 
-    def _rank(self, wave: Wave) -> tuple[bool, int, float, str]:
-        """Sort key of a wave: jobs within their tenant's weight first, then by priority, then by due time. A
+    def _rank(self, batch: TaskBatch) -> tuple[bool, int, float, str]:
+        """Sort key of a batch: jobs within their tenant's weight first, then by priority, then by due time. A
         step that needs more than WIDE_PART of its service's capacity is expected to take several passes over
         that capacity, so it is due later.
         """
-        job, step = wave.job, wave.step
-        ready_at = wave.due if job.times else job.accepted
-        width = len(wave.waiting) * self._largest_share(step, self.budgets.total_capacity.get(job.service))
+        job, step = batch.job, batch.step
+        ready_at = batch.due if job.times else job.accepted
+        width = len(batch.waiting) * self._largest_share(step, self.budgets.total_capacity.get(job.service))
         passes = max(1.0, width / constants.WIDE_PART) if self.policy.rank_by_step_width else 1.0
         time_allowed = (
             job.latency_target_ms / 1000 + job.stretch * passes * step.est_ms / 1000
@@ -241,15 +245,15 @@
             self.rack_demand[rack] *= decay
         self.highest_demand = max((1, *self.rack_demand.values()))
 
-    def _suitability(self, candidate: CandidateWorker, wave: Wave | None = None) -> Rank:
-        """How well a candidate suits a task of `wave`; lower is better. Without `wave`, the rank for tasks
+    def _suitability(self, candidate: CandidateWorker, batch: TaskBatch | None = None) -> Rank:
+        """How well a candidate suits a task of `batch`; lower is better. Without `batch`, the rank for tasks
         that prefer no rack and have no capacity reserved. After reliability, reservations, data locality,
         demand for the rack and speed, the candidate with the least free capacity is preferred.
         """
-        near = wave.step.near if wave is not None else ""
+        near = batch.step.near if batch is not None else ""
         return (
             candidate.unreliable,
-            candidate.reserved_for is not None and candidate.reserved_for is not wave,
+            candidate.reserved_for is not None and candidate.reserved_for is not batch,
             self.policy.prefer_data_locality and bool(near) and near not in candidate.labels,
             0 if near else self._demand_step_of(candidate.rack),
             self._slowness_step_of(candidate),
@@ -274,46 +278,46 @@
 
     def _place_single_tasks(
         self,
-        wave: Wave,
+        batch: TaskBatch,
         candidates: Sequence[CandidateWorker],
         reserved: Sequence[CandidateWorker],
         time: float,
     ) -> TaskAssignments:
-        """Places tasks of a wave that is not a gang: first on the candidates reserved for it, then on others
+        """Places tasks of a batch that is not a gang: first on the candidates reserved for it, then on others
         within its budget.
         """
-        step, waiting = wave.step, sorted(wave.waiting)
-        waiting = waiting[: self.tenant_capacity.allowance(wave.job.tenant, step.resources, len(waiting))]
+        step, waiting = batch.step, sorted(batch.waiting)
+        waiting = waiting[: self.tenant_capacity.allowance(batch.job.tenant, step.resources, len(waiting))]
         near_limit = (
-            self._tasks_to_wait_near(wave, candidates, time)
+            self._tasks_to_wait_near(batch, candidates, time)
             if step.near and self.policy.wait_for_data_locality
             else 0
         )
         if step.near:
-            self._record_rack_demand(wave, len(waiting))
-        assigned = self._place_on(wave, reserved, waiting)
-        self.budgets.charge(wave, len(assigned))
+            self._record_rack_demand(batch, len(waiting))
+        assigned = self._place_on(batch, reserved, waiting)
+        self.budgets.charge(batch, len(assigned))
         waiting = waiting[len(assigned) :]
-        allowed = self.budgets.allowance(wave, len(waiting))
+        allowed = self.budgets.allowance(batch, len(waiting))
         if allowed < len(waiting):
-            self.waiting_reasons[wave.key()] = REASON_OVER_BUDGET
+            self.waiting_reasons[batch.key()] = REASON_OVER_BUDGET
         near_candidates = (
             [candidate for candidate in candidates if step.near in candidate.labels] if near_limit else ()
         )
         near_count = max(0, min(allowed, near_limit - len(assigned)))
-        additional = self._place_on(wave, near_candidates, waiting[:near_count])
+        additional = self._place_on(batch, near_candidates, waiting[:near_count])
         if len(additional) == near_count:
             additional += self._place_anywhere(
-                wave, candidates, waiting[near_count:allowed], unreserved=not reserved
+                batch, candidates, waiting[near_count:allowed], unreserved=not reserved
             )
         if len(additional) < allowed:
-            self.waiting_reasons.pop(wave.key(), None)  # the limit was capacity, not the budget
-        self.budgets.charge(wave, len(additional))
+            self.waiting_reasons.pop(batch.key(), None)  # the limit was capacity, not the budget
+        self.budgets.charge(batch, len(additional))
         return assigned + additional
 
-    def _record_rack_demand(self, wave: Wave, count: int) -> None:
-        """Records that `count` tasks of a wave prefer the rack of their data."""
-        near, demand = wave.step.near, count * max(wave.step.resources[0], 1)
+    def _record_rack_demand(self, batch: TaskBatch, count: int) -> None:
+        """Records that `count` tasks of a batch prefer the rack of their data."""
+        near, demand = batch.step.near, count * max(batch.step.resources[0], 1)
         if demand > self.rack_demand.get(near, 0):
             self.rack_demand[near] = demand
             self.highest_demand = max(self.highest_demand, demand)
@@ -321,106 +325,112 @@
                 index.discard_order()
 
     def _place_anywhere(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int], unreserved: bool
+        self,
+        batch: TaskBatch,
+        candidates: Sequence[CandidateWorker],
+        indices: Sequence[int],
+        unreserved: bool,
     ) -> TaskAssignments:
-        """Places tasks, given by their indices, on any of the candidates. Once a wave has found too few of
-        them, waves with the same request are skipped for the rest of the round. `unreserved`: whether no
-        capacity is reserved for the wave.
+        """Places tasks, given by their indices, on any of the candidates. Once a batch has found too few of
+        them, batches with the same request are skipped for the rest of the round. `unreserved`: whether no
+        capacity is reserved for the batch.
         """
-        step = wave.step
+        step = batch.step
         request = (
-            *self.shares.priority_class(wave.job),
+            *self.shares.priority_class(batch.job),
             step.resources,
             step.needs,
-            wave.job.identity if step.apart else None,
+            batch.job.identity if step.apart else None,
         )
         if request in self.exhausted:
             return []
         if unreserved and not step.near:
             assigned = self._place_ranked(
-                wave, self.indices[wave.job.service].order.with_free_capacity(step.resources), indices
+                batch, self.indices[batch.job.service].order.with_free_capacity(step.resources), indices
             )
         else:
-            assigned = self._place_on(wave, candidates, indices)
+            assigned = self._place_on(batch, candidates, indices)
         if len(assigned) < len(indices):
             self.exhausted.add(request)
         return assigned
 
     def _place_on(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], indices: Sequence[int]
+        self, batch: TaskBatch, candidates: Sequence[CandidateWorker], indices: Sequence[int]
     ) -> TaskAssignments:
         """Places as many of the tasks as find a candidate, in the order of their indices."""
         if not indices:
             return []
-        return self._place_ranked(wave, self._ranked(wave, candidates), indices)
+        return self._place_ranked(batch, self._ranked(batch, candidates), indices)
 
     def _place_ranked(
-        self, wave: Wave, ranked: Iterable[CandidateWorker], indices: Sequence[int]
+        self, batch: TaskBatch, ranked: Iterable[CandidateWorker], indices: Sequence[int]
     ) -> TaskAssignments:
         """Places as many of the tasks as find a candidate; `ranked` lists the candidates, best first."""
-        chosen = fill(wave, self.shares.priority(wave.job), ranked, len(indices))
-        self.indices[wave.job.service].refresh(chosen)
+        chosen = fill(batch, self.shares.priority(batch.job), ranked, len(indices))
+        self.indices[batch.job.service].refresh(chosen)
         return [(index, candidate.identity) for index, candidate in zip(indices, chosen, strict=False)]
 
-    def _ranked(self, wave: Wave, candidates: Iterable[CandidateWorker]) -> list[CandidateWorker]:
-        """The candidates on which a task of a wave may be placed, best first."""
-        priority = self.shares.priority(wave.job)
-        eligible = [candidate for candidate in candidates if candidate.may_place(wave, priority)]
-        return sorted(eligible, key=lambda candidate: self._suitability(candidate, wave))
+    def _ranked(self, batch: TaskBatch, candidates: Iterable[CandidateWorker]) -> list[CandidateWorker]:
+        """The candidates on which a task of a batch may be placed, best first."""
+        priority = self.shares.priority(batch.job)
+        eligible = [candidate for candidate in candidates if candidate.may_place(batch, priority)]
+        return sorted(eligible, key=lambda candidate: self._suitability(candidate, batch))
 
-    def _shortage_reason(self, wave: Wave, reservations: Reservations) -> str:
-        """Why some tasks of a wave found no candidate."""
+    def _shortage_reason(self, batch: TaskBatch, reservations: Reservations) -> str:
+        """Why some tasks of a batch found no candidate."""
         for key, candidates in reservations.reserved.items():
-            if key != wave.key() and any(candidate.can_run(wave) for candidate in candidates):
+            if key != batch.key() and any(candidate.can_run(batch) for candidate in candidates):
                 return REASON_CAPACITY_RESERVED
         return REASON_NO_CAPACITY
 
-    def _tasks_to_wait_near(self, wave: Wave, candidates: Sequence[CandidateWorker], time: float) -> int:
-        """How many tasks of a wave should wait for capacity near their data instead of starting far from it:
+    def _tasks_to_wait_near(
+        self, batch: TaskBatch, candidates: Sequence[CandidateWorker], time: float
+    ) -> int:
+        """How many tasks of a batch should wait for capacity near their data instead of starting far from it:
         those that would finish sooner by waiting, if the tasks ahead of them take as long as they do.
         """
-        length = self.estimator.expected(wave)
-        if time - wave.since > min((self.estimator.far - 1) * length, constants.MAX_NEAR_WAIT):
+        length = self.estimator.expected(batch)
+        if time - batch.waiting_since > min((self.estimator.far - 1) * length, constants.MAX_NEAR_WAIT):
             return 0
         near_capacity = sum(
-            fitting_tasks(candidate.worker.capacity, wave.step.resources) or 0
+            fitting_tasks(candidate.worker.capacity, batch.step.resources) or 0
             for candidate in candidates
-            if wave.step.near in candidate.labels
+            if batch.step.near in candidate.labels
         )
-        ahead = self.tasks_near.get(wave.step.near, 0)
-        self.tasks_near[wave.step.near] = ahead + len(wave.waiting)
+        ahead = self.tasks_near.get(batch.step.near, 0)
+        self.tasks_near[batch.step.near] = ahead + len(batch.waiting)
         return max(0, int(near_capacity * constants.NEAR_PART * (self.estimator.far - 1)) - ahead)
 
     def _place_gang(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], is_reserved: bool, time: float
+        self, batch: TaskBatch, candidates: Sequence[CandidateWorker], is_reserved: bool, time: float
     ) -> TaskAssignments:
         """Places all members of a gang, in one rack if the step asks for that and it is possible. A gang
         without reserved candidates leaves free the capacity guaranteed to less urgent work.
         """
-        wanted = len(wave.waiting)
-        if not is_reserved and self.budgets.allowance_beside_claims(wave, wanted) < wanted:
-            self.waiting_reasons[wave.key()] = REASON_OVER_BUDGET
+        wanted = len(batch.waiting)
+        if not is_reserved and self.budgets.allowance_beside_claims(batch, wanted) < wanted:
+            self.waiting_reasons[batch.key()] = REASON_OVER_BUDGET
             return []
-        ranked = self._ranked_for_gang(wave, candidates, is_reserved, time)
+        ranked = self._ranked_for_gang(batch, candidates, is_reserved, time)
         if ranked is None:
             return []
-        assigned = self._place_ranked(wave, ranked, sorted(wave.waiting))
-        self.budgets.charge(wave, wanted)
+        assigned = self._place_ranked(batch, ranked, sorted(batch.waiting))
+        self.budgets.charge(batch, wanted)
         return assigned
 
     def _ranked_for_gang(
-        self, wave: Wave, candidates: Sequence[CandidateWorker], is_reserved: bool, time: float
+        self, batch: TaskBatch, candidates: Sequence[CandidateWorker], is_reserved: bool, time: float
     ) -> Iterable[CandidateWorker] | None:
         """Candidates that together have capacity for all members of a gang, best first, or None."""
-        index = self.indices[wave.job.service]
-        tight = wave.step.tight and self.policy.gang_in_one_rack
-        rack = index.racks.fullest_rack_for(wave, is_reserved) if tight else None
+        index = self.indices[batch.job.service]
+        tight = batch.step.tight and self.policy.gang_in_one_rack
+        rack = index.racks.fullest_rack_for(batch, is_reserved) if tight else None
         if rack is not None:
-            return self._ranked(wave, rack)
-        if tight and time - wave.since < constants.RACK_WAIT:
+            return self._ranked(batch, rack)
+        if tight and time - batch.waiting_since < constants.RACK_WAIT:
             return None
-        if not index.racks.have_capacity_for(wave, is_reserved):
+        if not index.racks.have_capacity_for(batch, is_reserved):
             return None
-        if is_reserved or wave.step.near:
-            return self._ranked(wave, candidates)
-        return index.order.with_free_capacity(wave.step.resources)
+        if is_reserved or batch.step.near:
+            return self._ranked(batch, candidates)
+        return index.order.with_free_capacity(batch.step.resources)
--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -14,7 +14,7 @@
 from . import policy as policies
 from .assigner import Assigner
 from .daemon_interface import Daemon
-from .leased_job_state import LeasedJobState, WaveAssignment
+from .leased_job_state import LeasedJobState, TaskBatchAssignment
 from .leases import LeaseWatch
 from .placement import (
     RUN_DONE,
@@ -253,12 +253,14 @@
     def _start_order(self, worker: Worker, key: RunKey, placement: Placement, now: float) -> StartOrder:
         """Records that the start of a placed run is sent, and returns the order."""
         reference, run = key
-        wave_and_task = self.leased_jobs.current_task(placement)
-        assert wave_and_task is not None, "a start is sent only for a placement that should run"
-        wave, task = wave_and_task
+        batch_and_task = self.leased_jobs.current_task(placement)
+        assert batch_and_task is not None, "a start is sent only for a placement that should run"
+        batch, task = batch_and_task
         self.core.trace(189, task=reference, run=run, minion=worker.identity)
-        self.estimator.record_start(worker.identity, reference, run, self.estimator.is_far(wave, worker), now)
-        return (reference, run, wave.job.spec, task.saved)
+        self.estimator.record_start(
+            worker.identity, reference, run, self.estimator.is_far(batch, worker), now
+        )
+        return (reference, run, batch.job.spec, task.saved)
 
     def _next_heartbeat_in(self, worker: Worker, placements: Placements, start: list[StartOrder]) -> float:
         """Seconds until a worker's next heartbeat; longer for a worker that can take no more work."""
@@ -347,13 +349,13 @@
             if not worker.unresponsive(now):
                 continue
             for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
-                wave_and_task = self.leased_jobs.current_task(placement)
+                batch_and_task = self.leased_jobs.current_task(placement)
                 if (
-                    wave_and_task is not None
+                    batch_and_task is not None
                     and self.leased_jobs.tenants.limited(placement.tenant) is None
-                    and wave_and_task[0].step.twice
-                    and not wave_and_task[0].step.gang
-                    and not wave_and_task[0].step.lasts
+                    and batch_and_task[0].step.twice
+                    and not batch_and_task[0].step.gang
+                    and not batch_and_task[0].step.lasts
                 ):
                     saved = worker.running.get((reference, run), ("", 0))[0]
                     self.ends.propose(worker.identity, reference, run, RUN_LAPSED, saved, False)
@@ -384,7 +386,7 @@
             self.core.event(155, task=reference, attempt=run, how=how, result=result)
         self.ends.applied(index, items, self.workers)
 
-    def applied_assign(self, items: Sequence[WaveAssignment]) -> None:
+    def applied_assign(self, items: Sequence[TaskBatchAssignment]) -> None:
         """Handles an applied "job-assign" entry: the answers to the workers that it names may now be due, as
         they may have runs to start.
         """
--- a/src/pinepitch/scheduling/budgets.py
+++ b/src/pinepitch/scheduling/budgets.py
@@ -8,7 +8,7 @@
 from ..common import constants
 from . import policy as policies
 from .candidate_workers import CandidateWorker
-from .leased_job import Wave
+from .leased_job import TaskBatch
 from .leased_job_state import LeasedJobState
 from .plain_types import Document
 from .resources import (
@@ -33,7 +33,7 @@
 
 
 class CapacityBudgets:
-    """How much more capacity each wave may take in the current scheduling round.
+    """How much more capacity each batch may take in the current scheduling round.
 
     Capacity equal to the recent peak usage of more urgent work is reserved for that work, from work that
     would occupy the capacity for longer than the urgent work can wait. Work that finishes sooner delays no
@@ -45,8 +45,8 @@
 
     Jobs beyond their tenant's weight count as the least urgent work, to which nothing is guaranteed.
 
-    Invariants: a budget is charged for what a round places, never for what waves ask for, so a wave that
-    finds no candidate takes nothing from the waves after it. A budget that is not used up admits one more
+    Invariants: a budget is charged for what a round places, never for what batches ask for, so a batch that
+    finds no candidate takes nothing from the batches after it. A budget that is not used up admits one more
     task, however large.
     """
 
@@ -89,12 +89,12 @@
         self,
         leased_jobs: LeasedJobState,
         candidates: dict[str, list[CandidateWorker]],
-        waves: list[Wave],
+        batches: list[TaskBatch],
         tenant_capacity: TenantCapacity,
         time: float,
     ) -> None:
-        """Begins a scheduling round. Takes the candidates by service, the waves that wait, what their tenants
-        may still be given, and the time of the cluster state in seconds.
+        """Begins a scheduling round. Takes the candidates by service, the batches that wait, what their
+        tenants may still be given, and the time of the cluster state in seconds.
         """
         self.total_capacity = {
             service: [
@@ -106,7 +106,7 @@
         self.used = self._used_on(leased_jobs, candidates)
         self.cumulative_used = {}
         self.longest_waits = self._compute_longest_waits(leased_jobs.configuration.routes)
-        self.claims = self._compute_claims(candidates, waves, tenant_capacity.copy(), time)
+        self.claims = self._compute_claims(candidates, batches, tenant_capacity.copy(), time)
 
     def _used_on(
         self, leased_jobs: LeasedJobState, candidates: dict[str, list[CandidateWorker]]
@@ -136,7 +136,7 @@
     def _compute_claims(
         self,
         candidates: dict[str, list[CandidateWorker]],
-        waves: list[Wave],
+        batches: list[TaskBatch],
         tenant_capacity: TenantCapacity,
         time: float,
     ) -> dict[PriorityClass, Resources]:
@@ -147,46 +147,46 @@
         runnable: dict[tuple[Any, ...], bool] = {}
         if not self.policy.guarantee_shares:
             return claims
-        for wave in waves:
-            key = self.shares.priority_class(wave.job)
+        for batch in batches:
+            key = self.shares.priority_class(batch.job)
             if (
                 key[1] == EXCESS_PRIORITY
                 or key[0] not in candidates
-                or time - wave.since < self._longest_wait(wave)
+                or time - batch.waiting_since < self._longest_wait(batch)
             ):
                 continue
             request = (
                 key[0],
-                wave.step.resources,
-                wave.step.needs,
-                wave.job.identity if wave.step.apart else None,
+                batch.step.resources,
+                batch.step.needs,
+                batch.job.identity if batch.step.apart else None,
             )
             if request not in runnable:
                 runnable[request] = any(
-                    candidate.potential_members(wave, NO_RESOURCES) for candidate in candidates[key[0]]
+                    candidate.potential_members(batch, NO_RESOURCES) for candidate in candidates[key[0]]
                 )
             if runnable[request]:
                 claimed = claims.get(key, NO_RESOURCES)
-                claim = self._additional_claim(key, wave, claimed, tenant_capacity)
-                tenant_capacity.charge(wave.job.tenant, claim)
+                claim = self._additional_claim(key, batch, claimed, tenant_capacity)
+                tenant_capacity.charge(batch.job.tenant, claim)
                 claims[key] = add(claimed, claim)
         return claims
 
     def _additional_claim(
-        self, key: PriorityClass, wave: Wave, claimed: Resources, tenant_capacity: TenantCapacity
+        self, key: PriorityClass, batch: TaskBatch, claimed: Resources, tenant_capacity: TenantCapacity
     ) -> Amount:
-        """What a waiting wave adds to the claim of its (service, priority), which is `claimed` so far."""
+        """What a waiting batch adds to the claim of its (service, priority), which is `claimed` so far."""
         used_or_claimed = add(claimed, self.used.get(key, NO_RESOURCES))
-        count = fitting_tasks(subtract(self.guaranteed(key[0]), used_or_claimed), wave.step.resources)
+        count = fitting_tasks(subtract(self.guaranteed(key[0]), used_or_claimed), batch.step.resources)
         if not any(used_or_claimed):
             count = max(1, count or 0)
-        waiting = tenant_capacity.allowance(wave.job.tenant, wave.step.resources, len(wave.waiting))
-        return multiply(wave.step.resources, waiting if count is None else min(waiting, count))
+        waiting = tenant_capacity.allowance(batch.job.tenant, batch.step.resources, len(batch.waiting))
+        return multiply(batch.step.resources, waiting if count is None else min(waiting, count))
 
-    def _longest_wait(self, wave: Wave) -> float:
-        """Seconds that a wave can wait for capacity and still be in time."""
-        job = wave.job
-        return constants.WAIT_PART * slack(job.latency_target_ms, job.stretch, self.estimator.expected(wave))
+    def _longest_wait(self, batch: TaskBatch) -> float:
+        """Seconds that a batch can wait for capacity and still be in time."""
+        job = batch.job
+        return constants.WAIT_PART * slack(job.latency_target_ms, job.stretch, self.estimator.expected(batch))
 
     def _compute_longest_waits(self, routes: dict[str, Document]) -> dict[PriorityClass, float]:
         """(service, priority) -> seconds that its work can wait for capacity and still be in time: WAIT_PART
@@ -202,9 +202,9 @@
             longest_waits[key] = min(longest_waits.get(key, math.inf), wait)
         return longest_waits
 
-    def unclaimed(self, wave: Wave) -> Resources:
-        """The free capacity that a wave may take without taking what is guaranteed to less urgent work."""
-        service, priority = self.shares.priority_class(wave.job)
+    def unclaimed(self, batch: TaskBatch) -> Resources:
+        """The free capacity that a batch may take without taking what is guaranteed to less urgent work."""
+        service, priority = self.shares.priority_class(batch.job)
         remaining: Resources = self.total_capacity[service]
         for (other_service, _), used in self.used.items():
             if other_service == service:
@@ -214,17 +214,17 @@
                 remaining = subtract(remaining, claim)
         return remaining
 
-    def remaining(self, wave: Wave) -> Amount:
-        """The capacity that a wave may still take: the total, less what is reserved for more urgent work,
+    def remaining(self, batch: TaskBatch) -> Amount:
+        """The capacity that a batch may still take: the total, less what is reserved for more urgent work,
         less what work of the same and lower urgency uses. That work may in any case use BUDGET_PART of the
         total. Gangs have no such limit: they need all their capacity at once, and waiting costs them most.
         """
-        return subtract(self._limit(wave), self._used_up_to(wave))
+        return subtract(self._limit(batch), self._used_up_to(batch))
 
-    def _limit(self, wave: Wave) -> Resources:
-        """The capacity that work of a wave's urgency and less urgent work may use together."""
-        occupancy = self._expected_occupancy(wave)
-        service, priority = self.shares.priority_class(wave.job)
+    def _limit(self, batch: TaskBatch) -> Resources:
+        """The capacity that work of a batch's urgency and less urgent work may use together."""
+        occupancy = self._expected_occupancy(batch)
+        service, priority = self.shares.priority_class(batch.job)
         reserved: Resources = NO_RESOURCES
         if not self.policy.reserve_for_urgent:
             return self.total_capacity[service]
@@ -238,15 +238,15 @@
             for capacity, reserved_amount in zip(total, reserved, strict=True)
         ]
 
-    def _expected_occupancy(self, wave: Wave) -> float:
-        """Seconds that a task of a wave is expected to occupy its capacity."""
-        if wave.step.lasts:
+    def _expected_occupancy(self, batch: TaskBatch) -> float:
+        """Seconds that a task of a batch is expected to occupy its capacity."""
+        if batch.step.lasts:
             return math.inf
-        return self.estimator.expected(wave) * (self.estimator.far if wave.step.near else 1)
+        return self.estimator.expected(batch) * (self.estimator.far if batch.step.near else 1)
 
-    def _used_up_to(self, wave: Wave) -> Resources:
-        """The capacity that work of a wave's urgency and less urgent work uses now."""
-        key = self.shares.priority_class(wave.job)
+    def _used_up_to(self, batch: TaskBatch) -> Resources:
+        """The capacity that work of a batch's urgency and less urgent work uses now."""
+        key = self.shares.priority_class(batch.job)
         if key not in self.cumulative_used:
             total: Resources = NO_RESOURCES
             for (service, priority), used in self.used.items():
@@ -255,52 +255,52 @@
             self.cumulative_used[key] = total
         return self.cumulative_used[key]
 
-    def allowance(self, wave: Wave, wanted: int) -> int:
-        """How many of `wanted` tasks a wave may be given."""
-        remaining, resources = self.remaining(wave), wave.step.resources
+    def allowance(self, batch: TaskBatch, wanted: int) -> int:
+        """How many of `wanted` tasks a batch may be given."""
+        remaining, resources = self.remaining(batch), batch.step.resources
         admitted = (
             math.ceil(max(0, remaining[kind]) / resources[kind]) for kind in RESOURCE_KINDS if resources[kind]
         )
-        return min(wanted, self.allowance_beside_claims(wave, wanted), *admitted)
+        return min(wanted, self.allowance_beside_claims(batch, wanted), *admitted)
 
-    def allowance_beside_claims(self, wave: Wave, wanted: int) -> int:
-        """How many of `wanted` tasks a wave may be given so that the capacity guaranteed to less urgent work
+    def allowance_beside_claims(self, batch: TaskBatch, wanted: int) -> int:
+        """How many of `wanted` tasks a batch may be given so that the capacity guaranteed to less urgent work
         stays free.
         """
-        service, priority = self.shares.priority_class(wave.job)
+        service, priority = self.shares.priority_class(batch.job)
         if not any(
             other_service == service and other_priority > priority
             for other_service, other_priority in self.claims
         ):
             return wanted
-        count = fitting_tasks(self.unclaimed(wave), wave.step.resources)
+        count = fitting_tasks(self.unclaimed(batch), batch.step.resources)
         return wanted if count is None else min(wanted, count)
 
-    def charge(self, wave: Wave, count: int) -> None:
-        """Charges the budget for `count` tasks of a wave that were placed."""
-        key = self.shares.priority_class(wave.job)
-        self.used[key] = add(self.used.get(key, NO_RESOURCES), multiply(wave.step.resources, count))
+    def charge(self, batch: TaskBatch, count: int) -> None:
+        """Charges the budget for `count` tasks of a batch that were placed."""
+        key = self.shares.priority_class(batch.job)
+        self.used[key] = add(self.used.get(key, NO_RESOURCES), multiply(batch.step.resources, count))
         self.cumulative_used.clear()
 
-    def reservable(self, wave: Wave, reserved: Resources) -> int:
-        """For how many tasks of a wave capacity may be reserved, beside the capacity `reserved` for other
-        waves of its priority: no more than its budget allows, and not what is guaranteed to less urgent work.
-        For a gang, which needs all its capacity at once, what its priority uses already does not count,
+    def reservable(self, batch: TaskBatch, reserved: Resources) -> int:
+        """For how many tasks of a batch capacity may be reserved, beside the capacity `reserved` for other
+        batches of its priority: no more than its budget allows, and not what is guaranteed to less urgent
+        work. For a gang, which needs all its capacity at once, what its priority uses already does not count,
         unless less urgent work lacks capacity now.
         """
-        service, priority = self.shares.priority_class(wave.job)
+        service, priority = self.shares.priority_class(batch.job)
         claims = [
             resources
             for (other_service, other_priority), resources in self.claims.items()
             if other_service == service and other_priority > priority
         ]
-        exempt = wave.step.gang and not any(map(any, claims))
+        exempt = batch.step.gang and not any(map(any, claims))
         used = reserved if exempt else add(reserved, self.used.get((service, priority), NO_RESOURCES))
-        if not wave.step.gang and not self._is_below(used, self._limit(wave), wave.step.resources):
+        if not batch.step.gang and not self._is_below(used, self._limit(batch), batch.step.resources):
             return 0
         allowed = subtract(self.total_capacity[service], multiply(self.guaranteed(service), len(claims)))
-        most = fitting_tasks(subtract(allowed, used), wave.step.resources)
-        return len(wave.waiting) if most is None else most
+        most = fitting_tasks(subtract(allowed, used), batch.step.resources)
+        return len(batch.waiting) if most is None else most
 
     def _is_below(self, used: Resources, limit: Resources, request: Resources) -> bool:
         """Whether `used` is below `limit` in every resource that a request asks for."""
--- a/src/pinepitch/scheduling/candidate_order.py
+++ b/src/pinepitch/scheduling/candidate_order.py
@@ -1,6 +1,6 @@
 """Indices over the candidates of one service: by rank, to choose the candidate that is tried first, and by
-rack, to find capacity for a gang. They are maintained while a round places tasks, so that waves with the same
-request share them.
+rack, to find capacity for a gang. They are maintained while a round places tasks, so that batches with the
+same request share them.
 """
 
 import bisect
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .candidate_workers import CandidateWorker
-from .leased_job import LeasedJob, Wave
+from .leased_job import LeasedJob, TaskBatch
 from .resources import Resources
 
 # How well a candidate suits a task; lower is better. Ends with the candidate's identity, so no two are equal.
@@ -17,18 +17,18 @@
 
 
 def fill(
-    wave: Wave, priority: int, candidates: Iterable[CandidateWorker], count: int
+    batch: TaskBatch, priority: int, candidates: Iterable[CandidateWorker], count: int
 ) -> list[CandidateWorker]:
-    """Places up to `count` tasks of a wave on candidates, in the order given. `priority` is the one by which
-    the wave shares capacity. Returns the candidate of each task placed.
+    """Places up to `count` tasks of a batch on candidates, in the order given. `priority` is the one by which
+    the batch shares capacity. Returns the candidate of each task placed.
 
     Each candidate is filled before the next one is tried: placing a task leaves its candidate less free
     capacity, which makes it more suitable for the next task.
     """
     chosen: list[CandidateWorker] = []
     for candidate in candidates:
-        while len(chosen) < count and candidate.may_place(wave, priority):
-            candidate.add_task(wave)
+        while len(chosen) < count and candidate.may_place(batch, priority):
+            candidate.add_task(batch)
             chosen.append(candidate)
         if len(chosen) >= count:
             break
@@ -90,37 +90,37 @@
         for members_by_rack in self._members.values():
             members_by_rack.pop(candidate.rack, None)
 
-    def fullest_rack_for(self, wave: Wave, is_reserved: bool) -> Sequence[CandidateWorker] | None:
+    def fullest_rack_for(self, batch: TaskBatch, is_reserved: bool) -> Sequence[CandidateWorker] | None:
         """The candidates of the rack with the least free CPU among those that have capacity for all members
         of a gang, or None. `is_reserved`: whether candidates are reserved for this gang.
         """
-        wanted, key = len(wave.waiting), (*self._request(wave, is_reserved), True)
+        wanted, key = len(batch.waiting), (*self._request(batch, is_reserved), True)
         if wanted >= self._smallest_refused.get(key, math.inf):
             return None
-        members = self._members_by_rack(wave, is_reserved)
+        members = self._members_by_rack(batch, is_reserved)
         large_enough = [rack for rack in self._racks if members[rack] >= wanted]
         if not large_enough:
             self._smallest_refused[key] = wanted
             return None
         return self._racks[min(large_enough, key=self._free_cpu_of)]
 
-    def have_capacity_for(self, wave: Wave, is_reserved: bool) -> bool:
+    def have_capacity_for(self, batch: TaskBatch, is_reserved: bool) -> bool:
         """Whether all racks together have capacity for all members of a gang."""
-        wanted, key = len(wave.waiting), (*self._request(wave, is_reserved), False)
+        wanted, key = len(batch.waiting), (*self._request(batch, is_reserved), False)
         if wanted >= self._smallest_refused.get(key, math.inf):
             return False
-        if sum(self._members_by_rack(wave, is_reserved).values()) >= wanted:
+        if sum(self._members_by_rack(batch, is_reserved).values()) >= wanted:
             return True
         self._smallest_refused[key] = wanted
         return False
 
-    def _members_by_rack(self, wave: Wave, is_reserved: bool) -> dict[str, int]:
+    def _members_by_rack(self, batch: TaskBatch, is_reserved: bool) -> dict[str, int]:
         """Rack -> the number of a gang's members for which it has capacity."""
-        members = self._members.setdefault(self._request(wave, is_reserved), {})
-        priority = self._priority_of(wave.job)
+        members = self._members.setdefault(self._request(batch, is_reserved), {})
+        priority = self._priority_of(batch.job)
         for rack in self._racks.keys() - members.keys():
             members[rack] = sum(
-                candidate.placeable_members(wave, priority) for candidate in self._racks[rack]
+                candidate.placeable_members(batch, priority) for candidate in self._racks[rack]
             )
         return members
 
@@ -129,18 +129,18 @@
             self._free_cpu[rack] = sum(candidate.free[0] for candidate in self._racks[rack])
         return self._free_cpu[rack]
 
-    def _request(self, wave: Wave, is_reserved: bool) -> tuple[Any, ...]:
+    def _request(self, batch: TaskBatch, is_reserved: bool) -> tuple[Any, ...]:
         """Everything that determines how many members of a gang a candidate has capacity for; gangs with an
         equal request share the result.
         """
-        step = wave.step
+        step = batch.step
         return (
-            self._priority_of(wave.job),
+            self._priority_of(batch.job),
             step.resources,
             step.needs,
-            (wave.job.identity, wave.number) if step.apart else None,
-            None if any(step.resources) else len(wave.waiting),
-            wave.key() if is_reserved else None,
+            (batch.job.identity, batch.number) if step.apart else None,
+            None if any(step.resources) else len(batch.waiting),
+            batch.key() if is_reserved else None,
         )
 
 
--- a/src/pinepitch/scheduling/candidate_workers.py
+++ b/src/pinepitch/scheduling/candidate_workers.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from ..common import constants
-from .leased_job import Step, Wave
+from .leased_job import Step, TaskBatch
 from .leased_job_state import LeasedJobState
 from .placement import Placements
 from .resources import NO_RESOURCES, RESOURCE_KINDS, Amount, Resources, fitting_tasks, subtract
@@ -38,77 +38,79 @@
         self.labels, self.rack = worker.labels, worker.rack
         self.free, self.placements, self.unreliable = free, placements, unreliable
         self.placed: dict[StepKey, int] = {}  # step -> its tasks that this round has placed here
-        self.reserved_for: Wave | None = None  # the wave that the worker is reserved for
+        self.reserved_for: TaskBatch | None = None  # the batch that the worker is reserved for
 
     def has_free(self, resources: Resources) -> bool:
         """Whether a task that needs these resources fits into the free capacity."""
         free = self.free
         return resources[0] <= free[0] and resources[1] <= free[1] and resources[2] <= free[2]
 
-    def can_run(self, wave: Wave) -> bool:
-        """Whether one more task of a wave could run here, regardless of reservations."""
-        step = wave.step
+    def can_run(self, batch: TaskBatch) -> bool:
+        """Whether one more task of a batch could run here, regardless of reservations."""
+        step = batch.step
         return (
-            self.service == wave.job.service
+            self.service == batch.job.service
             and self.has_free(step.resources)
             and (not step.needs or self.labels.issuperset(step.needs))
-            and (not step.apart or self._tasks_of(wave) < step.apart)
+            and (not step.apart or self._tasks_of(batch) < step.apart)
         )
 
-    def _tasks_of(self, wave: Wave) -> int:
-        """How many tasks of a wave's step are placed here, regardless of their time."""
-        step_key = (wave.job.identity, wave.number)
+    def _tasks_of(self, batch: TaskBatch) -> int:
+        """How many tasks of a batch's step are placed here, regardless of their time."""
+        step_key = (batch.job.identity, batch.number)
         earlier = sum((placement.job, placement.number) == step_key for placement in self.placements.values())
         return earlier + self.placed.get(step_key, 0)
 
-    def free_members(self, wave: Wave) -> int:
-        """How many more tasks of a wave could run here now, regardless of reservations."""
-        if not self.can_run(wave):
+    def free_members(self, batch: TaskBatch) -> int:
+        """How many more tasks of a batch could run here now, regardless of reservations."""
+        if not self.can_run(batch):
             return 0
-        step, count = wave.step, fitting_tasks(self.free, wave.step.resources)
+        step, count = batch.step, fitting_tasks(self.free, batch.step.resources)
         if step.apart:
-            allowed = step.apart - self._tasks_of(wave)
+            allowed = step.apart - self._tasks_of(batch)
             count = allowed if count is None else min(count, allowed)
-        return len(wave.waiting) if count is None else count
+        return len(batch.waiting) if count is None else count
 
-    def placeable_members(self, wave: Wave, priority: int) -> int:
-        """How many more tasks of a wave may be placed here now; `priority` is the one by which it shares
+    def placeable_members(self, batch: TaskBatch, priority: int) -> int:
+        """How many more tasks of a batch may be placed here now; `priority` is the one by which it shares
         capacity.
         """
-        if not self.has_free(wave.step.resources) or self._is_reserved_from(wave, priority):
+        if not self.has_free(batch.step.resources) or self._is_reserved_from(batch, priority):
             return 0
-        return self.free_members(wave)
+        return self.free_members(batch)
 
-    def may_place(self, wave: Wave, priority: int) -> bool:
-        """Whether one more task of a wave may be placed here; `priority` is the one by which it shares
+    def may_place(self, batch: TaskBatch, priority: int) -> bool:
+        """Whether one more task of a batch may be placed here; `priority` is the one by which it shares
         capacity.
         """
-        return not self._is_reserved_from(wave, priority) and self.can_run(wave)
+        return not self._is_reserved_from(batch, priority) and self.can_run(batch)
 
-    def _is_reserved_from(self, wave: Wave, priority: int) -> bool:
-        """Whether the worker is reserved for another wave that is at least as urgent. More urgent waves may
-        use its capacity all the same.
+    def _is_reserved_from(self, batch: TaskBatch, priority: int) -> bool:
+        """Whether the worker is reserved for another batch that is at least as urgent. More urgent batches
+        may use its capacity all the same.
         """
         reserved_for = self.reserved_for
-        return reserved_for is not None and reserved_for is not wave and reserved_for.job.priority <= priority
+        return (
+            reserved_for is not None and reserved_for is not batch and reserved_for.job.priority <= priority
+        )
 
-    def add_task(self, wave: Wave) -> None:
-        """Places one task of a wave here."""
-        self.free = subtract(self.free, wave.step.resources)
-        key = (wave.job.identity, wave.number)
+    def add_task(self, batch: TaskBatch) -> None:
+        """Places one task of a batch here."""
+        self.free = subtract(self.free, batch.step.resources)
+        key = (batch.job.identity, batch.number)
         self.placed[key] = self.placed.get(key, 0) + 1
 
-    def potential_members(self, wave: Wave, long_running: Resources) -> int:
-        """How many more tasks of a wave this worker could run at once if only its long-running tasks
+    def potential_members(self, batch: TaskBatch, long_running: Resources) -> int:
+        """How many more tasks of a batch this worker could run at once if only its long-running tasks
         remained; `long_running` is the capacity that these use.
         """
-        step, resources = wave.step, subtract(self.worker.capacity, long_running)
+        step, resources = batch.step, subtract(self.worker.capacity, long_running)
         if step.needs and not self.labels.issuperset(step.needs):
             return 0
         count = fitting_tasks(resources, step.resources)
         members = 1 if count is None else count
         if step.apart:
-            members = min(members, step.apart - self._tasks_of(wave))
+            members = min(members, step.apart - self._tasks_of(batch))
         return max(0, members)
 
     def free_fraction(self, step: Step) -> float:
--- a/src/pinepitch/scheduling/explain.py
+++ b/src/pinepitch/scheduling/explain.py
@@ -8,7 +8,7 @@
 from ..model.decisions import Answer, problem
 from .assigner import REASON_TENANT_AT_MAXIMUM
 from .daemon_interface import Daemon
-from .leased_job import DONE, PLACED, WAITING, LeasedJob, Wave
+from .leased_job import DONE, PLACED, WAITING, LeasedJob, TaskBatch
 from .leased_job_state import FinalJob, LeasedJobState
 from .placement import Placements
 from .plain_types import Arguments, Document
@@ -66,8 +66,10 @@
     """A job that is not over."""
     time = core.cluster_time(now)
     # Batches that are not done come first, so that the limit of a page leaves out those of least interest.
-    waves = sorted(open_job.waves.values(), key=lambda wave: (not wave.left, wave.time, wave.number))
-    listed_waves = [_wave(core, wave, time, now) for wave in waves[: constants.MAX_PAGE_ROWS]]
+    batches = sorted(
+        open_job.batches.values(), key=lambda batch: (not batch.open_tasks, batch.time, batch.number)
+    )
+    listed_batches = [_batch(core, batch, time, now) for batch in batches[: constants.MAX_PAGE_ROWS]]
     return {
         "job": open_job.identity,
         "state": core.cluster_state.leased_jobs.state(open_job.identity),
@@ -79,8 +81,8 @@
         "attempts": open_job.attempts,
         "accepted": open_job.accepted,
         "ended": None,
-        "waves": listed_waves,
-        "more_waves": len(waves) - len(listed_waves),
+        "waves": listed_batches,
+        "more_waves": len(batches) - len(listed_batches),
         "placements": _placements(core, open_job.identity),
     }
 
@@ -95,51 +97,51 @@
     return {"beyond_weight": core.assignments.assigner.shares.is_excess(open_job)} if open_job.tenant else {}
 
 
-def _wave(core: Daemon, wave: Wave, time: float, now: float) -> Document:
+def _batch(core: Daemon, batch: TaskBatch, time: float, now: float) -> Document:
     """A batch of tasks with the number of its tasks in each state."""
     states = {WAITING: 0, PLACED: 0, DONE: 0}
-    for task in wave.tasks:
+    for task in batch.tasks:
         states[task.state] += 1
-    failures = [task.failures for task in wave.tasks]
+    failures = [task.failures for task in batch.tasks]
     shown = {
-        "time": wave.time,
-        "step": wave.number,
-        "due": wave.due,
-        "since": wave.since,
+        "time": batch.time,
+        "step": batch.number,
+        "due": batch.due,
+        "since": batch.waiting_since,
         **states,
-        "gang": wave.step.gang,
-        "failures": wave.failures if wave.step.gang else sum(failures),
-        "most_failures": wave.failures if wave.step.gang else max(failures),
-        "why": _waiting_reason(core, wave, time),
+        "gang": batch.step.gang,
+        "failures": batch.failures if batch.step.gang else sum(failures),
+        "most_failures": batch.failures if batch.step.gang else max(failures),
+        "why": _waiting_reason(core, batch, time),
     }
-    if states[WAITING] and not wave.blocked and wave.due <= time:
-        shown["candidates"] = _candidates(core, wave, now)
+    if states[WAITING] and not batch.open_predecessors and batch.due <= time:
+        shown["candidates"] = _candidates(core, batch, now)
     return shown
 
 
-def _waiting_reason(core: Daemon, wave: Wave, time: float) -> str:
+def _waiting_reason(core: Daemon, batch: TaskBatch, time: float) -> str:
     """What the waiting tasks of a batch wait for, or "" if none is waiting."""
-    if not wave.waiting:
+    if not batch.waiting:
         return ""
-    if wave.blocked:
-        steps = [number for number in wave.step.after if wave.job.waves[(wave.time, number)].left]
+    if batch.open_predecessors:
+        steps = [number for number in batch.step.after if batch.job.batches[(batch.time, number)].open_tasks]
         return "waits for " + ", ".join(f"step {number}" for number in steps)
-    if wave.due > time:
-        return f"not before {wave.due:.3f}"
-    if wave.is_partly_placed():
+    if batch.due > time:
+        return f"not before {batch.due:.3f}"
+    if batch.is_partly_placed():
         return "waits for the ends of the rest of its gang"
-    reason = core.assignments.assigner.waiting_reasons.get(wave.key(), "not yet looked at by a round")
-    return reason + _over_maximum(core, wave) if reason == REASON_TENANT_AT_MAXIMUM else reason
+    reason = core.assignments.assigner.waiting_reasons.get(batch.key(), "not yet looked at by a round")
+    return reason + _over_maximum(core, batch) if reason == REASON_TENANT_AT_MAXIMUM else reason
 
 
-def _over_maximum(core: Daemon, wave: Wave) -> str:
+def _over_maximum(core: Daemon, batch: TaskBatch) -> str:
     """The use and the maximum of a tenant, for each resource of which a batch asks for too much."""
-    leased_jobs, step = core.cluster_state.leased_jobs, wave.step
-    tenant = leased_jobs.tenants.limited(wave.job.tenant)
+    leased_jobs, step = core.cluster_state.leased_jobs, batch.step
+    tenant = leased_jobs.tenants.limited(batch.job.tenant)
     if tenant is None:
         return ""
     used = leased_jobs.used_by_tenant.get(tenant.name, NO_RESOURCES)
-    asked = multiply(step.resources, len(wave.waiting) if step.gang else 1)
+    asked = multiply(step.resources, len(batch.waiting) if step.gang else 1)
     figures = [
         f"{RESOURCE_NAMES[kind]} {used[kind]} of {tenant.maximum[kind]} used, {asked[kind]} more asked for"
         for kind in RESOURCE_KINDS
@@ -148,24 +150,24 @@
     return f" ({'; '.join(figures)})" if figures else ""
 
 
-def _candidates(core: Daemon, wave: Wave, now: float) -> dict[str, int]:
+def _candidates(core: Daemon, batch: TaskBatch, now: float) -> dict[str, int]:
     """Reason -> how many workers of the job's service it excludes; "open" counts those that it does not."""
     counts: dict[str, int] = {}
     for worker in core.assignments.workers.values():
-        if worker.service == wave.job.service:
-            reason = _exclusion_reason(core, worker, wave, now)
+        if worker.service == batch.job.service:
+            reason = _exclusion_reason(core, worker, batch, now)
             counts[reason] = counts.get(reason, 0) + 1
     return counts
 
 
-def _exclusion_reason(core: Daemon, worker: Worker, wave: Wave, now: float) -> str:
+def _exclusion_reason(core: Daemon, worker: Worker, batch: TaskBatch, now: float) -> str:
     """Why a worker cannot get one more task of a batch, or "open" if it can."""
-    leased_jobs, step = core.cluster_state.leased_jobs, wave.step
+    leased_jobs, step = core.cluster_state.leased_jobs, batch.step
     placements = leased_jobs.placements.get(worker.identity, {})
     lacking = sorted(set(step.needs) - worker.labels)
     free = _free_capacity(leased_jobs, worker)
     of_step = sum(
-        (placement.job, placement.number) == (wave.job.identity, wave.number)
+        (placement.job, placement.number) == (batch.job.identity, batch.number)
         for placement in placements.values()
     )
     closed = _closed(leased_jobs, worker, now)
--- a/src/pinepitch/scheduling/idle_capacity.py
+++ b/src/pinepitch/scheduling/idle_capacity.py
@@ -6,7 +6,7 @@
 
 from ..common import constants
 from .candidate_workers import CandidateWorker, used_fraction
-from .leased_job import PLACED, Wave, WaveKey
+from .leased_job import PLACED, TaskBatch, TaskBatchKey
 from .leased_job_state import LeasedJobState
 
 RESERVATION_UNUSED = "kept room is not taken by the wave it is kept for"
@@ -19,52 +19,52 @@
     invariant: str
     job: str
     queue: str
-    seconds: float  # how long the wave concerned has been short of capacity
+    seconds: float  # how long the batch concerned has been short of capacity
 
 
 class IdleCapacityCheck:
     """Checks the outcome of each scheduling round, and counts violations of two invariants.
 
-    RESERVATION_UNUSED: after a round, a wave that is not a gang is short of capacity although a candidate
+    RESERVATION_UNUSED: after a round, a batch that is not a gang is short of capacity although a candidate
     reserved for it could run one more of its tasks. IDLE_BESIDE_WORK: for MAX_IDLE_WAIT seconds a job had
     nothing placed and waited for capacity, while its service had capacity for twice what the job needs at
-    once and less than RESERVE_BUSY of its capacity was in use. A wave whose tenant is at its maximum does not
-    count as short of capacity.
+    once and less than RESERVE_BUSY of its capacity was in use. A batch whose tenant is at its maximum does
+    not count as short of capacity.
 
-    Invariant: a violation is counted once per wave each time it begins.
+    Invariant: a violation is counted once per batch each time it begins.
     """
 
     def __init__(self) -> None:
         self.counts: collections.Counter[str] = collections.Counter()  # invariant -> violations
-        # (invariant, key of a wave) of violations that are counted and continue
-        self.ongoing: set[tuple[str, WaveKey]] = set()
-        # key of a wave -> since when its job has been waiting beside ample idle capacity
-        self.waiting_since: dict[WaveKey, float] = {}
+        # (invariant, key of a batch) of violations that are counted and continue
+        self.ongoing: set[tuple[str, TaskBatchKey]] = set()
+        # key of a batch -> since when its job has been waiting beside ample idle capacity
+        self.waiting_since: dict[TaskBatchKey, float] = {}
         self.checked_at: float | None = None
 
     def check_reservations(
         self,
-        reserved: dict[WaveKey, tuple[Wave, list[CandidateWorker]]],
-        placed: dict[WaveKey, int],
-        short_since: dict[WaveKey, float],
+        reserved: dict[TaskBatchKey, tuple[TaskBatch, list[CandidateWorker]]],
+        placed: dict[TaskBatchKey, int],
+        short_since: dict[TaskBatchKey, float],
         now: float,
     ) -> tuple[Violation, ...]:
-        """Returns new violations of RESERVATION_UNUSED. All mappings are by the key of a wave: `reserved` to
-        (wave, candidates), `placed` to the tasks placed in this round, `short_since` to the time since when
+        """Returns new violations of RESERVATION_UNUSED. All mappings are by the key of a batch: `reserved` to
+        (batch, candidates), `placed` to the tasks placed in this round, `short_since` to the time since when
         it has been short of capacity.
         """
         violating = {}
-        for key, (wave, candidates) in reserved.items():
-            is_short = len(wave.waiting) > placed.get(key, 0) and key in short_since and not wave.step.gang
-            if is_short and any(candidate.may_place(wave, wave.job.priority) for candidate in candidates):
-                violating[key] = wave
+        for key, (batch, candidates) in reserved.items():
+            is_short = len(batch.waiting) > placed.get(key, 0) and key in short_since and not batch.step.gang
+            if is_short and any(candidate.may_place(batch, batch.job.priority) for candidate in candidates):
+                violating[key] = batch
         return self._count_new(RESERVATION_UNUSED, violating, short_since, now)
 
     def check_waiting_jobs(
         self,
         leased_jobs: LeasedJobState,
         candidates: dict[str, list[CandidateWorker]],
-        short_since: dict[WaveKey, float],
+        short_since: dict[TaskBatchKey, float],
         now: float,
     ) -> tuple[Violation, ...]:
         """Returns new violations of IDLE_BESIDE_WORK; checks once in IDLE_LOOK_EVERY seconds at most."""
@@ -78,44 +78,50 @@
         ]
         waiting = {}
         for key in short_since:
-            wave = leased_jobs.ready.get(key)
+            batch = leased_jobs.ready.get(key)
             if (
-                wave is not None
-                and wave.job.service in idle_services
-                and self._has_ample_capacity(wave, candidates[wave.job.service])
+                batch is not None
+                and batch.job.service in idle_services
+                and self._has_ample_capacity(batch, candidates[batch.job.service])
             ):
-                waiting[key] = wave
+                waiting[key] = batch
         self.waiting_since = {key: self.waiting_since.get(key, now) for key in waiting}
         violating = {
-            key: wave
-            for key, wave in waiting.items()
+            key: batch
+            for key, batch in waiting.items()
             if now - self.waiting_since[key] > constants.MAX_IDLE_WAIT
         }
         return self._count_new(IDLE_BESIDE_WORK, violating, short_since, now)
 
-    def _has_ample_capacity(self, wave: Wave, candidates: Sequence[CandidateWorker]) -> bool:
-        """Whether nothing of a wave's job is placed although there is capacity for twice what the wave needs
-        at once.
+    def _has_ample_capacity(self, batch: TaskBatch, candidates: Sequence[CandidateWorker]) -> bool:
+        """Whether nothing of a batch's job is placed although there is capacity for twice what the batch
+        needs at once.
         """
-        if any(task.state == PLACED for job_wave in wave.job.waves.values() for task in job_wave.tasks):
+        if any(task.state == PLACED for job_batch in batch.job.batches.values() for task in job_batch.tasks):
             return False
-        wanted, count = 2 * (len(wave.waiting) if wave.step.gang else 1), 0
+        wanted, count = 2 * (len(batch.waiting) if batch.step.gang else 1), 0
         for candidate in candidates:
-            count += candidate.free_members(wave)
+            count += candidate.free_members(batch)
             if count >= wanted:
                 return True
         return False
 
     def _count_new(
-        self, invariant: str, violating: dict[WaveKey, Wave], short_since: dict[WaveKey, float], now: float
+        self,
+        invariant: str,
+        violating: dict[TaskBatchKey, TaskBatch],
+        short_since: dict[TaskBatchKey, float],
+        now: float,
     ) -> tuple[Violation, ...]:
         """Counts and returns the violations that are new."""
         earlier = {key for name, key in self.ongoing if name == invariant}
         self.ongoing -= {(invariant, key) for key in earlier - violating.keys()}
-        new = [(key, wave) for key, wave in violating.items() if key not in earlier]
+        new = [(key, batch) for key, batch in violating.items() if key not in earlier]
         self.ongoing |= {(invariant, key) for key, _ in new}
         self.counts[invariant] += len(new)
         return tuple(
-            Violation(invariant, wave.job.identity, wave.job.queue, round(now - short_since.get(key, now), 3))
-            for key, wave in new
+            Violation(
+                invariant, batch.job.identity, batch.job.queue, round(now - short_since.get(key, now), 3)
+            )
+            for key, batch in new
         )
--- a/src/pinepitch/scheduling/leased_job.py
+++ b/src/pinepitch/scheduling/leased_job.py
@@ -15,7 +15,7 @@
 from .resources import Amount
 
 # The key of a batch of tasks: (identity of the job, index of the time, number of the step).
-WaveKey = tuple[str, int, int]
+TaskBatchKey = tuple[str, int, int]
 # A submitted job, validated and made of plain values: (spec, steps, first_ms, every_ms, times).
 PlainJob = tuple[Any, ...]
 # The settings that a job takes from its route: (service, attempts, priority, latency target in ms, stretch).
@@ -179,27 +179,29 @@
         )
 
 
-class Wave:
-    """A batch of tasks: the tasks of one step at one of the job's times.
+class TaskBatch:
+    """A batch of tasks: the tasks of one step of one repetition of a job. They become ready together, once
+    the steps that this step comes after are done in the same repetition and the time of the repetition has
+    come.
 
-    Invariants: `blocked` is the number of earlier steps that it waits for and that are not done. `left` is
-    the number of its tasks that are not done. `waiting` contains the indices of its waiting tasks. The tasks
-    of a gang are either all waiting or all placed, or the gang is partly placed because some of its runs have
-    ended; then the other runs are stopped until all tasks are waiting again.
+    Invariants: `open_predecessors` is the number of earlier steps that it waits for and that are not done.
+    `open_tasks` is the number of its tasks that are not done. `waiting` contains the indices of its waiting
+    tasks. The tasks of a gang are either all waiting or all placed, or the gang is partly placed because some
+    of its runs have ended; then the other runs are stopped until all tasks are waiting again.
     """
 
     __slots__ = (
-        "blocked",
         "due",
         "failed_runs",
         "job",
-        "left",
         "number",
-        "since",
+        "open_predecessors",
+        "open_tasks",
         "step",
         "tasks",
         "time",
         "waiting",
+        "waiting_since",
     )
 
     def __init__(self, job: "LeasedJob", time: int, number: int, due: float) -> None:
@@ -207,19 +209,19 @@
         self.step = job.steps[number]
         self.tasks = [Task() for _ in range(self.step.count)]
         self.waiting = set(range(self.step.count))
-        self.left = self.step.count
-        self.blocked = len(self.step.after)
+        self.open_tasks = self.step.count
+        self.open_predecessors = len(self.step.after)
         self.failed_runs: set[int] = set()  # only for a gang: the runs that count as failed
         # Time of the cluster state, seconds: since when its waiting tasks could have started, as far as
         # known.
-        self.since = due
+        self.waiting_since = due
 
     @property
     def failures(self) -> int:
         """The number of failed runs of a gang; 0 for other batches, which count failures for each task."""
         return len(self.failed_runs)
 
-    def key(self) -> WaveKey:
+    def key(self) -> TaskBatchKey:
         """The key of this batch, unique in the cluster state."""
         return (self.job.identity, self.time, self.number)
 
@@ -229,24 +231,29 @@
 
     def is_partly_placed(self) -> bool:
         """Whether this is a gang of which some but not all unfinished members are placed."""
-        return bool(self.step.gang and 0 < len(self.waiting) < self.left)
+        return bool(self.step.gang and 0 < len(self.waiting) < self.open_tasks)
 
     def image(self) -> Image:
         """The stored fields as plain values, for a snapshot. LeasedJob.from_image reads them."""
-        return (tuple(sorted(self.failed_runs)), self.since, tuple(task.image() for task in self.tasks))
+        return (
+            tuple(sorted(self.failed_runs)),
+            self.waiting_since,
+            tuple(task.image() for task in self.tasks),
+        )
 
 
 class LeasedJob:
     """A job that was accepted and is not over.
 
-    Invariants: if `times` is below 1, the job runs once, with time index 0. `waves` has one entry for each
+    Invariants: if `times` is below 1, the job runs once, with time index 0. `batches` has one entry for each
     time and step. `begun` is whether any of its tasks was ever placed. `open_batches` is the number of
-    entries of `waves` that are not done.
+    entries of `batches` that are not done.
     """
 
     __slots__ = (
         "accepted",
         "attempts",
+        "batches",
         "begun",
         "digest",
         "every_ms",
@@ -263,7 +270,6 @@
         "stretch",
         "tenant",
         "times",
-        "waves",
     )
 
     def __init__(
@@ -282,12 +288,12 @@
         self.spec, steps, self.first_ms, self.every_ms, self.times = plain
         self.steps = [Step(step) for step in steps]
         self.begun = False
-        self.waves: dict[tuple[int, int], Wave] = {}
+        self.batches: dict[tuple[int, int], TaskBatch] = {}
         for time in range(max(1, self.times)):
             due = (self.first_ms + time * self.every_ms) / 1000 if self.times else 0.0
             for number in range(len(self.steps)):
-                self.waves[(time, number)] = Wave(self, time, number, due)
-        self.open_batches = len(self.waves)
+                self.batches[(time, number)] = TaskBatch(self, time, number, due)
+        self.open_batches = len(self.batches)
         self.digest = digest_of(plain)
 
     def route_settings(self) -> RouteSettings:
@@ -305,23 +311,25 @@
             self.plain,
             self.accepted,
             self.begun,
-            tuple((*key, wave.image()) for key, wave in self.waves.items()),
+            tuple((*key, batch.image()) for key, batch in self.batches.items()),
         )
         return (*image, self.tenant) if self.tenant else image
 
     @classmethod
     def from_image(cls, image: Image) -> Self:
         """Rebuilds the job from the values that image() returned."""
-        identity, queue, route_settings, plain, accepted, begun, waves, *tenant = image
+        identity, queue, route_settings, plain, accepted, begun, batches, *tenant = image
         job = cls(identity, queue, tuple(route_settings), tuple(plain), accepted, *tenant)
         job.begun = begun
-        for time, number, (failed_runs, since, tasks) in waves:
-            wave = job.waves[(time, number)]
-            wave.failed_runs, wave.since = set(failed_runs), since
-            wave.tasks = [Task(*task) for task in tasks]
-            wave.waiting = {index for index, task in enumerate(wave.tasks) if task.state == WAITING}
-            wave.left = sum(task.state != DONE for task in wave.tasks)
-        job.open_batches = sum(bool(wave.left) for wave in job.waves.values())
-        for wave in job.waves.values():
-            wave.blocked = sum(bool(job.waves[(wave.time, earlier)].left) for earlier in wave.step.after)
+        for time, number, (failed_runs, since, tasks) in batches:
+            batch = job.batches[(time, number)]
+            batch.failed_runs, batch.waiting_since = set(failed_runs), since
+            batch.tasks = [Task(*task) for task in tasks]
+            batch.waiting = {index for index, task in enumerate(batch.tasks) if task.state == WAITING}
+            batch.open_tasks = sum(task.state != DONE for task in batch.tasks)
+        job.open_batches = sum(bool(batch.open_tasks) for batch in job.batches.values())
+        for batch in job.batches.values():
+            batch.open_predecessors = sum(
+                bool(job.batches[(batch.time, earlier)].open_tasks) for earlier in batch.step.after
+            )
         return job
--- a/src/pinepitch/scheduling/leased_job_state.py
+++ b/src/pinepitch/scheduling/leased_job_state.py
@@ -13,7 +13,7 @@
 from ..common import constants
 from .configuration import Configuration
 from .evacuation import Evacuations
-from .leased_job import DONE, PLACED, WAITING, LeasedJob, PlainJob, Task, Wave, WaveKey
+from .leased_job import DONE, PLACED, WAITING, LeasedJob, PlainJob, Task, TaskBatch, TaskBatchKey
 from .placement import RUN_DONE, RUN_FAILED, RUN_NEVER_STARTED, Placement, Placements, RunEndItem, RunKey
 from .plain_types import Document, Image, Outcome
 from .resources import NO_RESOURCES, Amount, PriorityClass, Resources, add, multiply, subtract
@@ -39,7 +39,7 @@
 
 # An item of the operation "job-assign":
 # (job, index of the time, number of the step, ((index of a task, worker), ...)).
-WaveAssignment = tuple[str, int, int, tuple[tuple[int, str], ...]]
+TaskBatchAssignment = tuple[str, int, int, tuple[tuple[int, str], ...]]
 
 
 class FinalJob(NamedTuple):
@@ -84,7 +84,7 @@
         self.used_by_tenant: dict[str, Amount] = {}  # name of a tenant -> resources of its placements
         self.configuration = Configuration()
         self.evacuations = Evacuations()
-        self.ready: dict[WaveKey, Wave] = {}
+        self.ready: dict[TaskBatchKey, TaskBatch] = {}
         # queue -> number of its jobs of which no task was ever placed
         self.queued_counts: dict[str, int] = {}
 
@@ -119,8 +119,8 @@
             leased_jobs.jobs[job.identity] = job
             if not job.begun:
                 leased_jobs.queued_counts[job.queue] = leased_jobs.queued_counts.get(job.queue, 0) + 1
-            for wave in job.waves.values():
-                leased_jobs._update_ready(wave)
+            for batch in job.batches.values():
+                leased_jobs._update_ready(batch)
         return leased_jobs
 
     @property
@@ -133,12 +133,12 @@
         """The tenants of the configuration in force."""
         return self.configuration.tenants
 
-    def _update_ready(self, wave: Wave) -> None:
+    def _update_ready(self, batch: TaskBatch) -> None:
         """Adds a batch of tasks to those that are ready, or removes it."""
-        if wave.waiting and not wave.blocked and not wave.is_partly_placed():
-            self.ready[wave.key()] = wave
+        if batch.waiting and not batch.open_predecessors and not batch.is_partly_placed():
+            self.ready[batch.key()] = batch
         else:
-            self.ready.pop(wave.key(), None)
+            self.ready.pop(batch.key(), None)
 
     def _add_placement(self, placement: Placement) -> None:
         """Records the placement of a run and counts its resources as used."""
@@ -205,15 +205,15 @@
         final = self.final.get(identity)
         return final.state if final else None
 
-    def current_task(self, placement: Placement) -> tuple[Wave, Task] | None:
+    def current_task(self, placement: Placement) -> tuple[TaskBatch, Task] | None:
         """The (batch of tasks, task) whose current run has this placement, or None if it is outdated."""
         job = self.jobs.get(placement.job)
-        wave = job.waves.get((placement.time, placement.number)) if job else None
-        if wave is None:
+        batch = job.batches.get((placement.time, placement.number)) if job else None
+        if batch is None:
             return None
-        task = wave.tasks[placement.index]
+        task = batch.tasks[placement.index]
         if task.state == PLACED and task.run == placement.run and task.worker_id == placement.worker_id:
-            return wave, task
+            return batch, task
         return None
 
     def should_run(self, placement: Placement) -> bool:
@@ -265,9 +265,9 @@
         )
         job = self.jobs[identity] = LeasedJob(identity, queue, route_settings, plain, now, tenant or "")
         self.queued_counts[queue] = self.queued_counts.get(queue, 0) + 1
-        for wave in job.waves.values():
-            wave.since = max(wave.due, now)
-            self._update_ready(wave)
+        for batch in job.batches.values():
+            batch.waiting_since = max(batch.due, now)
+            self._update_ready(batch)
         return ("accepted", identity)
 
     def cancel(self, now: float, identity: str) -> Outcome:
@@ -286,15 +286,15 @@
         del self.jobs[job.identity]
         if not job.begun:
             self.queued_counts[job.queue] -= 1
-        for wave in job.waves.values():
-            self.ready.pop(wave.key(), None)
+        for batch in job.batches.values():
+            self.ready.pop(batch.key(), None)
         self.final[job.identity] = FinalJob(state, now, job.queue, job.digest, job.tenant)
         for identity, final in list(itertools.islice(self.final.items(), constants.FINAL_SWEEP)):
             if final.ended + constants.FINAL_LASTS > now and len(self.final) <= constants.MAX_FINAL_JOBS:
                 break
             del self.final[identity]
 
-    def assign(self, now: float, epoch: int, items: Sequence[WaveAssignment]) -> tuple[Placement, ...]:
+    def assign(self, now: float, epoch: int, items: Sequence[TaskBatchAssignment]) -> tuple[Placement, ...]:
         """Places waiting tasks on workers and returns their placements. Each item is (job, time, number,
         ((index, worker), ...)). The tasks of a gang are placed all together or not at all.
         """
@@ -303,44 +303,44 @@
             job = self.jobs.get(identity)
             if job is None:
                 continue
-            wave = job.waves.get((time, number))
-            if wave is None or wave.blocked or wave.is_partly_placed() or now < wave.due:
+            batch = job.batches.get((time, number))
+            if batch is None or batch.open_predecessors or batch.is_partly_placed() or now < batch.due:
                 continue
             assigned = [
-                (index, worker_id) for index, worker_id in dict(pairs).items() if index in wave.waiting
+                (index, worker_id) for index, worker_id in dict(pairs).items() if index in batch.waiting
             ]
-            if wave.step.gang and (
-                len(assigned) != wave.left or not self._tenant_admits(wave, len(assigned))
+            if batch.step.gang and (
+                len(assigned) != batch.open_tasks or not self._tenant_admits(batch, len(assigned))
             ):
                 continue
-            placements.extend(self._place_tasks(now, epoch, wave, assigned))
+            placements.extend(self._place_tasks(now, epoch, batch, assigned))
             if not job.begun and assigned:
                 job.begun = True
                 self.queued_counts[job.queue] -= 1
-            self._update_ready(wave)
+            self._update_ready(batch)
         return tuple(placements)
 
     def _place_tasks(
-        self, now: float, epoch: int, wave: Wave, assigned: list[tuple[int, str]]
+        self, now: float, epoch: int, batch: TaskBatch, assigned: list[tuple[int, str]]
     ) -> list[Placement]:
         """Places waiting tasks of one batch and returns their placements; `assigned` lists (index of a task,
         worker). All members of a gang get the same new run number.
         """
-        job, step, placements = wave.job, wave.step, []
-        gang_run = max(task.run for task in wave.tasks) + 1
+        job, step, placements = batch.job, batch.step, []
+        gang_run = max(task.run for task in batch.tasks) + 1
         for index, worker_id in assigned:
-            task = wave.tasks[index]
+            task = batch.tasks[index]
             if not step.lasts and not step.gang and task.failures >= job.attempts:
                 continue
-            if not step.gang and not self._tenant_admits(wave, 1):
+            if not step.gang and not self._tenant_admits(batch, 1):
                 break
             task.run = gang_run if step.gang else task.run + 1
             task.state, task.worker_id = PLACED, worker_id
-            wave.waiting.discard(index)
+            batch.waiting.discard(index)
             placement = Placement(
                 job.identity,
-                wave.time,
-                wave.number,
+                batch.time,
+                batch.number,
                 index,
                 task.run,
                 worker_id,
@@ -355,15 +355,15 @@
             placements.append(placement)
         return placements
 
-    def _tenant_admits(self, wave: Wave, count: int) -> bool:
+    def _tenant_admits(self, batch: TaskBatch, count: int) -> bool:
         """Whether the maximum of a batch's tenant admits `count` more of its tasks beside those placed."""
-        tenant = self.tenants.limited(wave.job.tenant)
+        tenant = self.tenants.limited(batch.job.tenant)
         if tenant is None:
             return True
         used = self.used_by_tenant.get(tenant.name, NO_RESOURCES)
         if count > 1:
-            return tenant.admits(used, multiply(wave.step.resources, count))
-        return tenant.admits_task(used, wave.step.resources)
+            return tenant.admits(used, multiply(batch.step.resources, count))
+        return tenant.admits_task(used, batch.step.resources)
 
     def stop(self, now: float, items: Sequence[StopItem]) -> Outcome:
         """Marks runs as to be stopped. Each item is (worker, reference, run, reason)."""
@@ -400,10 +400,10 @@
         if job is None:
             return END_JOB_NOT_OPEN
         time, number, index = map(int, indices)
-        wave = job.waves.get((time, number))
-        if wave is None or index >= len(wave.tasks):
+        batch = job.batches.get((time, number))
+        if batch is None or index >= len(batch.tasks):
             return END_NO_SUCH_TASK
-        task = wave.tasks[index]
+        task = batch.tasks[index]
         is_current = placement is not None and task.state == PLACED and task.run == run
         if not is_current:
             if run not in task.unreported_runs or not reported:
@@ -411,64 +411,64 @@
             task.unreported_runs.discard(run)
         elif not reported and how != RUN_NEVER_STARTED:
             task.unreported_runs.add(run)
-        self._store_saved_progress(wave, task, run, saved)
+        self._store_saved_progress(batch, task, run, saved)
         if task.state == DONE:
             return END_STALE
-        if how == RUN_DONE and not wave.step.lasts:
-            return self._complete_task(now, job, wave, index)
-        if how == RUN_FAILED and not wave.step.lasts and self._count_failure(wave, task, run):
+        if how == RUN_DONE and not batch.step.lasts:
+            return self._complete_task(now, job, batch, index)
+        if how == RUN_FAILED and not batch.step.lasts and self._count_failure(batch, task, run):
             self._finish(now, job, JOB_FAILED)
             return END_FAILED
         if is_current:
-            self._requeue_task(now, wave, index)
+            self._requeue_task(now, batch, index)
         return END_REQUEUED
 
-    def _store_saved_progress(self, wave: Wave, task: Task, run: int, saved: str) -> None:
+    def _store_saved_progress(self, batch: TaskBatch, task: Task, run: int, saved: str) -> None:
         """Stores the progress that a run saved, in a gang for every member. It is ignored if a newer run may
         have saved more.
         """
         if not saved or task.state == DONE or run + 1 < task.run:
             return
-        is_gang = wave.step.gang
-        if is_gang and any(member.state == PLACED and member.run > run for member in wave.tasks):
+        is_gang = batch.step.gang
+        if is_gang and any(member.state == PLACED and member.run > run for member in batch.tasks):
             return
-        for member in wave.tasks if is_gang else (task,):
+        for member in batch.tasks if is_gang else (task,):
             member.saved = saved
 
-    def _count_failure(self, wave: Wave, task: Task, run: int) -> bool:
+    def _count_failure(self, batch: TaskBatch, task: Task, run: int) -> bool:
         """Counts a failed run. The failure of a gang's run counts once, however many members report it.
         Returns whether the attempts that the job allows are used up.
         """
-        if not wave.step.gang:
+        if not batch.step.gang:
             task.failures += 1
-            return task.failures >= wave.job.attempts
-        wave.failed_runs.add(run)
-        return wave.failures >= wave.job.attempts
+            return task.failures >= batch.job.attempts
+        batch.failed_runs.add(run)
+        return batch.failures >= batch.job.attempts
 
-    def _requeue_task(self, now: float, wave: Wave, index: int) -> None:
+    def _requeue_task(self, now: float, batch: TaskBatch, index: int) -> None:
         """Lets a task whose newest run has ended wait for another run."""
-        task = wave.tasks[index]
+        task = batch.tasks[index]
         task.state, task.worker_id = WAITING, ""
-        wave.waiting.add(index)
-        wave.since = now
-        self._update_ready(wave)
+        batch.waiting.add(index)
+        batch.waiting_since = now
+        self._update_ready(batch)
 
-    def _complete_task(self, now: float, job: LeasedJob, wave: Wave, index: int) -> str:
+    def _complete_task(self, now: float, job: LeasedJob, batch: TaskBatch, index: int) -> str:
         """Marks a task as done, and with one member of a gang the whole gang. Completes the job if it was the
         last one. Returns END_DONE or END_COMPLETED.
         """
-        for done_index in range(len(wave.tasks)) if wave.step.gang else (index,):
-            if wave.tasks[done_index].state != DONE:
-                wave.tasks[done_index].state = DONE
-                wave.waiting.discard(done_index)
-                wave.left -= 1
-        self._update_ready(wave)
-        if not wave.left:
+        for done_index in range(len(batch.tasks)) if batch.step.gang else (index,):
+            if batch.tasks[done_index].state != DONE:
+                batch.tasks[done_index].state = DONE
+                batch.waiting.discard(done_index)
+                batch.open_tasks -= 1
+        self._update_ready(batch)
+        if not batch.open_tasks:
             job.open_batches -= 1
-            for other in job.waves.values():
-                if other.time == wave.time and wave.number in other.step.after:
-                    other.blocked -= 1
-                    other.since = max(other.due, now)
+            for other in job.batches.values():
+                if other.time == batch.time and batch.number in other.step.after:
+                    other.open_predecessors -= 1
+                    other.waiting_since = max(other.due, now)
                     self._update_ready(other)
             if not job.open_batches:
                 self._finish(now, job, JOB_COMPLETED)
--- a/src/pinepitch/scheduling/placement.py
+++ b/src/pinepitch/scheduling/placement.py
@@ -65,7 +65,7 @@
         self.tenant = tenant  # of its job; stored here because the job may be final before the run has ended
 
     def reference(self) -> str:
-        """The reference of its task, equal to that of Wave.reference."""
+        """The reference of its task, equal to that of TaskBatch.reference."""
         return f"{self.job}.{self.time}.{self.number}.{self.index}"
 
     def image(self) -> Image:
--- a/src/pinepitch/scheduling/policy.py
+++ b/src/pinepitch/scheduling/policy.py
@@ -14,8 +14,8 @@
     reserve_for_urgent: bool = True
     enforce_tenant_weights: bool = True  # rank jobs beyond their tenant's weight after all others
     guarantee_shares: bool = True  # to each priority whose work has waited for as long as it can
-    reserve_for_waiting: bool = True  # reserve workers for waves that have long been short of capacity
-    preempt: bool = True  # stop less urgent runs for a wave that candidates are reserved for
+    reserve_for_waiting: bool = True  # reserve workers for batches that have long been short of capacity
+    preempt: bool = True  # stop less urgent runs for a batch that candidates are reserved for
     rank_by_due_time: bool = True  # within a priority; otherwise by the time of acceptance
     rank_by_step_width: bool = True  # a step that needs much of its service's capacity is due later
     prefer_data_locality: bool = True  # prefer workers near the data
--- a/src/pinepitch/scheduling/progress.py
+++ b/src/pinepitch/scheduling/progress.py
@@ -11,7 +11,7 @@
 
 from ..common import constants
 from . import policy as policies
-from .leased_job import Wave, WaveKey
+from .leased_job import TaskBatch, TaskBatchKey
 from .leased_job_state import LeasedJobState
 from .placement import RUN_DONE, RunKey, WorkerRun
 from .run_speed import RunTimeEstimator
@@ -25,7 +25,7 @@
     worker: Worker
     reference: str
     run: int
-    wave: Wave
+    batch: TaskBatch
     progress: Progress
     # Only for a gang: the Progress of every member, None for each that is not known to have begun.
     members: tuple[Progress | None, ...] = ()
@@ -139,8 +139,8 @@
                 stops.append(watched.stop_order(STALLED))
                 continue
             projection = self.estimator.projected(watched.worker, watched.key)
-            if projection is not None and not watched.wave.step.gang:
-                far_factor = self.estimator.far if self.estimator.is_far(watched.wave, watched.worker) else 1
+            if projection is not None and not watched.batch.step.gang:
+                far_factor = self.estimator.far if self.estimator.is_far(watched.batch, watched.worker) else 1
                 projected.append(ProjectedRun(watched, projection.left, projection.total / far_factor))
         return (*stops, *(self._slow_run_stops(projected) if self.policy.stop_slow else ()))
 
@@ -183,7 +183,7 @@
         self, workers: dict[str, Worker], leased_jobs: LeasedJobState, stopping: Set[RunKey], now: float
     ) -> Iterator[WatchedRun]:
         """The runs that may be judged now."""
-        gangs: dict[WaveKey, tuple[Progress | None, ...]] = {}
+        gangs: dict[TaskBatchKey, tuple[Progress | None, ...]] = {}
         for worker in workers.values():
             if not worker.progress or worker.unresponsive(now) or worker.stale:
                 continue
@@ -197,22 +197,22 @@
                 )
                 if current is None or current[0].step.lasts or key in stopping:
                     continue
-                wave = current[0]
+                batch = current[0]
                 members: tuple[Progress | None, ...] = ()
-                if wave.step.gang:
+                if batch.step.gang:
                     if self._progressed_recently(worker, progress):
                         continue  # it has not stalled, and members of a gang are not compared with each other
-                    if wave.key() not in gangs:
-                        gangs[wave.key()] = self._members(wave, workers)
-                    members = gangs[wave.key()]
-                yield WatchedRun(worker, key[0], key[1], wave, progress, members)
+                    if batch.key() not in gangs:
+                        gangs[batch.key()] = self._members(batch, workers)
+                    members = gangs[batch.key()]
+                yield WatchedRun(worker, key[0], key[1], batch, progress, members)
 
-    def _members(self, wave: Wave, workers: dict[str, Worker]) -> tuple[Progress | None, ...]:
+    def _members(self, batch: TaskBatch, workers: dict[str, Worker]) -> tuple[Progress | None, ...]:
         """The Progress of every member of a gang, None for each that its worker has not listed."""
         members = []
-        for index, task in enumerate(wave.tasks):
+        for index, task in enumerate(batch.tasks):
             worker = workers.get(task.worker_id)
-            key = (wave.reference(index), task.run)
+            key = (batch.reference(index), task.run)
             members.append(worker.progress.get(key) if worker is not None else None)
         return tuple(members)
 
@@ -232,11 +232,11 @@
 
     def _is_stalled(self, watched: WatchedRun) -> bool:
         """Whether a run has reported no progress for longer than its next percent can take."""
-        progress, wave = watched.progress, watched.wave
+        progress, batch = watched.progress, watched.batch
         if self._progressed_recently(watched.worker, progress):
             return False
         begun, still_since = progress.first_at, progress.changed_at
-        if wave.step.gang:
+        if batch.step.gang:
             if self._waits_for_others(watched):
                 return False
             # All of them have begun, else this one would wait for others.
@@ -246,7 +246,7 @@
             progressed = [member.changed_at for member in members] if is_finished else [still_since]
             still_since = max(begun, *progressed)
         by_progress = (progress.changed_at - begun) * 100 / progress.percent if progress.percent else 0
-        seconds_per_percent = max(self.estimator.expected(wave), by_progress) / 100
+        seconds_per_percent = max(self.estimator.expected(batch), by_progress) / 100
         timeout = constants.STALLED + constants.STALLED_STEPS * seconds_per_percent
         return watched.worker.heard_at - still_since > timeout
 
@@ -255,7 +255,7 @@
         durations = self._durations(projected)
         by_worker = collections.defaultdict(list)
         for run in projected:
-            usual = durations[run.watched.wave.key()].median_without(run.watched.worker)
+            usual = durations[run.watched.batch.key()].median_without(run.watched.worker)
             if usual is not None:
                 by_worker[run.watched.worker.identity].append(Slowdown(run, usual))
         stops: list[RunStop] = []
@@ -270,14 +270,14 @@
         self.stopped_slow.update(stop.reference for stop in stops)
         return stops
 
-    def _durations(self, projected: list[ProjectedRun]) -> dict[WaveKey, BatchDurations]:
+    def _durations(self, projected: list[ProjectedRun]) -> dict[TaskBatchKey, BatchDurations]:
         """Key of a batch -> the durations of its projected runs and of at most two of its runs that ended."""
-        by_wave = collections.defaultdict(list)
+        by_batch = collections.defaultdict(list)
         for run in projected:
-            by_wave[run.watched.wave.key()].append(run)
+            by_batch[run.watched.batch.key()].append(run)
         durations = {}
-        for key, runs in by_wave.items():
-            known = self.estimator.waves.get(key)
+        for key, runs in by_batch.items():
+            known = self.estimator.batches.get(key)
             ended = [known.mean_seconds] * min(2, known.runs) if known else []
             durations[key] = BatchDurations(runs, ended)
         return durations
@@ -286,7 +286,7 @@
         """The stops of those runs that a restart on another worker would finish sooner."""
         for slowdown in slowdowns:
             watched, remaining = slowdown.projected.watched, slowdown.projected.remaining
-            saved_part = watched.progress.percent / 100 if watched.wave.step.saves else 0
+            saved_part = watched.progress.percent / 100 if watched.batch.step.saves else 0
             restarted = slowdown.usual * (1 - saved_part)
             if (
                 slowdown.ratio > constants.SLOW
--- a/src/pinepitch/scheduling/run_ends.py
+++ b/src/pinepitch/scheduling/run_ends.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from .daemon_interface import Daemon
-from .leased_job import Wave
+from .leased_job import TaskBatch
 from .placement import RunEndItem, RunKey, WorkerRun, parse_reference
 from .run_speed import RunTimeEstimator
 from .worker import Worker
@@ -55,7 +55,9 @@
                 continue
             if (reference, run) in placements or self._is_open(reference, run):
                 self.propose(worker.identity, reference, run, how, saved, True)
-                self.estimator.record_end(worker, self._wave(reference), reference, run, how, worker.heard_at)
+                self.estimator.record_end(
+                    worker, self._batch(reference), reference, run, how, worker.heard_at
+                )
                 worker.pending_ends.add(number)
                 self.collected_numbers.append((worker.identity, number))
 
@@ -90,18 +92,18 @@
             if worker_id in workers:
                 workers[worker_id].pending_ends.discard(number)
 
-    def _wave(self, reference: str) -> Wave | None:
-        """The wave of a task, or None if its job is final or unknown."""
+    def _batch(self, reference: str) -> TaskBatch | None:
+        """The batch of a task, or None if its job is final or unknown."""
         parsed = parse_reference(reference)
         if parsed is None:
             return None
         job = self.core.cluster_state.leased_jobs.jobs.get(parsed[0])
-        return job.waves.get(parsed[1:3]) if job is not None else None
+        return job.batches.get(parsed[1:3]) if job is not None else None
 
     def _is_open(self, reference: str, run: int) -> bool:
         """Whether a run was released without its end being reported."""
-        wave, parsed = self._wave(reference), parse_reference(reference)
-        if wave is None or parsed is None:
+        batch, parsed = self._batch(reference), parse_reference(reference)
+        if batch is None or parsed is None:
             return False
         index = parsed[3]
-        return index < len(wave.tasks) and run in wave.tasks[index].unreported_runs
+        return index < len(batch.tasks) and run in batch.tasks[index].unreported_runs
--- a/src/pinepitch/scheduling/run_speed.py
+++ b/src/pinepitch/scheduling/run_speed.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ..common import constants
-from .leased_job import Wave, WaveKey
+from .leased_job import TaskBatch, TaskBatchKey
 from .placement import RUN_DONE, RunKey, WorkerRun
 from .worker import Progress, Worker
 
@@ -28,7 +28,7 @@
 
 
 class RunLengths:
-    """How long the ended runs of one wave took. Invariant: `runs` is positive once a run was added."""
+    """How long the ended runs of one batch took. Invariant: `runs` is positive once a run was added."""
 
     __slots__ = ("runs", "seconds")
 
@@ -49,35 +49,36 @@
 class RunTimeEstimator:
     """Estimates the length of runs and the speed of workers.
 
-    Invariants: all lengths and speeds are positive. The lengths of a wave's runs come from that wave alone,
+    Invariants: all lengths and speeds are positive. The lengths of a batch's runs come from that batch alone,
     and are normalised to a worker of usual speed near the data.
     """
 
     def __init__(self, far: float) -> None:
         self.far = far  # how many times as long a task takes far from its data or outside its rack
         self.queue_lengths: dict[str, float] = {}  # queue -> moving average of the seconds that a task takes
-        self.waves: dict[WaveKey, RunLengths] = {}
+        self.batches: dict[TaskBatchKey, RunLengths] = {}
         self.started: dict[WorkerRun, StartedRun] = {}
-        self.size_after_drop = 0  # waves and started runs left when those of finished jobs were last dropped
+        # batches and started runs left when those of finished jobs were last dropped
+        self.size_after_drop = 0
 
     def record_start(self, worker_id: str, reference: str, run: int, is_far: bool, now: float) -> None:
         """Records that a start is sent; if it is sent repeatedly, the first time counts."""
         self.started.setdefault((worker_id, reference, run), StartedRun(now, is_far))
 
     def record_end(
-        self, worker: Worker, wave: Wave | None, reference: str, run: int, how: str, now: float
+        self, worker: Worker, batch: TaskBatch | None, reference: str, run: int, how: str, now: float
     ) -> None:
         """Records the end of a run, and updates the estimates if the run is done."""
         started = self.started.pop((worker.identity, reference, run), None)
-        if started is None or how != RUN_DONE or wave is None or wave.step.lasts:
+        if started is None or how != RUN_DONE or batch is None or batch.step.lasts:
             return
         seconds = max(0.01, (now - started.started_at) / (self.far if started.is_far else 1))
-        lengths = self.waves.setdefault(wave.key(), RunLengths())
+        lengths = self.batches.setdefault(batch.key(), RunLengths())
         if lengths.runs >= 2:
             worker.update_speed(seconds / lengths.mean_seconds, constants.SPEED_WEIGHT)
         normalised = seconds / worker.speed
         lengths.add(normalised)
-        queue = wave.job.queue
+        queue = batch.job.queue
         average = self.queue_lengths.get(queue, normalised)
         self.queue_lengths[queue] = average + (normalised - average) * constants.LENGTH_WEIGHT
 
@@ -85,27 +86,27 @@
         """Drops the records of all jobs but the open ones. Does so only once the number of records has
         doubled since the last time, so that the cost per job stays small.
         """
-        size = len(self.waves) + len(self.started)
+        size = len(self.batches) + len(self.started)
         if size < 2 * max(constants.LENGTHS_KEPT, self.size_after_drop):
             return
-        self.waves = {key: lengths for key, lengths in self.waves.items() if key[0] in open_jobs}
+        self.batches = {key: lengths for key, lengths in self.batches.items() if key[0] in open_jobs}
         self.started = {
             key: started for key, started in self.started.items() if key[1].partition(".")[0] in open_jobs
         }
-        self.size_after_drop = len(self.waves) + len(self.started)
+        self.size_after_drop = len(self.batches) + len(self.started)
 
-    def expected(self, wave: Wave) -> float:
-        """Seconds that a task of a wave is expected to take on a worker of usual speed near its data."""
-        lengths = self.waves.get(wave.key())
+    def expected(self, batch: TaskBatch) -> float:
+        """Seconds that a task of a batch is expected to take on a worker of usual speed near its data."""
+        lengths = self.batches.get(batch.key())
         if lengths is not None:
             return lengths.mean_seconds
-        caller_estimate = wave.step.est_ms / 1000
-        queue_average = self.queue_lengths.get(wave.job.queue)
+        caller_estimate = batch.step.est_ms / 1000
+        queue_average = self.queue_lengths.get(batch.job.queue)
         return caller_estimate if queue_average is None else queue_average
 
-    def is_far(self, wave: Wave, worker: Worker) -> bool:
-        """Whether a worker is far from the data of a wave's tasks."""
-        return bool(wave.step.near) and wave.step.near not in worker.labels
+    def is_far(self, batch: TaskBatch, worker: Worker) -> bool:
+        """Whether a worker is far from the data of a batch's tasks."""
+        return bool(batch.step.near) and batch.step.near not in worker.labels
 
     def projected(self, worker: Worker, key: RunKey) -> Projection | None:
         """How long a run is expected to take, judged by its progress; None while the progress is too small or
--- a/src/pinepitch/scheduling/tenant_calls.py
+++ b/src/pinepitch/scheduling/tenant_calls.py
@@ -25,7 +25,7 @@
         self.open: collections.Counter[str] = collections.Counter()
         self.excess: collections.Counter[str] = collections.Counter()
         self.waiting: collections.Counter[str] = collections.Counter()
-        due = {wave.job.identity for wave in leased_jobs.ready.values() if wave.due <= time}
+        due = {batch.job.identity for batch in leased_jobs.ready.values() if batch.due <= time}
         for job in leased_jobs.jobs.values():
             if job.tenant:
                 self.open[job.tenant] += 1
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -280,7 +280,7 @@
 
 def _waves(leased_jobs):
     return {
-        wave.key(): (wave.blocked, wave.left, tuple(sorted(wave.waiting)))
+        wave.key(): (wave.open_predecessors, wave.open_tasks, tuple(sorted(wave.waiting)))
         for job in leased_jobs.jobs.values()
-        for wave in job.waves.values()
+        for wave in job.batches.values()
     }
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -39,7 +39,7 @@
     def proposed(operation, waiting, when):
         if operation[0] == "job-assign":
             for identity, time, number, group in operation[2]:
-                wave = self.leased_jobs.jobs[identity].waves[(time, number)]
+                wave = self.leased_jobs.jobs[identity].batches[(time, number)]
                 run = max(task.run for task in wave.tasks) + 1
                 for index, worker_name in group:
                     task = wave.tasks[index]
@@ -97,7 +97,7 @@
 
 def _after_unheeded(self, wave):
     """Takes every step for one without earlier steps."""
-    wave.blocked = 0
+    wave.open_predecessors = 0
     original_index(self, wave)
 
 
--- a/src/pinepitch/simulation/scale/costs.py
+++ b/src/pinepitch/simulation/scale/costs.py
@@ -217,10 +217,10 @@
     size = f"{workers} workers, {running} running"
     results["beat"][size] = min(herd.round() for _ in range(3)) / workers
     results["watch"][size] = _best(lambda: assignments._watch(alone.now))
-    for waves in (0, 1, 10, 100):
-        for _ in range(waves - len(leased_jobs.ready)):
+    for batches in (0, 1, 10, 100):
+        for _ in range(batches - len(leased_jobs.ready)):
             alone.hand_in(5, cpu=9000, queue="more")  # more than any worker has: they wait for ever
-        results["round"][f"{size}, {waves} waves wait"] = _best(
+        results["round"][f"{size}, {batches} waves wait"] = _best(
             lambda: assignments.assigner.run_round(
                 leased_jobs, assignments.workers, assignments, alone.now, alone.core.cluster_time(alone.now)
             )
