--- a/features/steps/adapter_fuzz.py
+++ b/features/steps/adapter_fuzz.py
@@ -229,7 +229,9 @@
 @then("a configuration came into force just where one was acknowledged")
 def step_configurations(context):
     configuration = context.daemons.simulator.leader().core.cluster_state.leased_jobs.configuration
-    assert set(configuration.taken) == {1, *context.daemons.versions}, configuration.taken
+    assert set(configuration.digests_by_version) == {1, *context.daemons.versions}, (
+        configuration.digests_by_version
+    )
 
 
 @then("no daemon has stopped, and all cluster states are alike")
--- a/src/pinepitch/scheduling/configuration.py
+++ b/src/pinepitch/scheduling/configuration.py
@@ -135,13 +135,15 @@
 class Configuration:
     """The configuration in force, and the digests of the calls that made it and earlier versions.
 
-    Invariants: `version` is that of `document`, 0 while there is none. `taken` contains, for each of the
-    newest CONFIGURATIONS_KEPT versions, the digest of the call that made it. `routes_by_host` lists the
-    routes of each host, those with the longest prefixes first.
+    Invariants: `version` is that of `document`, 0 while there is none. `digests_by_version` contains, for
+    each of the newest CONFIGURATIONS_KEPT versions, the digest of the call that made it. `routes_by_host`
+    lists the routes of each host, those with the longest prefixes first.
     """
 
-    def __init__(self, document: Document | None = None, taken: Iterable[tuple[int, str]] = ()) -> None:
-        self.taken = dict(taken)  # version -> digest of its call
+    def __init__(
+        self, document: Document | None = None, digests_by_version: Iterable[tuple[int, str]] = ()
+    ) -> None:
+        self.digests_by_version = dict(digests_by_version)  # version -> digest of its call
         self._set_document(document)
 
     def _set_document(self, document: Document | None) -> None:
@@ -161,7 +163,7 @@
 
     def image(self) -> Image:
         """The state as plain values, for a snapshot. Configuration(*image) rebuilds it."""
-        return (self.document, tuple(self.taken.items()))
+        return (self.document, tuple(self.digests_by_version.items()))
 
     def find(self, host: str, path: str) -> tuple[Document, str] | None:
         """(route, rest of the path) of the route with the longest prefix that matches, or None."""
@@ -172,7 +174,11 @@
 
     def _forgotten_below(self) -> int:
         """The version below which an accepted call may have been forgotten, 0 if none can have been."""
-        return next(iter(self.taken)) if len(self.taken) >= constants.CONFIGURATIONS_KEPT else 0
+        return (
+            next(iter(self.digests_by_version))
+            if len(self.digests_by_version) >= constants.CONFIGURATIONS_KEPT
+            else 0
+        )
 
     def _earlier_outcome(self, base: int, version: Any, digest: str) -> Outcome | None:
         """The outcome of a call that was accepted before or whose base is not in force, or None if it may be
@@ -182,7 +188,7 @@
         does not say that it was refused.
         """
         is_number = type(version) is int
-        if is_number and self.taken.get(version) == digest:
+        if is_number and self.digests_by_version.get(version) == digest:
             return ("configured", version)
         if base == self.version:
             return None
@@ -214,9 +220,9 @@
         if faults:
             return ("invalid", faults)
         self._set_document(document)
-        self.taken[version] = digest
-        while len(self.taken) > constants.CONFIGURATIONS_KEPT:
-            del self.taken[next(iter(self.taken))]
+        self.digests_by_version[version] = digest
+        while len(self.digests_by_version) > constants.CONFIGURATIONS_KEPT:
+            del self.digests_by_version[next(iter(self.digests_by_version))]
         return ("configured", version)
 
     def amend(
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -177,9 +177,9 @@
 original_send_chunk = snapshot_sender.send_chunk
 
 
-def _taken_forgotten(self, document=None, taken=()):
+def _taken_forgotten(self, document=None, digests_by_version=()):
     """Forgets which calls brought earlier versions whenever it is decoded."""
-    self.taken = {}
+    self.digests_by_version = {}
     self._set_document(document)
 
 
--- a/src/pinepitch/simulation/isolation/injected_faults.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -23,7 +23,7 @@
     """Knows no change that was taken before."""
 
     def forgetting(self, *arguments):
-        self.taken.clear()
+        self.digests_by_version.clear()
         return take(self, *arguments)
 
     return forgetting
--- a/src/pinepitch/simulation/jobs/control_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/control_injected_faults.py
@@ -22,12 +22,12 @@
 
 def _sent_again_unknown(self, *change):
     """Forgets which call brought a version."""
-    self.taken.clear()
+    self.digests_by_version.clear()
     return original_take(self, *change)
 
 
 def _amended_again_unknown(self, *change):
-    self.taken.clear()
+    self.digests_by_version.clear()
     return original_amend(self, *change)
 
 
--- a/src/pinepitch/simulation/order_fleet.py
+++ b/src/pinepitch/simulation/order_fleet.py
@@ -193,7 +193,7 @@
 
     def taken_in_record(self):
         """The changes that the leader's record holds for taken."""
-        taken = self.fleet.leader().core.cluster_state.leased_jobs.configuration.taken
+        taken = self.fleet.leader().core.cluster_state.leased_jobs.configuration.digests_by_version
         return [one for one in self.changes if taken.get(one.version()) == one.digest()]
 
     def faults(self):
--- a/src/pinepitch/simulation/order_injected_faults.py
+++ b/src/pinepitch/simulation/order_injected_faults.py
@@ -21,7 +21,7 @@
 
 def _number_is_enough(self, base, version, digest):
     """Acknowledges any change under a number that was taken."""
-    if type(version) is int and version in self.taken:
+    if type(version) is int and version in self.digests_by_version:
         return ("configured", version)
     return original_earlier_outcome(self, base, version, digest)
 
