--- a/src/pinepitch/common/daemon_settings.py
+++ b/src/pinepitch/common/daemon_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon, from a TOML file and flags (flags win)."""
+"""The settings of one daemon, from a TOML file and flags (flags take precedence)."""
 
 import functools
 import ipaddress
@@ -12,8 +12,8 @@
 
 
 class Settings(NamedTuple):
-    """Invariant: every field has passed its check. `mode` is the quorum mode; a front daemon uses
-    neither `data`, `bootstrap_members`, `mode`, `rules`, `memory` nor `disk`.
+    """Checked settings. Invariant: every field has passed its check. `mode` is the quorum mode. A front
+    daemon uses none of `data`, `bootstrap_members`, `mode`, `rules`, `memory` and `disk`.
     """
 
     address: str
@@ -30,8 +30,8 @@
 
 
 def address(text: object) -> str:
-    """A text that is a numeric IP:PORT; host names are refused since nothing here resolves them.
-    voluptuous.Invalid says what is wrong.
+    """Returns `text` if it is a numeric IP:PORT. Host names are refused because nothing here resolves
+    them. Raises voluptuous.Invalid with the reason otherwise.
     """
     if not isinstance(text, str) or ":" not in text:
         raise voluptuous.Invalid("expected IP:PORT")
@@ -47,7 +47,7 @@
 
 @functools.lru_cache(maxsize=1024)
 def is_address(text: str) -> bool:
-    """Whether a text is an address that can be connected to."""
+    """Whether a text is a valid address to connect to."""
     try:
         address(text)
     except voluptuous.Invalid:
@@ -56,7 +56,7 @@
 
 
 def split(text: str) -> tuple[str, int]:
-    """(host, port) of a checked address."""
+    """Splits a checked address into (host, port)."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -68,7 +68,7 @@
         raise voluptuous.Invalid("expected a list of addresses")
     if len(value) != constants.SEEDS:
         raise voluptuous.Invalid(f"expected exactly {constants.SEEDS} addresses, got {len(value)}")
-    return tuple(address(one) for one in value)
+    return tuple(address(seed) for seed in value)
 
 
 def _text(value: object) -> str:
@@ -88,23 +88,23 @@
 
 
 def _megabytes(value: object) -> int:
-    """Bytes of a whole number of megabytes."""
+    """Converts a whole number of megabytes to bytes."""
     if isinstance(value, bool) or not isinstance(value, int) or value < constants.MIN_MEGABYTES:
         raise voluptuous.Invalid(f"expected a whole number of at least {constants.MIN_MEGABYTES}")
     return value * 1_000_000
 
 
 LEVELS = ("debug", "info", "warning", "error", "critical")
-COMMON = {
+COMMON_FIELDS = {
     voluptuous.Required("address"): address,
     voluptuous.Required("area"): _text,
     voluptuous.Required("seeds"): _seeds,
     voluptuous.Optional("level", default="info"): voluptuous.In(LEVELS),
 }
-SHAPES = {
+SCHEMAS = {
     "accord": voluptuous.Schema(
         {
-            **COMMON,
+            **COMMON_FIELDS,
             voluptuous.Required("data"): _text,
             voluptuous.Optional("founders", default=constants.BOOTSTRAP_MEMBERS): _bootstrap_members,
             voluptuous.Optional("mode", default="static"): voluptuous.In(("static", "dynamic", "single")),
@@ -114,14 +114,14 @@
             voluptuous.Optional("disk_mb", default=constants.DISK // 1_000_000): _megabytes,
         }
     ),
-    "verge": voluptuous.Schema({**COMMON, voluptuous.Required("http"): address}),
+    "verge": voluptuous.Schema({**COMMON_FIELDS, voluptuous.Required("http"): address}),
 }
 
 
 def read(
     program: str, path: str | None, flags: Mapping[str, object]
 ) -> tuple[Settings, tuple[()]] | tuple[None, tuple[str, ...]]:
-    """(Settings, ()) or (None, faults): one line per fault, all of them at once."""
+    """(Settings, ()) or (None, faults): one line per fault, with all faults reported at once."""
     values: dict[str, object] = {}
     if path:
         try:
@@ -131,9 +131,9 @@
             return None, (f"{path}: {fault}",)
     values.update({name: value for name, value in flags.items() if value is not None})
     try:
-        checked = SHAPES[program](values)
-    except voluptuous.MultipleInvalid as several:
-        return None, tuple(f"{'.'.join(map(str, one.path))}: {one.msg}" for one in several.errors)
+        checked = SCHEMAS[program](values)
+    except voluptuous.MultipleInvalid as invalid:
+        return None, tuple(f"{'.'.join(map(str, error.path))}: {error.msg}" for error in invalid.errors)
     return Settings(
         checked["address"],
         checked["area"],
--- a/src/pinepitch/common/effects.py
+++ b/src/pinepitch/common/effects.py
@@ -1,8 +1,8 @@
-"""What a daemon's decider asks its surroundings to do: one type an effect.
+"""The effects that a daemon's decider requests from its host: one type per effect.
 
 A decider opens no socket, file or clock. It takes a message and returns effects in the order in which they
-are to be carried out; a host (`runtime.host`) or the simulator carries them out, by their type. Effects stay
-in their process: only the message inside a `Send` goes over the wire.
+must be executed; a host (`runtime.host`) or the simulator executes them according to their type. Effects
+stay in their process: only the message inside a `Send` goes over the wire.
 """
 
 from collections.abc import Iterable
@@ -10,32 +10,32 @@
 
 
 class Send(NamedTuple):
-    """A message to another daemon; it may get lost, and then nobody is told."""
+    """A message to another daemon. It may be lost, and a loss is not reported."""
 
     address: str  # host:port of the daemon
-    message: tuple[Any, ...]  # its kind first; it keeps the contract of its kind
+    message: tuple[Any, ...]  # its kind first; it satisfies the contract of that kind
 
 
 class Reply(NamedTuple):
-    """The answer to a request that came over HTTP to this daemon."""
+    """The answer to a request that this daemon received over HTTP."""
 
-    request: Any  # the number that the request was given by the host
-    status: int  # of HTTP
-    document: Any  # what is encoded as JSON, or text
+    request: Any  # the number that the host assigned to the request
+    status: int  # HTTP status code
+    document: Any  # a value to encode as JSON, or text
     headers: Iterable[tuple[str, str]] = ()
-    until: float | None = None  # seconds of the steady clock; written later, the answer could be too old
+    until: float | None = None  # seconds of the steady clock; after it, the answer could be outdated
 
 
 class Event(NamedTuple):
-    """A numbered event for the log; `common.events` holds the numbers."""
+    """A numbered event for the log; `common.events` lists the numbers."""
 
     number: int
     fields: dict[str, Any]
 
 
 class SaveChange(NamedTuple):
-    """A change of consensus' stored state. Once it is durable, and all saves before it, the decider is
-    told ("saved", sequence).
+    """A change of the stored state of consensus. Once it and all earlier saves are durable, the decider
+    receives ("saved", sequence).
     """
 
     sequence: int
@@ -43,8 +43,8 @@
 
 
 class WriteBase(NamedTuple):
-    """A snapshot base, which takes the place of all saves before it. The decider is told ("saved",
-    sequence) once it is durable, unless `sequence` is None: then nothing waits for it.
+    """A snapshot base, which replaces all saves before it. The decider receives ("saved", sequence) once
+    it is durable, unless `sequence` is None: then nothing waits for it.
     """
 
     sequence: int | None
@@ -52,43 +52,43 @@
 
 
 class WriteSegment(NamedTuple):
-    """A sealed segment of the archive; it is durable before any later base is."""
+    """A sealed segment of the archive; it becomes durable before any later base."""
 
     number: int
     data: bytes
 
 
 class WriteNote(NamedTuple):
-    """A note about membership in a cluster; durable before any later effect is carried out."""
+    """A record of membership in a cluster; durable before any later effect is executed."""
 
     payload: list[Any]
 
 
 class EncodeSnapshot(NamedTuple):
-    """An image of the cluster state, to be encoded beside the decider, which is then told
+    """An image of the cluster state, to be encoded in parallel with the decider, which then receives
     ("encoded", index, encoded image).
     """
 
-    applied_index: int  # of the last entry that the image holds
+    applied_index: int  # of the last entry that the image includes
     image: Any
 
 
 class Rehearse(NamedTuple):
-    """A draft to be measured beside the decider, which is then told ("rehearsed", epoch, draft, asked,
-    measure). From `traffic` on: the arguments of the decider's measure().
+    """A draft to be measured in parallel with the decider, which then receives ("rehearsed", epoch, draft,
+    asked, measure). The fields from `traffic` on are the arguments of the decider's measure().
     """
 
     epoch: int  # of the role holder that rehearses
     draft: str  # its identity
     asked: int  # the version of the draft that is measured
     traffic: Any  # sample of pushed jobs
-    queue_configuration: Any  # in force
+    queue_configuration: Any  # the active one
     draft_configuration: Any
     capacities: Any  # of workers, in units
 
 
 class PostOrder(NamedTuple):
-    """An order to a worker over HTTP. The decider is told ("posted", key, outcome), unless `key` is None."""
+    """An order to a worker over HTTP. The decider receives ("posted", key, outcome) unless `key` is None."""
 
     key: tuple[str, int] | None  # (reference of the task, attempt)
     address: str  # host:port of the worker
--- a/src/pinepitch/common/events.py
+++ b/src/pinepitch/common/events.py
@@ -1,4 +1,4 @@
-"""Numbered events: the catalogue, and the logger every program shares."""
+"""Numbered events: the catalogue, and the logger that every program uses."""
 
 import logging
 import sys
@@ -8,9 +8,9 @@
 
 PLACING_VIOLATED = 184
 
-# number -> (text, level). Invariant: a number is never used again for another meaning (102 was one);
-# docs/events.md lists the same. The texts are values of a label in the answers to /v1/metrics, by which
-# operators' alerts may look for them: they keep the words of the users' pages.
+# number -> (text, level). Invariant: a number is never reused with another meaning (102 was used before).
+# docs/events.md lists the same events. The texts are label values in the answers to /v1/metrics, which
+# operators' alerts may match, so they keep the wording of the users' pages.
 CATALOGUE = {
     100: ("daemon started", "info"),
     101: ("daemon stopping", "info"),
@@ -79,7 +79,7 @@
 
 
 def logger(program: str, identity: str, level: str = "info") -> Any:
-    """A structlog logger that writes one JSON line an event to standard error."""
+    """A structlog logger that writes one JSON line per event to standard error."""
     structlog.configure(
         processors=[structlog.processors.TimeStamper(fmt="iso"), structlog.processors.JSONRenderer()],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
@@ -89,9 +89,9 @@
 
 
 def emit(log: Any, number: int, **fields: Any) -> None:
-    """Writes event `number` at the level its catalogue entry gives it."""
+    """Writes event `number` at the level of its catalogue entry."""
     text, level = CATALOGUE[number]
     try:
         getattr(log, level)(text, number=number, **fields)
     except OSError:
-        pass  # a log that can't be written, on a full disk say, must not stop a daemon
+        pass  # an unwritable log, for example on a full disk, must not stop a daemon
