--- a/src/pinepitch/common/__init__.py
+++ b/src/pinepitch/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every package may import: constants, numbered events, limits, metrics, checked settings."""
+"""Modules that every package may import: constants, numbered events, limits, metrics, checked settings."""
--- a/src/pinepitch/common/canonical.py
+++ b/src/pinepitch/common/canonical.py
@@ -1,4 +1,4 @@
-"""The order in which hash maps are encoded, so that every process writes the same bytes."""
+"""The canonical order for encoding hash maps, so that every process writes the same bytes."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -7,5 +7,5 @@
 
 
 def sorted_by_key(values: Mapping[str, Value]) -> dict[str, Value]:
-    """A map as a dict in the order of its keys."""
+    """Returns a map as a dict sorted by its keys."""
     return {key: values[key] for key in sorted(values)}
--- a/src/pinepitch/common/document.py
+++ b/src/pinepitch/common/document.py
@@ -1,4 +1,4 @@
-"""JSON from outside, read so that it can be forwarded and handed on as it came."""
+"""JSON from outside, read so that it can be forwarded and passed on unchanged."""
 
 import json
 import math
@@ -8,24 +8,24 @@
 from . import constants
 
 
-class UnsoundDocumentError(ValueError):
-    """JSON that says two things at once."""
+class DuplicateMemberError(ValueError):
+    """JSON with an object that names a member twice."""
 
 
-def _no_member_twice(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_members(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     members = dict(pairs)
     if len(members) < len(pairs):
-        raise UnsoundDocumentError("a member is named twice")
+        raise DuplicateMemberError("a member is named twice")
     return members
 
 
-def _no_constant(text: str) -> Any:
+def _reject_constant(text: str) -> Any:
     raise ValueError(text)
 
 
-def _unsound_scalar(value: Any) -> str | None:
-    """Why a value that contains no others can't be forwarded, or None. Types as json makes them: told by
-    type(), as this is asked for every value of every heartbeat.
+def _scalar_error(value: Any) -> str | None:
+    """Why a value that contains no others can't be forwarded, or None. Types are compared with type(),
+    which fits the types that json creates and is fast: this runs for every value of every heartbeat.
     """
     kind = type(value)
     if kind is str:
@@ -40,42 +40,42 @@
     return None
 
 
-def unsound(value: Any) -> str | None:
-    """Why a document can't be forwarded and handed on as it is, or None: numbers JSON or our
-    frames can't say, text that is no text, deeper nesting than MAX_DEPTH.
+def forwarding_error(value: Any) -> str | None:
+    """Why a document can't be forwarded and passed on unchanged, or None: numbers that JSON or our
+    frames can't represent, text that can't be encoded, nesting deeper than MAX_DEPTH.
     """
-    todo: list[tuple[Iterable[Any], int]] = [
-        ((value,), 1)
-    ]  # values beside each other, and how deep they stand
+    todo: list[tuple[Iterable[Any], int]] = [((value,), 1)]  # sibling values and their depth
     while todo:
         values, depth = todo.pop()
-        for one in values:
-            kind = type(one)
+        for item in values:
+            kind = type(item)
             if kind is list or kind is dict:
-                if depth >= constants.MAX_DEPTH and one:
+                if depth >= constants.MAX_DEPTH and item:
                     return f"nested deeper than {constants.MAX_DEPTH}"
-                todo.append((one.values() if kind is dict else one, depth + 1))
+                todo.append((item.values() if kind is dict else item, depth + 1))
                 if kind is dict:
-                    todo.append((one, depth))
-            elif (kind is not str or not one.isascii()) and (why := _unsound_scalar(one)):
-                return why
+                    todo.append((item, depth))
+            elif (kind is not str or not item.isascii()) and (error := _scalar_error(item)):
+                return error
     return None
 
 
 def read(body: bytes) -> tuple[Any, str | None]:
-    """(document, None), or (None, why it can't be taken)."""
+    """(document, None), or (None, the reason for which the body is rejected)."""
     try:
-        document = json.loads(body, parse_constant=_no_constant, object_pairs_hook=_no_member_twice)
+        document = json.loads(
+            body, parse_constant=_reject_constant, object_pairs_hook=_reject_duplicate_members
+        )
     except (ValueError, RecursionError) as fault:
         return None, "the body is not JSON" + (
-            f": {fault}" if isinstance(fault, UnsoundDocumentError) else ""
+            f": {fault}" if isinstance(fault, DuplicateMemberError) else ""
         )
-    why = unsound(document)
-    return (None, why) if why else (document, None)
+    error = forwarding_error(document)
+    return (None, error) if error else (document, None)
 
 
 def whole_number(text: str, most: int = constants.MAX_NUMBER) -> int | None:
-    """The whole number from 0 to `most` that a text states in plain ASCII digits, or None."""
+    """The whole number from 0 to `most` that a text contains as plain ASCII digits, or None."""
     if not text.isascii() or not text.isdigit() or len(text) > len(str(most)):
         return None
     number = int(text)
--- a/src/pinepitch/common/limits.py
+++ b/src/pinepitch/common/limits.py
@@ -1,4 +1,4 @@
-"""How much memory and disk a daemon may take, and what follows for its log."""
+"""How much memory and disk a daemon may use, and the limits of its log that follow from them."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,8 @@
 
 
 class Limits(NamedTuple):
-    """Bytes of memory and of disk. Invariants: the log and the tail behind every snapshot base fit
-    many times into either; tail <= laggard <= since_base <= log.
+    """Bytes of memory and of disk. Invariants: the log and the tail retained before every snapshot base
+    are a small part of either; tail <= laggard <= since_base <= log.
     """
 
     memory: int = constants.MEMORY
@@ -15,7 +15,7 @@
 
     @property
     def log(self) -> int:
-        """Bytes of entries held, committed or not; above it callers' operations are deferred."""
+        """Most bytes of entries in the log, committed or not; above it callers' operations are deferred."""
         return max(
             constants.MIN_LOG_BYTES,
             min(self.memory // constants.LOG_PART_OF_MEMORY, self.disk // constants.LOG_PART_OF_DISK),
@@ -23,7 +23,7 @@
 
     @property
     def image(self) -> int:
-        """Bytes of an image of the cluster state, from which on operations that enlarge it are refused."""
+        """Size in bytes of an image of the cluster state from which operations that enlarge it are refused."""
         return max(
             constants.MIN_IMAGE_BYTES,
             min(self.memory // constants.IMAGE_PART_OF_MEMORY, self.disk // constants.IMAGE_PART_OF_DISK),
@@ -31,23 +31,23 @@
 
     @property
     def since_base(self) -> int:
-        """Bytes of entries applied since the last snapshot base that make a new one due."""
+        """Bytes of entries applied since the last snapshot base after which a new one is due."""
         return self.log // 4
 
     @property
     def laggard(self) -> int:
-        """Bytes of entries kept behind a snapshot base for a follower that still needs them."""
+        """Most bytes of entries retained before a snapshot base for a follower that still needs them."""
         return self.log // 4
 
     @property
     def tail(self) -> int:
-        """Bytes of entries kept behind a snapshot base in any case."""
+        """Bytes of entries that are always retained before a snapshot base."""
         return self.log // 8
 
     @property
     def link(self) -> int:
-        """Bytes of frames that wait for one destination on one connection."""
+        """Most bytes of frames that wait for one destination on one connection."""
         return max(constants.MIN_LINK_BYTES, self.memory // constants.LINK_PART)
 
 
-USUAL = Limits()  # where the settings say nothing
+USUAL = Limits()  # the default, for daemons whose settings state no limits
--- a/src/pinepitch/common/metrics.py
+++ b/src/pinepitch/common/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as text in Prometheus' exposition format, written by its client library."""
+"""Metrics as text in the Prometheus exposition format, written by its client library."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -8,7 +8,7 @@
 
 class Histogram:
     """The distribution of a measured value over BUCKETS (seconds). Invariants: counts has one more
-    element than the bounds; total is the sum of what was added.
+    element than the bounds; total is the sum of the added values.
     """
 
     def __init__(self) -> None:
@@ -17,21 +17,21 @@
 
     def add(self, value: float) -> None:
         """Counts one measured value, in seconds."""
-        place = next((one for one, bound in enumerate(constants.BUCKETS) if value <= bound), -1)
-        self.counts[place] += 1
+        bucket = next((index for index, bound in enumerate(constants.BUCKETS) if value <= bound), -1)
+        self.counts[bucket] += 1
         self.total += value
 
     def buckets(self) -> list[tuple[str, int]]:
-        """(upper bound, how many values are at most that), cumulative as the library takes them."""
+        """(upper bound, number of values up to it), cumulative as the library expects them."""
         cumulative, count = [], 0
-        for bound, one in zip((*constants.BUCKETS, "+Inf"), self.counts, strict=False):
-            count += one
+        for bound, bucket_count in zip((*constants.BUCKETS, "+Inf"), self.counts, strict=False):
+            count += bucket_count
             cumulative.append((str(bound), count))
         return cumulative
 
 
 class _FamilyCollector:
-    """What the library's registry collects the families from."""
+    """A collector that passes metric families to the library's registry."""
 
     def __init__(self, families: list[Any]) -> None:
         self.families = families
@@ -44,18 +44,18 @@
 Metric = tuple[str, str, str, tuple[str, ...], list[tuple[Any, Any]]]
 
 
-def text(figures: Iterable[Metric]) -> str:
+def text(metrics: Iterable[Metric]) -> str:
     """Metrics as text, in the order given."""
-    # loaded by its first use, as it takes longer than a third of all else that a daemon needs to start
+    # imported on first use: it takes over a third as long as everything else in a daemon's start
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily
 
     kinds = {"counter": CounterMetricFamily, "gauge": GaugeMetricFamily, "histogram": HistogramMetricFamily}
     families = []
-    for kind, name, help_text, labels, values in figures:
+    for kind, name, help_text, labels, values in metrics:
         family = kinds[kind](f"pinepitch_{name}", help_text, labels=labels)
         for label_values, value in values:
-            label_values = [str(one) for one in label_values]
+            label_values = [str(label_value) for label_value in label_values]
             if kind == "histogram":
                 family.add_metric(label_values, value.buckets(), value.total)
             else:
@@ -67,7 +67,7 @@
 
 
 def event_metric(counts: Mapping[int, int]) -> Metric:
-    """The metric of how often each numbered event was emitted, the same for every kind of daemon."""
+    """The metric that counts how often each numbered event was emitted, alike for every kind of daemon."""
     return (
         "counter",
         "events",
--- a/src/pinepitch/common/packed_operations.py
+++ b/src/pinepitch/common/packed_operations.py
@@ -1,7 +1,7 @@
-"""Large values that stay encoded while they wait: in the log, in files and in frames.
+"""Large operations that stay encoded while they are stored in the log or sent in files and frames.
 
-A Packed takes the place of the operation it encodes, and is written out as that operation:
-frames and files look the same whether it was packed or not.
+A Packed replaces the operation that it encodes and is written out as that operation: the bytes of frames and
+files are the same whether or not the operation was packed.
 """
 
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class Packed:
-    """One encoded operation. Invariant: data is the cbor of an array whose first element is kind."""
+    """One encoded operation. Invariant: data is the CBOR of an array whose first element is kind."""
 
     __slots__ = ("data", "kind")
 
@@ -24,7 +24,7 @@
         return hash(self.data)
 
 
-# An operation as an array whose first element is its kind, or one that stays encoded.
+# An operation: an array whose first element is its kind, or a Packed.
 Operation = Any
 
 
@@ -35,17 +35,17 @@
 
 
 def unpacked(operation: Operation) -> Any:
-    """The operation itself; decoded anew at each call where it is packed."""
+    """The decoded operation; a packed one is decoded again at each call."""
     return tuple(cbor2.loads(operation.data)) if type(operation) is Packed else operation
 
 
 def _write(encoder: cbor2.CBOREncoder, value: object) -> None:
-    """Puts what is encoded already where its operation belongs."""
+    """Writes a packed operation's bytes as they are, without encoding them again."""
     if type(value) is not Packed:
         raise cbor2.CBOREncodeTypeError(f"cannot serialize type {type(value).__name__}")
     encoder.write(value.data)
 
 
 def dumps(value: object) -> bytes:
-    """The cbor of a value that may hold packed operations."""
+    """Encodes a value that may contain packed operations as CBOR."""
     return cbor2.dumps(value, default=_write)
