--- a/src/pinepitch/common/limits.py
+++ b/src/pinepitch/common/limits.py
@@ -23,7 +23,7 @@
 
     @property
     def image(self) -> int:
-        """Size in bytes of an image of the cluster state from which operations that enlarge it are refused."""
+        """Bytes of a cluster state image from which operations that enlarge it are refused."""
         return max(
             constants.MIN_IMAGE_BYTES,
             min(self.memory // constants.IMAGE_PART_OF_MEMORY, self.disk // constants.IMAGE_PART_OF_DISK),
