--- a/features/soak/wire.py
+++ b/features/soak/wire.py
@@ -115,9 +115,9 @@
 
 def job_of(document):
     """A job in the platform's words."""
-    return vocabulary.original(document, vocabulary.JOB)
+    return vocabulary.to_platform(document, vocabulary.JOB)
 
 
 def configuration_of(document):
     """A configuration in the platform's words."""
-    return vocabulary.original(document, vocabulary.CONFIGURATION)
+    return vocabulary.to_platform(document, vocabulary.CONFIGURATION)
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -222,7 +222,7 @@
     @invariant()
     def read_back(self):
         found = self.core.cluster_state.leased_jobs.configuration.document
-        plain = None if found is None else vocabulary.original(found, vocabulary.CONFIGURATION)
+        plain = None if found is None else vocabulary.to_platform(found, vocabulary.CONFIGURATION)
         found, expected = (json.dumps(one, sort_keys=True) for one in (plain, self.reference.document))
         assert found == expected, f"{found} is read back, not {expected}"
 
@@ -629,7 +629,7 @@
         self.operators.read(self.fleet.names()[0])
         self.fleet.run(1)
         if reference.document is not None:
-            found = vocabulary.original(self.operators.reads[0][2], vocabulary.CONFIGURATION)
+            found = vocabulary.to_platform(self.operators.reads[0][2], vocabulary.CONFIGURATION)
             assert found == reference.document, (found, reference.document)
 
 
@@ -773,7 +773,7 @@
     context.fleet.run(1)
     for node in context.fleet.nodes.values():
         found = node.core.cluster_state.leased_jobs.configuration.document
-        assert vocabulary.original(found, vocabulary.CONFIGURATION) == context.document
+        assert vocabulary.to_platform(found, vocabulary.CONFIGURATION) == context.document
 
 
 @then("it is not taken everywhere")
--- a/features/steps/platform_adapters.py
+++ b/features/steps/platform_adapters.py
@@ -263,9 +263,9 @@
     elif member == "members that begin with the mark":
         document.update(
             {
-                vocabulary.MARK: 1,
-                f"{vocabulary.MARK}version": 2,
-                f"{vocabulary.MARK}{vocabulary.MARK}routes": [],
+                vocabulary.ESCAPE: 1,
+                f"{vocabulary.ESCAPE}version": 2,
+                f"{vocabulary.ESCAPE}{vocabulary.ESCAPE}routes": [],
             }
         )
     elif member == "members of routes in the product's words":
@@ -320,8 +320,8 @@
 def step_random(context, count, seed):
     chance = random.Random(seed)
     for words in (vocabulary.JOB, vocabulary.CONFIGURATION):
-        names = [*words, *words.values(), "", "news", vocabulary.MARK]
-        names += [vocabulary.MARK * chance.randint(1, 2) + one for one in names]
+        names = [*words, *words.values(), "", "news", vocabulary.ESCAPE]
+        names += [vocabulary.ESCAPE * chance.randint(1, 2) + one for one in names]
 
         def value(depth, names=names):
             kind = chance.random()
@@ -333,7 +333,7 @@
 
         for _ in range(count):
             before = value(4)
-            assert vocabulary.original(vocabulary.renamed(before, words), words) == before, before
+            assert vocabulary.to_platform(vocabulary.to_product(before, words), words) == before, before
 
 
 # --- bodies --------------------------------------------------------------------------
@@ -413,7 +413,7 @@
     if call in ("job", "beat"):
         return  # never written back
     words = vocabulary.JOB if call == "job" else vocabulary.CONFIGURATION
-    json.dumps(vocabulary.original(answered, words), allow_nan=False).encode()
+    json.dumps(vocabulary.to_platform(answered, words), allow_nan=False).encode()
 
 
 # --- jobs' names, headers, answers ---------------------------------------------------
@@ -695,7 +695,13 @@
     assert found.http == "10.1.0.38:7383", found
     assert found.seeds == ("10.1.0.41:7380", "10.2.0.43:7380", "10.3.0.8:7380"), found
     assert (found.front, found.readiness, found.control) == ("10.1.0.38:8149", "10.1.0.38:8141", None), found
-    assert (found.first_start, found.lease_duration, found.grace, found.far, found.machines_lost) == (
+    assert (
+        found.first_start,
+        found.lease_duration,
+        found.grace,
+        found.far,
+        found.tolerated_machine_losses,
+    ) == (
         True,
         4.0,
         6.0,
@@ -719,19 +725,19 @@
 
 @then("the place that the variable names is the same")
 def step_variable(context):
-    with mock.patch.dict(os.environ, {platform_settings.VARIABLE: context.path}):
+    with mock.patch.dict(os.environ, {platform_settings.SETTINGS_VARIABLE: context.path}):
         assert platform_settings.read("front") == context.place
 
 
 @then("without the variable, or the file, the variable is named")
 def step_no_variable(context):
     with mock.patch.dict(os.environ):
-        os.environ.pop(platform_settings.VARIABLE, None)
+        os.environ.pop(platform_settings.SETTINGS_VARIABLE, None)
         without = platform_settings.read("front")
-    with mock.patch.dict(os.environ, {platform_settings.VARIABLE: context.path + "-gone"}):
+    with mock.patch.dict(os.environ, {platform_settings.SETTINGS_VARIABLE: context.path + "-gone"}):
         gone = platform_settings.read("front")
     for found, faults in (without, gone):
-        assert found is None and len(faults) == 1 and platform_settings.VARIABLE in faults[0], faults
+        assert found is None and len(faults) == 1 and platform_settings.SETTINGS_VARIABLE in faults[0], faults
 
 
 @when("the setting {field} is {value}")
@@ -767,7 +773,7 @@
             capture_output=True,
             text=True,
             timeout=20,
-            env={**os.environ, platform_settings.VARIABLE: context.path},
+            env={**os.environ, platform_settings.SETTINGS_VARIABLE: context.path},
         )
         assert ended.returncode == 2 and "Traceback" not in ended.stderr, ended
         lines = ended.stderr.strip().splitlines()
@@ -778,8 +784,8 @@
 
 @when("it is watched, and other seeds are written there")
 def step_watched(context):
-    context.watch = platform_settings.Watch("front", context.place[0])
-    with mock.patch.dict(os.environ, {platform_settings.VARIABLE: context.path}):
+    context.watch = platform_settings.SettingsWatcher("front", context.place[0])
+    with mock.patch.dict(os.environ, {platform_settings.SETTINGS_VARIABLE: context.path}):
         context.answered_orders = [context.watch.changed()]
         context.settings["seedAddresses"] = "10.9.0.1:8144,10.9.0.2:8144,10.9.0.3:8144"
         write(context)
