--- a/src/pinepitch/cli/cluster_text.py
+++ b/src/pinepitch/cli/cluster_text.py
@@ -1,4 +1,4 @@
-"""The cluster as `pinepitch cluster` prints it: who leads since when, what may be lost, members, daemons."""
+"""The text of `pinepitch cluster`: leader and start of its term, tolerated losses, members, daemons."""
 
 from collections.abc import Mapping
 from datetime import UTC, datetime
@@ -8,14 +8,14 @@
 
 
 def cluster_text(document: Mapping[str, Any]) -> str:
-    """The answer of GET /v1/cohort as text; what an earlier version's leader leaves out is left out here."""
-    rest = {key: value for key, value in document.items() if key not in ("leads_since", "may_lose")}
+    """The answer of GET /v1/cohort as text, without fields that the leader of an earlier version omits."""
+    other_fields = {key: value for key, value in document.items() if key not in ("leads_since", "may_lose")}
     lines = []
     if "leads_since" in document:
         lines.append(_leadership(document))
     if "may_lose" in document:
         lines.extend(_tolerance(document["may_lose"]))
-    return "\n".join([*lines, flat(rest)])
+    return "\n".join([*lines, flat(other_fields)])
 
 
 def _leadership(document: Mapping[str, Any]) -> str:
--- a/src/pinepitch/cli/commands.py
+++ b/src/pinepitch/cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands of `pinepitch`, but those with a program of their own (program.PROGRAMS)."""
+"""The commands of `pinepitch`, except those with their own program (program.PROGRAMS)."""
 
 from .cluster_text import cluster_text
 from .exit_codes import ExitCode, leave
@@ -26,35 +26,35 @@
         self.configuration = RouteConfigurationCommands
 
     def workers(self, front: str | None = None, json: bool = False) -> None:
-        """The workers that run leased jobs, as the leader knows them."""
+        """Shows the workers that run leased jobs, as known to the leader."""
         FrontCommands(front, json)._get("/v1/workers", workers_text)
 
     def evacuations(self, front: str | None = None, json: bool = False) -> None:
-        """The zones whose workers get no new work."""
+        """Shows the zones whose workers get no new work."""
         FrontCommands(front, json)._get("/v1/evacuations", lambda document: table(document["evacuations"]))
 
     def pending(self, front: str | None = None, json: bool = False) -> None:
-        """Waiting tasks, credits and limits of every queue."""
+        """Shows the waiting tasks, credits and limits of every queue."""
         FrontCommands(front, json)._get("/v1/pending", lambda document: table(document["queues"]))
 
     def cluster(self, front: str | None = None, json: bool = False) -> None:
-        """The control daemons, their leader and since when it leads, what may be lost, every session."""
+        """Shows the control daemons, their leader and when it took over, tolerated losses, every session."""
         FrontCommands(front, json)._get("/v1/cohort", cluster_text)
 
     def counts(self, front: str | None = None, json: bool = False) -> None:
-        """Counts of the cluster state."""
+        """Shows counts of the cluster state."""
         FrontCommands(front, json)._get("/v1/figures")
 
     def pauses(self, front: str | None = None, json: bool = False) -> None:
-        """The alerts that hold approvals back now."""
+        """Shows the alerts that currently pause approvals."""
         FrontCommands(front, json)._get("/v1/holds", lambda document: table(document["holds"]))
 
     def health(self, front: str | None = None, json: bool = False) -> None:
-        """What one front daemon knows of itself."""
+        """Shows the state that a front daemon reports of itself."""
         FrontCommands(front, json)._get("/v1/health")
 
     def timeline(self, *logs: str, window: float = 2.0) -> None:
-        """Tells from control daemons' logs at level debug where the time of jobs went, stage by stage."""
+        """Shows how long jobs spent in each stage, from control daemons' logs at level debug."""
         from .timeline import report
 
         lines: list[str] = []
@@ -76,7 +76,7 @@
         level: str = "warning",
         fault: str = "",
     ) -> None:
-        """Runs a whole deployment on this machine, checks its histories."""
+        """Runs a whole deployment on this machine and checks its histories."""
         from ..simulation.fleet.runs import fleet
 
         fleet(plan, seconds, rate, seed, folder, level, fault)
@@ -89,13 +89,13 @@
         most: int | None = None,
         out: str | None = None,
     ) -> None:
-        """Runs real daemons beside hollow workers at rising sizes; prints what each spends."""
+        """Runs real daemons with simulated workers at increasing sizes; prints what each daemon consumes."""
         from ..simulation.scale.sweep import scale
 
         scale(sweep, seconds, seed, most, out)
 
     def traffic(self, front: str | None = None, seconds: float = 30, rate: float = 1.0) -> None:
-        """Sends stand-in pushed jobs to the queue `default`, for a try."""
+        """Sends sample pushed jobs to the queue `default`, to try out a deployment."""
         from ..simulation.fleet.client_traffic import traffic
 
         traffic(front_address(front), seconds, rate)
@@ -115,25 +115,25 @@
         mode: str = "static",
         injected_fault: str = "",
     ) -> None:
-        """Runs simulated fleets under failures, over many seeds; prints how to replay a fault."""
+        """Runs simulated fleets under failures with many seeds; prints how to replay a fault."""
         from ..simulation.pushed_job_trial import trials
 
         trials(scenario, seeds, first, fleet, mode, injected_fault)
 
     def explore(self, model: str = "all", states: int = 0, walks: int = 1_000, fault: str = "") -> None:
-        """Searches every schedule of small fleets of consensus, at length; prints what breaks and how."""
+        """Searches every schedule of small consensus clusters (slow); prints what breaks and how."""
         from ..simulation.model_checker.search import explore
 
         explore(model, states, walks, fault)
 
     def forecasts(self, seconds: float = 20) -> None:
-        """Compares rehearsals' forecasts with what fleets of processes then do."""
+        """Compares the forecasts of rehearsals with the measured results of fleets of processes."""
         from ..simulation.fleet.forecasts import forecasts
 
         forecasts(seconds)
 
     def rates(self, idle: int = 200, known: int = 25) -> None:
-        """Measures how often rehearsals err, over idle drafts and drafts with a known effect."""
+        """Measures the error rate of rehearsals over drafts without effect and drafts with a known effect."""
         from ..simulation.rates import rates
 
         rates(idle, known)
--- a/src/pinepitch/cli/drafts_text.py
+++ b/src/pinepitch/cli/drafts_text.py
@@ -1,4 +1,4 @@
-"""Drafts of the queue table as text: their cells, what a rehearsal measured, and its verdict."""
+"""Drafts of the queue table as text: their cells, the results of a rehearsal, and its verdict."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 def drafts_text(document: Document) -> str:
     """A listing of drafts as a table."""
-    rows = [{**one, "verdict": (one["measure"] or {}).get("verdict")} for one in document["drafts"]]
+    rows = [{**draft, "verdict": (draft["measure"] or {}).get("verdict")} for draft in document["drafts"]]
     return table(rows, DRAFTS_COLUMNS)
 
 
@@ -42,7 +42,7 @@
 
 
 def _queue_rows(queue: dict[str, Any]) -> list[dict[str, Any]]:
-    """A row for each value of a queue that isn't 0 both in force and by the draft."""
+    """One row for each value of a queue, except values that are 0 both in the active table and the draft."""
     rows = []
     for name in MEASURED:
         before, after = queue[name], queue[f"draft_{name}"]
--- a/src/pinepitch/cli/earlier_names.py
+++ b/src/pinepitch/cli/earlier_names.py
@@ -1,6 +1,6 @@
 """Earlier names of programs, commands, flags and variables.
 
-They work for one version after their new names came, and say what replaces them.
+They work for one version after the new names were introduced, and a message names the replacement.
 """
 
 import re
@@ -33,36 +33,36 @@
 }
 VARIABLES = {"PINEPITCH_FRONT": "PINEPITCH_VERGE"}  # new name -> earlier name
 FLAG = re.compile(r"--?([a-z][a-z_-]+)(=.*)?", re.DOTALL)
-END_OF_FLAGS = "--"  # what follows is meant for fire itself
+END_OF_FLAGS = "--"  # the arguments after it are for fire itself
 
 
 class Replaced(NamedTuple):
-    """One earlier name that was used, and what replaces it."""
+    """An earlier name that was used, and its replacement."""
 
     earlier: str
     now: str
 
 
 class Translation(NamedTuple):
-    """Arguments by their present names, and the earlier names that stood there."""
+    """Arguments with their present names, and the earlier names that were replaced."""
 
     arguments: list[str]
     replaced: list[Replaced]
 
 
 def translate(arguments: Sequence[str]) -> Translation:
-    """Puts present names in the place of an earlier command and of earlier flags."""
-    found, replaced = [], []
+    """Replaces an earlier command and earlier flags by their present names."""
+    translated, replaced = [], []
     flags_end = False
-    for place, argument in enumerate(arguments):
+    for position, argument in enumerate(arguments):
         flags_end = flags_end or argument == END_OF_FLAGS
         new = argument if flags_end else _present_flag(argument)
-        if place == 0:
+        if position == 0:
             new = COMMANDS.get(argument, argument)
         if new != argument:
             replaced.append(Replaced(argument.partition("=")[0], new.partition("=")[0]))
-        found.append(new)
-    return Translation(found, replaced)
+        translated.append(new)
+    return Translation(translated, replaced)
 
 
 def _present_flag(argument: str) -> str:
@@ -73,18 +73,18 @@
 
 
 def environment(name: str, variables: Mapping[str, str]) -> str | None:
-    """The value of a variable, by its present or its earlier name."""
+    """The value of an environment variable under its present or its earlier name."""
     if name in variables:
         return variables[name]
     earlier = VARIABLES[name]
     if earlier in variables:
-        tell([Replaced(earlier, name)])
+        report_replaced([Replaced(earlier, name)])
     return variables.get(earlier)
 
 
-def tell(replaced: Sequence[Replaced]) -> None:
-    """Says on standard error, in one line, what replaces the earlier names that were used."""
+def report_replaced(replaced: Sequence[Replaced]) -> None:
+    """Prints one line to standard error that names the replacements of the earlier names in use."""
     if not replaced:
         return
-    names = ", ".join(f"{one.earlier} is now {one.now}" for one in dict.fromkeys(replaced))
+    names = ", ".join(f"{name.earlier} is now {name.now}" for name in dict.fromkeys(replaced))
     print(f"pinepitch: earlier names, to be dropped in the next version: {names}", file=sys.stderr)
--- a/src/pinepitch/cli/earlier_programs.py
+++ b/src/pinepitch/cli/earlier_programs.py
@@ -7,21 +7,21 @@
 
 
 def _run(name: str) -> None:
-    """Runs the command that replaces a program, and says so."""
+    """Runs the command that replaces a program, and prints which one it is."""
     now = PROGRAMS[name]
     program.run([now.removeprefix("pinepitch "), *sys.argv[1:]], [Replaced(name, now)])
 
 
 def accord() -> None:
-    """The control daemon, by its earlier name."""
+    """Runs the control daemon under its earlier name."""
     _run("accord")
 
 
 def verge() -> None:
-    """The front daemon, by its earlier name."""
+    """Runs the front daemon under its earlier name."""
     _run("verge")
 
 
 def whence() -> None:
-    """The explanation of a job, by its earlier name."""
+    """Explains a job under the command's earlier name."""
     _run("whence")
--- a/src/pinepitch/cli/exit_codes.py
+++ b/src/pinepitch/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""How a command ends: the exit codes of `pinepitch` and how it leaves with one."""
+"""The exit codes of `pinepitch`, and how a command exits with one."""
 
 import enum
 import sys
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes of every command that speaks to a front daemon (docs/operators.md)."""
+    """Exit codes of every command that calls a front daemon (docs/operators.md)."""
 
     DONE = 0
     REFUSED = 1
@@ -26,14 +26,14 @@
 
 
 def of_status(status: int) -> ExitCode:
-    """The exit code that fits an answer's HTTP status."""
+    """The exit code for an answer's HTTP status."""
     if 200 <= status < 300:
         return ExitCode.DONE
     return ExitCode.TRY_LATER if status in TRY_LATER_STATUSES else ExitCode.REFUSED
 
 
 def leave(code: ExitCode, *lines: str) -> NoReturn:
-    """Prints lines to standard error, each after the program's name, and ends the process."""
+    """Prints lines to standard error, each prefixed with the program's name, and exits."""
     for line in lines:
         print(f"pinepitch: {line}", file=sys.stderr)
     sys.exit(code)
--- a/src/pinepitch/cli/explain.py
+++ b/src/pinepitch/cli/explain.py
@@ -1,4 +1,4 @@
-"""pinepitch explain: why each task of a job went where it went, or why it waits."""
+"""pinepitch explain: why each task of a job was placed where it was, or why it waits."""
 
 import re
 from collections.abc import Sequence
@@ -10,11 +10,11 @@
 from .leased_jobs import LeasedJobCommands
 from .text_tables import table
 
-LEASED_JOB = re.compile(r"[0-9a-fA-F]{16}")  # what names a leased job; a pushed job's name begins with t
+LEASED_JOB = re.compile(r"[0-9a-fA-F]{16}")  # names of leased jobs; names of pushed jobs begin with t
 
 
 def explanation(document: Document) -> str:
-    """The explanation of a pushed job in words."""
+    """The explanation of a pushed job as text."""
     lines = _job_lines(document)
     for task in document["tasks"]:
         lines += _task_lines(task)
@@ -40,7 +40,7 @@
         f"{attempts} attempts failed)",
         f"  {task['why']}",
     ]
-    lines += [_attempt_line(one) for one in task["attempts_made"]]
+    lines += [_attempt_line(attempt) for attempt in task["attempts_made"]]
     if task.get("yields_to"):
         lines.append(f"  asked to yield to {task['yields_to']}")
     if task.get("candidates"):
@@ -60,7 +60,7 @@
 
 @text_argument("job")  # the name of a leased job may look like a number
 def run(job: str, front: str | None = None, json: bool = False) -> None:
-    """Explains a job from the cluster state: candidates, what ruled each out, credits, epoch.
+    """Explains a job from the cluster state: candidates, why each was excluded, credits, epoch.
 
     Args:
         job: the name of a pushed job (t...) or a leased one (16 hex digits).
@@ -75,5 +75,5 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Runs the command with these arguments, by default the process's."""
+    """Runs the command with the given arguments, by default those of the process."""
     fire.Fire(run, command=arguments, name="pinepitch explain")
--- a/src/pinepitch/cli/front_commands.py
+++ b/src/pinepitch/cli/front_commands.py
@@ -1,4 +1,4 @@
-"""What the commands share: one call to a front daemon, and its answer as text."""
+"""Shared code of the commands: a call to a front daemon, and its answer as text."""
 
 import json
 import os
@@ -24,7 +24,7 @@
 
 
 def front_address(address: str | None) -> str:
-    """IP:PORT of the front daemon to speak to: as given, else of the environment, else the default."""
+    """IP:PORT of the front daemon to call: the argument, else the environment variable, else the default."""
     if address:
         return address
     environment = earlier_names.environment("PINEPITCH_FRONT", os.environ)
@@ -32,7 +32,7 @@
 
 
 def request(front: str, method: str, target: str, document: Any = None, headers: Headers = ()) -> Any:
-    """The http.Response of a front daemon; the process ends with NO_ANSWER if there is none."""
+    """The http.Response of a front daemon; the process exits with NO_ANSWER if there is none."""
 
     async def call() -> Any:
         client = http.Client(*daemon_settings.split(front))
@@ -48,7 +48,7 @@
 
 
 def finish(answer: Any, as_json: bool, show: Callable[[Document], str]) -> None:
-    """Prints an answer and, unless it is a success, ends the process with the code that fits it."""
+    """Prints an answer and, unless it is a success, exits with the matching code."""
     code = of_status(answer.status)
     if code is not ExitCode.DONE:
         print(json.dumps(answer.document, indent=2), file=sys.stdout if answer.status < 300 else sys.stderr)
@@ -62,7 +62,7 @@
 
 
 def text_argument(name: str) -> Callable[[Function], Function]:
-    """Has an argument of a command taken as text, as it was typed, also if it looks like a number."""
+    """A decorator that passes an argument to a command as text, even if it looks like a number."""
 
     def decorate(function: Function) -> Function:
         SetParseFn(str, name)(function)
@@ -72,7 +72,7 @@
 
 
 class FrontCommands:
-    """Commands that speak to one front daemon: --front IP:PORT or PINEPITCH_FRONT."""
+    """Commands that call one front daemon: --front IP:PORT or PINEPITCH_FRONT."""
 
     def __init__(self, front: str | None = None, json: bool = False, operator: str | None = None) -> None:
         self._front = front_address(front)
@@ -80,7 +80,7 @@
         self._operator = operator or os.environ.get("USER", "unnamed")
 
     def _get(self, target: str, show: Callable[[Document], str] = flat) -> None:
-        """Prints what a read call answers."""
+        """Prints the answer to a read call."""
         finish(request(self._front, "GET", target), self._json, show)
 
     def _do(
@@ -91,7 +91,7 @@
         headers: Headers = (),
         show: Callable[[Document], str] = flat,
     ) -> None:
-        """Prints what a change answers; the change bears the operator's name."""
+        """Prints the answer to a change; the request carries the operator's name."""
         headers = (("X-Operator", self._operator), *headers)
         finish(request(self._front, method, target, document, headers), self._json, show)
 
--- a/src/pinepitch/cli/leased_jobs.py
+++ b/src/pinepitch/cli/leased_jobs.py
@@ -22,7 +22,7 @@
     "speed",
     "heard",
 )
-LISTS = ("waves", "placements", "more_waves")  # fields of a job that aren't shown a line each
+LISTS = ("waves", "placements", "more_waves")  # fields of a job that are not shown as one line each
 
 
 class LeasedJobCommands(FrontCommands):
@@ -30,7 +30,7 @@
 
     @text_argument("job")  # 16 hex digits may look like a number
     def show(self, job: str) -> None:
-        """A leased job's state, its waves and its placements."""
+        """Shows a leased job's state, its waves and its placements."""
         self._get(f"/v1/jobs/{job}", job_text)
 
 
@@ -38,15 +38,15 @@
     """show."""
 
     def show(self) -> None:
-        """The routes and services in force."""
+        """Shows the active routes and services."""
         self._get("/v1/configuration", as_json_text)
 
 
 def job_text(document: Document) -> str:
-    """A leased job in words."""
+    """A leased job as text."""
     lines = [f"{key}: {value}" for key, value in document.items() if key not in LISTS and value is not None]
     if document["waves"]:
-        waves = [{**wave, "why": why_of(wave)} for wave in document["waves"]]
+        waves = [{**wave, "why": waiting_reason(wave)} for wave in document["waves"]]
         lines += ["waves:", table(waves, WAVE_COLUMNS)]
     if document["more_waves"]:
         lines.append(f"and {document['more_waves']} more waves")
@@ -55,11 +55,11 @@
     return "\n".join(lines)
 
 
-def why_of(wave: dict[str, Any]) -> str:
-    """Why some of a wave waits, with how many workers each reason rules out."""
+def waiting_reason(wave: dict[str, Any]) -> str:
+    """Why tasks of a wave wait, with the number of workers that each reason excludes."""
     candidates = sorted(wave.get("candidates", {}).items())
-    ruled_out = ", ".join(f"{count} {why}" for why, count in candidates)
-    return str(wave["why"]) + (f" (workers: {ruled_out})" if ruled_out else "")
+    excluded = ", ".join(f"{count} {reason}" for reason, count in candidates)
+    return str(wave["why"]) + (f" (workers: {excluded})" if excluded else "")
 
 
 def workers_text(document: Document) -> str:
--- a/src/pinepitch/cli/overview.py
+++ b/src/pinepitch/cli/overview.py
@@ -1,4 +1,4 @@
-"""The overview that `pinepitch --help` prints: every command with one line of its doc comment."""
+"""The overview that `pinepitch --help` prints: every command with one line of its docstring."""
 
 import inspect
 from typing import Any, NamedTuple
@@ -7,22 +7,22 @@
 from .commands import Commands
 from .exit_codes import MEANINGS
 
-PROGRAMS = {  # what program.PROGRAMS do, told here so that the daemons needn't be imported
+PROGRAMS = {  # summaries of program.PROGRAMS, stated here so that the daemons needn't be imported
     "control": "Runs a control daemon.",
     "front": "Runs a front daemon.",
-    "explain": "Tells why each task of a job, pushed or leased, stands where it stands.",
+    "explain": "Explains why each task of a job, pushed or leased, is where it is.",
 }
 
 
-class Listed(NamedTuple):
-    """A command as the overview lists it."""
+class CommandSummary(NamedTuple):
+    """A command as listed in the overview."""
 
     name: str  # "COMMAND" or "GROUP COMMAND"
     summary: str
 
 
 def summary(command: Any) -> str:
-    """The first sentence of a command's doc comment; '' when it has none."""
+    """The first sentence of a command's docstring; '' if it has none."""
     text = " ".join((inspect.getdoc(command) or "").split("\n\n")[0].split())
     sentence, stop, _ = text.partition(". ")
     return sentence + "." if stop else text
@@ -33,22 +33,26 @@
     return name.replace("_", "-")
 
 
-def _public_functions(owner: Any) -> list[Listed]:
+def _public_functions(owner: Any) -> list[CommandSummary]:
     functions = inspect.getmembers(owner, inspect.isfunction)
-    return [Listed(shown_name(name), summary(one)) for name, one in functions if not name.startswith("_")]
+    return [
+        CommandSummary(shown_name(name), summary(function))
+        for name, function in functions
+        if not name.startswith("_")
+    ]
 
 
-def commands() -> list[Listed]:
-    """Every command: those with a program of their own, those of the groups, and the others."""
-    found = [Listed(name, what) for name, what in PROGRAMS.items()]
+def commands() -> list[CommandSummary]:
+    """Every command: those with their own program, those of the groups, and the others."""
+    summaries = [CommandSummary(name, text) for name, text in PROGRAMS.items()]
     for group, owner in sorted(vars(Commands()).items()):
-        for act in _public_functions(owner):
-            found.append(Listed(f"{shown_name(group)} {act.name}", act.summary))
-    return found + _public_functions(Commands)
+        for command in _public_functions(owner):
+            summaries.append(CommandSummary(f"{shown_name(group)} {command.name}", command.summary))
+    return summaries + _public_functions(Commands)
 
 
 def _earlier_lines() -> list[str]:
-    """What the earlier names are, in a few lines."""
+    """The lines that list the earlier names."""
     flags = {f"--{earlier}": f"--{now}" for earlier, now in earlier_names.FLAGS.items()}
     variables = {earlier: now for now, earlier in earlier_names.VARIABLES.items()}
     lines = ["Earlier names, which go on working in this version:"]
@@ -60,9 +64,9 @@
 def overview() -> str:
     """The text of `pinepitch --help`."""
     listed = commands()
-    width = max(len(one.name) for one in listed)
+    width = max(len(command.name) for command in listed)
     lines = ["pinepitch: run and drive the scheduler.", "", "Commands:"]
-    lines += [f"  {one.name.ljust(width)}  {one.summary}" for one in listed]
+    lines += [f"  {command.name.ljust(width)}  {command.summary}" for command in listed]
     lines += [
         "",
         "A group takes --front=IP:PORT, --json and --operator=NAME: `pinepitch pushed-job list --json`.",
--- a/src/pinepitch/cli/program.py
+++ b/src/pinepitch/cli/program.py
@@ -1,6 +1,6 @@
 """pinepitch: the daemons and the operators' command line.
 
-A daemon's program is imported only when it is asked for, and starts without the operators' commands.
+A daemon's program is imported only on request, and starts without importing the operators' commands.
 """
 
 import importlib
@@ -11,8 +11,8 @@
 
 from . import earlier_names
 
-ASKS_FOR_HELP = ("-h", "--help", "help")
-PROGRAMS = {  # commands with a program of their own -> its module
+HELP_ARGUMENTS = ("-h", "--help", "help")
+PROGRAMS = {  # command with its own program -> module of that program
     "control": "pinepitch.control.program",
     "front": "pinepitch.front.program",
     "explain": "pinepitch.cli.explain",
@@ -20,16 +20,16 @@
 
 
 def run(arguments: Sequence[str], replaced: Sequence[earlier_names.Replaced] = ()) -> None:
-    """Runs one command after saying which earlier names were used; without one, prints the overview."""
+    """Runs one command after reporting earlier names in use; without a command, prints the overview."""
     translation = earlier_names.translate(arguments)
-    earlier_names.tell([*replaced, *translation.replaced])
-    command, *rest = translation.arguments or ["help"]
-    if command in ASKS_FOR_HELP:
+    earlier_names.report_replaced([*replaced, *translation.replaced])
+    command, *command_arguments = translation.arguments or ["help"]
+    if command in HELP_ARGUMENTS:
         from .overview import overview
 
         print(overview())
     elif command in PROGRAMS:
-        importlib.import_module(PROGRAMS[command]).main(rest)
+        importlib.import_module(PROGRAMS[command]).main(command_arguments)
     else:
         from .commands import Commands
 
--- a/src/pinepitch/cli/pushed_jobs.py
+++ b/src/pinepitch/cli/pushed_jobs.py
@@ -1,4 +1,4 @@
-"""Commands about pushed jobs: those whose tasks are pushed to workers by start orders."""
+"""Commands for pushed jobs, whose tasks are pushed to workers by start orders."""
 
 from .front_commands import Document, FrontCommands, Headers, read_file
 from .text_tables import table
@@ -10,21 +10,21 @@
     """submit, show, list, cancel."""
 
     def submit(self, file: str, key: str | None = None) -> None:
-        """Hands in the pushed job in a JSON file ('-' for standard input)."""
+        """Submits the pushed job in a JSON file ('-' for standard input)."""
         document = read_file(file)
         headers: Headers = (("Idempotency-Key", str(key)),) if key else ()
         self._do("POST", "/v1/tickets", document, headers)
 
     def show(self, job: str) -> None:
-        """A pushed job with the state of each task."""
+        """Shows a pushed job with the state of each task."""
         self._get(f"/v1/tickets/{job}")
 
     def list(self, after: int = 0, limit: int = 50, state: str = "", queue: str = "") -> None:
-        """Pushed jobs, a page at a time, by state or queue."""
+        """Lists pushed jobs by state or queue, one page at a time."""
         self._get(f"/v1/tickets?after={after}&limit={limit}&state={state}&queue={queue}", page_text)
 
     def cancel(self, job: str) -> None:
-        """Cancels a pushed job: nothing more of it starts."""
+        """Cancels a pushed job: no more of its tasks start."""
         self._do("POST", f"/v1/tickets/{job}/cancel")
 
 
--- a/src/pinepitch/cli/queue_configuration.py
+++ b/src/pinepitch/cli/queue_configuration.py
@@ -1,4 +1,4 @@
-"""Commands about queue configurations: the versions of the queue table with its weights."""
+"""Commands for queue configurations: the versions of the queue table with its weights."""
 
 import difflib
 import json
@@ -11,7 +11,7 @@
     """show, put, patch, history, diff, back. put and patch skip rehearsal: for emergencies."""
 
     def diff(self, earlier: int, later: int) -> None:
-        """What differs between two versions."""
+        """Shows the differences between two versions."""
         before, after = self._version_lines(earlier), self._version_lines(later)
         lines = difflib.unified_diff(before, after, f"version {earlier}", f"version {later}", lineterm="")
         print("\n".join(lines))
@@ -23,32 +23,32 @@
         return json.dumps(answer.document["setup"], indent=2, sort_keys=True).splitlines()
 
     def show(self, version: int | None = None) -> None:
-        """The queue configuration in force, or an earlier version."""
+        """Shows the active queue configuration, or an earlier version."""
         target = "/v1/setup" if version is None else f"/v1/setup/versions/{version}"
         self._get(target, as_json_text)
 
     def put(self, file: str, base: int, why: str = "") -> None:
-        """Puts the whole queue configuration in a JSON file in force, built on version `base`."""
+        """Activates the complete queue configuration in a JSON file, based on version `base`."""
         self._change("PUT", file, base, why)
 
     def patch(self, file: str, base: int, why: str = "") -> None:
-        """Merges the JSON file into the queue configuration, built on version `base`."""
+        """Merges a JSON file into the queue configuration, based on version `base`."""
         self._change("PATCH", file, base, why)
 
     def _change(self, method: str, file: str, base: int, why: str) -> None:
         self._do(method, "/v1/setup", read_file(file), _change_headers(base, why))
 
     def history(self) -> None:
-        """The versions of the queue configuration, by whom and why."""
+        """Lists the versions of the queue configuration, with operator and reason."""
         self._get("/v1/setup/versions", _history_text)
 
     def back(self, version: int, base: int, why: str = "") -> None:
-        """Makes a new version out of an old one."""
+        """Creates a new version from an old one."""
         self._do("POST", "/v1/setup/back", {"version": version}, _change_headers(base, why))
 
 
 def _change_headers(base: int, why: str) -> tuple[tuple[str, str], ...]:
-    """The version that a change is built on, and its reason."""
+    """The headers with the version that a change is based on and its reason."""
     return ("If-Match", str(base)), ("X-Reason", why)
 
 
--- a/src/pinepitch/cli/queue_table.py
+++ b/src/pinepitch/cli/queue_table.py
@@ -1,4 +1,4 @@
-"""Commands about the queue table and the drafts that change it."""
+"""Commands for the queue table and the drafts that change it."""
 
 import csv
 import json
@@ -14,12 +14,12 @@
 from .front_commands import Document, FrontCommands, finish, request
 from .text_tables import flat, table
 
-REHEARSAL_ASKED_EVERY = 0.3  # seconds
-FIRST_ROW = 2  # line of a CSV file, after the one of its columns
+REHEARSAL_POLL_INTERVAL = 0.3  # seconds
+FIRST_ROW = 2  # line number of the first row of a CSV file, after the line of columns
 
 
 class Cell(NamedTuple):
-    """A cell of a CSV file and its value there."""
+    """A cell of a CSV file with its value."""
 
     queue: str
     column: str
@@ -30,19 +30,19 @@
     """show, csv, edit, read, drafts, draft, rehearse, approve, drop."""
 
     def show(self) -> None:
-        """The queue table in force."""
+        """Shows the active queue table."""
         self._get("/v1/table", _table_text)
 
     def csv(self) -> None:
-        """The table as CSV, to be edited and read back in."""
-        rows = self._in_force()["rows"]
+        """Prints the table as CSV, to be edited and then read with `read`."""
+        rows = self._active_table()["rows"]
         writer = csv.DictWriter(sys.stdout, list(rows[0]))
         writer.writeheader()
         writer.writerows(rows)
 
     def edit(self, *cells: str, base: int | None = None, why: str = "") -> None:
-        """Makes a draft of cells, each QUEUE.COLUMN=VALUE, on version `base` (the one in
-        force when left out).
+        """Creates a draft from cells, each QUEUE.COLUMN=VALUE, based on version `base` (by default the
+        active one).
         """
         changes = {}
         for cell in cells:
@@ -53,8 +53,8 @@
         self._draft({"base": self._base(base), "cells": changes}, why)
 
     def read(self, file: str, base: int | None = None, why: str = "") -> None:
-        """Makes a draft of the cells of a CSV file that differ from the table in force."""
-        current = self._in_force()
+        """Creates a draft from the cells of a CSV file that differ from the active table."""
+        current = self._active_table()
         before = {row["queue"]: row for row in current["rows"]}
         changes = {}
         for cell in read_cells(file):
@@ -62,8 +62,8 @@
                 changes[f"{cell.queue}.{cell.column}"] = cell.value
         self._draft({"base": base or current["version"], "cells": changes}, why)
 
-    def _in_force(self) -> Document:
-        """The answer with the queue table in force; the process ends if it is refused."""
+    def _active_table(self) -> Document:
+        """The answer with the active queue table; the process exits if the request is refused."""
         answer = request(self._front, "GET", "/v1/table")
         if answer.status != 200:
             finish(answer, True, flat)
@@ -79,24 +79,24 @@
         self._do("POST", "/v1/drafts", document, (("X-Reason", why),), draft_text)
 
     def drafts(self) -> None:
-        """The drafts and their verdicts."""
+        """Lists the drafts and their verdicts."""
         self._get("/v1/drafts", drafts_text)
 
     def draft(self, draft: str) -> None:
-        """One draft with its measure."""
+        """Shows one draft with its measured results."""
         self._get(f"/v1/drafts/{draft}", draft_text)
 
     def rehearse(self, draft: str, wait: float = 60) -> None:
-        """Has a draft measured against recent traffic; waits for the verdict, so many seconds at most."""
+        """Measures a draft against recent traffic; waits at most `wait` seconds for the verdict."""
         answer = request(self._front, "POST", f"/v1/drafts/{draft}/rehearse")
         until = time.monotonic() + wait
         while answer.status == 200 and answer.document["state"] == "rehearsing" and time.monotonic() < until:
-            curio.run(curio.sleep, REHEARSAL_ASKED_EVERY)
+            curio.run(curio.sleep, REHEARSAL_POLL_INTERVAL)
             answer = request(self._front, "GET", f"/v1/drafts/{draft}")
         finish(answer, self._json, draft_text)
 
     def approve(self, draft: str, why: str = "") -> None:
-        """Puts a draft in force if its rehearsal found it better."""
+        """Activates a draft if its rehearsal showed it to be better."""
         self._do("POST", f"/v1/drafts/{draft}/approve", None, (("X-Reason", why),))
 
     def drop(self, draft: str) -> None:
@@ -109,7 +109,7 @@
 
 
 def read_cells(file: str) -> list[Cell]:
-    """The cells of a CSV file; WRONG_USE, with a line for each fault, if there is any."""
+    """The cells of a CSV file; on faults, exits with WRONG_USE and one line for each fault."""
     cells: list[Cell] = []
     faults: list[str] = []
     try:
@@ -129,7 +129,7 @@
 
 
 def _is_complete(row: dict[Any, Any]) -> bool:
-    """Whether a row names its queue and has a cell for each column."""
+    """Whether a row names its queue and has exactly one cell for each column."""
     return bool(row.get("queue")) and None not in row and None not in row.values()
 
 
@@ -140,7 +140,7 @@
 
 
 def _value(text: str) -> Any:
-    """A cell's value: JSON where it is some, else the text."""
+    """A cell's value: parsed if it is valid JSON, else the text itself."""
     try:
         return json.loads(text.lower() if text in ("True", "False") else text)
     except ValueError:
--- a/src/pinepitch/cli/tenants.py
+++ b/src/pinepitch/cli/tenants.py
@@ -1,4 +1,4 @@
-"""Commands about tenants: what they may have and have running. No key is ever shown."""
+"""Commands for tenants: their limits and current use. No key is ever shown."""
 
 from typing import Any
 from urllib.parse import quote
@@ -14,27 +14,27 @@
     """list, show."""
 
     def list(self) -> None:
-        """The tenants, with what each may have and has running, and its jobs."""
+        """Lists the tenants, with the limits, the current use and the jobs of each."""
         self._get("/v1/tenants", tenants_text)
 
-    @text_argument("name")  # a name may look like a number
+    @text_argument("name")  # a name may consist of digits
     def show(self, name: str) -> None:
-        """One tenant, with a fingerprint of each of its keys."""
+        """Shows one tenant, with a fingerprint of each of its keys."""
         self._get(f"/v1/tenants/{quote(name, safe='')}", tenant_text)
 
 
 def tenants_text(document: Document) -> str:
     """The tenants as a table."""
-    return table([_with_capacities(one) for one in document["tenants"]], COLUMNS)
+    return table([_with_capacities(tenant) for tenant in document["tenants"]], COLUMNS)
 
 
 def tenant_text(document: Document) -> str:
-    """One tenant, a line for each field."""
+    """One tenant as text, with one line per field."""
     return flat(_with_capacities(document))
 
 
 def _with_capacities(tenant: dict[str, Any]) -> dict[str, Any]:
-    """A tenant with its capacities as text; what is not limited shows as "-"."""
+    """A tenant with its capacities as text; "-" stands for a capacity without a limit."""
     maximum = tenant["maximum"]
     if maximum is not None:
         maximum = {name: "-" if limit is None else limit for name, limit in maximum.items()}
--- a/src/pinepitch/cli/text_tables.py
+++ b/src/pinepitch/cli/text_tables.py
@@ -1,22 +1,22 @@
-"""Documents as text for a terminal: aligned tables, and fields a line each."""
+"""Documents as text for a terminal: aligned tables, or one line per field."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
 
 
 def table(rows: Sequence[Mapping[str, Any]], columns: Sequence[str] | None = None) -> str:
-    """Rows as aligned text, "(none)" without any; columns are those of the first row if not given."""
+    """Rows as aligned text, "(none)" if there are none; columns default to those of the first row."""
     if not rows:
         return "(none)"
     columns = columns or list(rows[0])
     cells = [[str(column) for column in columns]]
     cells += [[_cell(row.get(column)) for column in columns] for row in rows]
-    widths = [max(len(line[place]) for line in cells) for place in range(len(columns))]
+    widths = [max(len(line[column]) for line in cells) for column in range(len(columns))]
     return "\n".join(_aligned(line, widths) for line in cells)
 
 
 def flat(document: Mapping[str, Any]) -> str:
-    """A document's plain fields, a line each, then its lists, as tables where they hold documents."""
+    """A document's plain fields, one per line, then its lists, as tables if they contain documents."""
     lines = [f"{key}: {value}" for key, value in document.items() if not isinstance(value, list)]
     for key, value in document.items():
         if isinstance(value, list):
--- a/src/pinepitch/cli/timeline.py
+++ b/src/pinepitch/cli/timeline.py
@@ -1,9 +1,9 @@
-"""Where the time of jobs went, by stage, read from the logs of control daemons at level `debug`.
+"""How long jobs spent in each stage, from the logs of control daemons at level `debug`.
 
-Stages of a leased job, in seconds: agreed (from the leader taking the call to the job being agreed on),
-placed (from then to its first placement: it waited for capacity), told (to its first start being told),
-ran (to its last end being agreed on; runs that are repeated count here), shown (to a caller being
-told its final state).
+Stages of a leased job, in seconds, each from the end of the one before: agreed (from the time the leader
+accepts the call until the job is agreed on), placed (until its first placement; the job waits for capacity),
+told (until its first start is sent to a worker), ran (until its last end is agreed on, repeated runs
+included), shown (until a caller receives its final state).
 """
 
 import collections
@@ -14,11 +14,11 @@
 
 from .text_tables import table
 
-# numbers of events (docs/events.md)
-HANDED_IN, ACCEPTED, PLACED, NOTIFIED, ENDED, SHOWN = 186, 187, 188, 189, 155, 190
+# event numbers (docs/events.md)
+SUBMITTED, ACCEPTED, PLACED, NOTIFIED, ENDED, SHOWN = 186, 187, 188, 189, 155, 190
 STOPPED, MISJUDGED = 183, 185
 REACHED_BY = (ACCEPTED, PLACED, NOTIFIED, ENDED, SHOWN)  # the event at the end of each stage
-FINAL = ("completed", "failed")  # results of the end that ends a job
+FINAL = ("completed", "failed")  # results of the run end that also ends the job
 STAGES = ("agreed", "placed", "told", "ran", "shown")
 HIGH_PERCENTILE = 0.95
 NO_JOBS = "no job's handing in is told: are these logs of control daemons at level debug?"
@@ -27,7 +27,7 @@
 
 
 class TimedEvent(NamedTuple):
-    """An event of a log and when it happened, seconds since 1970."""
+    """An event of a log and its time in seconds since 1970."""
 
     at: float
     event: Event
@@ -48,16 +48,16 @@
 
 
 class JobTimes(NamedTuple):
-    """When a job passed each stage, seconds since 1970; None for one that no log tells of."""
+    """When a job reached the end of each stage, in seconds since 1970; None if no log contains it."""
 
     queue: str
-    handed_in: float
-    reached: tuple[float | None, ...]  # one time a stage
+    submitted_at: float
+    reached: tuple[float | None, ...]  # one time per stage
 
     def spans(self) -> list[float | None]:
-        """Seconds spent in each stage, None from the first one not told on."""
+        """Seconds spent in each stage; None if the logs lack the time of its start or end."""
         spans: list[float | None] = []
-        before: float | None = self.handed_in
+        before: float | None = self.submitted_at
         for at in self.reached:
             spans.append(max(0.0, at - before) if at is not None and before is not None else None)
             before = at
@@ -65,9 +65,9 @@
 
 
 def events(lines: Iterable[str]) -> list[TimedEvent]:
-    """The events that some lines hold, whatever stands before each, by their time."""
-    found = [event for event in map(_event_in, lines) if event is not None]
-    return sorted(found, key=lambda one: one.at)
+    """The events in some log lines, in order of time; any text before the JSON of a line is ignored."""
+    timed_events = [event for event in map(_event_in, lines) if event is not None]
+    return sorted(timed_events, key=lambda event: event.at)
 
 
 def _event_in(line: str) -> TimedEvent | None:
@@ -87,21 +87,21 @@
 
 
 class Timeline:
-    """What the logs tell. Invariant: of each job and stage the first time counts, of ends the last."""
+    """The content of the logs. Invariant: the first time counts for each job and stage, for ends the last."""
 
-    def __init__(self, found: Iterable[TimedEvent]) -> None:
+    def __init__(self, timed_events: Iterable[TimedEvent]) -> None:
         self.queues: dict[str, str] = {}  # job -> queue
         self.reached: dict[str, dict[int, float]] = collections.defaultdict(dict)  # job -> event -> when
         self.ends: collections.Counter[str] = collections.Counter()  # how a run ended -> runs
         self.outcomes: collections.Counter[Outcome] = collections.Counter()
         self.misjudged = 0
-        self._stopped: dict[RunName, str] = {}  # why it was stopped, until it has ended
-        for at, event in found:
+        self._stopped: dict[RunName, str] = {}  # run -> why it was stopped, until the run has ended
+        for at, event in timed_events:
             self._take(at, event)
 
     def _take(self, at: float, event: Event) -> None:
         number = event["number"]
-        if number in (HANDED_IN, ACCEPTED, SHOWN):
+        if number in (SUBMITTED, ACCEPTED, SHOWN):
             self._take_job(at, event)
         elif number in (PLACED, NOTIFIED):
             self.reached[_job_of(event["task"])].setdefault(number, at)
@@ -114,32 +114,32 @@
 
     def _take_job(self, at: float, event: Event) -> None:
         self.reached[event["job"]].setdefault(event["number"], at)
-        if event["number"] == HANDED_IN:
+        if event["number"] == SUBMITTED:
             self.queues[event["job"]] = event["queue"]
 
     def _take_end(self, at: float, event: Event) -> None:
         self.ends[event["how"]] += 1
-        why = self._stopped.pop(RunName(event["task"], event["attempt"]), None)
-        if why is not None:
-            self.outcomes[Outcome(why, event["how"])] += 1
+        stop_reason = self._stopped.pop(RunName(event["task"], event["attempt"]), None)
+        if stop_reason is not None:
+            self.outcomes[Outcome(stop_reason, event["how"])] += 1
         if event.get("result") in FINAL:
             self.reached[_job_of(event["task"])][ENDED] = at
 
     def jobs(self) -> list[JobTimes]:
-        """JobTimes of every job whose handing in the logs tell."""
+        """JobTimes of every job whose submission is in the logs."""
         return [self._times_of(job, queue) for job, queue in self.queues.items()]
 
     def _times_of(self, job: str, queue: str) -> JobTimes:
         times = self.reached[job]
-        return JobTimes(queue, times[HANDED_IN], tuple(times.get(one) for one in REACHED_BY))
+        return JobTimes(queue, times[SUBMITTED], tuple(times.get(number) for number in REACHED_BY))
 
 
 def _table_row(name: str, jobs: Sequence[JobTimes]) -> dict[str, Any]:
-    """One row of a table: how many jobs, and of each stage the median and the 95th of 100."""
+    """A table row: the number of jobs, and the median and 95th percentile of each stage."""
     row: dict[str, Any] = {"of": name, "jobs": len(jobs)}
-    by_stage = zip(*(one.spans() for one in jobs), strict=True)
+    by_stage = zip(*(job.spans() for job in jobs), strict=True)
     for stage, spans in zip(STAGES, by_stage, strict=True):
-        row[stage] = _percentiles(sorted(one for one in spans if one is not None))
+        row[stage] = _percentiles(sorted(span for span in spans if span is not None))
     return row
 
 
@@ -151,18 +151,20 @@
 
 def _queues_table(jobs: Sequence[JobTimes]) -> str:
     by_queue = collections.defaultdict(list)
-    for one in jobs:
-        by_queue[one.queue].append(one)
-    return table([_table_row(queue, found) for queue, found in sorted(by_queue.items())])
+    for job in jobs:
+        by_queue[job.queue].append(job)
+    return table([_table_row(queue, queue_jobs) for queue, queue_jobs in sorted(by_queue.items())])
 
 
 def _windows_table(jobs: Sequence[JobTimes], window: float) -> str:
-    """Rows by when jobs were handed in, in windows of so many seconds from the first on."""
-    begun = min(one.handed_in for one in jobs)
+    """Rows by time of submission, in windows of `window` seconds from the first submission."""
+    begun = min(job.submitted_at for job in jobs)
     by_window = collections.defaultdict(list)
-    for one in jobs:
-        by_window[int((one.handed_in - begun) // window)].append(one)
-    return table([_table_row(f"{place * window:g} s", found) for place, found in sorted(by_window.items())])
+    for job in jobs:
+        by_window[int((job.submitted_at - begun) // window)].append(job)
+    return table(
+        [_table_row(f"{index * window:g} s", window_jobs) for index, window_jobs in sorted(by_window.items())]
+    )
 
 
 def _ends_table(ends: collections.Counter[str]) -> str:
@@ -171,12 +173,15 @@
 
 def _outcomes_table(outcomes: collections.Counter[Outcome]) -> str:
     return table(
-        [{"why": one.why, "ended": one.ended, "runs": count} for one, count in sorted(outcomes.items())]
+        [
+            {"why": outcome.why, "ended": outcome.ended, "runs": count}
+            for outcome, count in sorted(outcomes.items())
+        ]
     )
 
 
 def report(lines: Iterable[str], window: float = 2.0) -> str:
-    """The tables as text: stages by queue and by window of so many seconds, then ends and stops."""
+    """The tables as text: stages by queue and by window of `window` seconds, then ends and stops."""
     timeline = Timeline(events(lines))
     jobs = timeline.jobs()
     if not jobs:
--- a/src/pinepitch/proof/__init__.py
+++ b/src/pinepitch/proof/__init__.py
@@ -1,1 +1,1 @@
-"""Earlier module paths, kept for one version: `pinepitch.simulation` replaces this package."""
+"""Earlier module paths, still supported for one version: `pinepitch.simulation` replaces this package."""
--- a/src/pinepitch/proof/minion_program.py
+++ b/src/pinepitch/proof/minion_program.py
@@ -1,4 +1,4 @@
-"""The earlier path of `pinepitch.simulation.worker_program`, kept for one version."""
+"""The earlier path of `pinepitch.simulation.worker_program`, still supported for one version."""
 
 import sys
 
