--- a/src/pinepitch/cli/front_commands.py
+++ b/src/pinepitch/cli/front_commands.py
@@ -83,7 +83,7 @@
         """Prints the answer to a read call."""
         finish(request(self._front, "GET", target), self._json, show)
 
-    def _do(
+    def _send_change(
         self,
         method: str,
         target: str,
--- a/src/pinepitch/cli/pushed_jobs.py
+++ b/src/pinepitch/cli/pushed_jobs.py
@@ -13,7 +13,7 @@
         """Submits the pushed job in a JSON file ('-' for standard input)."""
         document = read_file(file)
         headers: Headers = (("Idempotency-Key", str(key)),) if key else ()
-        self._do("POST", "/v1/tickets", document, headers)
+        self._send_change("POST", "/v1/tickets", document, headers)
 
     def show(self, job: str) -> None:
         """Shows a pushed job with the state of each task."""
@@ -25,7 +25,7 @@
 
     def cancel(self, job: str) -> None:
         """Cancels a pushed job: no more of its tasks start."""
-        self._do("POST", f"/v1/tickets/{job}/cancel")
+        self._send_change("POST", f"/v1/tickets/{job}/cancel")
 
 
 def page_text(document: Document) -> str:
--- a/src/pinepitch/cli/queue_configuration.py
+++ b/src/pinepitch/cli/queue_configuration.py
@@ -36,7 +36,7 @@
         self._change("PATCH", file, base, why)
 
     def _change(self, method: str, file: str, base: int, why: str) -> None:
-        self._do(method, "/v1/setup", read_file(file), _change_headers(base, why))
+        self._send_change(method, "/v1/setup", read_file(file), _change_headers(base, why))
 
     def history(self) -> None:
         """Lists the versions of the queue configuration, with operator and reason."""
@@ -44,7 +44,7 @@
 
     def back(self, version: int, base: int, why: str = "") -> None:
         """Creates a new version from an old one."""
-        self._do("POST", "/v1/setup/back", {"version": version}, _change_headers(base, why))
+        self._send_change("POST", "/v1/setup/back", {"version": version}, _change_headers(base, why))
 
 
 def _change_headers(base: int, why: str) -> tuple[tuple[str, str], ...]:
--- a/src/pinepitch/cli/queue_table.py
+++ b/src/pinepitch/cli/queue_table.py
@@ -76,7 +76,7 @@
         return request(self._front, "GET", "/v1/table").document["version"]
 
     def _draft(self, document: Document, why: str) -> None:
-        self._do("POST", "/v1/drafts", document, (("X-Reason", why),), draft_text)
+        self._send_change("POST", "/v1/drafts", document, (("X-Reason", why),), draft_text)
 
     def drafts(self) -> None:
         """Lists the drafts and their verdicts."""
@@ -97,11 +97,11 @@
 
     def approve(self, draft: str, why: str = "") -> None:
         """Activates a draft if its rehearsal showed it to be better."""
-        self._do("POST", f"/v1/drafts/{draft}/approve", None, (("X-Reason", why),))
+        self._send_change("POST", f"/v1/drafts/{draft}/approve", None, (("X-Reason", why),))
 
     def drop(self, draft: str) -> None:
         """Drops a draft."""
-        self._do("DELETE", f"/v1/drafts/{draft}")
+        self._send_change("DELETE", f"/v1/drafts/{draft}")
 
 
 def _table_text(document: Document) -> str:
--- a/src/pinepitch/cli/text_tables.py
+++ b/src/pinepitch/cli/text_tables.py
@@ -11,7 +11,7 @@
     columns = columns or list(rows[0])
     cells = [[str(column) for column in columns]]
     cells += [[_cell(row.get(column)) for column in columns] for row in rows]
-    widths = [max(len(line[column]) for line in cells) for column in range(len(columns))]
+    widths = [max(len(line[index]) for line in cells) for index in range(len(columns))]
     return "\n".join(_aligned(line, widths) for line in cells)
 
 
--- a/src/pinepitch/cli/timeline.py
+++ b/src/pinepitch/cli/timeline.py
@@ -67,7 +67,7 @@
 def events(lines: Iterable[str]) -> list[TimedEvent]:
     """The events in some log lines, in order of time; any text before the JSON of a line is ignored."""
     timed_events = [event for event in map(_event_in, lines) if event is not None]
-    return sorted(timed_events, key=lambda event: event.at)
+    return sorted(timed_events, key=lambda timed_event: timed_event.at)
 
 
 def _event_in(line: str) -> TimedEvent | None:
--- a/src/pinepitch/cli/workers.py
+++ b/src/pinepitch/cli/workers.py
@@ -13,15 +13,15 @@
 
     def drain(self, worker: str) -> None:
         """Drains a worker: it gets no new work."""
-        self._do("POST", f"/v1/minions/{worker}/drain")
+        self._send_change("POST", f"/v1/minions/{worker}/drain")
 
     def undrain(self, worker: str) -> None:
         """Ends the drain of a worker, which then gets new work again."""
-        self._do("POST", f"/v1/minions/{worker}/undrain")
+        self._send_change("POST", f"/v1/minions/{worker}/undrain")
 
     def withdraw(self, worker: str, due: float = 0.0) -> None:
         """Withdraws a worker whose machine is gone for good at `due` (seconds since 1970; 0 for now)."""
-        self._do("POST", f"/v1/minions/{worker}/withdraw", {"due": due})
+        self._send_change("POST", f"/v1/minions/{worker}/withdraw", {"due": due})
 
 
 class ZoneCommands(FrontCommands):
@@ -33,8 +33,8 @@
 
     def empty(self, zone: str) -> None:
         """Empties a zone: its workers get no new work."""
-        self._do("POST", f"/v1/areas/{zone}/empty")
+        self._send_change("POST", f"/v1/areas/{zone}/empty")
 
     def take_back(self, zone: str) -> None:
         """Lets a zone get new work again."""
-        self._do("POST", f"/v1/areas/{zone}/take-back")
+        self._send_change("POST", f"/v1/areas/{zone}/take-back")
--- a/src/pinepitch/common/constants.py
+++ b/src/pinepitch/common/constants.py
@@ -3,7 +3,7 @@
 # --- consensus -----------------------------------------------------------------------
 TICK = 0.025  # seconds; the shortest delay a decider waits for, small compared with a heartbeat
 HEARTBEAT = 0.1  # seconds; six fit in an election timeout, so a single lost one has no effect
-# seconds; the design states 1 s but leaves the value open: this also bounds how long leases last
+# seconds; shorter than the 1 s of the design, which leaves it open, because leases last a limited time
 ELECTION_TIMEOUT = 0.6
 # fraction of the election timeout; the largest random delay, which keeps candidates apart (seeded)
 ELECTION_JITTER = 0.7
@@ -131,7 +131,7 @@
 MAX_PREEMPTING_TASKS = 20  # tasks; most of one shape that preempt others in one round
 PREEMPT_WAIT = 0.5  # seconds; urgent work waits this long for capacity before it preempts other tasks
 
-# --- bounds of what callers may send -------------------------------------------------
+# --- limits on input from callers ----------------------------------------------------
 MAX_BODY_BYTES = 2_000_000  # bytes; twice the size of the largest allowed job
 MAX_DEPTH = 32  # levels; nesting of a JSON body, far below the limit of any of our parsers
 MAX_NUMBER = 2**53  # the largest integer that every JSON parser represents exactly
@@ -235,7 +235,7 @@
 # 3: evacuation. 4: jobs of tenants, configurations whose tenants are checked.
 RECORD_LEVEL = 4
 
-# --- jobs under leases ---------------------------------------------------------------
+# --- leased jobs ---------------------------------------------------------------------
 MAX_SPEC_LENGTH = 4_000  # characters; the specification that a job passes to its tasks
 MAX_STEPS = 64  # steps; most in one job
 MAX_STEP_TASKS = 5_000  # tasks; most in one step
@@ -257,7 +257,7 @@
 CLOCK_DRIFT = 0.025  # seconds per second; a worker's clock may run 2 % slow
 LAPSE_MARGIN = 0.1  # seconds; added to a lease before what ran under it counts as ended
 HEARTBEAT_INTERVAL = 0.1  # seconds; delay before a worker with free capacity sends its next heartbeat
-# seconds; added interval per worker, which limits a leader to some 1,250 heartbeats a second
+# seconds per worker; lower bound of that interval, which limits a leader to some 1,250 heartbeats a second
 HEARTBEAT_INTERVAL_PER_WORKER = 0.0008
 # seconds; an idle worker's heartbeat stays open this long, well within the second that the worker waits
 IDLE_HEARTBEAT_DEFERRAL = 0.5
@@ -331,7 +331,8 @@
 RESERVE_BUSY = 0.5
 PEAK_HALF = 10.0  # seconds; half-life of the remembered peak of capacity used by urgent work
 BUDGET_PART = 0.5  # fraction of a service's capacity that work of any urgency may use
-# fraction of the time that work can wait and still finish in time; longer work must not use its slots
+# fraction of the time that work can wait for capacity and still finish in time; longer work must not use
+# its slots
 WAIT_PART = 0.5
 # fraction of a service's capacity that work of each urgency gets once it has waited as long as it can
 MIN_GUARANTEED_SHARE = 0.2
@@ -341,9 +342,8 @@
 IDLE_LOOK_EVERY = 0.5  # seconds; interval between searches for such jobs
 # fraction of a service's capacity; a step that needs more is expected to run in several batches
 WIDE_PART = 0.25
-HOT_STEPS = (
-    2  # steps; from a rack without demand for its data to the one most in demand, for work that needs none
-)
+# steps; from a rack without demand for its data to the one most in demand, for work that needs none
+HOT_STEPS = 2
 YIELD_WASTE = 30.0  # core-seconds; the most unsaved work that may be discarded to free capacity for one wave
 # runs; a task that ran more often than this is not preempted again unless it saves its progress
 YIELD_RUNS = 2
