--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -229,7 +229,7 @@
     context.front, context.now = FrontDaemon("verge", FRONT, "north", (LEADER,)), 50.0
     context.front.step(("tick",), context.now, 0.0)
     context.front.leader = LEADER
-    context.front.control_daemons.heard("a", "north", LEADER, context.now)
+    context.front.control_daemons.handshake_received("a", "north", LEADER, context.now)
     context.front.updated_at = context.now - unresponsive_for
 
 
--- a/src/pinepitch/front/cluster_time.py
+++ b/src/pinepitch/front/cluster_time.py
@@ -1,4 +1,4 @@
-"""What a front daemon knows of cluster time: bounds, from the leader's answers."""
+"""Bounds on cluster time at a front daemon, derived from the leader's answers."""
 
 from typing import NamedTuple
 
@@ -6,49 +6,48 @@
 
 
 class Bounds(NamedTuple):
-    """Cluster time less the own steady clock: the least and the most it can be (seconds), and when
-    that was learnt.
-    """
+    """Bounds (seconds) on cluster time minus this daemon's steady clock, and when they were measured."""
 
     least: float
     most: float
-    learnt: float
+    measured_at: float
 
 
 class ClusterTime:
-    """Bounds on cluster time. Invariant: they hold given that no request for updates was answered
-    before it was sent, nor its answer read before it was given; they are widened by SLEW when compared
-    with newer ones, as cluster time may be bent so much.
+    """Bounds on cluster time. Invariant: cluster time is within them, provided that no request for
+    updates is answered before it is sent, nor an answer read before it is given. Bounds are widened by
+    SLEW when compared with newer ones, since cluster time may be slewed at that rate.
     """
 
     def __init__(self) -> None:
         self.bounds: Bounds | None = None
-        self.asked: dict[str, float] = {}  # token of a request for updates -> when it was sent
+        self.sent_at: dict[str, float] = {}  # token of a request for updates -> when it was sent
 
-    def ask(self, token: str, now: float) -> None:
-        """Notes that a request for updates is sent; of the oldest ones the sending times are dropped."""
-        self.asked[token] = now
-        for old in list(self.asked)[: -constants.ASKED_KEPT]:
-            del self.asked[old]
+    def request_sent(self, token: str, now: float) -> None:
+        """Records when a request for updates was sent; drops the times of all but the newest ASKED_KEPT."""
+        self.sent_at[token] = now
+        for old_token in list(self.sent_at)[: -constants.ASKED_KEPT]:
+            del self.sent_at[old_token]
 
     def earliest(self, now: float) -> float | None:
-        """The least that cluster time can be now: what may start only later is kept back."""
+        """The earliest that cluster time can be now; an order that may start only after it is deferred."""
         return None if self.bounds is None else now + self.bounds.least
 
     def latest(self, now: float) -> float | None:
-        """The most that cluster time can be now: what is late by it is not sent."""
+        """The latest that cluster time can be now; an order whose deadline is before it is not sent."""
         return None if self.bounds is None else now + self.bounds.most
 
-    def learn(self, token: str, time: float, deferred_for: float, now: float) -> None:
-        """An answer told the cluster's `time`, after the request had been deferred for some seconds:
-        that moment lies between request and answer on the own clock, however long either lay unread.
+    def answer_received(self, token: str, time: float, deferred_for: float, now: float) -> None:
+        """Updates the bounds from an answer given at the cluster's `time`, after the request had been
+        deferred for `deferred_for` seconds. On this daemon's clock that moment lies between request and
+        answer, however long either stayed unread.
         """
-        asked = self.asked.pop(token, None)
-        if asked is None:
+        requested_at = self.sent_at.pop(token, None)
+        if requested_at is None:
             return
-        found = Bounds(time - now, time - asked - deferred_for, now)
+        new_bounds = Bounds(time - now, time - requested_at - deferred_for, now)
         if self.bounds is not None:
-            width, age = self.bounds.most - self.bounds.least, now - self.bounds.learnt
-            if found.most - found.least > width + 2 * constants.SLEW * age:
+            width, age = self.bounds.most - self.bounds.least, now - self.bounds.measured_at
+            if new_bounds.most - new_bounds.least > width + 2 * constants.SLEW * age:
                 return
-        self.bounds = found
+        self.bounds = new_bounds
--- a/src/pinepitch/front/control_daemons.py
+++ b/src/pinepitch/front/control_daemons.py
@@ -1,62 +1,64 @@
-"""The control daemons that a front daemon has heard of."""
+"""The control daemons that a front daemon knows."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from ..common import constants
 
-NEVER = -1e9  # seconds of the steady clock, before all others
+NEVER = -1e9  # seconds of the steady clock; earlier than any other time
 
 
-class HeardControlDaemon(NamedTuple):
-    """A control daemon that was heard of: where it is, and when it was heard itself (or NEVER)."""
+class KnownControlDaemon(NamedTuple):
+    """A control daemon: its zone, its address, and when its last handshake was received (or NEVER)."""
 
     zone: str
     address: str
-    heard: float
+    last_seen: float
 
 
 class ControlDaemons:
-    """Invariant: one that was heard itself stays known for ADDRESS_FORGET after it."""
+    """Invariant: a daemon stays known for ADDRESS_FORGET seconds after its last handshake."""
 
     def __init__(self) -> None:
-        self.known: dict[str, HeardControlDaemon] = {}  # by identity
+        self.known: dict[str, KnownControlDaemon] = {}  # by identity
 
-    def heard(self, identity: str, zone: str, address: str, now: float) -> None:
-        """One was heard itself."""
-        self.known[identity] = HeardControlDaemon(zone, address, now)
+    def handshake_received(self, identity: str, zone: str, address: str, now: float) -> None:
+        """Records a handshake received from the daemon itself."""
+        self.known[identity] = KnownControlDaemon(zone, address, now)
 
-    def greeted(self, others: Iterable[tuple[str, str, str]], now: float) -> None:
-        """Takes what a greeting tells of others, where none is known under that identity, and forgets
-        those unheard for long.
+    def add_unknown(self, others: Iterable[tuple[str, str, str]], now: float) -> None:
+        """Adds the daemons that a handshake lists under identities not known yet, and removes those whose
+        last handshake is older than ADDRESS_FORGET.
         """
         for identity, zone, address in others:
             if identity not in self.known:
-                self.known[identity] = HeardControlDaemon(zone, address, NEVER)
+                self.known[identity] = KnownControlDaemon(zone, address, NEVER)
         stale = [
             identity
-            for identity, found in self.known.items()
-            if found.heard > 0 and now - found.heard > constants.ADDRESS_FORGET
+            for identity, daemon in self.known.items()
+            if daemon.last_seen > 0 and now - daemon.last_seen > constants.ADDRESS_FORGET
         ]
         for identity in stale:
             del self.known[identity]
 
-    def updated(self, others: Iterable[tuple[str, str, str]]) -> None:
-        """Takes what the leader tells of all of them: it knows better where they are."""
+    def update_endpoints(self, others: Iterable[tuple[str, str, str]]) -> None:
+        """Takes the endpoints listed by the leader, which knows them better, over the known ones."""
         for identity, zone, address in others:
-            found = self.known.get(identity)
-            self.known[identity] = HeardControlDaemon(zone, address, found.heard if found else NEVER)
+            daemon = self.known.get(identity)
+            self.known[identity] = KnownControlDaemon(zone, address, daemon.last_seen if daemon else NEVER)
 
     def endpoints(self) -> tuple[tuple[str, str, str], ...]:
-        """(identity, zone, address) of each, as a greeting tells them."""
-        return tuple((identity, found.zone, found.address) for identity, found in self.known.items())
+        """(identity, zone, address) of each daemon, as listed in a handshake."""
+        return tuple((identity, daemon.zone, daemon.address) for identity, daemon in self.known.items())
 
     def addresses(self) -> list[str]:
-        """The addresses of all, in order."""
-        return sorted(found.address for found in self.known.values())
+        """The addresses of all known daemons, sorted."""
+        return sorted(daemon.address for daemon in self.known.values())
 
     def live(self, now: float) -> list[str]:
-        """The addresses of those in session, in order."""
+        """The addresses of the daemons with a live session, sorted."""
         return sorted(
-            found.address for found in self.known.values() if now - found.heard <= constants.SESSION_LASTS
+            daemon.address
+            for daemon in self.known.values()
+            if now - daemon.last_seen <= constants.SESSION_LASTS
         )
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -90,7 +90,7 @@
 
 def _repeated_updates(self, *arguments):
     """Forgets what it has taken, and so sends again what is told again."""
-    self.orders.taken.clear()
+    self.orders.accepted.clear()
     original_updates(self, *arguments)
 
 
@@ -220,7 +220,7 @@
     "cancel-in-word": [(pushed_job_operations, "cancel_job", _cancel_in_word)],
     "closed-ignored": [
         (ClusterState, "closed", lambda self, name, zone: ""),
-        (Orders, "_closed", lambda self, order, body: False),
+        (Orders, "_accepts_no_work", lambda self, order, body: False),
     ],
     "room-doubled": [(push_worker, "checked", _double_capacity)],
     "gangs-apart": _tasks(gang=""),
