--- a/src/pinepitch/front/__init__.py
+++ b/src/pinepitch/front/__init__.py
@@ -1,1 +1,1 @@
-"""The front daemon: takes calls of clients, forwards them to the leader and delivers start orders."""
+"""The front daemon: accepts clients' calls, forwards them to the leader, and delivers start orders."""
--- a/src/pinepitch/front/filters/__init__.py
+++ b/src/pinepitch/front/filters/__init__.py
@@ -1,7 +1,7 @@
-"""The chain of filters that a request passes, one a module.
+"""The chain of filters that each request passes, with one filter per module.
 
-A filter takes (front, request, now); its outcome is an Answer, FORWARDED if the leader will answer, or
-None: then the next filter goes on.
+A filter is called with (front, request, now). It returns an Answer, or FORWARDED if the leader will answer,
+or None to continue with the next filter.
 """
 
 from collections.abc import Callable
--- a/src/pinepitch/front/filters/body.py
+++ b/src/pinepitch/front/filters/body.py
@@ -1,4 +1,4 @@
-"""Reads the JSON of a body."""
+"""The filter that parses the body."""
 
 from typing import Any
 
@@ -7,9 +7,9 @@
 
 
 def body(front: Any, request: HttpRequest, now: float) -> Answer | None:
-    """Reads a JSON body, if there is one."""
+    """Parses a JSON body, if there is one."""
     if request.body:
-        request.document, why = documents.read(request.body)
-        if why:
-            return problem(400, "malformed", why)
+        request.document, reason = documents.read(request.body)
+        if reason:
+            return problem(400, "malformed", reason)
     return None
--- a/src/pinepitch/front/filters/serve.py
+++ b/src/pinepitch/front/filters/serve.py
@@ -1,4 +1,4 @@
-"""Hands a request to the handler of its route."""
+"""The filter that calls the handler of the route."""
 
 from typing import Any
 
@@ -6,6 +6,6 @@
 
 
 def serve(front: Any, request: HttpRequest, now: float) -> Outcome:
-    """Answers or forwards: the last filter."""
+    """Calls the handler, which answers or forwards the request. This filter is the last one."""
     outcome: Outcome = request.handler(front, request, now)
     return outcome
--- a/src/pinepitch/front/filters/size.py
+++ b/src/pinepitch/front/filters/size.py
@@ -1,4 +1,4 @@
-"""Refuses bodies that are too large."""
+"""The filter that refuses bodies that are too large."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def size(front: Any, request: HttpRequest, now: float) -> Answer | None:
-    """A body has at most MAX_BODY_BYTES."""
+    """Refuses a body larger than MAX_BODY_BYTES."""
     if len(request.body) > constants.MAX_BODY_BYTES:
         return problem(413, "too_large", f"over {constants.MAX_BODY_BYTES} bytes")
     return None
--- a/src/pinepitch/front/filters/stopping.py
+++ b/src/pinepitch/front/filters/stopping.py
@@ -1,4 +1,4 @@
-"""Refuses what comes while the daemon stops."""
+"""The filter that refuses requests while the daemon is stopping."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def stopping(front: Any, request: HttpRequest, now: float) -> Answer | None:
-    """A stopping front daemon takes nothing more."""
+    """Refuses all requests once the daemon is stopping."""
     if front.stopping:
         return problem(503, "stopping", "this verge is stopping", constants.RETRY_AFTER)
     return None
--- a/src/pinepitch/front/filters/target.py
+++ b/src/pinepitch/front/filters/target.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request."""
+"""The filter that finds the route of a request."""
 
 from typing import Any
 from urllib.parse import parse_qsl, unquote, urlsplit
@@ -8,12 +8,12 @@
 
 
 def target(front: Any, request: HttpRequest, now: float) -> Answer | None:
-    """Finds the route that fits the method and path, or says why there is none."""
+    """Finds the route that matches method and path, or answers why there is none."""
     try:
         parts = urlsplit(request.target)
     except ValueError:
         return problem(400, "malformed", "the target can't be read")
-    path = [unquote(one) for one in parts.path.split("/") if one]
+    path = [unquote(part) for part in parts.path.split("/") if part]
     request.query = dict(parse_qsl(parts.query))
     allowed = []
     for method, pattern, handler in ROUTES:
@@ -30,14 +30,14 @@
 
 
 def _names_in(pattern: str, path: list[str]) -> list[str] | None:
-    """The parts of a path that stand where a pattern has {a name}; None if it does not fit."""
-    expected = [one for one in pattern.split("/") if one]
+    """The parts of a path that match {placeholders} of a pattern; None if the path does not match."""
+    expected = [segment for segment in pattern.split("/") if segment]
     if len(expected) != len(path):
         return None
     names = []
-    for wanted, part in zip(expected, path, strict=True):
-        if wanted.startswith("{"):
+    for expected_part, part in zip(expected, path, strict=True):
+        if expected_part.startswith("{"):
             names.append(part)
-        elif wanted != part:
+        elif expected_part != part:
             return None
     return names
--- a/src/pinepitch/front/own_state_handlers.py
+++ b/src/pinepitch/front/own_state_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers that answer for the front daemon itself: health and metrics."""
+"""Handlers for the state of the front daemon itself: health and metrics."""
 
 from typing import Any
 
@@ -19,11 +19,13 @@
 def health(front: Any, request: HttpRequest, now: float) -> Answer:
     """200 while the daemon knows its cluster and has recent updates, else 503."""
     ready = front.cluster is not None and not front.stale
-    return Answer(200 if ready else 503, _known(front, now), None if ready else constants.RETRY_AFTER)
+    return Answer(
+        200 if ready else 503, _health_document(front, now), None if ready else constants.RETRY_AFTER
+    )
 
 
-def _known(front: Any, now: float) -> dict[str, Any]:
-    """What the daemon knows of itself and its cluster."""
+def _health_document(front: Any, now: float) -> dict[str, Any]:
+    """The state of this daemon and its view of the cluster."""
     return {
         "identity": front.identity,
         "area": front.zone,
--- a/src/pinepitch/front/product_requests.py
+++ b/src/pinepitch/front/product_requests.py
@@ -1,7 +1,7 @@
-"""Requests of the product's own API on their way to the leader: forwarded until one attempt is answered.
+"""Forwards requests of the product's own API to the leader until one attempt is answered.
 
-Those that come through the adapters are forwarded by transport.forwarder instead, with what their callers'
-shorter patience needs.
+Requests that arrive through adapters are forwarded by transport.forwarder instead, which supports the
+shorter time limits of their callers.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,12 +11,12 @@
 from ..consensus.leader_clock import LeaderClock
 from ..transport.request_key import key_of
 
-# Calls whose answer has a version, which callers are told in an ETag.
+# Calls whose answer contains a version, which is returned in an ETag.
 VERSIONED = frozenset(("setup", "change", "back"))
 
 
 class ForwardedCall(NamedTuple):
-    """A request on its way to the leader. Invariant: the same token at every attempt."""
+    """A request that is being forwarded. Invariant: all attempts have the same token."""
 
     request: int
     call: str
@@ -27,7 +27,7 @@
 
 
 class ProductRequests:
-    """Invariant: a request leaves `calls` with its one reply."""
+    """Invariant: a request is removed from `calls` when its only reply is made."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         event: Callable[..., None],
         counts: dict[str, int],
     ) -> None:
-        self.address = address  # of this daemon
+        self.address = address  # address of this daemon
         self.leader_clock = leader_clock
         self._send, self._reply, self._event = send, reply, event
         self.counts = counts
@@ -47,47 +47,47 @@
     def begin(
         self, token: str, request: int, call: str, arguments: tuple[Any, ...], to: str | None, now: float
     ) -> None:
-        """Begins to forward a request."""
+        """Starts forwarding a request."""
         self.counts["carried"] += 1
         self.forward(token, ForwardedCall(request, call, arguments, now, now, ""), to, now)
 
-    def forward(self, token: str, found: ForwardedCall, to: str | None, now: float) -> None:
-        """One attempt, to the address `to` if there is any."""
-        self.calls[token] = found._replace(sent=now, to=to or "")
+    def forward(self, token: str, forwarded: ForwardedCall, to: str | None, now: float) -> None:
+        """Makes one attempt, which is sent to the address `to` unless that is None."""
+        self.calls[token] = forwarded._replace(sent=now, to=to or "")
         if to is not None:
-            end = self.leader_clock.end(found.begun + constants.FORWARD_TIMEOUT, now)
-            self._send(to, ("ask", self.address, token, found.call, found.arguments, 0, end))
+            end = self.leader_clock.end(forwarded.begun + constants.FORWARD_TIMEOUT, now)
+            self._send(to, ("ask", self.address, token, forwarded.call, forwarded.arguments, 0, end))
 
     def tick(self, next_address: Callable[[str], str | None], now: float) -> None:
-        """Gives up what took too long, and sends again what is unanswered for a while."""
-        for token, found in list(self.calls.items()):
-            if now - found.begun >= constants.FORWARD_TIMEOUT:
+        """Gives up requests older than FORWARD_TIMEOUT; resends those unanswered for FORWARD_RETRY."""
+        for token, forwarded in list(self.calls.items()):
+            if now - forwarded.begun >= constants.FORWARD_TIMEOUT:
                 del self.calls[token]
-                self._give_up(found)
-            elif now - found.sent >= constants.FORWARD_RETRY:
-                self.forward(token, found, next_address(found.to), now)
+                self._give_up(forwarded)
+            elif now - forwarded.sent >= constants.FORWARD_RETRY:
+                self.forward(token, forwarded, next_address(forwarded.to), now)
 
     def answered(self, token: str, answer: Sequence[Any], key: Sequence[str], now: float) -> None:
-        """The answer (status, document, Retry-After or None) to a request, about what `key` says."""
-        found = self.calls[token]
-        if key_of(found.call, found.arguments) != tuple(key):
-            self._event(145, token=token, call=found.call, told=list(key))
+        """Handles an answer (status, document, Retry-After or None) to the request that `key` belongs to."""
+        forwarded = self.calls[token]
+        if key_of(forwarded.call, forwarded.arguments) != tuple(key):
+            self._event(145, token=token, call=forwarded.call, told=list(key))
             return
         del self.calls[token]
-        if now - found.begun >= constants.FORWARD_TIMEOUT:  # read after a stall
-            self._give_up(found)
+        if now - forwarded.begun >= constants.FORWARD_TIMEOUT:  # read after a stall
+            self._give_up(forwarded)
             return
         status, document, retry = answer
         self.counts["answered"] += 1
         self.counts["shed"] += status == 429
         headers: tuple[tuple[str, str], ...] = ()
-        if found.call in VERSIONED and status == 200:
+        if forwarded.call in VERSIONED and status == 200:
             headers = (("ETag", f'"{document["version"]}"'),)
-        self._reply(found.request, status, document, retry, headers)
+        self._reply(forwarded.request, status, document, retry, headers)
 
-    def _give_up(self, found: ForwardedCall) -> None:
-        """No answer came while the request was to be forwarded."""
+    def _give_up(self, forwarded: ForwardedCall) -> None:
+        """Replies to a request that was not answered in time."""
         self.counts["unanswered"] += 1
         message = "no leader answered in time; the call may have been taken"
         problem = {"error": {"code": "no_leader", "message": message}}
-        self._reply(found.request, 503, problem, constants.RETRY_AFTER)
+        self._reply(forwarded.request, 503, problem, constants.RETRY_AFTER)
--- a/src/pinepitch/front/program.py
+++ b/src/pinepitch/front/program.py
@@ -1,4 +1,4 @@
-"""The program of a front daemon: takes requests and delivers orders; keeps nothing on disk."""
+"""The program of a front daemon, which accepts requests and delivers orders, and stores nothing on disk."""
 
 import secrets
 from typing import Any
@@ -21,15 +21,15 @@
     """Runs a front daemon.
 
     Args:
-        settings: a TOML file; flags win over it. Its fields are named as the flags, but for `area` (--zone).
-        address: own IP:PORT towards other daemons.
-        http: own IP:PORT towards callers, workers and operators.
-        zone: the zone this machine stands in.
-        seeds: three IP:PORT of other daemons, parted by commas.
+        settings: a TOML file; flags override it. Its fields are named like the flags, but `area` for --zone.
+        address: this daemon's IP:PORT for other daemons.
+        http: this daemon's IP:PORT for clients, workers and operators.
+        zone: the zone of this machine.
+        seeds: three IP:PORT of other daemons, separated by commas.
         level: log level: debug, info, warning, error, critical.
 
     """
-    found = checked_settings(
+    daemon_settings = checked_settings(
         "verge",
         settings,
         {
@@ -41,10 +41,15 @@
         },
     )
     identity = secrets.token_hex(6)
-    log = events.logger("verge", identity, found.level)
-    serve("verge", FrontDaemon(identity, found.address, found.zone, found.seeds), found, log)
+    log = events.logger("verge", identity, daemon_settings.level)
+    serve(
+        "verge",
+        FrontDaemon(identity, daemon_settings.address, daemon_settings.zone, daemon_settings.seeds),
+        daemon_settings,
+        log,
+    )
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Runs the daemon with these arguments, by default the process's."""
+    """Runs the daemon with the given arguments, by default those of the process."""
     fire.Fire(run, command=arguments, name="pinepitch front")
