--- a/src/pinepitch/simulation/isolation/injected_faults.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -31,7 +31,7 @@
 
 def _carried_unconfirmed(self, request, call, arguments, now, patience):
     """Carries an order for a zone at once, as if the newest index of all had been confirmed."""
-    if call in indexed_forwarder.CALLS:
+    if call in indexed_forwarder.INDEXED_CALLS:
         arguments = (*arguments, constants.MAX_NUMBER)
     return self.forwarder.begin(request, call, arguments, now, patience)
 
--- a/src/pinepitch/transport/forwarder.py
+++ b/src/pinepitch/transport/forwarder.py
@@ -1,4 +1,4 @@
-"""Requests on their way to the leader, until it answers or no answer can come in time any more."""
+"""Forwards requests to the leader until it answers or their time is over."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -8,14 +8,14 @@
 from ..common.effects import Reply
 from .request_key import key_of
 
-# Asks how far the log is. It changes nothing, so that once given up it counts as not taken.
+# Asks for the index of the log. The request changes nothing: once given up, it counts as not taken.
 LOG_INDEX_REQUEST = "log-index"
 
 Effect = tuple[Any, ...]
 
 
 class ClockBound(Protocol):
-    """A moment on a leader's clock (consensus.leader_clock has them)."""
+    """A moment on a leader's clock, such as a Reading of consensus.leader_clock."""
 
     @property
     def term(self) -> int:
@@ -23,9 +23,9 @@
 
 
 class Call:
-    """A request that is forwarded. Invariants: its token is the same at every attempt; open holds the
-    numbers of the attempts that were neither answered nor refused, so that an empty one means that
-    nobody took it.
+    """A request that is being forwarded. Invariants: all attempts have the same token; `open` contains the
+    numbers of the attempts that were neither answered nor refused, so if it is empty, no daemon has taken
+    the request.
     """
 
     __slots__ = (
@@ -47,37 +47,39 @@
         self.request, self.call, self.arguments = request, call, arguments
         self.begun, self.until = begun, until
         self.key = key_of(call, arguments)
-        self.retry_at = math.inf  # when it is sent again; never before the first attempt
-        self.to: str | None = None  # the address of the newest attempt
+        self.retry_at = math.inf  # when the next attempt is due; math.inf before the first one
+        self.to: str | None = None  # address of the newest attempt
         self.attempts = 0
         self.open: set[int] = set()
-        self.doubtful = False  # whether a daemon that may have executed it can't say so
-        self.term: int | None = None  # of the leader whose clock the newest attempt's end is on
+        self.doubtful = False  # whether some daemon does not know if it executed the request
+        self.term: int | None = None  # term of the leader on whose clock the newest attempt expires
 
 
 class Forwarder:
-    """Forwards the requests of one daemon. Invariants: a request leaves `calls` with its one reply;
-    `incarnation` names one run of one daemon, so that no token is ever used for two requests; an answer
-    is given to none but the request it is about. Times are seconds of the daemon's steady clock.
+    """Forwards the requests of one daemon. Invariants: a request is removed from `calls` when its only
+    reply is made; `incarnation` identifies one run of one daemon, so that no token is used for two
+    requests; an answer is passed only to the request it is about. Times are seconds of the daemon's steady
+    clock.
     """
 
     def __init__(self, incarnation: str, address: str, event: Callable[..., None]) -> None:
         self.incarnation, self.address = incarnation, address
         self._event = event  # emits a numbered event
         self.calls: dict[str, Call] = {}  # by token
-        self.count = 0
+        self.token_count = 0
 
     def begin(self, request: int, call: str, arguments: Sequence[Any], now: float, patience: float) -> str:
-        """Takes a request, to be answered within `patience` seconds; its token."""
-        self.count += 1
-        token = f"{self.incarnation}~{self.count}"
+        """Accepts a request to be answered within `patience` seconds, and returns its token."""
+        self.token_count += 1
+        token = f"{self.incarnation}~{self.token_count}"
         until = now + min(patience, constants.CALL_PATIENCE)
         self.calls[token] = Call(request, call, arguments, now, until)
         return token
 
     def sent(self, token: str, address: str | None, now: float, end: ClockBound | None = None) -> int:
-        """Notes an attempt to send a request to `address`, or to nobody when it is None, to be taken only
-        until `end` on the leader's clock; the number of the attempt.
+        """Records an attempt to send a request to `address`, and returns its number. The receiver may take
+        the request only until `end` on the leader's clock. With None for `address` nothing was sent: only
+        the next attempt is scheduled, and 0 is returned.
         """
         call = self.calls[token]
         call.to, call.term = address, end.term if end else None
@@ -90,8 +92,8 @@
         return call.attempts
 
     def due(self, now: float, leaderless_for: float = 0.0) -> tuple[list[str], list[Effect]]:
-        """(tokens to be sent again, effects that reply to those given up). Once no leader has been heard
-        for OUTAGE_SHORT or longer, requests are given up sooner, so that their callers may come back.
+        """Returns (tokens to be sent again, effects that reply to the requests given up). Once there has
+        been no leader for OUTAGE_SHORT or longer, requests are given up sooner, so that callers can retry.
         """
         due: list[str] = []
         effects: list[Effect] = []
@@ -103,14 +105,15 @@
         return due, effects
 
     def give_up(self, token: str) -> tuple[Effect, ...]:
-        """Effects of giving a request up."""
+        """Gives a request up; returns the effects that reply to it."""
         call = self.calls.pop(token)
         return (Reply(call.request, *self._given_up(call)),)
 
     def _end(self, call: Call, leaderless_for: float) -> float:
-        """When a request is given up. In an outage that a restart may end it waits all its time, as nothing
-        serves its caller sooner. In a long one it ends soon if nobody can have taken it, so that its caller
-        can be told when to come back; else later, as callers send again at once what may have been taken.
+        """When a request is given up. In an outage short enough to be a restart it waits its full time, as
+        nothing else would serve its caller sooner. In a longer outage it ends soon if no daemon can have
+        taken it, so that the caller gets a Retry-After; otherwise it ends later, since callers resend at
+        once what may have been taken.
         """
         if leaderless_for < constants.OUTAGE_SHORT:
             return call.until
@@ -120,11 +123,11 @@
 
     @staticmethod
     def _may_be_taken(call: Call) -> bool:
-        """Whether somebody may have taken a request, so that it may have its effect."""
+        """Whether some daemon may have taken the request, so that it may take effect."""
         return bool(call.open or call.doubtful) and call.call != LOG_INDEX_REQUEST
 
     def _given_up(self, call: Call) -> tuple[int, dict[str, Any], tuple[tuple[str, str], ...]]:
-        """(status, document, headers) of the reply to a request that is given up."""
+        """The (status, document, headers) of the reply to a request that is given up."""
         if self._may_be_taken(call):
             return (
                 504,
@@ -138,7 +141,7 @@
         )
 
     def waiting(self, token: str, key: Sequence[str]) -> Call | None:
-        """The request under a token if an answer about `key` is for it, else None."""
+        """The request under a token if an answer with this key is for it, else None."""
         call = self.calls.get(token)
         if call is None:
             self._event(144, token=token)
@@ -151,15 +154,15 @@
     def answered(
         self, token: str, answer: Sequence[Any], key: Sequence[str], now: float, until: float | None = None
     ) -> tuple[Effect, ...]:
-        """Effects of the answer (status, document, Retry-After or None) to a request, that tells by its
-        key what it is about; it may be written until the request's patience is over, or until `until`
-        if that is sooner.
+        """Returns the effects of an answer (status, document, Retry-After or None) to a request; `key` is
+        the key of the request that it answers. The reply may be written until the request's deadline, or
+        until `until` if that is sooner.
         """
         call = self.waiting(token, key)
         if call is None:
             return ()
         del self.calls[token]
-        if now >= call.until:  # read after a stall: nobody waits for it, nor knows how old it is
+        if now >= call.until:  # read after a stall: the caller has gone, and the answer's age is unknown
             return (Reply(call.request, *self._given_up(call)),)
         status, document, retry = answer
         headers = () if retry is None else (("Retry-After", str(retry)),)
@@ -167,7 +170,7 @@
         return (Reply(call.request, status, document, headers, until),)
 
     def not_taken(self, token: str, attempt: int) -> None:
-        """The daemon that this attempt went to did not take it, and never will."""
+        """Records that the receiver of an attempt did not take the request and never will."""
         call = self.calls.get(token)
         if call is not None and attempt in call.open:
             call.open.remove(attempt)
@@ -176,7 +179,7 @@
             )
 
     def in_doubt(self, token: str) -> None:
-        """The daemon that it was sent to may have taken it, and can't say."""
+        """Records that a receiver of the request does not know whether it took it."""
         call = self.calls.get(token)
         if call is not None:
             call.doubtful = True
--- a/src/pinepitch/transport/indexed_forwarder.py
+++ b/src/pinepitch/transport/indexed_forwarder.py
@@ -1,10 +1,10 @@
-"""Requests that are forwarded with an index of the log, which the leader confirms when they come.
+"""Forwards requests together with an index of the log, which the leader checks when they arrive.
 
-First the index is asked for, then the request is forwarded with it as its last argument. The index is
-asked for only while the caller surely still waits, and never anew for the same request: what the
-caller does after it gave up has a higher one. A request may have lain unread for as long as its daemon
-was stopped just before; that time is subtracted. One that the network held back looks new, but the end of
-its caller's connection comes right behind it: until it is forwarded, such a request is dropped.
+The index is requested first; then the request is forwarded with the index as its last argument. The index
+is requested only while the caller certainly still waits, and only once for each request: whatever the
+caller does after it gave up has a higher index. A request may have stayed unread for as long as its daemon
+was just paused; that time is subtracted. A request that the network delayed looks new, but the end of its
+caller's connection follows right behind it: such a request is dropped if it was not forwarded yet.
 """
 
 from collections.abc import Sequence
@@ -13,11 +13,11 @@
 from ..common import constants
 from .forwarder import LOG_INDEX_REQUEST, Call, Effect, Forwarder
 
-CALLS = frozenset(("evacuate",))  # that are forwarded so: they bear no version of their own
+INDEXED_CALLS = frozenset(("evacuate",))  # calls forwarded with an index, as they contain no version
 
 
 class AwaitingIndex(NamedTuple):
-    """A request whose index is being asked for, and until when the whole may take."""
+    """A request whose index was requested, and the deadline (steady clock, s) of both steps together."""
 
     call: str
     arguments: tuple[Any, ...]
@@ -25,8 +25,8 @@
 
 
 class IndexedForwarder:
-    """Invariants: a request in `waiting` has been sent to nobody; `pause` is how long (seconds) the
-    daemon was stopped last, and `paused_at` when it went on.
+    """Forwards calls, those in INDEXED_CALLS with an index. Invariants: no request in `waiting` was sent to
+    any daemon; `pause` is the length (seconds) of the daemon's last pause, and `paused_at` is when it ended.
     """
 
     def __init__(self, forwarder: Forwarder) -> None:
@@ -35,46 +35,54 @@
         self.pause, self.paused_at = 0.0, -1e9
 
     def paused(self, seconds: float, now: float) -> None:
-        """Notes that the daemon was stopped, until now, for longer than CONFIRM_PAUSE."""
+        """Records a pause of the daemon, longer than CONFIRM_PAUSE, that has just ended."""
         self.pause, self.paused_at = seconds, now
 
     def _unread(self, now: float) -> float:
-        """How long a request that is read now may have waited in its socket."""
+        """How long (seconds) a request that is read now may have waited in its socket."""
         return self.pause if now < self.paused_at + constants.STALL_AFTERMATH else 0.0
 
     def begin(self, request: int, call: str, arguments: Sequence[Any], now: float, patience: float) -> str:
-        """Takes any request; the token of what is to be forwarded first."""
-        if call not in CALLS:
+        """Accepts a request; returns the token of what is forwarded first: its index request or itself."""
+        if call not in INDEXED_CALLS:
             return self.forwarder.begin(request, call, arguments, now, patience)
-        for token in [one for one in self.waiting if one not in self.forwarder.calls]:
+        for token in [pending for pending in self.waiting if pending not in self.forwarder.calls]:
             del self.waiting[token]
         until = now + min(patience, constants.CALL_PATIENCE)
-        within = min(patience, constants.CONFIRM_WITHIN - self._unread(now))
-        token = self.forwarder.begin(request, LOG_INDEX_REQUEST, (), now, within)
+        index_patience = min(patience, constants.CONFIRM_WITHIN - self._unread(now))
+        token = self.forwarder.begin(request, LOG_INDEX_REQUEST, (), now, index_patience)
         self.waiting[token] = AwaitingIndex(call, tuple(arguments), until)
         return token
 
     def answered(
         self, token: str, answer: Sequence[Any], key: Sequence[str], now: float, until: float | None = None
     ) -> tuple[Effect, ...]:
-        """Effects of an answer to any forwarded request, as Forwarder.answered() has them. Once its index
-        is known, a request is due to be forwarded.
+        """Returns the effects of an answer to a forwarded request, as Forwarder.answered() does. Once its
+        index is known, a request is scheduled to be forwarded.
         """
-        question = self.forwarder.calls.get(token)
-        if token not in self.waiting or question is None or question.key != tuple(key) or answer[0] != 200:
+        index_request = self.forwarder.calls.get(token)
+        if (
+            token not in self.waiting
+            or index_request is None
+            or index_request.key != tuple(key)
+            or answer[0] != 200
+        ):
             return self.forwarder.answered(token, answer, key, now, until)
         waiting = self.waiting.pop(token)
-        if now >= question.until:
+        if now >= index_request.until:
             return self.forwarder.give_up(token)
         del self.forwarder.calls[token]
         arguments = (*waiting.arguments, answer[1]["index"])
-        following = self.forwarder.begin(question.request, waiting.call, arguments, now, waiting.until - now)
-        self.forwarder.calls[following].retry_at = now
+        call_token = self.forwarder.begin(
+            index_request.request, waiting.call, arguments, now, waiting.until - now
+        )
+        self.forwarder.calls[call_token].retry_at = now
         return ()
 
     def hung_up(self, request: int) -> tuple[Effect, ...]:
-        """Effects of the end of the connection that a request came by: an order that was sent to nobody
-        yet is given up, as not taken. Its caller may have given it up long before it was read here.
+        """Returns the effects of the end of the connection that a request arrived on: an operator's order
+        that was not sent to any daemon yet is given up as not taken. Its caller may have given up long
+        before the order was read here.
         """
         for token, call in self.forwarder.calls.items():
             if call.request == request and (token in self.waiting or self._unsent_order(call)):
@@ -84,5 +92,5 @@
 
     @staticmethod
     def _unsent_order(call: Call) -> bool:
-        """Whether a request is an order whose index is known, and which was sent to nobody yet."""
-        return call.call in CALLS and call.attempts == 0
+        """Whether a request is an operator's order that has its index and was not sent to any daemon yet."""
+        return call.call in INDEXED_CALLS and call.attempts == 0
