--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -285,7 +285,7 @@
     server.listen(1)
     await link.put(b"third", "three")
     peer, _ = await server.accept()
-    while link.ordinary.down:
+    while link.ordinary.unreachable:
         await curio.sleep(0)
     await link.put(b"fourth", "four")
     context.arrived = await peer.recv(100)
--- a/src/pinepitch/simulation/worker_program.py
+++ b/src/pinepitch/simulation/worker_program.py
@@ -39,7 +39,7 @@
                     return
                 kind = {"/v1/orders": "order", "/v1/kills": "kill"}.get(request.target)
                 if kind is None:
-                    await server.answer(http.refusal(404, "unknown", "no such way"))
+                    await server.answer(http.error_response(404, "unknown", "no such way"))
                     continue
                 effects = worker.step((kind, 0, json.loads(request.body)), time.time())
                 self._flush(worker)
--- a/src/pinepitch/transport/__init__.py
+++ b/src/pinepitch/transport/__init__.py
@@ -1,1 +1,1 @@
-"""What goes between processes, without I/O: frames, HTTP, links and the forwarding of requests."""
+"""Communication between processes: frames, HTTP, links and the forwarding of requests."""
--- a/src/pinepitch/transport/http.py
+++ b/src/pinepitch/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 (RFC 9112) with JSON bodies by h11, on both sides, over curio sockets."""
+"""HTTP/1.1 (RFC 9112) server and client with JSON bodies, built on h11 and curio sockets."""
 
 import json
 import select
@@ -13,12 +13,12 @@
 
 from ..common import constants
 
-RECEIVE_BYTES = 65_536  # bytes; most taken from a socket at once
+RECEIVE_BYTES = 65_536  # bytes; limit of one read from a socket
 
 
 class Request(NamedTuple):
-    """A request as it came. Invariant: body holds at most MAX_BODY_BYTES bytes; headers have names in
-    lower case.
+    """A request as received. Invariant: body has at most MAX_BODY_BYTES bytes; names of headers are in lower
+    case.
     """
 
     method: str
@@ -28,8 +28,8 @@
 
 
 class Response(NamedTuple):
-    """An answer. Invariant: document is what json can write, or a plain text; headers are pairs of plain
-    texts.
+    """A response. Invariant: document can be written as JSON, or is a str sent as plain text; headers are
+    pairs of str.
     """
 
     status: int
@@ -38,39 +38,41 @@
 
 
 class Fault(NamedTuple):
-    """A connection that can't go on; status 0 means that it merely ended."""
+    """Why a connection can't continue. Status 0: no error to answer with, e.g. the peer closed it."""
 
     status: int
     code: str
 
 
-def refusal(status: int, code: str, message: str, retry: float | None = None, **more: object) -> Response:
-    """An error as callers see it: a stable code, a sentence, and when to come back (seconds)."""
+def error_response(
+    status: int, code: str, message: str, retry: float | None = None, **more: object
+) -> Response:
+    """An error response: a stable code, a message, and after how many seconds to retry, if given."""
     headers = () if retry is None else (("Retry-After", str(retry)),)
     return Response(status, {"error": {"code": code, "message": message, **more}}, headers)
 
 
 class _Body:
-    """The body of a message as it comes. Invariant: size is the sum of the parts' sizes."""
+    """The body of a message while it is received. Invariant: size is the sum of the sizes of the parts."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_bytes: int) -> None:
         self.parts: list[bytes] = []
         self.size = 0
-        self.most = most  # bytes
+        self.max_bytes = max_bytes
 
     def add(self, event: h11.Data) -> bool:
-        """Takes a part; whether the body is still no larger than it may be."""
+        """Adds a part; returns whether the body is still within its limit."""
         self.parts.append(bytes(event.data))
         self.size += len(event.data)
-        return self.size <= self.most
+        return self.size <= self.max_bytes
 
     def complete(self) -> bytes:
-        """All of it."""
+        """The whole body."""
         return b"".join(self.parts)
 
 
 class Server:
-    """One accepted connection. Invariant: one request is under way at a time."""
+    """One accepted connection. Invariant: it processes one request at a time."""
 
     def __init__(self, socket: Any) -> None:
         self.socket = socket
@@ -80,7 +82,7 @@
         """The next Request, or a Fault."""
         head: h11.Request | None = None
         body = _Body(constants.MAX_BODY_BYTES)
-        begun: float | None = None  # when the first bytes were read, by the monotonic clock
+        begun: float | None = None  # when the first bytes were read (monotonic clock, s)
         while True:
             if begun is not None and time.monotonic() - begun > constants.MAX_REQUEST_SECONDS:
                 return Fault(408, "slow")
@@ -108,12 +110,12 @@
                 return Fault(0, "closed")
 
     async def _read(self, begun: float | None) -> bytes | None:
-        """The next bytes, or None if none came in time: within MAX_CONNECTION_IDLE before a request has
-        begun, within what is left of MAX_REQUEST_SECONDS afterwards.
+        """The next bytes, or None if none arrive in time: within MAX_CONNECTION_IDLE before a request has
+        begun, within the remainder of MAX_REQUEST_SECONDS afterwards.
         """
         if self.connection.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self.socket.sendall(self.connection.send(go_on))
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            await self.socket.sendall(self.connection.send(continue_response))
         if begun is None:
             patience = constants.MAX_CONNECTION_IDLE
         else:
@@ -122,11 +124,12 @@
         return data
 
     async def hung_up(self) -> None:
-        """Returns once the caller has closed its connection while its request is under way. What it sends
-        meanwhile is kept for the next request; with RECEIVE_BYTES of that its end is no longer looked for.
+        """Returns once the caller closes its connection while its request is processed. Bytes received
+        meanwhile are stored for the next request; after RECEIVE_BYTES of them this no longer watches for
+        the end.
         """
-        ahead = 0
-        while ahead < RECEIVE_BYTES:
+        unread_bytes = 0
+        while unread_bytes < RECEIVE_BYTES:
             try:
                 data: bytes = await self.socket.recv(RECEIVE_BYTES)
             except OSError:
@@ -134,17 +137,17 @@
             self.connection.receive_data(data)
             if not data:
                 return
-            ahead += len(data)
-        await curio.Event().wait()  # which nobody sets: this ends by being cancelled
+            unread_bytes += len(data)
+        await curio.Event().wait()  # never set: waits until this task is cancelled
 
     async def answer(self, response: Response) -> bool:
-        """Sends one Response, its keys in order; True if another request may follow."""
+        """Sends one Response, with sorted JSON keys; returns whether another request may follow."""
         if isinstance(response.document, str):
-            body, kind = response.document.encode(), "text/plain; charset=utf-8"
+            body, content_type = response.document.encode(), "text/plain; charset=utf-8"
         else:
             body = json.dumps(response.document, sort_keys=True).encode()
-            kind = "application/json"
-        headers = [("Content-Type", kind), ("Content-Length", str(len(body))), *response.headers]
+            content_type = "application/json"
+        headers = [("Content-Type", content_type), ("Content-Length", str(len(body))), *response.headers]
         try:
             data = self.connection.send(h11.Response(status_code=response.status, headers=headers)) or b""
             data += self.connection.send(h11.Data(data=body)) or b""
@@ -158,64 +161,64 @@
             return False
 
     async def refuse(self, fault: Fault) -> None:
-        """Tells a caller whose request can't be read so, and lets it read that: a connection that is
-        closed with bytes unread is reset, which may take the answer away with it.
+        """Answers a request that can't be read, and then reads and drops what the caller still sends, for
+        at most LINGER: closing a connection with unread bytes resets it, which may lose the answer.
         """
         if not fault.status:
             return
-        await self.answer(refusal(fault.status, fault.code, "the request can't be read"))
+        await self.answer(error_response(fault.status, fault.code, "the request can't be read"))
         try:
             await self.socket.shutdown(socket.SHUT_WR)
             async with curio.ignore_after(constants.LINGER):
                 while await self.socket.recv(RECEIVE_BYTES):
                     pass
         except OSError:
-            pass  # the caller is gone
+            pass  # the caller has closed the connection
 
 
 def _request_of(head: h11.Request | None, body: _Body) -> Request:
-    """The Request of a message that is complete."""
+    """The Request made of a complete message."""
     assert head is not None, "h11 ended a message that had no head"
     headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
     return Request(head.method.decode(), head.target.decode("latin-1"), headers, body.complete())
 
 
 class Client:
-    """Calls to one host. Invariant: the socket is either ready for a call or None."""
+    """A client for one host. Invariant: between calls the socket is either ready for a call or None."""
 
     def __init__(self, host: str, port: int) -> None:
         self.host, self.port = host, port
         self.socket: Any = None
         self.connection: Any = None  # the h11.Connection over the socket
-        self.reached = False  # whether a byte of the last call may have left
+        self.reached = False  # whether any byte of the last call may have been sent
 
     async def __aenter__(self) -> "Client":
         return self
 
     async def __aexit__(self, *fault: object) -> None:
-        """Drops the socket and what it has not yet delivered."""
+        """Resets the connection, if there is one."""
         await self.abort()
 
     async def connect(self) -> None:
-        """Opens the socket if there is none; OSError says that nothing was sent."""
-        if self.socket is not None and self._spoiled():
+        """Opens the socket if there is none usable. OSError: it can't be opened, and nothing was sent."""
+        if self.socket is not None and self._is_unusable():
             await self.abort()
         if self.socket is None:
             self.socket = await curio.open_connection(self.host, self.port)
             self.connection = h11.Connection(h11.CLIENT)
 
-    def _spoiled(self) -> bool:
-        """Whether the open connection holds what no call asked for, or has ended: what came
-        beside one call's answer would be taken for the next one's.
+    def _is_unusable(self) -> bool:
+        """Whether the open connection has unexpected bytes or has ended: bytes beyond one call's answer
+        would be read as the answer to the next call.
         """
-        unread = select.poll()
-        unread.register(self.socket.fileno(), select.POLLIN)
-        return bool(self.connection.trailing_data[0]) or bool(unread.poll(0))
+        poller = select.poll()
+        poller.register(self.socket.fileno(), select.POLLIN)
+        return bool(self.connection.trailing_data[0]) or bool(poller.poll(0))
 
     async def call(
         self, method: str, target: str, document: object = None, headers: Iterable[tuple[str, str]] = ()
     ) -> Response | Fault:
-        """A Response, or a Fault; self.reached then tells if the call may have arrived."""
+        """The Response, or a Fault; then self.reached says whether the call may have arrived."""
         self.reached = False
         try:
             await self.connect()
@@ -234,7 +237,7 @@
             raise
 
     def _message(self, method: str, target: str, body: bytes, headers: Iterable[tuple[str, str]]) -> bytes:
-        """The bytes of a request."""
+        """The encoded request."""
         all_headers = [
             ("Host", f"{self.host}:{self.port}"),
             ("Content-Type", "application/json"),
@@ -248,7 +251,7 @@
         return data
 
     async def _response(self) -> Response | Fault:
-        """Reads the answer to the request that was sent; the socket is ready again, or dropped."""
+        """Reads the answer to the request that was sent; afterwards the socket is ready again or closed."""
         head: h11.Response | None = None
         body = _Body(constants.MAX_ANSWER_BYTES)
         while True:
@@ -273,20 +276,20 @@
         return _response_of(head, body)
 
     async def abort(self) -> None:
-        """Drops the socket and what it has not yet delivered."""
+        """Resets the connection, if there is one: bytes not yet delivered are discarded."""
         if self.socket is not None:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await self.close()
 
     async def close(self) -> None:
-        """Drops the socket, if there is one."""
+        """Closes the socket, if there is one."""
         if self.socket is not None:
-            opened, self.socket = self.socket, None
-            await opened.close()
+            open_socket, self.socket = self.socket, None
+            await open_socket.close()
 
 
 def _response_of(head: h11.Response | None, body: _Body) -> Response | Fault:
-    """The Response of a message that is complete, or a Fault if its JSON can't be read."""
+    """The Response made of a complete message, or a Fault if its JSON can't be read."""
     assert head is not None, "h11 ended a message that had no head"
     headers = tuple((name.decode(), value.decode()) for name, value in head.headers)
     text = body.complete().decode("utf-8", "replace")
--- a/src/pinepitch/transport/link.py
+++ b/src/pinepitch/transport/link.py
@@ -1,5 +1,5 @@
-"""The connections from one daemon to another: one for ordinary frames, one for large ones, so
-that a heartbeat never waits behind a large frame on a slow link.
+"""The connections from one daemon to another: one for ordinary frames and one for large frames, so that a
+heartbeat never waits behind a large frame on a slow link.
 """
 
 import collections
@@ -15,53 +15,58 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt to forward a request: the token of the request, and which attempt it is."""
+    """One attempt to forward a request: the token of the request and the number of the attempt."""
 
     token: str
     number: int
 
 
-# Is told the attempts whose frames were dropped since no connection could be made.
+# Callback for attempts whose frames were dropped because no connection could be made.
 Undelivered = Callable[[list[Attempt]], Awaitable[None]]
 
 
 class Lane:
-    """One connection. Invariants: frames leave in the order they came; size is the sum of the bytes
-    that wait; the oldest frames are dropped while more than LINK_QUEUE of them or `most` bytes wait,
-    but never the newest; a broken socket loses the batch that was being sent; each of `attempts`
-    belongs to the frame at the same place of `frames`, none of which has gone out yet.
+    """One connection with its queue of frames. Invariants: frames are sent in the order they were added;
+    `size` is the number of bytes in the queue; while it has more than LINK_QUEUE frames or `max_bytes`
+    bytes, its oldest frames are dropped, but never the newest; a broken socket loses the batch that was
+    being sent; `attempts` and `frames` have equal length and order, and contain only unsent frames.
     """
 
-    def __init__(self, address: str, undelivered: Undelivered, most: int, buffer: int | None = None) -> None:
+    def __init__(
+        self, address: str, undelivered: Undelivered, max_bytes: int, buffer: int | None = None
+    ) -> None:
         self.address = address
         self.undelivered = undelivered
-        self.most = most  # bytes that may wait
-        self.buffer = buffer  # bytes that the system holds for the socket; None for its default
+        self.max_bytes = max_bytes  # limit of the queue, in bytes
+        self.buffer = buffer  # send buffer of the socket in bytes; None for the system's default
         self.frames: collections.deque[bytes] = collections.deque()
         self.attempts: collections.deque[Attempt | None] = collections.deque()
         self.size = 0
-        self.down = False  # whether the last attempt to connect failed, and none was made since
-        self.filled = curio.Event()
+        self.unreachable = False  # whether the last attempt to connect failed
+        self.frames_ready = curio.Event()
 
     async def put(self, frame: bytes, attempt: Attempt | None = None) -> None:
-        """Adds a frame; `attempt` names the request in it, if there is one. A request does not wait for a
-        peer that could not be reached last: it only makes the connection be tried again.
+        """Adds a frame; `attempt` identifies the request in it, if there is one. If the last attempt to
+        connect failed, a request is not queued: it is reported as undelivered, and triggers a new attempt
+        to connect.
         """
-        if attempt is not None and self.down:
-            await self.filled.set()
+        if attempt is not None and self.unreachable:
+            await self.frames_ready.set()
             await self.undelivered([attempt])
             return
         self.frames.append(frame)
         self.attempts.append(attempt)
         self.size += len(frame)
-        while len(self.frames) > constants.LINK_QUEUE or (self.size > self.most and len(self.frames) > 1):
+        while len(self.frames) > constants.LINK_QUEUE or (
+            self.size > self.max_bytes and len(self.frames) > 1
+        ):
             self.size -= len(self.frames.popleft())
             self.attempts.popleft()
-        await self.filled.set()
+        await self.frames_ready.set()
 
     def _batch(self) -> bytes:
-        """The frames to be sent next, of LINK_SLICE bytes or one frame at least; empty where it was
-        only to connect again.
+        """Removes the next frames from the queue and returns them joined: frames up to the one that reaches
+        LINK_SLICE bytes. Empty if the queue is, which happens after a put that only triggers a connect.
         """
         batch: list[bytes] = []
         size = 0
@@ -71,42 +76,42 @@
             self.attempts.popleft()
         self.size -= size
         if not self.frames:
-            self.filled.clear()
+            self.frames_ready.clear()
         return batch[0] if len(batch) == 1 else b"".join(batch)
 
     async def run(self) -> None:
-        """Connects, sends, and begins anew when the socket breaks; never returns."""
+        """Connects, sends, and reconnects when the socket breaks; never returns."""
         while True:
-            await self.filled.wait()
+            await self.frames_ready.wait()
             socket = await self._connect()
-            self.down = socket is None
-            if self.down:
-                await self._give_up()
+            self.unreachable = socket is None
+            if self.unreachable:
+                await self._drop_all()
                 await curio.sleep(constants.LINK_BACKOFF)
                 continue
             async with socket:
                 await self._drain(socket)
 
     async def _drain(self, socket: Any) -> None:
-        """Sends what waits and what comes, until the socket breaks."""
+        """Sends the frames queued now and later, until the socket breaks."""
         try:
             while True:
-                await self.filled.wait()
+                await self.frames_ready.wait()
                 await self._send(socket, self._batch())
         except (OSError, curio.TaskTimeout):
             return
 
-    async def _give_up(self) -> None:
-        """Drops all that waits and tells which requests reached nobody."""
+    async def _drop_all(self) -> None:
+        """Drops all queued frames and reports the requests among them as undelivered."""
         undelivered_attempts = [attempt for attempt in self.attempts if attempt is not None]
         self.frames.clear()
         self.attempts.clear()
         self.size = 0
-        self.filled.clear()
+        self.frames_ready.clear()
         await self.undelivered(undelivered_attempts)
 
     async def _connect(self) -> Any:
-        """A connected curio socket, or None."""
+        """A connected curio socket, or None if the peer can't be reached in time."""
         host, port = split(self.address)
         try:
             socket = await curio.timeout_after(constants.ELECTION_TIMEOUT, curio.open_connection(host, port))
@@ -119,21 +124,21 @@
         return socket
 
     async def _send(self, socket: Any, batch: bytes) -> None:
-        """Sends a batch slice by slice; each must be taken in time, however long the whole lasts."""
+        """Sends a batch in slices with a time limit for each slice, not for the whole batch."""
         if len(batch) <= constants.LINK_SLICE:
             await curio.timeout_after(constants.ELECTION_TIMEOUT, socket.sendall(batch))
             return
-        rest = memoryview(batch)
-        while rest:
+        unsent = memoryview(batch)
+        while unsent:
             await curio.timeout_after(
-                constants.ELECTION_TIMEOUT, socket.sendall(rest[: constants.LINK_SLICE])
+                constants.ELECTION_TIMEOUT, socket.sendall(unsent[: constants.LINK_SLICE])
             )
-            rest = rest[constants.LINK_SLICE :]
+            unsent = unsent[constants.LINK_SLICE :]
 
 
 class Link:
-    """The connections to one daemon. Invariant: frames of LINK_BULK bytes or more keep their order among
-    themselves, and so do all others; between the two there is none.
+    """The two connections to one daemon. Invariant: frames of LINK_BULK bytes or more are sent in order, and
+    so are smaller frames; there is no order between large and small ones.
     """
 
     def __init__(self, address: str, undelivered: Undelivered, limits: Limits = USUAL) -> None:
@@ -141,14 +146,12 @@
         self.bulk = Lane(address, undelivered, limits.link, constants.LINK_BUFFER)
 
     async def put(self, frame: bytes, attempt: Attempt | None = None) -> None:
-        """Adds a frame, and the attempt of the request in it, to the connection for its size."""
+        """Adds a frame, with the attempt of the request in it if any, to the connection for its size."""
         lane = self.bulk if len(frame) >= constants.LINK_BULK else self.ordinary
         await lane.put(frame, attempt)
 
     async def run(self) -> None:
-        """Serves both connections and never returns; the one for large frames is opened by the first of
-        them.
-        """
+        """Serves both connections; never returns. A connection is opened when it gets its first frame."""
         async with curio.TaskGroup(wait=None) as lanes:
             await lanes.spawn(self.bulk.run)
             await self.ordinary.run()
--- a/src/pinepitch/transport/request_key.py
+++ b/src/pinepitch/transport/request_key.py
@@ -1,12 +1,12 @@
-"""What a forwarded request is about: its call and its subject, sent along with every answer to it."""
+"""The key of a forwarded request, its call and subject, which is sent with every answer to it."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
 
 class CallKey(NamedTuple):
-    """Invariant: requests that differ in what they ask of whom have different keys; a request sent
-    again has the same one.
+    """Identifies what a request is about. Invariants: requests that ask for different things or concern
+    different subjects have different keys; a request that is sent again has the same key.
     """
 
     call: str
@@ -14,28 +14,30 @@
 
 
 def _plain_subject(arguments: Sequence[Any]) -> str:
-    """The texts and numbers among the arguments: a name, a path, a version."""
-    return " ".join([str(one) for one in arguments if not isinstance(one, (dict, list, tuple))])
+    """The strings and numbers among the arguments: a name, a path, a version."""
+    return " ".join(
+        [str(argument) for argument in arguments if not isinstance(argument, (dict, list, tuple))]
+    )
 
 
 def _worker_subject(arguments: Sequence[Any]) -> str:
-    """The identity of the worker that speaks: by far the most requests, so nothing else is looked at."""
+    """The identity of the sending worker. Most requests are heartbeats, so nothing else is read."""
     subject: str = arguments[0]
     return subject
 
 
 def _configured_subject(arguments: Sequence[Any]) -> str:
-    """A configuration is named by the version it builds on and its own."""
+    """The version that a configuration builds on, and its own version."""
     base, document = arguments
     return f"{base} {document.get('version') if isinstance(document, dict) else None}"
 
 
 def _queue_subject(arguments: Sequence[Any]) -> str:
-    """Host and path: a caller's key, if there is one, is told to nobody."""
+    """Host and path. The caller's key, if there is one, must not be disclosed."""
     return _plain_subject(arguments[:2])
 
 
-# call -> how its subject is read, where it is not all texts and numbers among its arguments
+# call -> the function for its subject, where that is not _plain_subject
 SUBJECTS: dict[str, Callable[[Sequence[Any]], str]] = {
     "beat": _worker_subject,
     "configure": _configured_subject,
@@ -46,10 +48,10 @@
 
 
 def subject_of(call: str, arguments: Sequence[Any]) -> str:
-    """The subject of a request."""
+    """The subject of a request with these arguments."""
     return SUBJECTS.get(call, _plain_subject)(arguments)
 
 
 def key_of(call: str, arguments: Sequence[Any]) -> CallKey:
-    """The key of a request."""
+    """The key of a request with these arguments."""
     return CallKey(call, subject_of(call, arguments))
