--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -159,12 +159,12 @@
 
 @then("each is a message or refused, and a newer version is refused")
 def step_decoded(context):
-    refused = [one for one in context.decoded if isinstance(one, framing.Refused)]
+    refused = [one for one in context.decoded if isinstance(one, framing.InvalidFrame)]
     assert 0 < len(refused) < len(context.decoded)
     for one in context.decoded:
-        assert isinstance(one, framing.Refused) or (isinstance(one[0], str) and one[1]), one
+        assert isinstance(one, framing.InvalidFrame) or (isinstance(one[0], str) and one[1]), one
     newer = framing.decode(cbor2.dumps((constants.WIRE_VERSION + 1, "x", ("greet",))))
-    assert isinstance(newer, framing.Refused) and "version" in newer[0]
+    assert isinstance(newer, framing.InvalidFrame) and "version" in newer[0]
 
 
 def bend(document, draw):
--- a/src/pinepitch/runtime/frame_port.py
+++ b/src/pinepitch/runtime/frame_port.py
@@ -1,4 +1,4 @@
-"""The port on which other daemons' frames come in."""
+"""The port that receives frames from other daemons."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -12,33 +12,33 @@
 
 
 class FramePort:
-    """Reads frames and hands the messages that keep their contract to the decider."""
+    """Reads frames and passes the messages that satisfy their contract to the daemon."""
 
     def __init__(self, inbox: Any, log: Any) -> None:
         self.inbox, self.log = inbox, log
 
     async def serve(self, socket: Any, peer: object) -> None:
-        """Serves one connection until it ends, breaks, or brings what is no frame of ours."""
+        """Serves one connection until it ends, breaks, or delivers an invalid frame."""
         socket.setsockopt(curio.socket.IPPROTO_TCP, curio.socket.TCP_NODELAY, 1)
         stream = socket.as_stream()
         try:
             while True:
                 message = await _next_message(stream)
-                if isinstance(message, framing.Refused):
-                    events.emit(self.log, 105, why=message.why, peer=str(peer))
+                if isinstance(message, framing.InvalidFrame):
+                    events.emit(self.log, 105, why=message.reason, peer=str(peer))
                     return
                 await self.inbox.put(message)
         except (OSError, EOFError, curio.CurioError):
             return
 
 
-async def _next_message(stream: Any) -> tuple[Any, ...] | framing.Refused:
-    """The next message, or why the next bytes are none."""
+async def _next_message(stream: Any) -> tuple[Any, ...] | framing.InvalidFrame:
+    """The next message, or why the next frame is invalid."""
     body = await framing.read_frame(stream)
-    frame = body if isinstance(body, framing.Refused) else framing.decode(body)
-    if isinstance(frame, framing.Refused):
+    frame = body if isinstance(body, framing.InvalidFrame) else framing.decode(body)
+    if isinstance(frame, framing.InvalidFrame):
         return frame
     message: Sequence[Any] = frame[1]
     if not contract.keeps_contract(message):
-        return framing.Refused(f"a message that keeps no contract: {str(message[0])[:40]}")
+        return framing.InvalidFrame(f"message violates its contract: {str(message[0])[:40]}")
     return tuple(message)
