--- a/features/steps/disk_task.py
+++ b/features/steps/disk_task.py
@@ -11,7 +11,7 @@
 from pinepitch.consensus import messages
 from pinepitch.model import decisions
 from pinepitch.runtime import disk_task
-from pinepitch.runtime.disk_task import DiskTask, Note
+from pinepitch.runtime.disk_task import DiskTask, MembershipWrite
 from pinepitch.state import operations
 
 PATIENCE = 5.0  # seconds; until what a task was asked for must be done
@@ -49,11 +49,11 @@
             for job in jobs:
                 await task.add(job)
             await group.spawn(task.run)
-            await group.spawn(task.run_beside)
+            await group.spawn(task.run_background)
             context.told = [await inbox.get() for _ in range(told)]
-            context.waited_for = [job for job in jobs if isinstance(job, Note)]
-            for note in context.waited_for:
-                await note.done.wait()
+            context.waited_for = [job for job in jobs if isinstance(job, MembershipWrite)]
+            for write in context.waited_for:
+                await write.done.wait()
             await group.cancel_remaining()
 
     async def bounded():
@@ -79,7 +79,9 @@
 
 @when("saves 1 and 2 with a note between them are to be written")
 def step_saves(context):
-    run(context, [SaveChange(1, "first"), Note(curio.Event(), "noted"), SaveChange(2, "second")], 1)
+    run(
+        context, [SaveChange(1, "first"), MembershipWrite(curio.Event(), "noted"), SaveChange(2, "second")], 1
+    )
 
 
 @then("one file holds the first save, the note and the second save")
@@ -96,7 +98,7 @@
 
 @then("whoever waits for the note goes on")
 def step_noted(context):
-    assert [note.done.is_set() for note in context.waited_for] == [True]
+    assert [write.done.is_set() for write in context.waited_for] == [True]
 
 
 @when("a segment and a base for save 3 are to be written")
--- a/src/pinepitch/runtime/__init__.py
+++ b/src/pinepitch/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Runs a daemon: sockets, disks, clocks and signals around a decider that does no I/O."""
+"""Runs a daemon: sockets, disks, clocks and signals around a state machine that does no I/O."""
--- a/src/pinepitch/runtime/clocks.py
+++ b/src/pinepitch/runtime/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks that a decider is stepped with, and the rests of long work in threads."""
+"""The clocks that a daemon is stepped with, and pauses for long work in threads."""
 
 import time
 
@@ -6,8 +6,8 @@
 
 
 def steady_clock() -> float:
-    """Seconds by which a decider's leases and time-outs are told: never set, and unlike the monotonic
-    clock it goes on while the machine is suspended, so that a lease is over when it resumes.
+    """Seconds for leases and timeouts of a daemon. This clock is never set; unlike the monotonic clock it
+    also runs while the machine is suspended, so that leases have expired when the machine resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -19,13 +19,13 @@
 
 class Pauser:
     """Called between slices of long work in a thread: sleeps as long as the slice took, at most MAX_REST,
-    so that the decider's own thread has the interpreter for at least half of the time.
+    so that the daemon's main thread gets the interpreter for at least half of the time.
     """
 
     def __init__(self) -> None:
-        self.since = time.monotonic()
+        self.slice_began = time.monotonic()
 
     def __call__(self) -> None:
-        """Ends a slice, rests, and begins the next one."""
-        time.sleep(min(constants.MAX_REST, time.monotonic() - self.since))
-        self.since = time.monotonic()
+        """Ends a slice, sleeps, and begins the next slice."""
+        time.sleep(min(constants.MAX_REST, time.monotonic() - self.slice_began))
+        self.slice_began = time.monotonic()
--- a/src/pinepitch/runtime/disk_task.py
+++ b/src/pinepitch/runtime/disk_task.py
@@ -1,4 +1,4 @@
-"""The task that owns a daemon's data folder: what a decider wants durable, in order."""
+"""The task that owns a daemon's data folder and writes what must be durable, in order."""
 
 import collections
 from collections.abc import Callable
@@ -11,54 +11,55 @@
 from ..storage.store import Store
 
 
-class Note(NamedTuple):
-    """A note to be written; `done` is set once it is durable."""
+class MembershipWrite(NamedTuple):
+    """The payload of a WriteNote effect, to be written; `done` is set once it is durable."""
 
     done: Any  # a curio.Event
     payload: Any
 
 
-Job = SaveChange | WriteBase | WriteSegment | EncodeSnapshot | Note
+Job = SaveChange | WriteBase | WriteSegment | EncodeSnapshot | MembershipWrite
 
 
 class DiskTask:
-    """Owns the store. Invariants: saves and notes become durable in the order they came, as many of
-    them in one file as wait; segments and bases are written beside them, in an order of their own.
+    """Owns the store. Invariants: saves and membership writes become durable in the order they were added,
+    and those that are queued together are written to one file; segments and bases are written concurrently
+    with them, in the order they were added.
     """
 
     def __init__(self, store: Store | None, inbox: Any, encode: Callable[[Any], Any]) -> None:
         self.store = store
         self.inbox = inbox
-        self.encode = encode  # image -> its encoded form
+        self.encode = encode  # encodes an image
         self.jobs: collections.deque[Job] = collections.deque()
-        self.filled = curio.Event()
-        self.beside = curio.Queue()
+        self.jobs_ready = curio.Event()
+        self.background = curio.Queue()
 
     async def add(self, job: Job) -> None:
-        """Puts a job behind those that wait."""
+        """Appends a job to the queue."""
         self.jobs.append(job)
-        await self.filled.set()
+        await self.jobs_ready.set()
 
     def busy(self) -> bool:
-        """Whether a job waits."""
-        return bool(self.jobs) or not self.beside.empty()
+        """Whether any job is queued."""
+        return bool(self.jobs) or not self.background.empty()
 
     async def run(self) -> None:
-        """Does the jobs in order; never returns."""
+        """Processes the jobs in order; never returns."""
         while True:
-            await self.filled.wait()
+            await self.jobs_ready.wait()
             if not self.jobs:
-                self.filled.clear()
+                self.jobs_ready.clear()
                 continue
             job = self.jobs.popleft()
-            await DO[type(job)](self, job)
+            await JOB_HANDLERS[type(job)](self, job)
 
-    async def run_beside(self) -> None:
+    async def run_background(self) -> None:
         """Writes segments and bases; never returns."""
         while True:
-            write, *arguments = await self.beside.get()
+            write, *arguments = await self.background.get()
             await self._durable(write, *arguments)
-            await self.beside.task_done()
+            await self.background.task_done()
 
     async def _snapshot(self, job: EncodeSnapshot) -> None:
         await curio.spawn(self._encode, job, daemon=True)
@@ -69,32 +70,32 @@
 
     async def _segment(self, job: WriteSegment) -> None:
         assert self.store is not None
-        await self.beside.put((self.store.write_segment, job.number, job.data))
+        await self.background.put((self.store.write_segment, job.number, job.data))
 
     async def _base(self, job: WriteBase) -> None:
         assert self.store is not None
-        await self.beside.put((self.store.write_base, job.payload, self.store.version))
+        await self.background.put((self.store.write_base, job.payload, self.store.version))
         if job.sequence is not None:
-            await self.beside.join()
+            await self.background.join()
             await self.inbox.put(("saved", job.sequence))
 
-    async def _steps(self, first: SaveChange | Note) -> None:
-        """Writes a save or note, with all that follow it, as one file."""
+    async def _steps(self, first: SaveChange | MembershipWrite) -> None:
+        """Writes a save or membership write, with all that directly follow it in the queue, to one file."""
         assert self.store is not None
         batch = [first]
-        while self.jobs and isinstance(following := self.jobs[0], (SaveChange, Note)):
+        while self.jobs and isinstance(following := self.jobs[0], (SaveChange, MembershipWrite)):
             self.jobs.popleft()
             batch.append(following)
-        await self._durable(self.store.write_step, [_written(job) for job in batch])
+        await self._durable(self.store.write_step, [_record_of(job) for job in batch])
         sequences = [job.sequence for job in batch if isinstance(job, SaveChange)]
         if sequences:
             await self.inbox.put(("saved", max(sequences)))
         for job in batch:
-            if isinstance(job, Note):
+            if isinstance(job, MembershipWrite):
                 await job.done.set()
 
     async def _durable(self, write: Callable[..., None], *arguments: Any) -> None:
-        """Writes until it is done; the decider hears when the disk fails and works again."""
+        """Retries a write until it succeeds; notifies the daemon when the disk fails and recovers."""
         failed = False
         while True:
             try:
@@ -109,15 +110,15 @@
             await self.inbox.put(("disk", None))
 
 
-def _written(job: SaveChange | Note) -> list[Any]:
-    """What a file holds of a save or note."""
-    return ["note", job.payload] if isinstance(job, Note) else ["raft", job.change]
+def _record_of(job: SaveChange | MembershipWrite) -> list[Any]:
+    """The record of a save or membership write in a file."""
+    return ["note", job.payload] if isinstance(job, MembershipWrite) else ["raft", job.change]
 
 
-# The registry of jobs: type -> how it is done.
-DO: dict[type, Callable[..., Any]] = {
+# The registry of jobs: type -> the method that processes it.
+JOB_HANDLERS: dict[type, Callable[..., Any]] = {
     SaveChange: DiskTask._steps,
-    Note: DiskTask._steps,
+    MembershipWrite: DiskTask._steps,
     EncodeSnapshot: DiskTask._snapshot,
     WriteSegment: DiskTask._segment,
     WriteBase: DiskTask._base,
--- a/src/pinepitch/runtime/host.py
+++ b/src/pinepitch/runtime/host.py
@@ -1,7 +1,7 @@
-"""The I/O around a decider: curio tasks that own sockets, disk, clocks and signals.
+"""The I/O around a daemon's state machine: curio tasks that own sockets, disk, clocks and signals.
 
-Every task puts messages into one inbox; one loop steps the decider and hands its effects
-to the tasks that own the means.
+All tasks put messages into one inbox. A single loop passes them to the daemon's step() and dispatches the
+effects that it returns to the tasks that perform the I/O.
 """
 
 import signal
@@ -37,43 +37,43 @@
 
 
 class Host:
-    """Runs one decider. Invariants: only run() steps it; a note is on disk before any
-    later effect of the same step is carried out.
+    """Runs one daemon. Invariants: only run() steps the daemon; a WriteNote is durable before any later
+    effect of the same step is executed.
     """
 
     def __init__(
         self,
-        core: Any,
+        daemon: Any,
         address: str,
         log: Any,
         store: Store | None = None,
         http_address: str | None = None,
         adapters: Iterable[tuple[str, Adapter]] = (),
         stop_within: float = constants.STOP_WITHIN,
-        watch: Any = None,
+        settings_watch: Any = None,
     ) -> None:
-        self.core, self.address, self.log, self.store = core, address, log, store
+        self.daemon, self.address, self.log, self.store = daemon, address, log, store
         self.http_address = http_address
-        self.adapters = tuple(adapters)  # (address, adapter) of ports that speak another way
-        self.stop_within = stop_within  # seconds from SIGTERM to the end, unless the decider needs longer
-        self.watch = watch  # says by changed() which seeds the settings name now, or None if nothing changed
+        self.adapters = tuple(adapters)  # (address, adapter) of the ports behind an adapter
+        self.stop_within = stop_within  # seconds from SIGTERM to the exit, unless the daemon needs longer
+        self.settings_watch = settings_watch  # changed() returns the new seeds, or None if unchanged
         self.inbox = curio.Queue()
         self.tasks = curio.TaskGroup(wait=None)
         self.disk = disk_task.DiskTask(store, self.inbox, self._encoded)
-        self.links = Links(address, self.inbox, self.tasks, getattr(core, "limits", USUAL))
+        self.links = Links(address, self.inbox, self.tasks, getattr(daemon, "limits", USUAL))
         self.exchange = Exchange(self.inbox)
         self.frame_port = FramePort(self.inbox, log)
         self.http_port = HttpPort(self.exchange, DirectHandler(self.exchange))
-        self.ticking = False  # whether a tick waits in the inbox
+        self.ticking = False  # whether there is a tick in the inbox
         self.stall_detector = stall_detector.StallDetector()
 
     async def run(self) -> None:
-        """Serves until told to stop."""
+        """Serves until the daemon is stopped by a signal."""
         async with self.tasks:
             await self._listen()
             if self.store is not None:
                 await self.tasks.spawn(self.disk.run)
-                await self.tasks.spawn(self.disk.run_beside)
+                await self.tasks.spawn(self.disk.run_background)
             await self.tasks.spawn(self._clock)
             await self.tasks.spawn(self._signals)
             events.emit(self.log, 100, address=self.address, http=self.http_address)
@@ -87,7 +87,7 @@
             await self.tasks.cancel_remaining()
 
     async def _listen(self) -> None:
-        """Opens the ports: for frames, for the product's own API, and those behind adapters."""
+        """Opens the ports: for frames, for the product's own API, and for each adapter."""
         ports: list[tuple[str, Any]] = [(self.address, self.frame_port)]
         if self.http_address:
             ports.append((self.http_address, self.http_port))
@@ -109,8 +109,8 @@
         await self._decide(message, now)
 
     async def _decide(self, message: Sequence[Any], now: float) -> None:
-        """Steps the decider with one message and carries out what it decides."""
-        for effect in self.core.step(message, now, wall_clock()):
+        """Steps the daemon with one message and executes the effects."""
+        for effect in self.daemon.step(message, now, wall_clock()):
             await EFFECTS[type(effect)](self, effect)
 
     # --- effects ----------------------------------------------------------------------
@@ -125,19 +125,19 @@
 
     async def _write_note(self, effect: WriteNote) -> None:
         done = curio.Event()
-        await self.disk.add(disk_task.Note(done, effect.payload))
+        await self.disk.add(disk_task.MembershipWrite(done, effect.payload))
         await done.wait()
 
     def _encoded(self, image: Any) -> Any:
-        """The encoded form of an image with its digest, in whatever way the decider's state has it."""
-        return type(self.core.cluster_state).encode_with_digest(image)
+        """An image and its digest, encoded as the class of the daemon's state defines it."""
+        return type(self.daemon.cluster_state).encode_with_digest(image)
 
     async def _rehearse(self, effect: Rehearse) -> None:
-        await curio.spawn(self._rehearse_apart, *effect, daemon=True)
+        await curio.spawn(self._rehearse_in_thread, *effect, daemon=True)
 
-    async def _rehearse_apart(self, epoch: int, draft: str, asked: int, *measured: Any) -> None:
-        """Measures in a thread of its own, so that nothing here waits for it."""
-        measure = await curio.run_in_thread(self.core.measure, *measured, Pauser())
+    async def _rehearse_in_thread(self, epoch: int, draft: str, asked: int, *measured: Any) -> None:
+        """Measures in a separate thread, so that the loop is not blocked."""
+        measure = await curio.run_in_thread(self.daemon.measure, *measured, Pauser())
         await self.inbox.put(("rehearsed", epoch, draft, asked, measure))
 
     async def _reply(self, effect: Reply) -> None:
@@ -148,7 +148,7 @@
 
     # --- tasks ------------------------------------------------------------------------
     async def _clock(self) -> None:
-        """Ticks; a tick that still waits is not followed by another."""
+        """Puts ticks into the inbox, never more than one at a time."""
         while True:
             await curio.sleep(constants.TICK)
             if not self.ticking:
@@ -156,48 +156,53 @@
                 await self.inbox.put(("tick",))
 
     async def _signals(self) -> None:
-        """Notices SIGTERM or SIGINT (curio 1.6 has no signals of its own: a list is read), and stops."""
+        """Stops at SIGTERM or SIGINT, and rereads the settings periodically and at SIGHUP.
+
+        curio 1.6 has no support for signals: handlers append to a list, which is polled.
+        """
         received: list[int] = []
         for number in (*STOP_SIGNALS, signal.SIGHUP):
             signal.signal(number, lambda number, _: received.append(number))
-        looked = time.monotonic()
+        checked_at = time.monotonic()
         while STOP_SIGNALS.isdisjoint(received):
             await curio.sleep(constants.TICK)
-            if self.watch is not None and (received or time.monotonic() - looked >= constants.SETTINGS_EVERY):
+            if self.settings_watch is not None and (
+                received or time.monotonic() - checked_at >= constants.SETTINGS_EVERY
+            ):
                 while signal.SIGHUP in received:
                     received.remove(signal.SIGHUP)
-                looked = time.monotonic()
-                await self._look_at_settings()
+                checked_at = time.monotonic()
+                await self._check_settings()
         await self._stop()
 
-    async def _look_at_settings(self) -> None:
-        """Tells the decider the seeds if the settings name other ones now."""
-        seeds = self.watch.changed()
+    async def _check_settings(self) -> None:
+        """Passes the seeds of the settings to the daemon if they have changed."""
+        seeds = self.settings_watch.changed()
         if seeds is not None:
             await self.inbox.put(("seeds", seeds))
 
     async def _stop(self) -> None:
-        """Lets the decider take leave, answers what waits, and ends the loop."""
+        """Passes "stop" to the daemon, waits for pending answers and disk writes, and ends the loop."""
         self.exchange.stopping = True
         await self.inbox.put(("stop",))
         patience = self.stop_within * constants.STOP_PART
-        until = time.monotonic() + patience
+        deadline = time.monotonic() + patience
         if self.adapters:  # callers are turned away only after a while: they are served until then
             await curio.sleep(max(0.0, patience - constants.CALL_PATIENCE))
-        while time.monotonic() < until and (self.exchange.waiting or self.disk.busy()):
+        while time.monotonic() < deadline and (self.exchange.waiting or self.disk.busy()):
             await curio.sleep(constants.TICK)
-        while not self._may_end():  # bounded by the decider
+        while not self._may_end():  # the daemon bounds this wait
             await curio.sleep(constants.TICK)
-        await curio.sleep(constants.TICK * 4)  # lets the last answers and leaves go out
+        await curio.sleep(constants.TICK * 4)  # so that the last answers and `leave` messages are sent
         await self.inbox.put(("halt",))
 
     def _may_end(self) -> bool:
-        """Whether the decider, by the clock that it is stepped with, lets a stopping process end."""
-        may_end: bool = self.core.may_end(steady_clock())
+        """Whether the daemon lets a stopping process end, by the clock that it is stepped with."""
+        may_end: bool = self.daemon.may_end(steady_clock())
         return may_end
 
 
-# The registry of effects: type -> who carries it out.
+# The registry of effects: type -> the method that executes it.
 EFFECTS: dict[type, Callable[..., Any]] = {
     Send: Host._send,
     Event: Host._event,
--- a/src/pinepitch/runtime/order_post.py
+++ b/src/pinepitch/runtime/order_post.py
@@ -1,4 +1,4 @@
-"""Orders to workers: one HTTP call each, and how it went."""
+"""Posts orders to workers, with one HTTP call each."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
 
 
 async def _outcome(client: http.Client, path: str, document: object) -> str:
-    """How one call went: "sent", "refused", "unsent" (surely), or "unknown" (it may have arrived)."""
+    """The outcome of a call: "sent", "refused", "unsent" (certainly), or "unknown" (may have arrived)."""
     try:
         response = await curio.timeout_after(constants.ORDER_TIMEOUT, client.call("POST", path, document))
     except curio.TaskTimeout:
--- a/src/pinepitch/runtime/serving.py
+++ b/src/pinepitch/runtime/serving.py
@@ -1,4 +1,4 @@
-"""What the thin programs share: flags, settings, logs, and the way out when something is wrong."""
+"""Common code of the daemon programs: reads settings, runs the host, and exits with a status on errors."""
 
 import sys
 from collections.abc import Iterable, Mapping
@@ -15,34 +15,34 @@
 def checked_settings(
     program: str, settings_file: str | None, flags: Mapping[str, object]
 ) -> daemon_settings.Settings:
-    """The settings, or exit 2 with one line per fault."""
-    found, faults = daemon_settings.read(program, settings_file, flags)
-    if found is None:
+    """The settings; if they are invalid, prints one line per fault and exits with status 2."""
+    settings, faults = daemon_settings.read(program, settings_file, flags)
+    if settings is None:
         for fault in faults:
             print(f"{program}: {fault}", file=sys.stderr)
         sys.exit(2)
-    return found
+    return settings
 
 
 def serve(
     program: str,
-    core: Any,
-    found: daemon_settings.Settings,
+    daemon: Any,
+    settings: daemon_settings.Settings,
     log: Any,
     store: Store | None = None,
     adapters: Iterable[tuple[str, Adapter]] = (),
     stop_within: float = constants.STOP_WITHIN,
     watch: Any = None,
 ) -> None:
-    """Runs a decider until it is told to stop. A broken invariant ends the process with 70, a port that
-    can't be opened with 1.
+    """Runs a daemon until a signal stops it. The process exits with status 70 if an invariant is broken, and
+    with 1 if a port can't be opened.
     """
-    host = Host(core, found.address, log, store, found.http, adapters, stop_within, watch)
+    host = Host(daemon, settings.address, log, store, settings.http, adapters, stop_within, watch)
     try:
         curio.run(host.run)
     except AssertionError as broken:
         events.emit(log, 104, why=str(broken))
         sys.exit(70)
     except OSError as fault:
-        print(f"{program}: {found.address}: {fault}", file=sys.stderr)
+        print(f"{program}: {settings.address}: {fault}", file=sys.stderr)
         sys.exit(1)
--- a/src/pinepitch/runtime/stall_detector.py
+++ b/src/pinepitch/runtime/stall_detector.py
@@ -1,4 +1,4 @@
-"""The one watch for a process that was stopped, what it refuses, and answers that were kept back too long."""
+"""Detects pauses of the process, and handles what follows: stale requests and replies that are too old."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -21,37 +21,37 @@
 
 
 class StallDetector:
-    """Notices by the daemon's steady clock that its process did not run.
+    """Detects by the daemon's steady clock that its process did not run.
 
-    Two bounds go by it: the decider is told of every pause longer than CONFIRM_PAUSE, as requests may
-    have lain unread meanwhile, and after one longer than STALL such requests are refused. Invariant:
-    `until` is STALL_AFTERMATH past the end of the newest pause longer than STALL.
+    There are two limits. The daemon is notified of every pause longer than CONFIRM_PAUSE, as requests may
+    have stayed unread meanwhile; after a pause longer than STALL, such requests are refused. Invariant:
+    `refuse_until` is STALL_AFTERMATH after the end of the newest pause longer than STALL.
     """
 
     def __init__(self) -> None:
-        self.last_turn: float | None = None
-        self.until = -1e9
+        self.last_iteration: float | None = None
+        self.refuse_until = -1e9
 
     def turn(self, now: float) -> float:
-        """Notes one turn of the daemon's loop, which ticks at the least; the seconds of the pause that it
-        ends, 0.0 where that was no longer than CONFIRM_PAUSE.
+        """Records one iteration of the daemon's loop, which runs at least at every tick. Returns the seconds
+        since the previous one if that is a pause longer than CONFIRM_PAUSE, else 0.0.
         """
-        passed = 0.0 if self.last_turn is None else now - self.last_turn
-        self.last_turn = now
-        if passed > constants.STALL:
-            self.until = now + constants.STALL_AFTERMATH
-        return passed if passed > constants.CONFIRM_PAUSE else 0.0
+        elapsed = 0.0 if self.last_iteration is None else now - self.last_iteration
+        self.last_iteration = now
+        if elapsed > constants.STALL:
+            self.refuse_until = now + constants.STALL_AFTERMATH
+        return elapsed if elapsed > constants.CONFIRM_PAUSE else 0.0
 
     def refuses(self, message: Sequence[Any], now: float) -> bool:
-        """Whether a message is a request that may have waited since before the stall: its caller
-        has gone to another daemon, and may have done what the call would undo.
+        """Whether a message is a request that may have waited since before the stall. Its caller may have
+        gone to another daemon since, and done there what this request would undo.
         """
-        if now >= self.until:
+        if now >= self.refuse_until:
             return False
         kind: str = message[0]
         return kind == "http" or (kind == "call" and bool(message[2] != "ready"))
 
 
 def timely(reply: Reply, until: float | None, now: float) -> Reply:
-    """The reply if it may still be written, or what is written instead."""
+    """The reply if it may still be written, else LATE."""
     return reply if until is None or now <= until else LATE
