--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -229,7 +229,7 @@
     context.front, context.now = FrontDaemon("verge", FRONT, "north", (LEADER,)), 50.0
     context.front.step(("tick",), context.now, 0.0)
     context.front.leader = LEADER
-    context.front.control_daemons.heard("a", "north", LEADER, context.now)
+    context.front.control_daemons.handshake_received("a", "north", LEADER, context.now)
     context.front.updated_at = context.now - unresponsive_for
 
 
@@ -285,7 +285,7 @@
     server.listen(1)
     await link.put(b"third", "three")
     peer, _ = await server.accept()
-    while link.ordinary.down:
+    while link.ordinary.unreachable:
         await curio.sleep(0)
     await link.put(b"fourth", "four")
     context.arrived = await peer.recv(100)
