--- a/src/pinepitch/simulation/jobs/checks.py
+++ b/src/pinepitch/simulation/jobs/checks.py
@@ -1,5 +1,6 @@
-"""History checks of jobs under leases, written apart from the code that they check: they see only
-what callers were told and what tenants did. Each returns a list of faults in words.
+"""Checks of the histories of leased jobs. They are independent of the code under test: their only input
+is the answers that callers received and the actions of the workers. Each check returns a list of fault
+descriptions.
 """
 
 from typing import NamedTuple
@@ -11,32 +12,32 @@
     """One run of a task at a worker, from its start to its end."""
 
     began: float  # seconds
-    ended: float | None  # seconds; None while it runs
+    ended: float | None  # seconds; None while the run is active
     how: str | None  # done, failed, stopped, lost, alone or gone
     worker: str
-    identity: str  # the worker's, new at each start of it
+    identity: str  # of the worker; new at each of its starts
     reference: str  # job.time.step.task
     number: int
-    event: tuple  # that told its start
+    event: tuple  # the history event of its start
 
     @property
     def wave(self):
-        """(job, time, step) that its task belongs to."""
+        """The (job, time, step) of its task."""
         return tuple(self.reference.split(".")[:3])
 
     @property
     def task(self):
-        """The task's number in its step."""
+        """The index of the task in its step."""
         return self.reference.split(".")[3]
 
     @property
     def job(self):
-        """The job's identity."""
+        """The identity of the job."""
         return self.reference.split(".")[0]
 
 
 def runs_of(history):
-    """Every run, by when it began."""
+    """Returns every run of the history, sorted by its start time."""
     ends = {}
     for event in history:
         if event[0] == "end":
@@ -48,41 +49,43 @@
         if event[0] == "start":
             ended, how = ends.get((event[3], event[4], event[5]), (None, None))
             runs.append(Run(event[1], ended, how, event[2], event[3], event[4], event[5], event))
-    return sorted(runs, key=lambda one: one[:1])
+    return sorted(runs, key=lambda run: run[:1])
 
 
 def noted_ends(history):
-    """Reference -> [(when it ended, how, run)] of the ends that were taken note of with no
-    lapse of the lease in between.
+    """Returns reference -> [(end time, how, run)] of the ends that were acknowledged to the worker, where its
+    lease did not lapse between the end and the acknowledgement.
     """
-    listed, lapses, noted = {}, {}, {}
+    ended_at, lapses, noted = {}, {}, {}
     for event in history:
         if event[0] == "end":
-            listed[(event[3], event[4], event[5])] = event[1]
+            ended_at[(event[3], event[4], event[5])] = event[1]
         elif event[0] == "lapse":
             lapses.setdefault(event[3], []).append(event[1])
         elif event[0] == "noted":
             _, when, _, identity, reference, run, how = event
-            ended = listed[(identity, reference, run)]
-            if not any(ended <= one <= when for one in lapses.get(identity, ())):
+            ended = ended_at[(identity, reference, run)]
+            if not any(ended <= lapse <= when for lapse in lapses.get(identity, ())):
                 noted.setdefault(reference, []).append((ended, how, run))
     return noted
 
 
 def never_twice(history):
-    """No task runs twice at once, none starts after a run of it ended done that was noted."""
-    faults, last = [], {}
+    """No two runs of a task overlap, and no task starts again after a run of it ended as done and that end
+    was noted.
+    """
+    faults, earlier_runs = [], {}
     noted = noted_ends(history)
     for began, ended, _how, worker, _identity, reference, run, _ in runs_of(history):
-        for other in last.get(reference, ()):
+        for other in earlier_runs.get(reference, ()):
             if other[0] is None or other[0] > began:
                 faults.append(
                     f"{reference} run {run} started on {worker} at {began:.3f} while run {other[1]} ran "
                     f"on {other[2]}"
                 )
-        last.setdefault(reference, []).append((ended, run, worker))
-        for over, ended_how, earlier in noted.get(reference, ()):
-            if ended_how == "done" and over < began:
+        earlier_runs.setdefault(reference, []).append((ended, run, worker))
+        for ended_at, ended_how, earlier in noted.get(reference, ()):
+            if ended_how == "done" and ended_at < began:
                 faults.append(
                     f"{reference} run {run} started at {began:.3f} "
                     f"after run {earlier} had ended done, as noted"
@@ -91,25 +94,27 @@
 
 
 def steps_kept(history, jobs):
-    """Order, time, labels, places apart, text and checkpoints of every start are the job's."""
+    """Every start satisfies what its job asks for: the order of steps, the due time, labels, the number of
+    runs of a step at one worker, the spec and the checkpoints.
+    """
     runs = runs_of(history)
     done = _first_done(runs)
-    faults, brought, beside = [], {}, {}
+    faults, checkpoints, ends_by_worker = [], {}, {}
     for run in runs:
-        standing = jobs.get(run.job)
-        if standing is None:
-            faults.append(f"{run.reference} started, that no one handed in")
+        job = jobs.get(run.job)
+        if job is None:
+            faults.append(f"{run.reference} started, but its job was never submitted")
             continue
-        step = standing["document"]["steps"][int(run.wave[2])]
-        faults.extend(_started_too_soon(run, step, standing["document"], done))
-        faults.extend(_started_in_wrong_place(run, step, standing))
-        faults.extend(_started_too_close(run, step, beside))
-        faults.extend(_started_from_wrong_checkpoint(run, step, brought))
+        step = job["document"]["steps"][int(run.wave[2])]
+        faults.extend(_started_too_soon(run, step, job["document"], done))
+        faults.extend(_started_at_wrong_worker(run, step, job))
+        faults.extend(_started_too_close(run, step, ends_by_worker))
+        faults.extend(_started_from_wrong_checkpoint(run, step, checkpoints))
     return faults
 
 
 def _first_done(runs):
-    """Wave -> task -> when the first run of it that ended done did so."""
+    """Returns wave -> task -> when its earliest started run that ended as done did so."""
     done = {}
     for run in runs:
         if run.how == "done":
@@ -118,12 +123,12 @@
 
 
 def _started_too_soon(run, step, document, done):
-    """A run starts after the steps that it waits for, and not before its time."""
+    """A run starts after the steps that its step depends on, and not before its due time."""
     job, time, _ = run.wave
     for other in step.get("after", ()):
-        before = document["steps"][other]
-        over = [when for when in done.get((job, time, str(other)), {}).values() if when <= run.began]
-        if not over if before.get("gang") else len(over) < before["count"]:
+        dependency = document["steps"][other]
+        ends = [when for when in done.get((job, time, str(other)), {}).values() if when <= run.began]
+        if not ends if dependency.get("gang") else len(ends) < dependency["count"]:
             yield f"{run.reference} started at {run.began:.3f} before step {other} was done"
     if document.get("times"):
         due = (document["first_ms"] + int(time) * document["every_ms"]) / 1000
@@ -131,41 +136,43 @@
             yield f"{run.reference} started {due - run.began:.3f} s early"
 
 
-def _started_in_wrong_place(run, step, standing):
-    """A run starts with the job's text, at a worker of its queue that has the label it needs."""
-    if run.event[9] != standing["document"]["spec"]:
-        yield f"{run.reference} was started with another text"
-    place = int(run.worker[1:])
-    if step.get("needs") and step["needs"] != "ab"[place // 2 % 2]:
-        yield f"{run.reference} started where its label is missing"
-    if standing["queue"] != ("bare" if place % 2 else "held"):
-        yield f"{run.reference} started at another service"
+def _started_at_wrong_worker(run, step, job):
+    """A run starts with the spec of its job, at a worker of its queue that has the required label."""
+    if run.event[9] != job["document"]["spec"]:
+        yield f"{run.reference} was started with the spec of another job"
+    worker_index = int(run.worker[1:])
+    if step.get("needs") and step["needs"] != "ab"[worker_index // 2 % 2]:
+        yield f"{run.reference} started at a worker without the required label"
+    if job["queue"] != ("bare" if worker_index % 2 else "held"):
+        yield f"{run.reference} started at a worker of another queue"
 
 
-def _started_too_close(run, step, beside):
-    """No more runs of a step are at one worker than it allows; `beside` gathers them."""
+def _started_too_close(run, step, ends_by_worker):
+    """No worker has more runs of a step at once than the step allows; `ends_by_worker` collects when they
+    ended.
+    """
     if not step.get("apart"):
         return
-    here = beside.setdefault((run.identity, *run.wave), [])
-    still = [ended for ended in here if ended is None or ended > run.began]
-    if len(still) >= step["apart"]:
-        yield f"{run.reference} started beside {len(still)} of its step"
-    here.append(run.ended)
+    ends = ends_by_worker.setdefault((run.identity, *run.wave), [])
+    running = [ended for ended in ends if ended is None or ended > run.began]
+    if len(running) >= step["apart"]:
+        yield f"{run.reference} started beside {len(running)} of its step"
+    ends.append(run.ended)
 
 
-def _started_from_wrong_checkpoint(run, step, brought):
-    """A run starts from what it or its gang saved, all members of a gang from the same."""
+def _started_from_wrong_checkpoint(run, step, checkpoints):
+    """A run starts from a checkpoint of its own task or gang, and all members of a gang from the same one."""
     saved = run.event[8]
     gang = ".".join(run.wave)
     owner = gang if step.get("gang") else run.reference
     if saved and saved.rpartition(":")[0] != owner:
-        yield f"{run.reference} was started from what another saved: {saved}"
-    if step.get("gang") and brought.setdefault((*run.wave, run.number), saved) != saved:
+        yield f"{run.reference} was started from a checkpoint that another saved: {saved}"
+    if step.get("gang") and checkpoints.setdefault((*run.wave, run.number), saved) != saved:
         yield f"members of gang {gang} run {run.number} were started from different checkpoints"
 
 
 def attempts_kept(history, jobs):
-    """No task starts after as many failures, taken note of, as it may have."""
+    """No task starts after it has used up its attempts, by the failures that were noted."""
     faults, noted = [], noted_ends(history)
     failures = {}
     for reference, ends in noted.items():
@@ -182,19 +189,19 @@
         if step.get("lasts"):
             continue
         owner = f"{job}.{time}.{number}" if step.get("gang") else reference
-        before = [one for one, ended in failures.get(owner, {}).items() if ended < began]
+        before = [failed for failed, ended in failures.get(owner, {}).items() if ended < began]
         if len(before) >= ATTEMPTS:
             faults.append(f"{reference} run {run} started after {len(before)} failures")
     return faults
 
 
 def capacity_kept(history):
-    """No start takes a tenant beyond its capacity, what is being stopped counted too."""
+    """No start exceeds the capacity of its worker, where runs that are being stopped still count."""
     faults = []
     for event in history:
         if event[0] == "start":
             _, when, worker, _, reference, run, _, capacity, _, _, used = event
-            if any(used[place] + capacity[place] > CAPACITY[place] for place in range(3)):
+            if any(used[kind] + capacity[kind] > CAPACITY[kind] for kind in range(3)):
                 faults.append(
                     f"{reference} run {run} took {worker} beyond its room at {when:.3f}: "
                     f"{used} and {capacity}"
@@ -203,24 +210,28 @@
 
 
 def cancels_kept(history, jobs, running_most):
-    """After a cancel nothing starts but from an answer under way, and nothing runs on for long."""
+    """After a cancel, only answers that are still in flight start runs, and no run goes on for longer than
+    `running_most` seconds.
+    """
     faults = []
     for began, ended, _, worker, _, reference, run, _ in runs_of(history):
-        standing = jobs.get(reference.split(".")[0])
-        if standing is None or standing["cancelled"] is None:
+        job = jobs.get(reference.split(".")[0])
+        if job is None or job["cancelled"] is None:
             continue
-        since = standing["cancelled"]
-        if began > since + IN_FLIGHT:
-            faults.append(f"{reference} run {run} started {began - since:.2f} s after its cancel")
-        if ended is None or ended > max(began, since) + running_most:
+        cancelled_at = job["cancelled"]
+        if began > cancelled_at + IN_FLIGHT:
+            faults.append(f"{reference} run {run} started {began - cancelled_at:.2f} s after its cancel")
+        if ended is None or ended > max(began, cancelled_at) + running_most:
             faults.append(f"{reference} run {run} on {worker} ran on after its cancel")
     return faults
 
 
 def closed_kept(history, spans, zones):
-    """Draining tenants and evacuated zones get nothing new; there one answer may be under way."""
+    """Draining workers and evacuated zones get no new runs. In an evacuated zone an answer may still be in
+    flight, which IN_FLIGHT allows for.
+    """
     faults, drained = [], {}
-    for event in sorted(history, key=lambda one: one[1]):
+    for event in sorted(history, key=lambda event: event[1]):
         if event[0] == "drained":
             drained[event[3]] = event[1]
         elif event[0] == "start":
@@ -236,31 +247,31 @@
 
 
 def outcomes_true(history, client):
-    """What callers are told of jobs agrees with what ran."""
+    """The job states that callers receive agree with the runs of the history."""
     faults, runs = list(client.faults), runs_of(history)
     for run in runs:
-        standing = client.jobs.get(run.job)
-        if standing is not None and standing["refused"] is not None:
+        job = client.jobs.get(run.job)
+        if job is not None and job["refused"] is not None:
             faults.append(f"{run.reference} started, though its job was refused")
     finals = {}
     faults.extend(_wrong_answers(client, runs, finals))
     for run in runs:
-        state, since = finals.get(run.job, ("", 1e18))
-        if state and run.began > since + IN_FLIGHT:
+        state, reported_at = finals.get(run.job, ("", 1e18))
+        if state and run.began > reported_at + IN_FLIGHT:
             faults.append(
-                f"{run.reference} run {run.number} started {run.began - since:.2f} s "
-                f"after its job was told {state}"
+                f"{run.reference} run {run.number} started {run.began - reported_at:.2f} s "
+                f"after its job was reported {state}"
             )
     return faults
 
 
 def _wrong_answers(client, runs, finals):
-    """Faults in the states that callers were told; `finals` gathers identity -> (state, when told)."""
+    """Faults in the states that callers received; `finals` collects identity -> (state, when reported)."""
     done, failed = _earliest_done(runs), _failures(runs)
-    for _, sent, answered, identity, status, state in sorted(client.history, key=lambda one: one[2]):
-        standing = client.jobs[identity]
+    for _, sent, answered, identity, status, state in sorted(client.history, key=lambda answer: answer[2]):
+        job = client.jobs[identity]
         if status == 410:
-            yield f"{identity} is unknown {sent - standing['accepted']:.2f} s after it was accepted"
+            yield f"{identity} is unknown {sent - job['accepted']:.2f} s after it was accepted"
         if status != 200:
             continue
         if identity in finals and finals[identity][0] != state and sent > finals[identity][1]:
@@ -269,16 +280,16 @@
             continue
         first = identity not in finals
         finals.setdefault(identity, (state, answered))
-        if state == "cancelled" and standing["cancel_sent"] is None:
-            yield f"{identity} is told cancelled, but no one asked"
-        if state == "failed" and first and not _causes(identity, standing["document"], failed):
-            yield f"{identity} is told failed without cause"
+        if state == "cancelled" and job["cancel_sent"] is None:
+            yield f"{identity} is reported cancelled, but no caller asked for that"
+        if state == "failed" and first and not _used_up_attempts(identity, job["document"], failed):
+            yield f"{identity} is reported failed without cause"
         if state == "completed" and first:
-            yield from _not_done(identity, standing["document"], done, answered)
+            yield from _not_done(identity, job["document"], done, answered)
 
 
 def _earliest_done(runs):
-    """Wave -> task -> when it first ended done."""
+    """Returns wave -> task -> the earliest time at which a run of it ended as done."""
     done = {}
     for run in runs:
         if run.how == "done":
@@ -288,7 +299,7 @@
 
 
 def _failures(runs):
-    """Wave -> [(task, run)] that failed."""
+    """Returns wave -> [(task, run)] of the failed runs."""
     failed = {}
     for run in runs:
         if run.how == "failed":
@@ -297,17 +308,17 @@
 
 
 def _not_done(identity, document, done, answered):
-    """The steps of a job that were not done when it was told completed."""
+    """The steps of a job that were not done when it was reported completed."""
     for time in range(max(1, document.get("times", 0))):
         for number, step in enumerate(document["steps"]):
             ends = done.get((identity, str(time), str(number)), {}).values()
-            over = [one for one in ends if one <= answered]
-            if not over if step.get("gang") else len(over) < step["count"]:
-                yield f"{identity} is told completed, but step {number} of time {time} is not done"
+            ended = [when for when in ends if when <= answered]
+            if not ended if step.get("gang") else len(ended) < step["count"]:
+                yield f"{identity} is reported completed, but step {number} of time {time} is not done"
 
 
-def _causes(identity, document, failed):
-    """Whether some task or gang of a job failed as often as it may."""
+def _used_up_attempts(identity, document, failed):
+    """Whether some task or gang of a job has used up its attempts."""
     for (job, _time, number), runs in failed.items():
         if job != identity:
             continue
@@ -315,13 +326,13 @@
         counts = {}
         for index, run in runs:
             counts.setdefault("" if gang else index, set()).add(run)
-        if any(len(one) >= ATTEMPTS for one in counts.values()):
+        if any(len(failed_runs) >= ATTEMPTS for failed_runs in counts.values()):
             return True
     return False
 
 
 def gangs_met(history, jobs):
-    """Without faults no member of a gang waits in vain."""
+    """Without faults, every member of a gang meets all the others; none gives up waiting for them."""
     return [
         f"{event[4]} run {event[5]} ended alone"
         for event in history
@@ -330,11 +341,11 @@
 
 
 def refused_without_rival(changes):
-    """No change is refused while it alone was sent on top of a version that was in force."""
+    """No change is refused if it was the only one sent on top of a version that was in force."""
     faults = []
-    taken = {one.version for one in changes if one.acknowledged() is not None}
-    for one in changes:
-        rivals = [other for other in changes if other.base == one.base and other is not one]
-        if one.was_refused() and one.base in taken and not rivals:
-            faults.append(f"version {one.version} was refused, though it alone built on {one.base}")
+    accepted = {change.version for change in changes if change.acknowledged() is not None}
+    for change in changes:
+        rivals = [other for other in changes if other.base == change.base and other is not change]
+        if change.was_refused() and change.base in accepted and not rivals:
+            faults.append(f"version {change.version} was refused, though it alone built on {change.base}")
     return faults
--- a/src/pinepitch/simulation/jobs/key_checks.py
+++ b/src/pinepitch/simulation/jobs/key_checks.py
@@ -1,5 +1,6 @@
-"""History checks of tenants' keys, written apart from the code that they check: they see only what the
-operator sent and was told, and how calls at queues were answered. Each returns a list of faults in words.
+"""Checks of tenants' keys. They are independent of the code under test: their only input is the changes
+that the operator sent, the answers to these, and the answers to calls at queues. Each check returns a list
+of fault descriptions.
 """
 
 SUCCESS = range(200, 300)
@@ -7,84 +8,93 @@
 
 
 def _owners(change):
-    """Key -> name of its tenant, in a change's configuration."""
+    """Returns key -> name of its tenant, by the configuration of a change."""
     return {key: tenant["name"] for tenant in change.document["tenants"] for key in tenant["keys"]}
 
 
-def _ever_held(changes):
+def _all_keys(changes):
     """The keys of all configurations that were ever sent."""
     return {key for change in changes for key in _owners(change)}
 
 
-def _possible(changes, sent, answered):
-    """The changes that may have been in force at some time between a call and its answer: the newest one
-    that was acknowledged before, and those that were given by the answer, build on it directly or over
-    others, and were not refused.
+def _possibly_in_force(changes, sent, answered):
+    """The changes that may have been in force at some time between a call and its answer.
+
+    These are the newest change that was acknowledged before the call, and the changes that were sent before
+    the answer, build on that one directly or through others, and were not refused.
     """
-    known = [one for one in changes if one.acknowledged() is not None and one.acknowledged() < sent]
-    newest = max(known, key=lambda one: one.version)
-    found, versions = [newest], {newest.version}
-    candidates = [one for one in changes if one.base >= newest.version]
-    for one in sorted(candidates, key=lambda one: one.version):
-        if one.base in versions and one.given <= answered and not one.was_refused():
-            found.append(one)
-            versions.add(one.version)
-    return found
+    known = [
+        change for change in changes if change.acknowledged() is not None and change.acknowledged() < sent
+    ]
+    newest = max(known, key=lambda change: change.version)
+    possible, versions = [newest], {newest.version}
+    candidates = [change for change in changes if change.base >= newest.version]
+    for change in sorted(candidates, key=lambda candidate: candidate.version):
+        if change.base in versions and change.given <= answered and not change.was_refused():
+            possible.append(change)
+            versions.add(change.version)
+    return possible
 
 
 def never_held_refused(calls, changes):
-    """ROUTE: no call with a key that no configuration ever held, or with none, is answered with success."""
-    ever = _ever_held(changes)
+    """ROUTE: no call succeeds without a key or with a key that was in no configuration that was ever sent."""
+    all_keys = _all_keys(changes)
     return [
-        f"{one.call} {one.identity} ran at {one.answered:.3f} by {one.daemon} "
-        f"{'without a key' if one.key is None else 'with a key that no configuration ever held'}"
-        for one in calls
-        if one.status in SUCCESS and one.key not in ever
+        f"{call.call} {call.identity} ran at {call.answered:.3f} by {call.daemon} "
+        f"{'without a key' if call.key is None else 'with a key that no configuration ever held'}"
+        for call in calls
+        if call.status in SUCCESS and call.key not in all_keys
     ]
 
 
 def configuration_heeded(calls, changes, jobs):
-    """CONFIG: no call is handled as only a configuration allows that was replaced before it was sent."""
-    faults, ever = [], _ever_held(changes)
-    for one in calls:
-        owned = [_owners(change) for change in _possible(changes, one.sent, one.answered)]
-        where = f"{one.call} {one.identity} sent at {one.sent:.3f} to {one.daemon}"
-        if one.status in SUCCESS and one.key in ever and not any(one.key in keys for keys in owned):
-            faults.append(f"{where} ran with {one.key}, that was taken away before")
-        if one.status == UNKNOWN_KEY and all(one.key in keys for keys in owned):
-            faults.append(f"{where} was refused, though its key {one.key} was in force")
-        job = jobs.get(one.identity)
-        if one.status == FOREIGN_JOB and (
-            job is None or all(keys.get(one.key) == job["tenant"] for keys in owned)
+    """CONFIG: every call is handled as some configuration requires that may have been in force between the
+    call and its answer, never by one that was replaced before the call was sent.
+    """
+    faults, all_keys = [], _all_keys(changes)
+    for call in calls:
+        key_owners = [_owners(change) for change in _possibly_in_force(changes, call.sent, call.answered)]
+        description = f"{call.call} {call.identity} sent at {call.sent:.3f} to {call.daemon}"
+        if (
+            call.status in SUCCESS
+            and call.key in all_keys
+            and not any(call.key in keys for keys in key_owners)
+        ):
+            faults.append(f"{description} ran with {call.key}, that was taken away before")
+        if call.status == UNKNOWN_KEY and all(call.key in keys for keys in key_owners):
+            faults.append(f"{description} was refused, though its key {call.key} was in force")
+        job = jobs.get(call.identity)
+        if call.status == FOREIGN_JOB and (
+            job is None or all(keys.get(call.key) == job["tenant"] for keys in key_owners)
         ):
-            faults.append(f"{where} was refused as another tenant's, though {one.key} is its own's")
-        if one.status == NO_ROUTE:
-            faults.append(f"{where} found no route")
+            faults.append(f"{description} was refused as another tenant's, though {call.key} is its own's")
+        if call.status == NO_ROUTE:
+            faults.append(f"{description} found no route")
     return faults
 
 
 def jobs_kept_apart(calls, changes, jobs):
-    """No job is read, cancelled or handed in again with a key of another tenant's."""
+    """No job is read, cancelled or submitted again with the key of another tenant."""
     tenants = {key: name for change in changes for key, name in _owners(change).items()}
     return [
-        f"{one.call} {one.identity} of {jobs[one.identity]['tenant']} sent at {one.sent:.3f} to {one.daemon} "
-        f"ran with {one.key} of another tenant"
-        for one in calls
-        if one.status in SUCCESS
-        and one.identity in jobs
-        and tenants.get(one.key, jobs[one.identity]["tenant"]) != jobs[one.identity]["tenant"]
+        f"{call.call} {call.identity} of {jobs[call.identity]['tenant']} "
+        f"sent at {call.sent:.3f} to {call.daemon} ran with {call.key} of another tenant"
+        for call in calls
+        if call.status in SUCCESS
+        and call.identity in jobs
+        and tenants.get(call.key, jobs[call.identity]["tenant"]) != jobs[call.identity]["tenant"]
     ]
 
 
 def probes_answered(probes):
-    """Every kind of probe was clearly answered at least once, so that the checks have looked at it."""
+    """Every kind of probe got a definite answer at least once, so that the checks have examined it."""
     return [
-        f"no probe of the kind {kind} was clearly answered" for kind, count in probes.items() if not count
+        f"no probe of the kind {kind} got a definite answer" for kind, count in probes.items() if not count
     ]
 
 
 def key_faults(simulator):
-    """The faults that all checks of keys find in a trial."""
+    """The faults that the checks of keys find in a trial."""
     calls, client = simulator.keyed_calls, simulator.client_stand_in
     changes = simulator.operator_stand_in.changes
     return [
--- a/src/pinepitch/simulation/jobs/quota_checks.py
+++ b/src/pinepitch/simulation/jobs/quota_checks.py
@@ -1,31 +1,31 @@
-"""History check of what tenants have running, written apart from the code that it checks: it sees only what
-workers did, who handed each job in, and which maxima may have been in force when.
+"""Check of the resources that tenants have running. It is independent of the code under test: its only
+input is the worker history, the owner of each job, and which maxima may have been in force at which time.
 """
 
 import math
 from typing import NamedTuple
 
-RESOURCES = ("cpu", "mem_mb", "gpu")  # in the order in which a start names what it takes
+RESOURCES = ("cpu", "mem_mb", "gpu")  # in the order of the amounts in a start event
 
 
 class Span(NamedTuple):
-    """A time in which a configuration may be in force."""
+    """A period in which a configuration may be in force."""
 
     begun: float  # seconds
-    ended: float | None  # seconds; None where it has no end
-    maxima: dict  # tenant -> its `maximum` as configurations name it, or None
+    ended: float | None  # seconds; None while it may still be in force
+    maxima: dict  # tenant -> its `maximum` in the configuration, or None
 
     def covers(self, when):
-        """Whether it may be in force then."""
+        """Whether the configuration may be in force at that time."""
         return self.begun <= when and (self.ended is None or when <= self.ended)
 
     def most(self, tenant, resource):
-        """What a tenant may have running of a resource; a limit of 0 is none."""
+        """How much of a resource a tenant may have running; a limit of 0 means no limit."""
         return (self.maxima.get(tenant) or {}).get(resource) or math.inf
 
 
 class Excess(NamedTuple):
-    """A start that brought what a tenant has running above its maximum."""
+    """A start that took what its tenant has running above the maximum."""
 
     when: float  # seconds
     tenant: str
@@ -33,11 +33,11 @@
     run: int
     worker: str
     resource: str
-    running: float  # with the start
+    running: float  # including this start
     most: float
 
     def text(self):
-        """The fault in words."""
+        """The description of the fault."""
         return (
             f"{self.reference} run {self.run} started on {self.worker} at {self.when:.3f} brought "
             f"{self.tenant} to {self.running:g} {self.resource} running, above its maximum of {self.most:g}"
@@ -45,18 +45,18 @@
 
 
 class Usage(NamedTuple):
-    """What a history shows."""
+    """The result of checking a history."""
 
     excesses: list
-    limited_starts: int  # starts of tenants that were limited
-    at_maximum: int  # those of them that left no room for another of the same
+    limited_starts: int  # starts of tenants with a maximum, one for each limited resource
+    at_maximum: int  # those of them after which another of the same size would not fit
 
 
 def usage(history, tenants, spans):
-    """The Usage of a worker history. `tenants` says of each job whose it is, "" for nobody's.
+    """Returns the Usage of a worker history. `tenants` maps each job to its tenant, "" for none.
 
-    The highest maximum of the spans that cover a start counts. A task larger than that may run where nothing
-    of its tenant runs that takes the same resource.
+    The highest maximum of the spans that cover a start applies. A task that is larger than that may run while
+    its tenant has nothing else running that takes the same resource.
     """
     running, excesses, limited, at_maximum = {}, [], 0, 0
     for event in history:
@@ -65,23 +65,23 @@
             running.pop(key, None)
         if event[0] != "start":
             continue
-        _, when, worker, _, reference, run, _, taken, *_ = event
+        _, when, worker, _, reference, run, _, requested, *_ = event
         tenant = tenants.get(reference.split(".")[0], "")
-        mine = [amounts for name, amounts in running.values() if name == tenant]
-        running[key] = (tenant, taken)
+        tenant_amounts = [amounts for name, amounts in running.values() if name == tenant]
+        running[key] = (tenant, requested)
         for kind, resource in enumerate(RESOURCES):
             most = max((span.most(tenant, resource) for span in spans if span.covers(when)), default=math.inf)
-            if not tenant or not taken[kind] or most == math.inf:
+            if not tenant or not requested[kind] or most == math.inf:
                 continue
-            before = sum(amounts[kind] for amounts in mine)
-            total = before + taken[kind]
+            before = sum(amounts[kind] for amounts in tenant_amounts)
+            total = before + requested[kind]
             limited += 1
-            at_maximum += total + taken[kind] > most
+            at_maximum += total + requested[kind] > most
             if before and total > most:
                 excesses.append(Excess(when, tenant, reference, run, worker, resource, total, most))
     return Usage(excesses, limited, at_maximum)
 
 
 def maximum_kept(history, tenants, spans):
-    """No start brings what a tenant has running, wherever it runs, above its maximum."""
-    return [one.text() for one in usage(history, tenants, spans).excesses]
+    """No start takes what a tenant has running, over all workers, above its maximum."""
+    return [excess.text() for excess in usage(history, tenants, spans).excesses]
