--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -1,4 +1,6 @@
-"""Injected faults: each must be found by a check of the simulated fleet that runs jobs."""
+"""Injected faults of leased jobs. Each breaks a rule in the code under test, and some check of the simulated
+fleet must find it.
+"""
 
 import contextlib
 import itertools
@@ -20,8 +22,10 @@
 from .key_injected_faults import KEY_INJECTED_FAULTS
 
 
-def _absent_at_once(self, worker, now):
-    """Takes what is missing in a heartbeat for a proof, whoever gave the start and however old it is."""
+def _unlisted_means_never_started(self, worker, now):
+    """Takes a run that is missing in a heartbeat as never started, whichever leader sent its start and
+    however old the heartbeat is.
+    """
     for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
         if (reference, run) not in worker.running and (reference, run) not in worker.listed:
             if (
@@ -32,8 +36,8 @@
                 self.ends.propose(worker.identity, reference, run, "unsent", "", False)
 
 
-def _starts_proposed(self, now):
-    """Tells starts that are proposed and not yet agreed on."""
+def _send_proposed_starts(self, now):
+    """Sends workers starts that are proposed but not yet committed."""
     propose = self.core.propose
 
     def proposed(operation, waiting, when):
@@ -43,13 +47,13 @@
                 run = max(task.run for task in wave.tasks) + 1
                 for index, worker_name in group:
                     task = wave.tasks[index]
-                    answer = (
+                    start = (
                         wave.reference(index),
                         run if wave.step.gang else task.run + 1,
                         wave.job.spec,
                         task.saved,
                     )
-                    self.__dict__.setdefault("told_early", {}).setdefault(worker_name, []).append(answer)
+                    self.__dict__.setdefault("early_starts", {}).setdefault(worker_name, []).append(start)
         propose(operation, waiting, when)
 
     with mock.patch.object(self.core, "propose", proposed):
@@ -57,59 +61,63 @@
     self.unapplied_runs.clear()
 
 
-def _orders_early(self, worker, taken, now):
-    answer = original_orders(self, worker, taken, now)
-    more = self.__dict__.get("told_early", {}).pop(worker.identity, ())
-    return {**answer, "start": (*answer["start"], *(one for one in more if one not in answer["start"]))}
+def _answer_with_early_starts(self, worker, received_at, now):
+    answer = original_answer(self, worker, received_at, now)
+    early_starts = self.__dict__.get("early_starts", {}).pop(worker.identity, ())
+    return {
+        **answer,
+        "start": (*answer["start"], *(start for start in early_starts if start not in answer["start"])),
+    }
 
 
-def _failures_forgotten(self, now, placement, reference, run, how, saved, heard):
+def _failures_as_stops(self, now, placement, reference, run, how, saved, received):
     return original_ended(
-        self, now, placement, reference, run, "stopped" if how == "failed" else how, saved, heard
+        self, now, placement, reference, run, "stopped" if how == "failed" else how, saved, received
     )
 
 
 def _always_ready(self, heartbeat, now):
-    """Reads no heartbeat that says "draining"."""
+    """Takes every heartbeat as if its worker were ready, also one that reports "draining"."""
     return original_heartbeat(self, {**heartbeat, "state": "ready", "leaves_ms": None}, now)
 
 
-def _notified_levels_alone(self):
-    told, members = self.core.advertised_levels, self.core.consensus.membership.members()
-    return min((told.get(one, 1) for one in members), default=1)
+def _level_of_known_members(self):
+    levels, members = self.core.advertised_levels, self.core.consensus.membership.members()
+    return min((levels.get(member, 1) for member in members), default=1)
 
 
 def _capacity_twice(leased_jobs, workers, now):
-    """Gives the capacity of runs that are to end away before they have ended."""
-    seats = original_seats(leased_jobs, workers, now)
-    for seat in itertools.chain(*seats.values()):
-        for placement in leased_jobs.placements.get(seat.identity, {}).values():
+    """Offers the capacity of runs that are to be stopped before they have ended."""
+    slots = original_candidates(leased_jobs, workers, now)
+    for slot in itertools.chain(*slots.values()):
+        for placement in leased_jobs.placements.get(slot.identity, {}).values():
             if not leased_jobs.wanted(placement):
-                seat.free = tuple(
-                    free + capacity for free, capacity in zip(seat.free, placement.resources, strict=False)
+                slot.free = tuple(
+                    free + capacity for free, capacity in zip(slot.free, placement.resources, strict=False)
                 )
-    return seats
+    return slots
 
 
-def _cancel_in_word(self, now, identity):
+def _acknowledge_cancel_only(self, now, identity):
     return ("cancelled", identity) if identity in self.jobs else ("missing", identity)
 
 
-def _after_unheeded(self, wave):
-    """Takes every step for one without earlier steps."""
+def _ignore_dependencies(self, wave):
+    """Takes every step as one that depends on no other step."""
     wave.blocked = 0
     original_index(self, wave)
 
 
-original_assign, original_orders = AssignmentManager._assign, AssignmentManager._heartbeat_answer
+original_assign, original_answer = AssignmentManager._assign, AssignmentManager._heartbeat_answer
 original_ended, original_index = LeasedJobState._apply_end, LeasedJobState._update_ready
-original_seats, original_heartbeat = assigner.candidate_workers, Worker.take_heartbeat
+original_candidates, original_heartbeat = assigner.candidate_workers, Worker.take_heartbeat
 INJECTED_FAULTS = {
     **CONTROL_INJECTED_FAULTS,
     **KEY_INJECTED_FAULTS,
-    # An old heartbeat is stopped by the end that its carried copy bears, too: without both it proves.
+    # Forwarded requests carry a deadline, which also rejects an old heartbeat. Both defences are disabled, so
+    # that an old heartbeat counts as proof that a run never started.
     "absence-at-once": [
-        (AssignmentManager, "_propose_never_started", _absent_at_once),
+        (AssignmentManager, "_propose_never_started", _unlisted_means_never_started),
         (ForwardedRequests, "_in_time", lambda self, end, now: True),
     ],
     "hold-not-waited-out": [(constants, "LAPSE_MARGIN", -3.5)],
@@ -119,21 +127,21 @@
     ],
     "copies-told-early": [(Consensus, "flush_sequence", lambda self: self.saved_sequence)],
     "starts-proposed": [
-        (AssignmentManager, "_assign", _starts_proposed),
-        (AssignmentManager, "_heartbeat_answer", _orders_early),
+        (AssignmentManager, "_assign", _send_proposed_starts),
+        (AssignmentManager, "_heartbeat_answer", _answer_with_early_starts),
     ],
     "ends-noted-early": [(Worker, "acknowledged", lambda self: self.seen)],
-    "levels-forgotten": [(Proposals, "common_level", _notified_levels_alone)],
+    "levels-forgotten": [(Proposals, "common_level", _level_of_known_members)],
     "evacuation-in-word": [(LeasedJobState, "evacuate", lambda self, *order: ("ok",))],
-    "failures-forgotten": [(LeasedJobState, "_apply_end", _failures_forgotten)],
+    "failures-forgotten": [(LeasedJobState, "_apply_end", _failures_as_stops)],
     "room-given-early": [(assigner, "candidate_workers", _capacity_twice)],
-    "cancel-in-word": [(LeasedJobState, "cancel", _cancel_in_word)],
+    "cancel-in-word": [(LeasedJobState, "cancel", _acknowledge_cancel_only)],
     "stops-forgotten": [(LeasedJobState, "wanted", lambda self, placement: True)],
     "leaves-are-ends": [(Worker, "leave", lambda self: True)],
     "drain-unseen": [(Worker, "take_heartbeat", _always_ready)],
-    "order-unheeded": [(LeasedJobState, "_update_ready", _after_unheeded)],
+    "order-unheeded": [(LeasedJobState, "_update_ready", _ignore_dependencies)],
     "answers-unchecked": [(Forwarder, "waiting", lambda self, token, key: self.calls.get(token))],
-    # No fault but a condition under which nothing may break: the log is compacted all the time.
+    # Not a fault, but a condition under which no check may fail: the log is compacted all the time.
     "frequent-snapshots": [
         (constants, "SNAPSHOT_ENTRIES", 50),
         (constants, "SNAPSHOT_TAIL", 10),
@@ -145,7 +153,7 @@
 
 @contextlib.contextmanager
 def injected(name):
-    """The fault of that name in place; '' for none."""
+    """Context in which the fault of that name is injected; '' for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
--- a/src/pinepitch/simulation/jobs/key_injected_faults.py
+++ b/src/pinepitch/simulation/jobs/key_injected_faults.py
@@ -1,4 +1,4 @@
-"""Injected faults of tenants' keys: each must be found by a check of keys."""
+"""Injected faults of tenants' keys. Each must be found by a check of keys."""
 
 from ...model.decisions import Answer
 from ...scheduling import requests
@@ -7,33 +7,33 @@
 
 
 def _key_unchecked(leased_jobs, route, key):
-    """Takes a call with a key that is no tenant's for one that needs none."""
+    """Handles a call with an unknown key as one that needs no key."""
     return original_caller(leased_jobs, route, key) or ""
 
 
 def _missing_key_unchecked(leased_jobs, route, key):
-    """Takes a call without a key for one that needs none."""
+    """Handles a call without a key as one that needs none."""
     return original_caller(leased_jobs, route, key) if key else ""
 
 
 def _keys_not_renewed(self, *change):
-    """Goes on with the keys that were in force before an amendment."""
+    """Still uses the keys from before an amendment after it."""
     before = self.tenants
     outcome = original_amend(self, *change)
     self.tenants = before
     return outcome
 
 
-def _owner_unheeded(core, host, path, key):
-    """Lets every tenant at every job."""
-    found = original_admitted(core, host, path, key)
-    if isinstance(found, Answer) and found.status == FOREIGN_JOB:
+def _owner_unchecked(core, host, path, key):
+    """Grants every tenant access to every job."""
+    route = original_admitted(core, host, path, key)
+    if isinstance(route, Answer) and route.status == FOREIGN_JOB:
         return requests._find_route(core, host, path)
-    return found
+    return route
 
 
 def _keys_from_version_before(self, document):
-    """Goes by the keys of the version before the one in force."""
+    """Uses the keys of the version before the one in force."""
     before = getattr(self, "document", None)
     original_put(self, document)
     if before is not None:
@@ -47,5 +47,5 @@
     "missing-key-unchecked": [(requests, "_calling_tenant", _missing_key_unchecked)],
     "keys-not-renewed": [(Configuration, "amend", _keys_not_renewed)],
     "keys-one-version-late": [(Configuration, "_set_document", _keys_from_version_before)],
-    "owner-unheeded": [(requests, "_authorized_route", _owner_unheeded)],
+    "owner-unheeded": [(requests, "_authorized_route", _owner_unchecked)],
 }
