--- a/src/pinepitch/simulation/jobs/checks.py
+++ b/src/pinepitch/simulation/jobs/checks.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-from .limits import ATTEMPTS, CAPACITY, EARLY, FINAL, IN_FLIGHT
+from .limits import ATTEMPTS, CAPACITY, FINAL, IN_FLIGHT, MAX_EARLY_START
 
 
 class Run(NamedTuple):
@@ -132,7 +132,7 @@
             yield f"{run.reference} started at {run.began:.3f} before step {other} was done"
     if document.get("times"):
         due = (document["first_ms"] + int(time) * document["every_ms"]) / 1000
-        if run.began < due - EARLY:
+        if run.began < due - MAX_EARLY_START:
             yield f"{run.reference} started {due - run.began:.3f} s early"
 
 
@@ -231,7 +231,7 @@
     flight, which IN_FLIGHT allows for.
     """
     faults, drained = [], {}
-    for event in sorted(history, key=lambda event: event[1]):
+    for event in sorted(history, key=lambda entry: entry[1]):
         if event[0] == "drained":
             drained[event[3]] = event[1]
         elif event[0] == "start":
--- a/src/pinepitch/simulation/jobs/control_faults.py
+++ b/src/pinepitch/simulation/jobs/control_faults.py
@@ -1,4 +1,4 @@
-"""Single faults of control daemons, out of which fault scenarios are made."""
+"""Single faults of control daemons, from which fault scenarios are composed."""
 
 import functools
 import itertools
@@ -7,12 +7,12 @@
 from ..simulator import GRACE
 
 CATCH_UP = 4.0  # seconds; a daemon counts as lost for this long after its start
-TOGETHER = 0.3  # seconds; within which daemons that come back at once are started
-OUTGOING, INCOMING, BOTH = "outgoing", "incoming", "both"  # what a cut takes away
+START_WINDOW = 0.3  # seconds; daemons that restart together are started within this
+OUTGOING, INCOMING, BOTH = "outgoing", "incoming", "both"  # the direction that a partition blocks
 
 
 def control_names(simulator):
-    """Names of the control daemons that run."""
+    """Names of the running control daemons."""
     return [name for name, node in simulator.nodes.items() if node.kind == "accord" and node.core is not None]
 
 
@@ -21,33 +21,37 @@
     return [name for name, node in simulator.nodes.items() if node.kind == "verge"]
 
 
-def partition_off(simulator, names, manner):
-    """Cuts control daemons off from the others, silently; callers, tenants and fronts reach them still."""
+def partition_off(simulator, names, direction):
+    """Partitions control daemons from the other control daemons, without resets of connections. Clients,
+    workers and front daemons still reach them.
+    """
     others = [name for name, node in simulator.nodes.items() if node.kind == "accord" and name not in names]
-    if manner == INCOMING:
+    if direction == INCOMING:
         simulator.partition(others, names, both=False)
     else:
-        simulator.partition(names, others, both=manner == BOTH)
+        simulator.partition(names, others, both=direction == BOTH)
 
 
 def start_soon(simulator, names):
-    """Starts daemons within TOGETHER, in any order."""
+    """Starts daemons within START_WINDOW, in random order."""
     for name in names:
         simulator.at(
-            simulator.draw.uniform(0, TOGETHER), "later", functools.partial(start_if_down, simulator, name)
+            simulator.draw.uniform(0, START_WINDOW),
+            "later",
+            functools.partial(start_if_down, simulator, name),
         )
-    simulator.run(TOGETHER + 0.01)
+    simulator.run(START_WINDOW + 0.01)
 
 
 def start_if_down(simulator, name):
-    """Starts a daemon unless it runs or is gone for good."""
+    """Starts a daemon unless it runs or is retired."""
     node = simulator.nodes[name]
     if node.core is None and node.kind != "retired":
         simulator.start(name)
 
 
 def lose_power(simulator, names):
-    """Several daemons lose power at once: what was not synced is there or not, each by itself."""
+    """Several daemons lose power at once; for each separately, unsynced data may be on its disk or not."""
     for name in names:
         if simulator.nodes[name].core is not None:
             simulator.kill(name)
@@ -61,81 +65,81 @@
 
 
 def run_until_acknowledged(simulator, calls, seconds=10.0):
-    """Runs until one of the calls is acknowledged; the daemon that did it, or None."""
+    """Runs until one of the calls is acknowledged; returns the daemon that acknowledged it, or None."""
     known = len(simulator.acknowledgements)
 
-    def fresh():
-        return [one for one in simulator.acknowledgements[known:] if one[1] in calls]
+    def matching():
+        return [entry for entry in simulator.acknowledgements[known:] if entry[1] in calls]
 
-    simulator.until(fresh, seconds, 0.001)
-    return fresh()[0][2] if fresh() else None
+    simulator.until(matching, seconds, 0.001)
+    return matching()[0][2] if matching() else None
 
 
-def name_seeds(simulator, first=(), informed=()):
-    """The settings name other contact points, `first` ahead; those of `told` read them again now."""
-    live = [simulator.nodes[name].address for name in control_names(simulator)]
-    ahead = [simulator.nodes[name].address for name in first]
-    others = [one for one in live if one not in ahead]
-    simulator.seeds = [*ahead, *simulator.draw.sample(others, len(others))][: constants.SEEDS]
+def configure_seeds(simulator, first=(), informed=()):
+    """Changes the seeds in the settings, with `first` in front; the daemons of `informed` read them now."""
+    running = [simulator.nodes[name].address for name in control_names(simulator)]
+    preferred = [simulator.nodes[name].address for name in first]
+    others = [address for address in running if address not in preferred]
+    simulator.seeds = [*preferred, *simulator.draw.sample(others, len(others))][: constants.SEEDS]
     for name in informed:
         node = simulator.nodes[name]
         if node.core is not None:
             simulator.at(0.0, "give", name, node.incarnation, ("seeds", tuple(simulator.seeds)))
 
 
-def publish_list(simulator):
-    """Tenants learn which control daemons there are."""
+def publish_daemon_list(simulator):
+    """Gives the workers the addresses of the running control daemons."""
     addresses = [simulator.nodes[name].address for name in control_names(simulator)]
     for node in simulator.nodes.values():
         if node.kind == "minion":
             node.core.control_daemons = addresses
 
 
-def add_control(simulator, zone):
-    """Starts an empty control daemon at a new address; its node. Its contact points are as the platform
-    names them then: should all of those named before be gone, others are.
+def add_control_daemon(simulator, zone):
+    """Starts an empty control daemon at a new address; returns its node. If none of the seeds in the settings
+    runs, the settings name others first, as the platform does.
     """
-    live = {simulator.nodes[name].address for name in control_names(simulator)}
-    if not live & set(simulator.seeds):
-        name_seeds(simulator)
-    number = next(one for one in itertools.count() if f"fresh{one}" not in simulator.nodes)
+    running = {simulator.nodes[name].address for name in control_names(simulator)}
+    if not running & set(simulator.seeds):
+        configure_seeds(simulator)
+    number = next(index for index in itertools.count() if f"fresh{index}" not in simulator.nodes)
     node = simulator.add(f"fresh{number}", "accord", zone)
     simulator.start(node.name)
-    publish_list(simulator)
+    publish_daemon_list(simulator)
     return node
 
 
 def retire(simulator, name):
-    """A control daemon is gone for good."""
+    """Removes a control daemon permanently."""
     if simulator.nodes[name].core is not None:
         simulator.kill(name)
     simulator.nodes[name].kind = "retired"
-    publish_list(simulator)
+    publish_daemon_list(simulator)
 
 
 def replace(simulator, name, after=1.0):
-    """A control daemon is gone for good; an empty one comes at another address. The new one's node."""
+    """Removes a control daemon for good and starts an empty one at another address; returns the new node."""
     zone = simulator.nodes[name].zone
     retire(simulator, name)
     simulator.run(after)
-    return add_control(simulator, zone)
+    return add_control_daemon(simulator, zone)
 
 
 def replace_planned(simulator, name, after=1.0):
-    """An empty control daemon comes first, then the old one gets SIGTERM and ends in its grace.
-    Returns the new one's node as soon as neither counts as lost any more.
+    """Starts an empty control daemon, then ends the old one by SIGTERM. Returns the new node once neither
+    daemon counts as lost any more.
     """
     begun = simulator.now
-    fresh = add_control(simulator, simulator.nodes[name].zone)
+    successor = add_control_daemon(simulator, simulator.nodes[name].zone)
     simulator.run(after)
     terminate(simulator, name)
     retire(simulator, name)
     simulator.run(max(0.0, begun + CATCH_UP - simulator.now))
-    return fresh
+    return successor
 
 
 def terminate(simulator, name):
-    """SIGTERM; the daemon has ended when this returns, by itself or killed after its grace."""
+    """Sends SIGTERM to a daemon and waits until it has ended, by itself or killed after its grace period."""
     node = simulator.nodes[name]
     if node.core is not None:
         simulator.stop(name)
--- a/src/pinepitch/simulation/jobs/control_scenarios/__init__.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/__init__.py
@@ -1,4 +1,4 @@
-"""Fault scenarios of control daemons that strike while jobs, changes and evacuations come all the time.
+"""Fault scenarios of control daemons, during continuous jobs, configuration changes and evacuations.
 
-One module a subject; `registry` names them.
+There is one module for each kind of fault; `registry` has the names of all scenarios.
 """
--- a/src/pinepitch/simulation/jobs/control_scenarios/common.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/common.py
@@ -1,4 +1,4 @@
-"""What the fault scenarios of control daemons share."""
+"""Helpers of the fault scenarios of control daemons."""
 
 import functools
 from collections.abc import Callable
@@ -7,12 +7,12 @@
 from ..fleet import Tenancy
 from ..scenarios import JOINS_WITHIN
 
-Strike = Callable[[Tenancy, list[str]], object]  # what a scenario does to the named daemons
-SLOW_DISK = 30.0  # times
+Strike = Callable[[Tenancy, list[str]], object]  # brings about a fault of the named daemons
+SLOW_DISK = 30.0  # times the usual duration of disk operations
 
 
 def is_complete(simulator: Tenancy) -> bool:
-    """Whether every member runs, as the leader knows the members, and no change of them is under way."""
+    """Whether every member that the leader knows runs, and no change of members is pending."""
     leader = simulator.leader()
     if leader is None or leader.core.consensus.membership.coming is not None:
         return False
@@ -20,20 +20,20 @@
     return set(leader.core.consensus.membership.members()) <= running
 
 
-def expect_complete(simulator: Tenancy, why: str) -> None:
-    """Ends the trial unless the seats of lost daemons are taken by running ones in time."""
+def expect_complete(simulator: Tenancy, condition: str) -> None:
+    """Ends the trial unless all members run within JOINS_WITHIN, after lost ones were replaced."""
     if simulator.until(functools.partial(is_complete, simulator), JOINS_WITHIN) is None:
-        raise AssertionError(f"a seat was left to a lost daemon {why}")
+        raise AssertionError(f"a lost daemon was still a member {condition}")
 
 
 def slow_some_disks(simulator: Tenancy) -> None:
-    """Makes the disks of some control daemons slow, by chance."""
+    """Makes the disks of some randomly chosen control daemons slow."""
     for name in faults.control_names(simulator):
         simulator.nodes[name].disk.slow = simulator.draw.choice((1.0, SLOW_DISK))
 
 
 def repair_disks(simulator: Tenancy) -> None:
-    """Ends all faults of disks."""
+    """Ends all disk faults."""
     for node in simulator.nodes.values():
         if node.disk is not None:
             node.disk.slow, node.disk.stalled, node.disk.full = 1.0, False, False
--- a/src/pinepitch/simulation/jobs/control_scenarios/lost_answers.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/lost_answers.py
@@ -1,11 +1,11 @@
-"""Fault scenarios of answers and connections that are lost."""
+"""Fault scenarios of lost answers and connections."""
 
 from .. import control_faults as faults
 from ..fleet import Tenancy
 
 
 def acknowledgements_lost(simulator: Tenancy) -> None:
-    """Most answers to the operator are lost, so that it sends the same again to other daemons."""
+    """Most answers to the operator are lost, so that it repeats its orders to other daemons."""
     simulator.acknowledgement_loss = 0.7
     simulator.run(simulator.draw.uniform(2, 4))
     name = simulator.draw.choice(faults.control_names(simulator))
@@ -18,7 +18,7 @@
 
 
 def connections_reset(simulator: Tenancy) -> None:
-    """Connections of daemons are reset, again and again, often while an order is under way."""
+    """Connections of daemons are reset repeatedly, often while an order is pending."""
     names = [*faults.control_names(simulator), *faults.front_names(simulator)]
     for _ in range(60):
         simulator.reset_connections(simulator.draw.choice(names), 0.5)
@@ -32,8 +32,8 @@
 
 
 def _daemon_of_order(simulator: Tenancy) -> str | None:
-    """The daemon that an order of the operator is under way to, or None."""
-    for waiting in simulator.requests.values():
-        if waiting[0] == "call" and waiting[1] == "operator":
-            return waiting[4]
+    """The daemon that a pending order of the operator was sent to, or None."""
+    for request in simulator.requests.values():
+        if request[0] == "call" and request[1] == "operator":
+            return request[4]
     return None
--- a/src/pinepitch/simulation/jobs/control_scenarios/registry.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/registry.py
@@ -1,6 +1,6 @@
 """The registry of the fault scenarios of control daemons. Each is a function of the simulator.
 
-The order is part of a trial's identity: seeds are drawn by a scenario's place.
+The order must not change: the seeds of trials depend on the index of a scenario.
 """
 
 from .losses import herd_killed, killed_after_acknowledgement, wiped_after_acknowledgement, zone_lost
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -1,4 +1,4 @@
-"""The simulated fleet that runs jobs: tenants, a caller, an operator, and the calls among them."""
+"""The simulated fleet that runs leased jobs: workers, a client, an operator, and the calls among them."""
 
 import itertools
 import json
@@ -14,12 +14,15 @@
 from .stand_in_client import StandInClient
 from .stand_in_operator import StandInOperator
 
-ACKNOWLEDGED = ("job", "job-cancel", "configure", "amend", "evacuate")  # calls whose answer must hold
+# Calls whose effect must survive once they are acknowledged.
+ACKNOWLEDGED = ("job", "job-cancel", "configure", "amend", "evacuate")
 
 
 class Tenancy(Simulator):
-    """The simulator with workers of leased jobs. Invariants: workers heartbeat at control daemons, callers
-    call at front daemons; answers get lost or late by chance as answer_loss and late_part say.
+    """The simulator with workers of leased jobs.
+
+    Invariants: workers send heartbeats to control daemons, clients send calls to front daemons. Answers are
+    lost with probability answer_loss, and heartbeats and answers delayed with probability late_probability.
     """
 
     def __init__(self, seed, plan=None):
@@ -27,33 +30,34 @@
             FIVE if seed % 3 == 0 else THREE, "static", constants.BOOTSTRAP_MEMBERS, 1
         )
         self.gangs = {}
-        self.answer_loss = self.late_part = 0.0  # parts; of answers lost, of heartbeats and answers late
-        self.late_most = 0.0  # seconds
-        self.delayed = {}  # worker -> its heartbeats, kept back until a fault scenario lets them arrive
-        self.acknowledgement_loss = 0.0  # part; of answers to the operator lost, beside answer_loss
-        self.acknowledgements = []  # (when it arrived, call, the daemon that answered)
+        # Probabilities that an answer is lost, and that a heartbeat or an answer is late.
+        self.answer_loss = self.late_probability = 0.0
+        self.max_lateness = 0.0  # seconds
+        self.delayed = {}  # worker -> its heartbeats, deferred until a fault scenario delivers them
+        self.acknowledgement_loss = 0.0  # of lost answers to the operator, in addition to answer_loss
+        self.acknowledgements = []  # (time of the acknowledgement, call, daemon that answered)
         super().__init__(
             seed,
             self.plan.areas,
             workers=(("w", TENANTS, CAPACITY, (), True),),
             founders=constants.BOOTSTRAP_MEMBERS if self.plan.mode == "single" else len(self.plan.areas),
             mode=self.plan.mode,
-            kinds={"minion": self._tenant},
+            kinds={"minion": self._make_worker},
         )
         self.client_stand_in = StandInClient(seed)
         self.operator_stand_in = StandInOperator(self)
         self.orders = OperatorTraffic(self)
 
-    def _tenant(self, name, zone, address, capacity, labels, guards, seed, history):
-        place = int(name[1:])
-        guards = place % 2 == 0
+    def _make_worker(self, name, zone, address, capacity, labels, guards, seed, history):
+        worker_index = int(name[1:])
+        guards = worker_index % 2 == 0
         control_daemons = [node.address for node in self.nodes.values() if node.kind == "accord"]
         return StandInLeaseWorker(
             name,
             zone,
             address,
             capacity,
-            ["ab"[place // 2 % 2], f"r1-{place % 3}"],
+            ["ab"[worker_index // 2 % 2], f"r1-{worker_index % 3}"],
             guards,
             seed,
             history,
@@ -63,7 +67,7 @@
         )
 
     def start(self, name):
-        """Starts a daemon; only one of the first start may found the cluster."""
+        """Starts a daemon. Only control daemons that start at time 0 may bootstrap the cluster."""
         super().start(name)
         node = self.nodes[name]
         if node.kind == "accord":
@@ -74,22 +78,22 @@
 
     # --- calls ------------------------------------------------------------------------
     def send_call(self, source, incarnation, node, call, arguments, patience, answered, late=0.0):
-        """A call to one daemon; answered(status, document) is called, with (0, None) in the end. What is
-        acknowledged is taken note of.
+        """Sends a call to one daemon and records its acknowledgement. answered(status, document) is called
+        with the answer, or with (0, None) if none came in time.
         """
 
-        def noted(status, document):
+        def recorded(status, document):
             if status == 200 and call in ACKNOWLEDGED:
                 self.acknowledgements.append((self.now, call, node.name))
             answered(status, document)
 
-        send_call(self, source, incarnation, node, call, arguments, patience, noted, late)
+        send_call(self, source, incarnation, node, call, arguments, patience, recorded, late)
 
     def _lateness(self):
-        return self.draw.uniform(0, self.late_most) if self.draw.random() < self.late_part else 0.0
+        return self.draw.uniform(0, self.max_lateness) if self.draw.random() < self.late_probability else 0.0
 
-    def _worker_over(self, node):
-        """A worker's process has ended."""
+    def _worker_ended(self, node):
+        """Marks a worker as down, because its process has ended."""
         node.down = True
         node.incarnation += 1
         self._mark_absent(node.name)
@@ -98,7 +102,7 @@
         for effect in effects:
             target = self.by_address[effect[1]]
             if effect[0] == "end":
-                self._worker_over(node)
+                self._worker_ended(node)
                 continue
             if effect[0] == "leave":
                 self.send_call(
@@ -110,8 +114,8 @@
                     HEARTBEAT_PATIENCE,
                     lambda *answered: None,
                 )
-                if node.core.over:  # else it serves on
-                    self._worker_over(node)
+                if node.core.over:  # otherwise it continues to serve
+                    self._worker_ended(node)
                 continue
             _, _, number, identity, document = effect
             if node.name in self.delayed:
@@ -128,29 +132,31 @@
                 self._lateness(),
             )
 
-    def arrive(self, target, identity, document):
-        """A heartbeat that was under way for long, whose sender waits for no answer any more."""
+    def deliver_late(self, target, identity, document):
+        """Delivers a delayed heartbeat, whose sender no longer waits for an answer."""
         self.send_call(
             "late", 0, target, "beat", (identity, document), HEARTBEAT_PATIENCE, lambda *answered: None
         )
 
     def _heartbeat_answered(self, node, incarnation, number):
-        """What brings a heartbeat's answer back, late or never by chance."""
+        """Returns the callback that passes the answer to a heartbeat on to its worker, late or not at all by
+        chance.
+        """
 
         def answered(status, document):
             if self.draw.random() >= self.answer_loss and (status or document is None):
-                late = self._lateness()
-                if status or not (late or node.incarnation != incarnation):
-                    self.at(late, "give", node.name, incarnation, ("told", number, status, document or {}))
+                delay = self._lateness()
+                if status or not (delay or node.incarnation != incarnation):
+                    self.at(delay, "give", node.name, incarnation, ("told", number, status, document or {}))
 
         return answered
 
     def _called_daemons(self, tag):
-        """The daemons of which a caller calls one."""
+        """The daemons that a call with that tag may be sent to."""
         return [node for node in self.nodes.values() if node.kind == "verge"]
 
     def _send_client_calls(self, name, effects):
-        for _, draw, call, arguments, tag in effects:
+        for _, selector, call, arguments, tag in effects:
             daemons = self._called_daemons(tag)
 
             def answered(status, document, tag=tag):
@@ -161,12 +167,13 @@
                 )
 
             self.send_call(
-                name, 0, daemons[draw % len(daemons)], call, arguments, constants.CALL_PATIENCE, answered
+                name, 0, daemons[selector % len(daemons)], call, arguments, constants.CALL_PATIENCE, answered
             )
 
     def persist_call(self, kind, call, arguments, decided, seconds):
-        """An operator's call, sent again unchanged to one daemon after another until it is clearly
-        answered: decided(status, document) is told once, or never when `seconds` are over.
+        """Sends an operator's call, and repeats it unchanged to one daemon after another until it gets a
+        definite answer. decided(status, document) is called once with that answer, or never if none comes
+        within `seconds`.
         """
         until, turns = self.now + seconds, itertools.count(self.draw.randrange(10))
         nodes = [node for node in self.nodes.values() if node.kind == kind]
@@ -193,9 +200,9 @@
 
         attempt()
 
-    # --- the day ----------------------------------------------------------------------
+    # --- the trial --------------------------------------------------------------------
     def begin(self):
-        """Waits until the cluster serves with all its members, and lets the stand-ins begin."""
+        """Waits until the cluster serves with all members, then starts the stand-in operator and client."""
         if (
             self.until(lambda: self.leader() is not None and self.leader().core.consensus.serving(), 30)
             is None
@@ -203,12 +210,12 @@
             raise AssertionError("no leader within 30 s")
         if self.plan.mode == "single" and self.until(self._grown, 30) is None:
             raise AssertionError(f"fewer than {self.plan.voters} members within 30 s")
-        self.operator_stand_in.found()
+        self.operator_stand_in.send_first_configuration()
         self.callers["patron"] = self.client_stand_in
         self.at(0.0, "caller", "patron")
 
     def _grown(self):
-        """Whether as many are members as are wanted, with no change of members under way."""
+        """Whether there are as many members as wanted, and no change of members is pending."""
         leader = self.leader()
         membership = leader.core.consensus.membership if leader is not None else None
         return (
@@ -218,12 +225,12 @@
         )
 
     def quiet(self):
-        """Whether the client has seen the end of every job."""
+        """Whether the client has received the final state of every job."""
         return self.client_stand_in.quiet()
 
     def finish(self, seconds=ENDS_WITHIN):
-        """Ends all faults and waits until every job has ended; False if that takes longer."""
-        self.answer_loss = self.late_part = self.late_most = self.acknowledgement_loss = 0.0
+        """Ends all faults and waits until every job has ended; False if that takes longer than `seconds`."""
+        self.answer_loss = self.late_probability = self.max_lateness = self.acknowledgement_loss = 0.0
         for span in self.operator_stand_in.spans:
             if span[2] is None:
                 self.operator_stand_in.restore(span)
@@ -232,8 +239,8 @@
                 self.until(lambda node=node: node.down, 10)
         return super().finish(seconds)
 
-    def served(self, why, within=SERVED_WITHIN):
-        """A fault unless a job handed in from now on is accepted in time."""
+    def expect_service(self, condition, within=SERVED_WITHIN):
+        """Records a fault unless a job that is submitted from now on is accepted in time."""
         begun = START + self.now
         if (
             self.until(
@@ -244,11 +251,14 @@
             )
             is None
         ):
-            self.operator_stand_in.faults.append(f"no job was taken within {within:.0f} s {why}")
+            self.operator_stand_in.faults.append(f"no job was taken within {within:.0f} s {condition}")
 
     def agreement(self):
-        """Beside the cluster states, the leased job states: alike where as much is applied, and as
-        their image says; and the invariants of placing, which each control daemon checks itself.
+        """Faults in the agreement of the replicas.
+
+        In addition to the checks of the cluster states: the leased job states of two control daemons are
+        equal where both have applied the same entries; each is equal to the state restored from its image;
+        and no control daemon has found a violation of the invariants of placing, which each checks itself.
         """
         faults, leased_jobs_of = super().agreement(), {}
         for node in self.nodes.values():
@@ -256,21 +266,22 @@
                 continue
             broken = node.core.event_counts.get(events.PLACING_VIOLATED, 0)
             if broken:
-                faults.append(f"{node.name} found invariants of placing broken {broken} times")
+                faults.append(f"{node.name} found invariants of placing violated {broken} times")
             leased_jobs, index = node.core.cluster_state.leased_jobs, node.core.cluster_state.index
-            image = json.dumps(
-                leased_jobs.image()
-            )  # an entry of one's own holds tuples where one that came holds lists
+            # Compared as JSON, because a proposer's own entries have tuples where received ones have lists.
+            image = json.dumps(leased_jobs.image())
             if leased_jobs_of.setdefault(index, image) != image:
-                faults.append(f"the board of {node.name} differs at {index}")
-            again = LeasedJobState.from_image(json.loads(image))
+                faults.append(f"the leased job state of {node.name} differs at {index}")
+            restored = LeasedJobState.from_image(json.loads(image))
             for name, derived in (
-                ("ready", lambda one: set(one.ready)),
+                ("ready", lambda state: set(state.ready)),
                 ("counts", _counted),
                 ("waves", _waves),
             ):
-                if derived(leased_jobs) != derived(again):
-                    faults.append(f"at {node.name} {name} of the board drifted")
+                if derived(leased_jobs) != derived(restored):
+                    faults.append(
+                        f"at {node.name} {name} of the leased job state differ from those of its image"
+                    )
         return faults
 
 
--- a/src/pinepitch/simulation/jobs/key_checks.py
+++ b/src/pinepitch/simulation/jobs/key_checks.py
@@ -30,7 +30,7 @@
     possible, versions = [newest], {newest.version}
     candidates = [change for change in changes if change.base >= newest.version]
     for change in sorted(candidates, key=lambda candidate: candidate.version):
-        if change.base in versions and change.given <= answered and not change.was_refused():
+        if change.base in versions and change.first_sent <= answered and not change.was_refused():
             possible.append(change)
             versions.add(change.version)
     return possible
--- a/src/pinepitch/simulation/jobs/keyed_client.py
+++ b/src/pinepitch/simulation/jobs/keyed_client.py
@@ -1,4 +1,4 @@
-"""The stand-in caller of jobs that sends keys of tenants, and at times the wrong one."""
+"""The stand-in client that sends keys of tenants with its calls, and at times a wrong one."""
 
 import json
 
@@ -7,7 +7,7 @@
 from .stand_in_client import StandInClient
 from .tenant_keys import (
     GUEST_PREFIX,
-    KEPT_TENANTS,
+    PERMANENT_TENANTS,
     certain_owners,
     newest_acknowledged,
     owners,
@@ -15,31 +15,33 @@
     revoked_owners,
 )
 
-TICK = 0.05  # seconds; between two turns of the caller
+TICK = 0.05  # seconds; between two turns of the client
 PROBES_PER_SECOND = 6.0
-CERTAIN_PART = 0.7  # of calls; made with a key that no change under way takes away
-REFUSED_KEY = (401, 403)  # answers to a call whose key was taken away meanwhile
+CERTAIN_KEY_PROBABILITY = 0.7  # of a call with a key that no pending change removes
+KEY_REFUSALS = (401, 403)  # statuses of a call whose key was removed in the meantime
 QUEUE_CALLS = ("job", "job-read", "job-cancel")
 UNKNOWN, MISSING, REVOKED, FOREIGN, GUEST = PROBES = ("unknown", "missing", "revoked", "foreign", "guest")
-PROBE_IDENTITY = ""  # in the tags of probes, which are about no job of the caller's
+PROBE_IDENTITY = ""  # in the tags of probes, which belong to no job of the client
 
 
 class KeyedClient(StandInClient):
-    """As StandInClient, for tenants by turns. Each job belongs to one tenant and is asked about with a key
-    of this tenant. Probes are calls that ought to be refused, and reads of a queue by tenants that come and
-    go. Invariant: probes counts those of each kind that were clearly answered.
+    """A StandInClient for several tenants. Each job belongs to one tenant, and its calls carry a key of that
+    tenant.
+
+    Probes are calls that must be refused, and reads of a queue by guest tenants, which are added and removed
+    during the trial. Invariant: probes counts the definite answers to each kind of probe.
     """
 
     def __init__(self, seed, changes):
         super().__init__(seed)
-        self.changes = changes  # of the configuration, as the operator lists them
+        self.changes = changes  # of the configuration; the list of the operator
         self.probes = dict.fromkeys(PROBES, 0)
 
     # --- a tenant's own calls ---------------------------------------------------------
     def _make(self, kind, now):
         super()._make(kind, now)
         job = next(reversed(self.jobs.values()))
-        job["tenant"] = self.random.choice(KEPT_TENANTS)
+        job["tenant"] = self.random.choice(PERMANENT_TENANTS)
 
     def _on_tick(self, now):
         effects = [self._with_key(effect) for effect in super()._on_tick(now)]
@@ -48,16 +50,16 @@
         return effects
 
     def _with_key(self, effect):
-        """A call with a key of the tenant whose job it is about."""
-        name, draw, call, arguments, tag = effect
-        return (name, draw, call, (*arguments, self._key(self.jobs[tag[0]]["tenant"])), tag)
+        """Adds a key of the tenant of the job to a call."""
+        name, selector, call, arguments, tag = effect
+        return (name, selector, call, (*arguments, self._key(self.jobs[tag[0]]["tenant"])), tag)
 
     def _key(self, tenant):
-        """A key that a tenant has by what the operator knows; at times one that is being taken away, or is
-        not yet known to be in force.
+        """A key of a tenant by the changes that the operator has sent; at times one that a pending change
+        adds or removes.
         """
         certain = _keys_of(certain_owners(self.changes), tenant)
-        if certain and self.random.random() < CERTAIN_PART:
+        if certain and self.random.random() < CERTAIN_KEY_PROBABILITY:
             return self.random.choice(certain)
         return self.random.choice(_keys_of(possible_owners(self.changes), tenant))
 
@@ -66,7 +68,7 @@
         if identity == PROBE_IDENTITY:
             self.probes[call] += 0 < status < 500 and status != 429
             return []
-        if status in REFUSED_KEY:
+        if status in KEY_REFUSALS:
             job = self.jobs[identity]
             job["out"], job["next_at"] = False, now + READ_EVERY * self.random.uniform(0.1, 0.5)
             return []
@@ -74,18 +76,18 @@
 
     # --- probes -----------------------------------------------------------------------
     def _probe(self, now):
-        """A call that ought not to pass, or a guest's; none where there is no such key or job now."""
+        """A call that must be refused, or one of a guest; none if there is no such key or job at present."""
         kind = self.random.choice(PROBES)
-        made = {
+        request = {
             UNKNOWN: self._with_unknown_key,
             MISSING: self._without_key,
             REVOKED: self._with_revoked_key,
             FOREIGN: self._at_foreign_job,
             GUEST: self._by_guest,
         }[kind]()
-        if made is None:
+        if request is None:
             return []
-        call, arguments = made
+        call, arguments = request
         return [("call", self.random.randrange(100), call, arguments, (PROBE_IDENTITY, kind, now))]
 
     def _with_unknown_key(self):
@@ -102,7 +104,7 @@
         return self._any_call(key, tenant=revoked[key])
 
     def _at_foreign_job(self):
-        """A call about a job that another tenant has handed in."""
+        """A call about a job of another tenant."""
         job = self._accepted_job()
         if job is None:
             return None
@@ -110,20 +112,22 @@
         return self._about(job, self.random.choice(QUEUE_CALLS), (self.random.choice(sorted(others)),))
 
     def _by_guest(self):
-        """A read of a queue by a tenant that was added."""
-        held = owners(newest_acknowledged(self.changes).document)
-        keys = sorted(key for key, name in held.items() if name.startswith(GUEST_PREFIX))
+        """A read of a queue by a guest tenant."""
+        guest_owners = owners(newest_acknowledged(self.changes).document)
+        keys = sorted(key for key, name in guest_owners.items() if name.startswith(GUEST_PREFIX))
         if not keys:
             return None
         return ("job-read", (HOST, f"/{self._queue()}/", self.random.choice(keys)))
 
     def _any_call(self, *key, tenant=None):
-        """Any call with that key or none: about a new job, an accepted one of the tenant's, or a queue."""
+        """A random call with that key or without one: about a new job, an accepted job of the tenant, or a
+        queue.
+        """
         call = self.random.choice((*QUEUE_CALLS, "job"))
         job = self._accepted_job(tenant)
         if call == "job" and (job is None or self.random.random() < 0.7):
-            step, described = step_of(1, 0.2, 100)
-            document = {"spec": json.dumps({"steps": [described]}), "steps": [step]}
+            step, description = step_of(1, 0.2, 100)
+            document = {"spec": json.dumps({"steps": [description]}), "steps": [step]}
             path = f"/{self._queue()}/{self.random.randrange(16**16):016x}"
             return ("job", (HOST, path, document, *key))
         if call == "job-read" and (job is None or self.random.random() < 0.3):
@@ -131,12 +135,12 @@
         return None if job is None else self._about(job, call, key)
 
     def _about(self, job, call, key):
-        """A call about a job."""
+        """A call about an existing job."""
         document = (job["document"],) if call == "job" else ()
         return (call, (HOST, job["path"], *document, *key))
 
     def _accepted_job(self, tenant=None):
-        """An accepted job, of that tenant if one is named, or None."""
+        """A random accepted job, of that tenant if one is given, or None."""
         jobs = [
             job
             for job in self.jobs.values()
@@ -148,6 +152,6 @@
         return self.random.choice(("held", "bare"))
 
 
-def _keys_of(owned, tenant):
+def _keys_of(key_owners, tenant):
     """The keys of one tenant, sorted."""
-    return sorted(key for key, name in owned.items() if name == tenant)
+    return sorted(key for key, name in key_owners.items() if name == tenant)
--- a/src/pinepitch/simulation/jobs/keyed_fleet.py
+++ b/src/pinepitch/simulation/jobs/keyed_fleet.py
@@ -1,4 +1,4 @@
-"""The simulated fleet that runs jobs of tenants, each known by its keys."""
+"""The simulated fleet that runs jobs of tenants, which are identified by their keys."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 from .keyed_client import PROBE_IDENTITY, QUEUE_CALLS, KeyedClient
 from .keyed_operator import KeyedOperator, KeyTraffic
 
-DOCUMENT_PLACE = 2  # of a job's document among the arguments of a call that hands one in
+DOCUMENT_INDEX = 2  # of the job document among the arguments of a call that submits one
 
 
 class KeyedCall(NamedTuple):
@@ -19,12 +19,12 @@
     identity: str  # of the job, "" for the queue
     key: str | None
     status: int
-    daemon: str  # that was called
+    daemon: str  # the daemon that was called
 
 
 class KeyedTenancy(Tenancy):
-    """As Tenancy, with tenants in the configuration and keys in the calls at queues. Invariant: keyed_calls
-    holds every call at a queue that was answered, by when it was.
+    """A Tenancy with tenants in the configuration and keys in the calls at queues. Invariant: keyed_calls has
+    every call at a queue that was answered, in the order of the answers.
     """
 
     def __init__(self, seed, plan=None):
@@ -35,24 +35,24 @@
         self.orders = KeyTraffic(self)
 
     def send_call(self, source, incarnation, node, call, arguments, patience, answered, late=0.0):
-        """As Tenancy.send_call; what is answered at a queue is taken note of."""
+        """As Tenancy.send_call; also records the answers to calls at queues."""
         if call not in QUEUE_CALLS:
             super().send_call(source, incarnation, node, call, arguments, patience, answered, late)
             return
         sent, identity = START + self.now, arguments[1].rpartition("/")[2]
-        key = next(iter(arguments[DOCUMENT_PLACE + (call == "job") :]), None)
+        key = next(iter(arguments[DOCUMENT_INDEX + (call == "job") :]), None)
 
-        def noted(status, document):
+        def recorded(status, document):
             if status:
                 self.keyed_calls.append(
                     KeyedCall(sent, START + self.now, call, identity, key, status, node.name)
                 )
             answered(status, document)
 
-        super().send_call(source, incarnation, node, call, arguments, patience, noted, late)
+        super().send_call(source, incarnation, node, call, arguments, patience, recorded, late)
 
     def _called_daemons(self, tag):
-        """Probes go to any daemon, other calls to the fronts."""
+        """Probes go to any daemon, other calls to the front daemons."""
         if tag[0] == PROBE_IDENTITY:
             return [node for node in self.nodes.values() if node.kind in ("verge", "accord")]
         return super()._called_daemons(tag)
--- a/src/pinepitch/simulation/jobs/kinds.py
+++ b/src/pinepitch/simulation/jobs/kinds.py
@@ -1,10 +1,10 @@
-"""The kinds of jobs that the stand-in caller hands in."""
+"""The kinds of jobs that the stand-in client submits."""
 
 
 def step_of(count, seconds, cpu, fail=0.0, **more):
-    """(step as it is handed in, what the spec says of it)."""
+    """Returns (step as it is submitted, its description in the spec)."""
     step = {"count": count, "cpu": cpu, "mem_mb": 256, "est_ms": int(seconds * 1000), **more}
-    what = {
+    description = {
         "seconds": seconds,
         "fail": fail,
         "gang": count if more.get("gang") else 0,
@@ -12,10 +12,10 @@
         "saves": bool(more.get("saves")),
         "lasts": bool(more.get("lasts")),
     }
-    return step, what
+    return step, description
 
 
-# kind -> (jobs each second, its steps)
+# kind -> (jobs per second, function that makes the steps)
 KINDS = {
     "fan": (0.8, lambda: [step_of(6, 0.5, 700)]),
     "chain": (
--- a/src/pinepitch/simulation/jobs/operator_traffic.py
+++ b/src/pinepitch/simulation/jobs/operator_traffic.py
@@ -1,49 +1,53 @@
-"""Orders that come all the time while faults strike: changes of the configuration, evacuations."""
+"""Continuous orders during fault scenarios: changes and reads of the configuration, and evacuations."""
 
-from .stand_in_operator import ORDER_LASTS, Change
+from .stand_in_operator import ZONE_ORDER_SECONDS, Change
 
-EVERY = 0.25  # seconds; between two looks at what is due
-IN_FLIGHT_MOST = 8  # changes; not yet answered at any time
-ROUTES = 20  # routes; that the changes put in, by turns
-EVACUATED = (1.0, 4.0)  # seconds; from the end of an evacuation's sending until it is taken back
+EVERY = 0.25  # seconds; between two turns
+MAX_PENDING_CHANGES = 8  # without an answer, at any time
+ROUTES = 20  # that the changes add or replace in turn
+RESTORE_DELAY = (1.0, 4.0)  # seconds; from when an evacuation is no longer sent until it is ended
 
 
 class OperatorTraffic:
-    """Gives orders through the stand-in operators without waiting for their answers. Invariants: at
-    most UNDER_WAY_MOST changes have no answer; one zone at a time is evacuated, and taken back.
+    """Sends orders through the stand-in operators without waiting for the answers. Invariants: at most
+    MAX_PENDING_CHANGES changes have no answer; at most one zone at a time is evacuated, and later restored.
     """
 
     def __init__(self, simulator):
         self.simulator = simulator
         self.running = False
         self.changes, self.span, self.restore_at = [], None, 0.0
-        self.change_rate, self.read_rate, self.evacuate_rate = 0.3, 0.3, 0.05  # orders in EVERY
+        self.change_rate, self.read_rate, self.evacuate_rate = (
+            0.3,
+            0.3,
+            0.05,
+        )  # probability of an order in each turn
 
     def begin(self):
-        """Orders come from now on."""
+        """Starts to send orders."""
         if not self.running:
             self.running = True
             self.simulator.at(0.0, "later", self._turn)
 
     def end(self):
-        """No new orders; an evacuation is still taken back."""
+        """Sends no new orders, except for the end of a current evacuation."""
         self.running = False
 
     def quiet(self):
-        """Whether every order is answered or given up."""
+        """Whether every order is answered or abandoned."""
         return not self.running and not self.changes and self.span is None
 
     def _turn(self):
-        draw, operator = self.simulator.draw, self.simulator.operator_stand_in
-        self.changes = [one for one in self.changes if one.pending and not one.answers]
+        rng, operator = self.simulator.draw, self.simulator.operator_stand_in
+        self.changes = [change for change in self.changes if change.pending and not change.answers]
         if self.running:
-            if draw.random() < self.change_rate and len(self.changes) < IN_FLIGHT_MOST:
+            if rng.random() < self.change_rate and len(self.changes) < MAX_PENDING_CHANGES:
                 self.change()
-            if draw.random() < self.read_rate:
-                operator._ask_read(lambda document: None)
-            if draw.random() < self.evacuate_rate and self.span is None:
-                self.span = operator.evacuate(draw.choice(("a", "b", "c")))
-                self.restore_at = self.simulator.now + ORDER_LASTS + draw.uniform(*EVACUATED)
+            if rng.random() < self.read_rate:
+                operator._request_read(lambda document: None)
+            if rng.random() < self.evacuate_rate and self.span is None:
+                self.span = operator.evacuate(rng.choice(("a", "b", "c")))
+                self.restore_at = self.simulator.now + ZONE_ORDER_SECONDS + rng.uniform(*RESTORE_DELAY)
         if self.span is not None and self.simulator.now >= self.restore_at:
             operator.restore(self.span)
             self.span = None
@@ -51,15 +55,17 @@
             self.simulator.at(EVERY, "later", self._turn)
 
     def change(self, **more):
-        """A change on top of the newest version that is known to be in force, whole or of one item."""
+        """Sends a change on top of the newest acknowledged version, as a whole configuration or as an
+        amendment of one route. `more` are further fields of the configuration.
+        """
         operator = self.simulator.operator_stand_in
-        known = [one for one in operator.changes if one.acknowledged() is not None]
-        before = max(known, key=lambda one: one.version).document
+        accepted = [earlier for earlier in operator.changes if earlier.acknowledged() is not None]
+        before = max(accepted, key=lambda newest: newest.version).document
         version = operator._next_version(before)
         name = f"extra{version // 2 % ROUTES}"
         route = {**before["routes"][0], "name": name, "prefix": f"/{name}/", "timeout_ms": 3000 + version}
-        names = [one["name"] for one in before["routes"]]
-        routes = [route if one["name"] == name else one for one in before["routes"]]
+        names = [existing["name"] for existing in before["routes"]]
+        routes = [route if existing["name"] == name else existing for existing in before["routes"]]
         if name not in names:
             routes.append(route)
         document = {**before, "version": version, "routes": routes, **more}
@@ -68,4 +74,4 @@
         else:
             arguments = (before["version"], version, {"routes": [route]}, {})
             change = Change("amend", before["version"], document, arguments)
-        self.changes.append(operator._give(change))
+        self.changes.append(operator._submit(change))
--- a/src/pinepitch/simulation/jobs/quota_trial.py
+++ b/src/pinepitch/simulation/jobs/quota_trial.py
@@ -1,5 +1,5 @@
-"""Trials of tenants that are limited in what they may have running: the simulated fleet that runs jobs under
-a fault scenario, while the maxima change. A trial is replayed by its scenario and seed.
+"""Trials of tenants with a maximum of running resources: the simulated fleet runs jobs under a fault scenario
+while the maxima change. A trial is replayed by its scenario and seed.
 """
 
 import contextlib
@@ -16,21 +16,21 @@
 from . import checks, injected_faults, quota_checks
 from .fleet import Tenancy
 from .limits import IN_FLIGHT, LEASE_LONGEST
-from .scenarios import SCENARIOS, control_daemon_names, tenant_names
+from .scenarios import SCENARIOS, control_daemon_names, worker_names
 from .stand_in_client import StandInClient
 from .stand_in_operator import Change, StandInOperator
 
-STOP_TAKES = 0.6  # seconds; a stop takes a worker at most this long
-CHANGE_EVERY = 2.5  # seconds; between two changes of a maximum
-CHANGES = 6  # of a maximum in one trial
-RATE = 2.0  # times the jobs of the usual trials
-TWICE_PART = 0.5  # of jobs whose steps a second run does no harm
+STOP_TAKES = 0.6  # seconds; upper bound of the time in which a worker stops a run
+CHANGE_EVERY = 2.5  # seconds; between two changes of maxima
+CHANGES = 6  # of maxima in one trial
+RATE = 2.0  # job rate relative to the other trials
+REPEATABLE_PROBABILITY = 0.5  # of a job whose steps may run a second time without harm
 MAXIMA = {
     "small": {"cpu": 4000, "gpu": 1},
     "large": {"cpu": 7000, "mem_mb": 4000},
     "free": None,
 }
-LOWERED = {  # what the maxima are lowered to for a while
+LOWERED = {  # values that the maxima are lowered to temporarily
     "small": ({"cpu": 1000, "gpu": 1}, {"cpu": 2500}),
     "large": ({"cpu": 2000}, {"mem_mb": 1000}),
     "free": ({"cpu": 1500}, {"cpu": 0}),
@@ -46,69 +46,69 @@
 
 
 class QuotaClient(StandInClient):
-    """The stand-in caller with jobs of several tenants, each named by its key."""
+    """The stand-in client with jobs of several tenants; each call carries the key of its tenant."""
 
     def _make(self, kind, now):
         super()._make(kind, now)
         job = list(self.jobs.values())[-1]
         job["tenant"] = self.random.choice(list(MAXIMA))
-        if self.random.random() < TWICE_PART:
+        if self.random.random() < REPEATABLE_PROBABILITY:
             for step in job["document"]["steps"]:
                 step["twice"] = True
 
     def _on_tick(self, now):
         return [
-            ("call", draw, call, (*arguments, _key(self.jobs[tag[0]]["tenant"])), tag)
-            for _, draw, call, arguments, tag in super()._on_tick(now)
+            ("call", selector, call, (*arguments, _key(self.jobs[tag[0]]["tenant"])), tag)
+            for _, selector, call, arguments, tag in super()._on_tick(now)
         ]
 
 
 class QuotaOperator(StandInOperator):
-    """The stand-in operators with tenants in every configuration, whose maxima they change.
+    """The stand-in operator with tenants in every configuration, whose maxima it changes.
 
-    Invariant: given_at holds when each change was sent first.
+    Invariant: first_sent_at has the time at which each change was first sent.
     """
 
     def __init__(self, simulator):
         super().__init__(simulator)
-        self.given_at = {}  # id of a change -> seconds
+        self.first_sent_at = {}  # id of a change -> seconds
 
-    def _give(self, change):
-        change.document.setdefault("tenants", [_tenant(*one) for one in MAXIMA.items()])
-        self.given_at[id(change)] = self.now()
-        return super()._give(change)
+    def _submit(self, change):
+        change.document.setdefault("tenants", [_tenant(*item) for item in MAXIMA.items()])
+        self.first_sent_at[id(change)] = self.now()
+        return super()._submit(change)
 
     def change_maximum(self, name, maximum):
-        """Sends another maximum of a tenant, on top of what is in force as it is read now."""
+        """Sends a new maximum of a tenant, on top of the configuration that is read now."""
 
         def change(before):
             version = self._next_version(before)
             tenant = _tenant(name, maximum)
-            tenants = [tenant if one["name"] == name else one for one in before["tenants"]]
+            tenants = [tenant if other["name"] == name else other for other in before["tenants"]]
             document = {**before, "version": version, "tenants": tenants}
             arguments = (before["version"], version, {"tenants": [tenant]}, {})
-            self._give(Change("amend", before["version"], document, arguments))
+            self._submit(Change("amend", before["version"], document, arguments))
 
-        self._ask_read(change)
+        self._request_read(change)
 
-    def lower_some(self):
-        """Lowers the maximum of some tenant, or gives it back."""
+    def change_random_maximum(self):
+        """Lowers the maximum of a random tenant, or restores it."""
         name = self.random.choice(list(MAXIMA))
         self.change_maximum(name, self.random.choice((MAXIMA[name], *LOWERED[name])))
 
     def maxima_spans(self):
-        """When each configuration may have been in force: from its first sending until a newer one was
-        acknowledged, and for as long as an answer may be under way.
+        """The spans in which each configuration may have been in force: from when it was first sent until a
+        newer one was acknowledged, plus the time for which an answer may be in flight.
         """
-        taken = [one for one in self.changes if one.acknowledged() is not None]
+        accepted = [other for other in self.changes if other.acknowledged() is not None]
         spans = []
         for change in self.changes:
             if change.acknowledged() is None and change.was_refused():
                 continue
-            newer = [one.acknowledged() for one in taken if one.version > change.version]
-            maxima = {one["name"]: one["maximum"] for one in change.document["tenants"]}
+            newer = [other.acknowledged() for other in accepted if other.version > change.version]
+            maxima = {tenant["name"]: tenant["maximum"] for tenant in change.document["tenants"]}
             ended = min(newer) + IN_FLIGHT if newer else None
-            spans.append(quota_checks.Span(self.given_at[id(change)], ended, maxima))
+            spans.append(quota_checks.Span(self.first_sent_at[id(change)], ended, maxima))
         return spans
 
 
@@ -122,17 +122,17 @@
 
 
 def unresponsive_workers(simulator):
-    """Workers are cut off one after another for less than a lease, and run on."""
+    """Some workers at a time are partitioned off for less than a lease, and continue to run."""
     for _ in range(8):
-        names = simulator.draw.sample(tenant_names(simulator), 3)
-        simulator.partition(names, [one for one in simulator.nodes if one not in names])
+        names = simulator.draw.sample(worker_names(simulator), 3)
+        simulator.partition(names, [other for other in simulator.nodes if other not in names])
         simulator.run(simulator.draw.uniform(1.5, 4.0))
         simulator.heal()
         simulator.run(simulator.draw.uniform(0.2, 1.0))
 
 
 def leader_restarts(simulator):
-    """All control daemons are killed and read their images again, while workers run on."""
+    """All control daemons are killed and restart from their images, while workers continue to run."""
     for _ in range(4):
         simulator.run(simulator.draw.uniform(1, 3))
         names = control_daemon_names(simulator)
@@ -167,26 +167,26 @@
 }
 
 
-def _admits_all(self, wave, count):
+def _always_admits(self, wave, count):
     return True
 
 
-def _over_nothing(self, placement):
+def _never_over_maximum(self, placement):
     return False
 
 
-def _allows_all(self, name, task, wanted):
+def _allows_everything(self, name, task, wanted):
     return wanted
 
 
-def _unlimited_to_the_watch(self, now):
-    """Lets what an unresponsive worker runs go, whatever its tenant."""
+def _release_despite_maximum(self, now):
+    """Releases the repeatable runs of an unresponsive worker even if their tenant has a maximum."""
     with mock.patch.object(tenant_rules.Tenants, "limited", return_value=None):
-        original_copy(self, now)
+        original_release(self, now)
 
 
 def _finish_uncounted(self, now, job, state):
-    """Counts the runs of a job that is over as nobody's."""
+    """Stops counting the runs of a finished job towards the usage of its tenant."""
     original_finish(self, now, job, state)
     for placements in self.placements.values():
         for placement in placements.values():
@@ -196,7 +196,7 @@
 
 
 def _from_image_uncounted(cls, image):
-    """Reads an image without what tenants use."""
+    """Restores an image without the usage of tenants."""
     leased_jobs = original_from_image.__func__(cls, image)
     for placements in leased_jobs.placements.values():
         for placement in placements.values():
@@ -206,49 +206,49 @@
 
 
 FREQUENT_SNAPSHOTS = injected_faults.INJECTED_FAULTS["frequent-snapshots"]
-original_copy, original_finish = AssignmentManager._release_repeatable_runs, LeasedJobState._finish
+original_release, original_finish = AssignmentManager._release_repeatable_runs, LeasedJobState._finish
 original_from_image = LeasedJobState.from_image
 INJECTED_FAULTS = {
     "maximum-unchecked": [
-        (LeasedJobState, "_tenant_admits", _admits_all),
-        (LeasedJobState, "over_maximum", _over_nothing),
-        (tenant_rules.TenantCapacity, "allowance", _allows_all),
+        (LeasedJobState, "_tenant_admits", _always_admits),
+        (LeasedJobState, "over_maximum", _never_over_maximum),
+        (tenant_rules.TenantCapacity, "allowance", _allows_everything),
     ],
-    "twice-let-go": [(AssignmentManager, "_release_repeatable_runs", _unlimited_to_the_watch)],
+    "twice-let-go": [(AssignmentManager, "_release_repeatable_runs", _release_despite_maximum)],
     "cancelled-uncounted": [(LeasedJobState, "_finish", _finish_uncounted)],
-    "lowered-unheeded": [(LeasedJobState, "over_maximum", _over_nothing)],
+    "lowered-unheeded": [(LeasedJobState, "over_maximum", _never_over_maximum)],
     "counts-lost-on-restart": [
         (LeasedJobState, "from_image", classmethod(_from_image_uncounted)),
         *FREQUENT_SNAPSHOTS,
     ],
-    # No fault but a condition under which nothing may break: the log is compacted all the time.
+    # Not a fault, but a condition under which no check may fail: the log is compacted all the time.
     "frequent-snapshots": FREQUENT_SNAPSHOTS,
 }
 
 
 @contextlib.contextmanager
 def injected(name):
-    """The fault of that name in place; "" for none."""
+    """Context in which the fault of that name is injected; "" for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
         yield
 
 
-def owners_kept(simulator):
-    """Every job that is known is known as its tenant's."""
+def owners_consistent(simulator):
+    """Every job that the leader knows belongs to the tenant that submitted it."""
     faults, leader = [], simulator.leader()
     leased_jobs = leader.core.cluster_state.leased_jobs if leader is not None else LeasedJobState()
     for identity, job in simulator.client_stand_in.jobs.items():
         known = leased_jobs.jobs.get(identity) or leased_jobs.final.get(identity)
         owner = known.tenant if known is not None else None
         if owner not in (None, job["tenant"]):
-            faults.append(f"{identity} of {job['tenant']} is known as of {owner!r}")
+            faults.append(f"{identity} of {job['tenant']} is recorded as a job of {owner!r}")
     return faults
 
 
 def trial(scenario, seed, injected_fault=""):
-    """(faults, simulator, usage) of one trial, with an injected fault if one is named."""
+    """Returns (faults, simulator, usage) of one trial, with an injected fault if one is named."""
     with injected(injected_fault):
         return _trial(scenario, seed)
 
@@ -260,7 +260,9 @@
         simulator.begin()
         simulator.run(2)
         for turn in range(CHANGES):
-            simulator.at(CHANGE_EVERY * turn + simulator.draw.uniform(0, 1), "later", operator.lower_some)
+            simulator.at(
+                CHANGE_EVERY * turn + simulator.draw.uniform(0, 1), "later", operator.change_random_maximum
+            )
         QUOTA_SCENARIOS[scenario](simulator)
         for name, maximum in MAXIMA.items():
             operator.change_maximum(name, maximum)
@@ -268,46 +270,46 @@
         if not simulator.finish():
             faults.append("jobs never ended")
         faults.extend(operator.check())
-    except Exception as broken:  # a trial reports whatever ends it, to be replayed
-        place = traceback.extract_tb(broken.__traceback__)[-1]
-        faults.append(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
+    except Exception as error:  # reported as a fault, so that the trial can be replayed
+        frame = traceback.extract_tb(error.__traceback__)[-1]
+        faults.append(f"{type(error).__name__} at {frame.name}:{frame.lineno}: {error}")
     tenants = {identity: job["tenant"] for identity, job in client.jobs.items()}
     usage = quota_checks.usage(simulator.worker_history, tenants, operator.maxima_spans())
-    faults.extend(one.text() for one in usage.excesses)
+    faults.extend(excess.text() for excess in usage.excesses)
     running_most = IN_FLIGHT + LEASE_LONGEST + STOP_TAKES
     faults.extend(checks.capacity_kept(simulator.worker_history))
     faults.extend(checks.cancels_kept(simulator.worker_history, client.jobs, running_most))
     faults.extend(checks.outcomes_true(simulator.worker_history, client))
-    faults.extend(owners_kept(simulator))
+    faults.extend(owners_consistent(simulator))
     faults.extend(simulator.agreement())
     return faults, simulator, usage
 
 
-def _one(arguments):
+def _run_one(arguments):
     faults, simulator, usage = trial(*arguments)
     return arguments, faults, (simulator.now, usage.limited_starts, usage.at_maximum)
 
 
 def many(work):
     """Yields (arguments, faults, (virtual seconds, starts of limited tenants, those at a maximum)) of trials
-    run side by side.
+    that run in parallel.
     """
-    yield from leased_job_trial.many(work, _one)
+    yield from leased_job_trial.many(work, _run_one)
 
 
 def replay(scenario, seed, injected_fault=""):
-    """The command that runs one trial again."""
+    """The command that repeats one trial."""
     return f"python -m pinepitch.simulation.jobs.quota_trial {scenario} {seed} 1 {injected_fault}".strip()
 
 
 def main(scenario="all", first="0", seeds="5", injected_fault=""):
-    """Runs trials over seeds and prints how to replay each that fails."""
+    """Runs trials over a range of seeds and prints the command that replays each failed trial."""
     names = tuple(QUOTA_SCENARIOS) if scenario == "all" else scenario.split(",")
     seeds_tried = range(int(first), int(first) + int(seeds))
     work = [(name, seed, injected_fault) for seed in seeds_tried for name in names]
     begun, failed, limited, at_maximum = clocks.monotonic(), 0, 0, 0
-    for arguments, faults, told in many(work):
-        limited, at_maximum = limited + told[1], at_maximum + told[2]
+    for arguments, faults, counts in many(work):
+        limited, at_maximum = limited + counts[1], at_maximum + counts[2]
         if faults:
             failed += 1
             print(replay(*arguments) + "\n   " + "\n   ".join(faults[:5]), flush=True)
--- a/src/pinepitch/simulation/jobs/stand_in_client.py
+++ b/src/pinepitch/simulation/jobs/stand_in_client.py
@@ -1,4 +1,4 @@
-"""The stand-in caller of jobs."""
+"""The stand-in client that submits jobs."""
 
 import json
 import random
@@ -8,14 +8,16 @@
 
 
 class StandInClient:
-    """A stand-in caller of jobs, a decider: it sends the same job again until it is clearly
-    answered, reads the state of what was accepted until it is final and once more, and cancels
-    some. Invariant: the history is only added to. Effects: ("call", draw, call, arguments, tag).
+    """A stand-in client, written as a decider without I/O.
+
+    It submits each job until it gets a definite answer, reads the state of accepted jobs until it is final
+    and twice more, and cancels some. Invariant: the history is append-only. Effects: ("call", selector, call,
+    arguments, tag), where `selector` chooses the daemon.
     """
 
     def __init__(self, seed):
         self.random = random.Random(f"patron-{seed}")
-        self.jobs = {}  # identity -> its standing, a dict
+        self.jobs = {}  # identity -> its state at the client, a dict
         self.history = []  # ("read", sent, answered, identity, status, state)
         self.faults = []
         self.stopped = False
@@ -46,7 +48,7 @@
         return effects
 
     def _due(self, job, now):
-        """What is to be asked about a job now, or None."""
+        """The call to send for a job now, or None."""
         if job["refused"] is not None:
             return None
         if job["accepted"] is None:
@@ -65,8 +67,8 @@
         identity = f"{self.random.randrange(16**16):016x}"
         steps = KINDS[kind][1]()
         queue = self.random.choice(("held", "bare"))
-        spec = json.dumps({"steps": [what for _, what in steps], "job": identity[:4]})
-        document = {"spec": spec, "steps": [described for described, _ in steps]}
+        spec = json.dumps({"steps": [description for _, description in steps], "job": identity[:4]})
+        document = {"spec": spec, "steps": [step for step, _ in steps]}
         if kind == "timed":
             document.update(first_ms=(now + self.random.uniform(0.5, 3)) * 1000, every_ms=1200, times=3)
         cancels = kind == "lasting" or self.random.random() < 0.12
@@ -131,7 +133,7 @@
             self.faults.append(f"the cancel of {job['identity']} was answered {status}")
 
     def quiet(self):
-        """Whether every job has ended and nothing is to be sent again."""
+        """Whether every job was refused or has a final state that was read again."""
         return all(
             job["refused"] is not None or (job["final"] is not None and job["looks"] <= 0)
             for job in self.jobs.values()
--- a/src/pinepitch/simulation/jobs/tenant_keys.py
+++ b/src/pinepitch/simulation/jobs/tenant_keys.py
@@ -1,12 +1,13 @@
-"""Tenants of the simulated fleet and their keys, as the configurations of its operator hold them."""
+"""Tenants of the simulated fleet and their keys in the configurations of its operator."""
 
-KEPT_TENANTS = ("acorn", "birch", "cedar", "dogwood")  # in every configuration; they hand in jobs
-GUEST_PREFIX = "guest"  # of the names of tenants that come and go; they only ask how many jobs wait
-KEYS_EACH = 2  # keys; of a tenant in the first configuration
+PERMANENT_TENANTS = ("acorn", "birch", "cedar", "dogwood")  # in every configuration; they submit jobs
+# Prefix of the names of tenants that are added and removed, and only read how many jobs wait.
+GUEST_PREFIX = "guest"
+KEYS_EACH = 2  # of a tenant in the first configuration
 MAXIMA = {
     "acorn": {"cpu": 12_000, "mem_mb": 32_768, "gpu": 4},
     "birch": None,
-    "cedar": {"cpu": 8_000, "mem_mb": 0, "gpu": 3},  # 0 is no limit
+    "cedar": {"cpu": 8_000, "mem_mb": 0, "gpu": 3},  # 0 means no limit
     "dogwood": {"cpu": 0, "mem_mb": 0, "gpu": 0},
 }
 
@@ -20,43 +21,47 @@
     """The tenants of the first configuration."""
     return [
         tenant_document(name, [f"{name}-key-{number}" for number in range(KEYS_EACH)])
-        for name in KEPT_TENANTS
+        for name in PERMANENT_TENANTS
     ]
 
 
 def owners(document):
-    """Key -> name of its tenant, for all keys of a configuration."""
+    """Returns key -> name of its tenant, for all keys of a configuration."""
     return {key: tenant["name"] for tenant in document["tenants"] for key in tenant["keys"]}
 
 
 def newest_acknowledged(changes):
-    """The change of the highest version that is known to have come into force."""
-    return max((one for one in changes if one.acknowledged() is not None), key=lambda one: one.version)
+    """The acknowledged change with the highest version."""
+    return max(
+        (change for change in changes if change.acknowledged() is not None), key=lambda newest: newest.version
+    )
 
 
 def undecided(changes):
-    """The changes that may come into force, or may be in force unknown to the operator."""
+    """The unanswered changes that may come into force, or may already be in force unacknowledged."""
     newest = newest_acknowledged(changes).version
-    return [one for one in changes if one.base >= newest and not one.answers]
+    return [change for change in changes if change.base >= newest and not change.answers]
 
 
 def possible_owners(changes):
-    """Key -> name of its tenant, for all keys that may be in force from now on."""
-    found = owners(newest_acknowledged(changes).document)
+    """Returns key -> name of its tenant, for all keys that may be in force from now on."""
+    key_owners = owners(newest_acknowledged(changes).document)
     for change in undecided(changes):
-        found.update(owners(change.document))
-    return found
+        key_owners.update(owners(change.document))
+    return key_owners
 
 
 def certain_owners(changes):
-    """Key -> name of its tenant, for the keys that no change under way takes away."""
-    documents = [one.document for one in (newest_acknowledged(changes), *undecided(changes))]
+    """Returns key -> name of its tenant, for the keys that no pending change removes."""
+    documents = [change.document for change in (newest_acknowledged(changes), *undecided(changes))]
     first, *others = map(owners, documents)
-    return {key: name for key, name in first.items() if all(key in one for one in others)}
+    return {key: name for key, name in first.items() if all(key in other for other in others)}
 
 
 def revoked_owners(changes):
-    """Key -> name of its former tenant, for the keys that are in force no more, and will not be again."""
-    ever = {key: name for one in changes for key, name in owners(one.document).items()}
+    """Returns key -> name of its former tenant, for the keys that are no longer in force and never will be
+    again.
+    """
+    all_owners = {key: name for change in changes for key, name in owners(change.document).items()}
     possible = possible_owners(changes)
-    return {key: name for key, name in ever.items() if key not in possible}
+    return {key: name for key, name in all_owners.items() if key not in possible}
