--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -82,7 +82,7 @@
                 place += framing.LENGTH.size
                 frame = framing.decode(bytes(buffered[place : place + length]))
                 place += length
-                if not isinstance(frame, framing.Refused):
+                if not isinstance(frame, framing.InvalidFrame):
                     await self._heard(*frame[1])
             del buffered[:place]
 
