--- a/src/pinepitch/simulation/scale/counted_fleet.py
+++ b/src/pinepitch/simulation/scale/counted_fleet.py
@@ -33,7 +33,7 @@
     return frame
 def counted_decode(body):
     frame = decode(body)
-    if not isinstance(frame, framing.Refused):
+    if not isinstance(frame, framing.InvalidFrame):
         note("in", len(body) + 4, frame[1])
     return frame
 def tell():
