--- a/features/steps/backlog.py
+++ b/features/steps/backlog.py
@@ -77,7 +77,7 @@
         assert restarted.now < 15, "nobody leads"
     context.led_at = restarted.now
     ticks = 0
-    while any(member.commit < member.last_index() for member in restarted.members.values()):
+    while any(member.applied_index < member.last_index() for member in restarted.members.values()):
         restarted.run(1)
         ticks += 1
         assert ticks < 500, "the backlog is never applied"
--- a/features/steps/images.py
+++ b/features/steps/images.py
@@ -115,7 +115,7 @@
     """As much of a control daemon as ImageDigests asks of one that follows."""
 
     def __init__(self, leader):
-        self.consensus = mock.Mock(role="follower", following=leader)
+        self.consensus = mock.Mock(role="follower", current_leader=leader)
         self.leader_clock = mock.Mock()
         self.forwarder = mock.Mock(incarnation="follower~1")
         self.address = "10.0.0.9:7000"
@@ -140,7 +140,7 @@
 
 @when("{leader} answers with {which} digest for its index")
 def step_answers(context, leader, which):
-    context.follower.consensus.following = leader
+    context.follower.consensus.current_leader = leader
     context.digests.tick(100.0)
     ((_, _, token, call, arguments, _, _),) = context.follower.sent
     digest = "digest of 40" if which == "the" else "another digest"
--- a/features/steps/incarnations.py
+++ b/features/steps/incarnations.py
@@ -250,7 +250,7 @@
     cluster.simulator.give(cluster.first, ask)
     cluster.follower.core.forwarder.calls.clear()  # the follower gives it up
     context.index = cluster.first.core.consensus.last_index()
-    assert cluster.first.core.consensus.commit < context.index
+    assert cluster.first.core.consensus.applied_index < context.index
 
 
 @when("another leader agrees on other changes, and the first leads again after the cut")
@@ -268,9 +268,9 @@
             cluster.end(),
         )
         cluster.simulator.give(cluster.leader, ask)
-    cluster.until(lambda: cluster.leader.core.consensus.commit >= context.index + 1)
+    cluster.until(lambda: cluster.leader.core.consensus.applied_index >= context.index + 1)
     cluster.simulator.heal()
-    cluster.until(lambda: cluster.first.core.consensus.commit >= context.index + 1)
+    cluster.until(lambda: cluster.first.core.consensus.applied_index >= context.index + 1)
     for _ in range(20):
         former = cluster.leader
         if former is cluster.first:
@@ -278,7 +278,7 @@
         cluster.simulator.kill(former.name)
         cluster.other_leads(former)
         cluster.simulator.start(former.name)
-        cluster.until(lambda former=former: former.core.consensus.following is not None)
+        cluster.until(lambda former=former: former.core.consensus.current_leader is not None)
     assert cluster.leader is cluster.first
 
 
--- a/features/steps/lease.py
+++ b/features/steps/lease.py
@@ -218,7 +218,7 @@
 def step_names(context):
     leader, now = context.leader, context.now + 0.07
     assert context.observed == [[], "leader", True], context.observed
-    target = leader.handover.target
+    target = leader.pending_transfer.target
     effects = leader.step(target, AppendReply(4, True, leader.last_index(), leader.heartbeat_number), now)
     assert answers(effects, LeadershipTransfer) == [LeadershipTransfer(4, {})], effects
     kinds = [type(effect) for effect in effects]
--- a/features/steps/models.py
+++ b/features/steps/models.py
@@ -80,7 +80,7 @@
 def step_committed(context):
     assert context.leader.membership.coming is None, context.leader.membership
     assert dict(REPLACING) == context.leader.membership.members()
-    assert context.leader.commit == context.leader.last_index()
+    assert context.leader.applied_index == context.leader.last_index()
 
 
 @then("it is not while the spare's copies are still taken for a learner's")
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -817,7 +817,7 @@
 @then("both were agreed on as level 2 knows them, and neither bears an index")
 def step_unconfirmed(context):
     consensus = context.fleet.leader().core.consensus
-    entries = [consensus.entry(index) for index in range(consensus.first, consensus.commit + 1)]
+    entries = [consensus.entry(index) for index in range(consensus.first, consensus.applied_index + 1)]
     orders = [list(entry[2]) for entry in entries if entry[2][0].startswith("evacuat")]
     assert orders == [["evacuate", "a", True], ["evacuate", "a", False]], orders
 
--- a/src/pinepitch/consensus/acknowledgements.py
+++ b/src/pinepitch/consensus/acknowledgements.py
@@ -39,7 +39,7 @@
         follower.flow.clear()
     commitment.advance(replica, now)
     reads.check_round(replica, now)
-    if replica.handover is not None:
+    if replica.pending_transfer is not None:
         leadership_transfer.try_complete(replica, now)
     if replica.role == LEADER and sender in replica.followers and follower.next_index <= replica.last_index():
         replication.replicate(replica, sender, now)
--- a/src/pinepitch/consensus/commitment.py
+++ b/src/pinepitch/consensus/commitment.py
@@ -22,7 +22,7 @@
     }
     matches[replica.identity] = replica.durable_index
     for index in sorted(set(matches.values()), reverse=True):
-        if index <= replica.committed or replica.term_at(index) != replica.term:
+        if index <= replica.commit_index or replica.term_at(index) != replica.term:
             break
         acknowledged_by = {identity for identity, match in matches.items() if match >= index}
         if replica.membership.commits(acknowledged_by, replica.identity):
@@ -36,8 +36,8 @@
 
     If a backlog is being delivered already, the entries follow with later ticks.
     """
-    delivering = replica.commit < replica.committed
-    replica.committed = max(replica.committed, index)
+    delivering = replica.applied_index < replica.commit_index
+    replica.commit_index = max(replica.commit_index, index)
     if not delivering:
         deliver_slice(replica, now)
 
@@ -48,18 +48,18 @@
     A restarted member has to apply all entries since its base. It must send heartbeats and answer messages
     in the meantime, or it would lose its leadership.
     """
-    start = replica.commit + 1
+    start = replica.applied_index + 1
     entries, _ = replica.log.slice_from(start, constants.COMMIT_ENTRIES, constants.COMMIT_BYTES)
-    entries = entries[: replica.committed - replica.commit]
-    replica.commit += len(entries)
+    entries = entries[: replica.commit_index - replica.applied_index]
+    replica.applied_index += len(entries)
     replica.effects.append(CommitEntries(start, entries))
-    if replica.commit == replica.committed and replica.serving():
+    if replica.applied_index == replica.commit_index and replica.serving():
         _after_commit(replica, now)
 
 
 def _after_commit(replica: Consensus, now: float) -> None:
     reads.start_round(replica, now)
-    if replica.commit < replica.membership_index:
+    if replica.applied_index < replica.membership_index:
         return
     if replica.membership.coming is not None:
         _leave_joint_membership(replica, replica.membership.coming, now)
--- a/src/pinepitch/consensus/election.py
+++ b/src/pinepitch/consensus/election.py
@@ -38,7 +38,7 @@
     replica.role, replica.replies, replica.released_term = role, {}, released_term
     replica.reset_election_timer(now)
     term = replica.term + 1
-    replica.following = None
+    replica.current_leader = None
     if role == CANDIDATE:
         replica.term = term
         replica.history[term] = replica.identity
@@ -101,7 +101,7 @@
     Committing that entry commits all entries before it.
     """
     replica.role = LEADER
-    replica.following = replica.identity
+    replica.current_leader = replica.identity
     if known_leader.counts_at_once(replica):
         known_leader.record(replica, replica.identity, replica.term)
     replica.hard_state_dirty = True
@@ -179,9 +179,9 @@
     It would not while it hears from a leader. A sender that is not a member is notified that it was removed.
     """
     term, last_index, last_term = message
-    leader_recent = replica.leader_near(now)
+    leader_recent = replica.leader_heard_recently(now)
     if leader_recent and sender not in replica.membership.members():
-        replica.send(sender, RemovedNotice(replica.term, replica.commit))
+        replica.send(sender, RemovedNotice(replica.term, replica.applied_index))
         return
     if term <= replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
@@ -196,7 +196,7 @@
     if term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
-    if replica.leader_near(now) and sender != replica.following:
+    if replica.leader_heard_recently(now) and sender != replica.current_leader:
         # The sender won its pre-vote before the leader was heard again. The leader's lease relies on this
         # replica not to vote now.
         return
@@ -213,7 +213,7 @@
     if term < replica.term:
         replica.send(sender, NewerTerm(replica.term), replica.hard_state_sequence)
         return
-    if replica.leader_near(now) and known_leader.newest_term(replica) > released_term:
+    if replica.leader_heard_recently(now) and known_leader.newest_term(replica) > released_term:
         return
     _answer_vote(replica, sender, term, last_index, last_term, now)
 
--- a/src/pinepitch/consensus/following.py
+++ b/src/pinepitch/consensus/following.py
@@ -16,7 +16,7 @@
     """Accepts `sender` as the leader of `term`."""
     if term > replica.term or replica.role != FOLLOWER:
         replica.become_follower(term, now, "leader heard")
-    replica.following = sender
+    replica.current_leader = sender
     replica.removed = False
     replica.leader_heard_at = now
     replica.reset_election_timer(now)
@@ -55,7 +55,7 @@
     else:
         _acknowledge(replica, sender, last, heartbeat)
     commit_limit = min(leader_commit, last)
-    if commit_limit > replica.committed:
+    if commit_limit > replica.commit_index:
         commitment.commit_to(replica, commit_limit, now)
     known_leader.record_if_committed(replica, sender, term)
 
@@ -70,9 +70,9 @@
     """An index below `previous_index` for the leader to try next; skips all of a conflicting term."""
     hint = min(previous_index - 1, replica.last_index())
     if stored_term is not None:
-        while hint > replica.commit and replica.term_at(hint) == stored_term:
+        while hint > replica.applied_index and replica.term_at(hint) == stored_term:
             hint -= 1
-    return max(hint, replica.commit)
+    return max(hint, replica.applied_index)
 
 
 def _store_entries(replica: Consensus, previous_index: int, entries: Any) -> bool:
@@ -86,7 +86,7 @@
         if own_term is not None and own_term == entry[0]:
             continue
         if own_term is not None:
-            if index <= replica.committed:
+            if index <= replica.commit_index:
                 raise AssertionError(f"entry {index} is committed but conflicts with the leader's entry")
             log_changes.truncate(replica, index)
         new_entries = [(term, time, tuple(operation)) for term, time, operation in entries[position:]]
--- a/src/pinepitch/consensus/known_leader.py
+++ b/src/pinepitch/consensus/known_leader.py
@@ -29,7 +29,7 @@
 
 def record_if_committed(replica: Consensus, leader: str, term: int) -> None:
     """Records the leader of `term` if an entry of that term is known to be committed."""
-    if replica.last_known_term < term and replica.term_at(replica.committed) == term:
+    if replica.last_known_term < term and replica.term_at(replica.commit_index) == term:
         record(replica, leader, term)
 
 
@@ -41,7 +41,7 @@
 def is_newest(replica: Consensus, leader: str, term: int) -> bool:
     """Whether `leader` of `term` is the newest leader that was heard or is known."""
     newest = (
-        replica.following
+        replica.current_leader
         if replica.newest_heard_term > replica.last_known_term
         else replica.last_known_leader
     )
--- a/src/pinepitch/consensus/leadership_transfer.py
+++ b/src/pinepitch/consensus/leadership_transfer.py
@@ -29,7 +29,7 @@
     if target is None:
         replica.become_follower(replica.term, now, "stopping")
         return
-    replica.handover = PendingTransfer(target, now + constants.HANDOVER_WITHIN)
+    replica.pending_transfer = PendingTransfer(target, now + constants.HANDOVER_WITHIN)
     replication.replicate_all(replica, now)
     try_complete(replica, now)
 
@@ -50,10 +50,10 @@
 
 def try_complete(replica: Consensus, now: float) -> None:
     """Steps down in favour of the successor once it has the whole log and all of it is committed."""
-    assert replica.handover is not None
-    target, last = replica.handover.target, replica.last_index()
+    assert replica.pending_transfer is not None
+    target, last = replica.pending_transfer.target, replica.last_index()
     follower = replica.followers.get(target)
-    if follower is None or follower.match_index < last or replica.commit < last:
+    if follower is None or follower.match_index < last or replica.applied_index < last:
         return
     learners = dict(replica.learners)
     replica.become_follower(replica.term, now, "handed over")
--- a/src/pinepitch/consensus/log_changes.py
+++ b/src/pinepitch/consensus/log_changes.py
@@ -46,7 +46,7 @@
     if replica.dirty_from is not None and replica.dirty_from >= index:
         replica.dirty_from = None
     replica.durable_index = min(replica.durable_index, index - 1)
-    for save in replica.saving:
+    for save in replica.pending_saves:
         save.last_index = min(save.last_index, index - 1)
     find_membership(replica)
 
@@ -57,6 +57,6 @@
     Of the entries that are on disk or being saved, only the committed ones remain valid.
     """
     replica.log.clear(first)
-    replica.durable_index = min(replica.durable_index, replica.commit)
-    for save in replica.saving:
-        save.last_index = min(save.last_index, replica.commit)
+    replica.durable_index = min(replica.durable_index, replica.applied_index)
+    for save in replica.pending_saves:
+        save.last_index = min(save.last_index, replica.applied_index)
--- a/src/pinepitch/consensus/membership_change.py
+++ b/src/pinepitch/consensus/membership_change.py
@@ -24,9 +24,9 @@
     """
     if replica.role != LEADER or replica.membership.coming is not None or not replica.serving():
         return None
-    if replica.handover is not None:
+    if replica.pending_transfer is not None:
         return None  # left to the successor
-    if replica.membership_index > replica.commit:
+    if replica.membership_index > replica.applied_index:
         return None
     coming = Quorum(dict(members), replica.membership.now.mode)
     replica.event(130, members=sorted(members))
--- a/src/pinepitch/consensus/reads.py
+++ b/src/pinepitch/consensus/reads.py
@@ -67,7 +67,7 @@
     if replica.read_round is None and replica.queued_reads and replica.serving():
         replica.confirming_reads, replica.queued_reads = replica.queued_reads, []
         replica.heartbeat_number += 1
-        replica.read_round = ReadRound(replica.heartbeat_number, replica.commit)
+        replica.read_round = ReadRound(replica.heartbeat_number, replica.applied_index)
         replication.broadcast(replica, now, new_number=False)
         check_round(replica, now)
 
--- a/src/pinepitch/consensus/replica.py
+++ b/src/pinepitch/consensus/replica.py
@@ -51,7 +51,7 @@
 
     - term never decreases.
     - At most one vote is cast in each term. It is in history[term] and is durable before it is sent.
-    - commit <= committed <= last index.
+    - applied_index <= commit_index <= last index.
     - durable_index <= last index, and every entry up to it is on disk.
     - history has no term <= last_known_term. A vote reply carries the last known leader along with the
       history, and a candidate starts Algorithm 1 at the newest leader in the replies, so it never needs
@@ -92,14 +92,14 @@
         self.base_segments = (1, 0)  # (first, last) archive segments that the base needs
         self.base_membership = membership
         self.membership, self.membership_index = membership, 0
-        self.commit = 0  # newest entry delivered in CommitEntries, or contained in the base
-        self.committed = 0  # newest entry known to be committed; `commit` catches up with it in slices
+        self.applied_index = 0  # newest entry delivered in CommitEntries, or contained in the base
+        self.commit_index = 0  # newest entry known to be committed; applied_index follows in slices
 
     def _init_persistence(self) -> None:
         self.sequence = self.saved_sequence = 0  # newest save begun, newest durable save
         self.hard_state_sequence = 0  # newest save that includes the hard state
         self.durable_index = 0
-        self.saving: list[PendingSave] = []
+        self.pending_saves: list[PendingSave] = []
         self.deferred: list[tuple[int, SendMessage]] = []  # (save that must be durable first, effect)
         self.hard_state_dirty = False
         self.truncate_from: int | None = None  # first index that the next save drops
@@ -107,7 +107,7 @@
 
     def _init_elections(self) -> None:
         self.role = FOLLOWER
-        self.following: str | None = None  # leader of the current term, once known
+        self.current_leader: str | None = None  # leader of the current term, once known
         self.newest_heard_term = 0  # term of the newest leader heard in this incarnation
         self.replies: dict[str, Reply] = {}
         self.leader_heard_at = LONG_AGO
@@ -122,7 +122,7 @@
     def _init_leadership(self) -> None:
         self.followers: dict[str, Follower] = {}
         self.learners: dict[str, str] = {}  # identity -> zone
-        self.handover: leadership_transfer.PendingTransfer | None = None  # transfer in progress
+        self.pending_transfer: leadership_transfer.PendingTransfer | None = None  # transfer in progress
         self.heartbeat_number = 0  # number of the newest heartbeat sent
         self.heartbeat_sent_at = LONG_AGO
         # number -> send time, of the newest LEADER_HEARTBEATS_KEPT heartbeats
@@ -184,14 +184,14 @@
     def saved(self, sequence: int, now: float) -> list[Effect]:
         """Handles the report that all saves up to `sequence` are durable."""
         self.saved_sequence = max(self.saved_sequence, sequence)
-        while self.saving and self.saving[0].sequence <= sequence:
-            self.durable_index = max(self.durable_index, self.saving.pop(0).last_index)
+        while self.pending_saves and self.pending_saves[0].sequence <= sequence:
+            self.durable_index = max(self.durable_index, self.pending_saves.pop(0).last_index)
         ready = [effect for need, effect in self.deferred if need <= sequence]
         self.deferred = [(need, effect) for need, effect in self.deferred if need > sequence]
         self.effects.extend(ready)
         if self.role == LEADER:
             commitment.advance(self, now)
-            if self.handover is not None:
+            if self.pending_transfer is not None:
                 leadership_transfer.try_complete(self, now)
         elif self.role == CANDIDATE:
             election.count_votes(self, now)
@@ -225,7 +225,7 @@
             if self.hard_state_dirty:
                 self.hard_state_sequence = self.sequence
             self.hard_state_dirty, self.truncate_from, self.dirty_from = False, None, None
-            self.saving.append(PendingSave(self.sequence, self.last_index(), now))
+            self.pending_saves.append(PendingSave(self.sequence, self.last_index(), now))
             self.effects.append(SaveChange(self.sequence, change))
 
     def take_effects(self, now: float) -> list[Effect]:
@@ -243,9 +243,9 @@
         """Handles the passing of time: heartbeats, timeouts, a stalled disk, the next slice of a backlog."""
         self._begin_incarnation(now)
         assert self.election_at is not None
-        if self.commit < self.committed:
+        if self.applied_index < self.commit_index:
             commitment.deliver_slice(self, now)
-        stalled = bool(self.saving) and now - self.saving[0].begun_at > constants.DISK_STALL
+        stalled = bool(self.pending_saves) and now - self.pending_saves[0].begun_at > constants.DISK_STALL
         if stalled:
             self.disk_cooldown_until = now + constants.DISK_COOL_DOWN
         if self.role == LEADER:
@@ -272,7 +272,7 @@
         if stalled:
             self.event(125)
             self.become_follower(self.term, now, "disk stalled")
-        elif self.handover is not None and now >= self.handover.until:
+        elif self.pending_transfer is not None and now >= self.pending_transfer.until:
             self.become_follower(self.term, now, "stopping")
         elif not self.membership.commits(heard_from, self.identity):
             self.become_follower(self.term, now, "commit quorum not heard")
@@ -313,16 +313,16 @@
         if term > self.term:
             self.term = term
             self.hard_state_dirty = True
-            self.following = None
+            self.current_leader = None
         if self.role == LEADER:
             self.event(123, why=reason)
             self.effects.append(StepDown(reason))
-            self.following = None
+            self.current_leader = None
             self.confirming_reads, self.queued_reads, self.read_round = [], [], None
         if self.role != FOLLOWER:
             self.reset_election_timer(now)
         self.role = FOLLOWER
-        self.handover = None
+        self.pending_transfer = None
         self.followers, self.learners, self.heartbeat_times = {}, {}, {}
 
     def may_campaign(self, now: float) -> bool:
@@ -330,13 +330,13 @@
         member = self.identity in self.membership.members()
         return member and now >= self.disk_cooldown_until and not self.removed
 
-    def leader_near(self, now: float) -> bool:
+    def leader_heard_recently(self, now: float) -> bool:
         """Whether a leader was heard within the election timeout; no pre-vote is granted then."""
         return self.role == LEADER or now - self.leader_heard_at < constants.ELECTION_TIMEOUT
 
     def serving(self) -> bool:
         """Whether this leader has committed an entry of its own term, which reads and changes require."""
-        return self.role == LEADER and self.term_at(self.commit) == self.term
+        return self.role == LEADER and self.term_at(self.applied_index) == self.term
 
     # --- leading ----------------------------------------------------------------------
     def propose(
@@ -386,15 +386,15 @@
         """
         return membership_change.begin(self, members, time, now)
 
-    def changing(self) -> bool:
+    def membership_changing(self) -> bool:
         """Whether a membership change is in progress, until the new list alone is committed."""
-        return self.membership.coming is not None or self.membership_index > self.commit
+        return self.membership.coming is not None or self.membership_index > self.applied_index
 
-    def learn(self, identity: str, zone: str, now: float) -> None:
+    def add_learner(self, identity: str, zone: str, now: float) -> None:
         """Starts to replicate to a replica that is not a member yet."""
         membership_change.add_learner(self, identity, zone, now)
 
-    def forget_learner(self, identity: str) -> None:
+    def remove_learner(self, identity: str) -> None:
         """Stops replicating to a learner."""
         membership_change.remove_learner(self, identity)
 
--- a/src/pinepitch/consensus/replication.py
+++ b/src/pinepitch/consensus/replication.py
@@ -105,8 +105,8 @@
 
 def _send_append(replica: Consensus, identity: str, previous_index: int, entries: Sequence[Entry]) -> None:
     term = replica.term_at(previous_index)
-    commit, heartbeat = replica.commit, replica.heartbeat_number
-    message = AppendEntries(replica.term, previous_index, term, tuple(entries), commit, heartbeat)
+    applied_index, heartbeat = replica.applied_index, replica.heartbeat_number
+    message = AppendEntries(replica.term, previous_index, term, tuple(entries), applied_index, heartbeat)
     replica.send(identity, message, replica.hard_state_sequence)
 
 
--- a/src/pinepitch/consensus/snapshot_base.py
+++ b/src/pinepitch/consensus/snapshot_base.py
@@ -37,7 +37,7 @@
         if entries:
             replica.log.truncate(start)
             replica.log.append(entries)
-    replica.commit = replica.committed = replica.base_index
+    replica.applied_index = replica.commit_index = replica.base_index
     replica.durable_index = replica.last_index()
     log_changes.find_membership(replica)
 
--- a/src/pinepitch/consensus/snapshot_receiver.py
+++ b/src/pinepitch/consensus/snapshot_receiver.py
@@ -22,7 +22,7 @@
         return
     following.accept_leader(replica, sender, message.term, now)
     stored_segment = replica.archive.sealed if replica.archive is not None else 0
-    if message.last_index <= replica.commit:
+    if message.last_index <= replica.applied_index:
         _reply(replica, sender, message, COMPLETE_OFFSET, stored_segment, replica.hard_state_save_sequence())
         return
     if message.offset < 0 or not _continues(replica.incoming_snapshot, message):
@@ -87,8 +87,8 @@
         log_changes.drop_log(replica, index + 1)
     replica.base_index, replica.base_term = index, message.snapshot_term
     replica.base_membership = membership_from_image(message.membership)
-    replica.commit = index
-    replica.committed = max(replica.committed, index)
+    replica.applied_index = index
+    replica.commit_index = max(replica.commit_index, index)
     log_changes.find_membership(replica)
 
 
@@ -98,9 +98,9 @@
     replica.hard_state_dirty = False
     replica.sequence += 1
     replica.hard_state_sequence = replica.sequence
-    for save in replica.saving:
+    for save in replica.pending_saves:
         save.last_index = min(save.last_index, replica.last_index())
-    replica.saving.append(PendingSave(replica.sequence, replica.last_index(), now))
+    replica.pending_saves.append(PendingSave(replica.sequence, replica.last_index(), now))
     assert replica.base_image is not None
     replica.effects.append(InstallSnapshot(index, replica.base_image, segments))
     replica.effects.append(SaveBase(replica.sequence, snapshot_base.payload(replica)))
--- a/src/pinepitch/control/agreement.py
+++ b/src/pinepitch/control/agreement.py
@@ -54,8 +54,8 @@
     def on_saved(self, sequence: int, now: float) -> None:
         """Handles the report that all saves up to `sequence` are durable."""
         self.daemon.counts["syncs"] += 1
-        if self.daemon.consensus.saving:
-            self.daemon.sync_histogram.add(now - self.daemon.consensus.saving[0].begun_at)
+        if self.daemon.consensus.pending_saves:
+            self.daemon.sync_histogram.add(now - self.daemon.consensus.pending_saves[0].begun_at)
         self.execute(self.daemon.consensus.saved(sequence, now), now)
 
     def on_disk(self, error: str | None, now: float) -> None:
@@ -99,7 +99,9 @@
                     self._apply(first, entries, now)
                 case InstallSnapshot(index, image, segments):
                     self._install(image, segments)
-                    daemon.image_digests.add_installed(index, digest_of(image), daemon.consensus.following)
+                    daemon.image_digests.add_installed(
+                        index, digest_of(image), daemon.consensus.current_leader
+                    )
                 case BecomeLeader():
                     daemon.clear_leadership(now)
                     daemon.leadership.leader_since = now
@@ -137,7 +139,7 @@
             outcome = daemon.cluster_state.apply(index, time, operation)
             daemon.counts["applied"] += 1
             # nobody waits here for entries of earlier leaders: those are only applied
-            if consensus.role == "leader" and consensus.commit >= index and term == consensus.term:
+            if consensus.role == "leader" and consensus.applied_index >= index and term == consensus.term:
                 daemon.applied_entries.on_applied(operation, outcome, now)
                 for listener in daemon.proposals.listeners.pop(index, ()):
                     self._notify(listener, outcome, now)
--- a/src/pinepitch/control/cluster_entry.py
+++ b/src/pinepitch/control/cluster_entry.py
@@ -80,7 +80,9 @@
 
     def ask_to_join(self, now: float) -> None:
         """Asks the control daemons in session to be admitted, at intervals."""
-        follows_leader = self.daemon.consensus is not None and self.daemon.consensus.leader_near(now)
+        follows_leader = self.daemon.consensus is not None and self.daemon.consensus.leader_heard_recently(
+            now
+        )
         wait = constants.JOIN_AGAIN if follows_leader else constants.JOIN_SEEK
         if now - self.last_join_at < wait or self.daemon.stopping:
             return
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -227,11 +227,11 @@
 
     def leader_address(self) -> str | None:
         """The address of the leader, as far as this daemon knows."""
-        if self.consensus is None or self.consensus.following is None:
+        if self.consensus is None or self.consensus.current_leader is None:
             return None
-        if self.consensus.following == self.identity:
+        if self.consensus.current_leader == self.identity:
             return self.address
-        return self.sessions.address(self.consensus.following)
+        return self.sessions.address(self.consensus.current_leader)
 
     def leader_reading(self, now: float) -> Reading | None:
         """A Reading that the leader's steady clock has passed, as far as this daemon knows."""
--- a/src/pinepitch/control/image_digests.py
+++ b/src/pinepitch/control/image_digests.py
@@ -72,7 +72,7 @@
         end = self.daemon.leader_clock.end(now + constants.FORWARD_TIMEOUT, now)
         if address is None or end is None:
             return
-        self.asked_at, self.asked_leader = now, consensus.following
+        self.asked_at, self.asked_leader = now, consensus.current_leader
         self.count += 1
         self.token = f"{self.daemon.forwarder.incarnation}~digests~{self.count}"
         self.daemon.send(address, ("ask", self.daemon.address, self.token, CALL, (), ATTEMPT, end))
--- a/src/pinepitch/control/loss_tolerance.py
+++ b/src/pinepitch/control/loss_tolerance.py
@@ -32,9 +32,9 @@
     ready = set(_voters(daemon)) - set(obstacles)
     tolerances = [membership.tolerance(quorum, ready) for quorum in consensus.membership.quorums()]
     sentences = list(obstacles.values())
-    if consensus.changing():
+    if consensus.membership_changing():
         sentences.append("a change of members is under way")
-    if consensus.handover is not None:
+    if consensus.pending_transfer is not None:
         sentences.append("the leader is handing leadership over")
     machines = min(tolerance.machines for tolerance in tolerances)
     if machines < 1 and not sentences:
--- a/src/pinepitch/control/membership_changes.py
+++ b/src/pinepitch/control/membership_changes.py
@@ -77,7 +77,7 @@
 
     def _measure_change(self, now: float) -> None:
         """Measures the duration of the joint change that this daemon leads."""
-        if self.change_started_at is None or self.daemon.consensus.changing():
+        if self.change_started_at is None or self.daemon.consensus.membership_changing():
             return
         self.last_change_duration, self.change_started_at = now - self.change_started_at, None
 
@@ -171,7 +171,7 @@
         if len(consensus.learners) >= constants.MAX_CLUSTER_MEMBERS:
             self._forget_lost_learners()
         if len(consensus.learners) < constants.MAX_CLUSTER_MEMBERS:
-            consensus.learn(identity, zone, now)
+            consensus.add_learner(identity, zone, now)
         self.daemon.send(address, ("admit", self.daemon.cluster, self.daemon.mode, self.daemon.identity))
 
     def _forget_lost_learners(self) -> None:
@@ -179,7 +179,7 @@
         consensus = self.daemon.consensus
         live = {session.identity for session in self.daemon.sessions.live("accord")}
         for identity in set(consensus.learners) - live - set(consensus.membership.members()):
-            consensus.forget_learner(identity)
+            consensus.remove_learner(identity)
 
     def on_leave(self, identity: str, now: float) -> None:
         """Handles a daemon that ends its session itself."""
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -69,10 +69,10 @@
         "role": consensus.role if consensus else "outside",
         "term": consensus.term if consensus else 0,
         "leader": daemon.leader_address(),
-        "commit": consensus.commit if consensus else 0,
+        "commit": consensus.applied_index if consensus else 0,
         "applied": daemon.cluster_state.index,
         "setup_version": daemon.cluster_state.version,
-        "disk_waiting": len(consensus.saving) if consensus else 0,
+        "disk_waiting": len(consensus.pending_saves) if consensus else 0,
         "time": daemon.cluster_time(now),
     }
 
@@ -81,12 +81,14 @@
 def _consensus(daemon: ControlDaemon, now: float) -> list[Family]:
     consensus = daemon.consensus
     leading = consensus is not None and consensus.role == "leader"
-    commit, saving = (consensus.commit, len(consensus.saving)) if consensus else (0, 0)
+    applied_index, pending_saves = (
+        (consensus.applied_index, len(consensus.pending_saves)) if consensus else (0, 0)
+    )
     return [
         _single("gauge", "leading", "1 while this accord leads.", int(leading)),
         _single("gauge", "term", "The newest term known.", consensus.term if consensus else 0),
-        _single("gauge", "commit_index", "Entries known to be committed.", commit),
-        _single("gauge", "disk_waiting", "Saves not yet durable.", saving),
+        _single("gauge", "commit_index", "Entries known to be committed.", applied_index),
+        _single("gauge", "disk_waiting", "Saves not yet durable.", pending_saves),
         *_images(daemon),
     ]
 
--- a/src/pinepitch/control/rehearsal_role.py
+++ b/src/pinepitch/control/rehearsal_role.py
@@ -50,7 +50,7 @@
         """Whether this daemon should measure: it is the first live member, by identity, that does not lead.
         The leader itself measures only when it is alone.
         """
-        leader = self.daemon.consensus.following
+        leader = self.daemon.consensus.current_leader
         members = self.daemon.consensus.membership.members()
         live = sorted(
             {session.identity for session in self.daemon.sessions.live("accord")} | {self.daemon.identity}
--- a/src/pinepitch/simulation/agreement.py
+++ b/src/pinepitch/simulation/agreement.py
@@ -26,7 +26,7 @@
 def _log_faults(node, entries):
     """Committed entries that differ from those of earlier nodes; `entries` gathers them by index."""
     consensus = node.core.consensus
-    for index in range(consensus.first, consensus.commit + 1):
+    for index in range(consensus.first, consensus.applied_index + 1):
         entry = consensus.entry(index)
         text = packed_operations.dumps((entry[0], entry[2]))
         if entries.setdefault(index, text) != text:
--- a/src/pinepitch/simulation/changes.py
+++ b/src/pinepitch/simulation/changes.py
@@ -130,7 +130,7 @@
         leader, core = self.leader(), self.nodes[name].core
         if leader is None or core is None or core.consensus is None:
             return None
-        return leader.core.consensus.commit - core.cluster_state.index
+        return leader.core.consensus.applied_index - core.cluster_state.index
 
     def faults(self):
         """What is wrong at the end: members that differ, or a version acknowledged and not held."""
--- a/src/pinepitch/simulation/jobs/control_scenarios/repairs.py
+++ b/src/pinepitch/simulation/jobs/control_scenarios/repairs.py
@@ -34,7 +34,7 @@
     if leader is None:
         return False
     consensus = leader.core.consensus
-    return consensus.membership.coming is None and consensus.membership_index > consensus.commit
+    return consensus.membership.coming is None and consensus.membership_index > consensus.applied_index
 
 
 def _admitted(simulator: Tenancy, node: Node) -> bool:
--- a/src/pinepitch/simulation/model_checker/faults.py
+++ b/src/pinepitch/simulation/model_checker/faults.py
@@ -60,7 +60,7 @@
     matches = {one: follower.match_index for one, follower in replica.followers.items()}
     matches[replica.identity] = replica.durable_index
     for index in sorted(set(matches.values()), reverse=True):
-        if index <= replica.commit or replica.term_at(index) != replica.term:
+        if index <= replica.applied_index or replica.term_at(index) != replica.term:
             break
         if 2 * sum(match >= index for match in matches.values()) > len(replica.membership.now.members):
             commitment.commit_to(replica, index, now)
@@ -79,7 +79,7 @@
     matches = {one: follower.match_index for one, follower in replica.followers.items()}
     matches[replica.identity] = replica.durable_index
     for index in sorted(set(matches.values()), reverse=True):
-        if index <= replica.commit:
+        if index <= replica.applied_index:
             break
         holders = {one for one, match in matches.items() if match >= index}
         if replica.membership.commits(holders, replica.identity):
@@ -107,7 +107,7 @@
 
 def _change_at_once(self: Consensus, members: dict[str, str], time: float, now: float) -> Proposed:
     """Goes to a new list of members without a joint one."""
-    if self.role != LEADER or not self.serving() or self.membership_index > self.commit:
+    if self.role != LEADER or not self.serving() or self.membership_index > self.applied_index:
         return None
     coming = Membership(Quorum(dict(members), self.membership.now.mode))
     return self.propose([("members", coming.image())], time, now)
@@ -170,10 +170,10 @@
 
 def _hands_over_and_leads(replica: Consensus, now: float) -> None:
     """Names a successor, and leads on with its lease."""
-    assert replica.handover is not None
-    target = replica.handover.target
+    assert replica.pending_transfer is not None
+    target = replica.pending_transfer.target
     follower = replica.followers.get(target)
-    if follower is not None and follower.match_index >= replica.last_index() == replica.commit:
+    if follower is not None and follower.match_index >= replica.last_index() == replica.applied_index:
         message = LeadershipTransfer(replica.term, dict(replica.learners))
         replica.send(target, message, replica.hard_state_sequence)
 
@@ -239,7 +239,7 @@
     "no-wait-after-restart": Fault(((Consensus, "_begin_incarnation", _no_wait_after_restart),), ("lease",)),
     "vote-before-first-tick": Fault(((Consensus, "step", _step_before_incarnation),), ("lease",)),
     "wait-without-drift": Fault(((constants, "LEASE_STRETCH", 1.0),), ("lease-restart",)),
-    "vote-beside-leader": Fault(((Consensus, "leader_near", lambda self, now: False),), ("lease",)),
+    "vote-beside-leader": Fault(((Consensus, "leader_heard_recently", lambda self, now: False),), ("lease",)),
     "clock-stops-in-suspend": Fault(
         ((TimedModelState, "_wait", _wait_while_suspended),), ("lease-suspended",)
     ),
--- a/src/pinepitch/simulation/model_checker/replica.py
+++ b/src/pinepitch/simulation/model_checker/replica.py
@@ -102,7 +102,7 @@
     for name in ("deferred", "effects", "confirming_reads", "queued_reads"):
         fields[name] = list(fields[name])
     twin.log = _copy_of_log(consensus.log)
-    twin.saving = [save.copy() for save in consensus.saving]
+    twin.pending_saves = [save.copy() for save in consensus.pending_saves]
     twin.followers = {identity: _copy_of_follower(one) for identity, one in consensus.followers.items()}
     if consensus.incoming_snapshot is not None:
         twin.incoming_snapshot = _copy_of_incoming(consensus.incoming_snapshot)
@@ -232,9 +232,9 @@
         for follower in consensus.followers.values():
             follower.answered_heartbeat, follower.heard_at = 0, now
             _forget_flow_times(follower.flow)
-        if consensus.handover is not None:
-            consensus.handover = consensus.handover._replace(until=now)
-        for save in consensus.saving:
+        if consensus.pending_transfer is not None:
+            consensus.pending_transfer = consensus.pending_transfer._replace(until=now)
+        for save in consensus.pending_saves:
             save.begun_at = 0.0
 
     def key(self) -> int:
@@ -270,22 +270,22 @@
             (
                 one.term,
                 one.role,
-                one.following,
+                one.current_leader,
                 one.last_known_leader,
                 one.last_known_term,
                 one.newest_heard_term,
             ),
-            (one.commit, one.removed),
+            (one.applied_index, one.removed),
             (one.first, one.base_index, one.base_term, one.durable_index, one.membership_index),
             frozen(one.history),
             frozen_entries(one.entries),
             frozen(one.learners),
-            (frozen(one.inherited_learners), one.released_term, one.handover),
+            (frozen(one.inherited_learners), one.released_term, one.pending_transfer),
             frozen(one.replies),
             followers,
             one.sequence - sequence,
             max(0, one.hard_state_sequence - sequence),
-            tuple((save.sequence - sequence, save.last_index) for save in one.saving),
+            tuple((save.sequence - sequence, save.last_index) for save in one.pending_saves),
             tuple(
                 (need - sequence, sent.receiver, frozen_message(sent.message)) for need, sent in one.deferred
             ),
--- a/src/pinepitch/simulation/model_checker/schedule.py
+++ b/src/pinepitch/simulation/model_checker/schedule.py
@@ -218,7 +218,7 @@
     def _compact(self, event: Event) -> None:
         identity = self.identity(event.first)
         consensus = self.state.replicas[identity].consensus
-        if consensus.commit > consensus.base_index:
+        if consensus.applied_index > consensus.base_index:
             self.step("compact", identity)
 
 
--- a/src/pinepitch/simulation/model_checker/state.py
+++ b/src/pinepitch/simulation/model_checker/state.py
@@ -112,7 +112,7 @@
                 found.append(Action("stand", identity))
             if replica.consensus.role == LEADER:
                 found += self._leader_actions(identity, replica)
-            if self.budget.compactions and replica.consensus.commit > replica.consensus.base_index:
+            if self.budget.compactions and replica.consensus.applied_index > replica.consensus.base_index:
                 found.append(Action("compact", identity))
         return found
 
@@ -128,10 +128,10 @@
         if self.budget.heartbeats:
             found.append(Action("heartbeat", identity))
         if consensus.serving() and consensus.membership.coming is None:
-            if consensus.membership_index <= consensus.commit and self.budget.changes:
+            if consensus.membership_index <= consensus.applied_index and self.budget.changes:
                 found += [Action("change", identity, change) for change in self._changes(consensus)]
         members = consensus.membership.members()
-        if self.budget.handovers and consensus.handover is None:
+        if self.budget.handovers and consensus.pending_transfer is None:
             found += [Action("hand over", identity, one) for one in sorted(members) if one != identity]
         for other in sorted(self.replicas):
             if self.budget.changes and other not in members and other not in consensus.learners:
@@ -260,7 +260,7 @@
     def _learn(self, action: Action) -> None:
         replica = self._touch(action.subject)
         consensus, now = replica.consensus, self.now(action.subject)
-        consensus.learn(action.detail, self.replicas[action.detail].zone, now)
+        consensus.add_learner(action.detail, self.replicas[action.detail].zone, now)
         replication.replicate(consensus, action.detail, now, heartbeat=True)
         self._apply_effects(replica, consensus.take_effects(now))
 
@@ -278,7 +278,7 @@
         replica = self._touch(action.subject)
         consensus = replica.consensus
         segments = replica.archive.span() if replica.archived else (1, 0)
-        payload = consensus.compact(consensus.commit, b"record", segments)
+        payload = consensus.compact(consensus.applied_index, b"record", segments)
         if replica.archived:
             replica.archive.forget_retired(before=segments[0])
         self._apply_effects(replica, [SaveBase(None, payload)])
--- a/src/pinepitch/simulation/model_checker/timed.py
+++ b/src/pinepitch/simulation/model_checker/timed.py
@@ -75,7 +75,7 @@
             round(max(consensus.disk_cooldown_until, 0.0), 3),
             (
                 consensus.heartbeat_number,
-                consensus.handover,
+                consensus.pending_transfer,
                 consensus.begun_at,
                 max(consensus.next_vote_request_at, 0.0),
             ),
@@ -160,7 +160,7 @@
         self._spend("retries")
         identity = action.subject
         consensus, now = self.replicas[identity].consensus, self.now(identity)
-        known = ORDER in invariants.effects_of(self.committed[: consensus.commit])
+        known = ORDER in invariants.effects_of(self.committed[: consensus.applied_index])
         if consensus.leased(now) and consensus.serving():
             if not known and ORDER in invariants.effects_of(self.committed):
                 raise Violation(f"{identity} has its lease and does not know an order that is committed")
--- a/src/pinepitch/simulation/second_loss/injected_faults.py
+++ b/src/pinepitch/simulation/second_loss/injected_faults.py
@@ -18,11 +18,11 @@
 
 def _serves_on(replica: Any, now: float) -> None:
     """Names a successor and goes on serving under its lease."""
-    target = replica.handover.target
+    target = replica.pending_transfer.target
     follower = replica.followers.get(target)
-    if follower is not None and follower.match_index >= replica.last_index() <= replica.commit:
+    if follower is not None and follower.match_index >= replica.last_index() <= replica.applied_index:
         replica.send(target, messages.LeadershipTransfer(replica.term, {}), replica.hard_state_sequence)
-        replica.handover = None
+        replica.pending_transfer = None
 
 
 def _stands_down(self: Any, candidates: Any, now: float) -> Any:
--- a/src/pinepitch/simulation/second_loss/trial.py
+++ b/src/pinepitch/simulation/second_loss/trial.py
@@ -149,7 +149,7 @@
         of the old list and of one of the new.
         """
         consensus = node.core.consensus
-        index = consensus.commit
+        index = consensus.applied_index
         while consensus.entry(index)[2][0] != "members":
             index -= 1
         term, _, (_, lists) = consensus.entry(index)
@@ -200,7 +200,7 @@
     def voters(self) -> set[str]:
         """The identities on the newest leader's list, or none while a change of it is under way."""
         leader = self.leader()
-        if leader is None or leader.core.consensus.changing():
+        if leader is None or leader.core.consensus.membership_changing():
             return set()
         return set(leader.core.consensus.membership.members())
 
