--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -67,9 +67,9 @@
         moments.append((notice + draw.choice((0.001, 0.3, 8.0)) * draw.random(), notice))
     context.floors, context.ends = [], []
     for heard, notice in sorted(moments):
-        relay.hear(Reading(4, reads(context, "leader", notice)), reads(context, "a", heard))
+        relay.record_reading(Reading(4, reads(context, "leader", notice)), reads(context, "a", heard))
         passed = heard + draw.uniform(0, 0.05)
-        forwarder.hear(relay.floor(reads(context, "a", heard)), reads(context, "b", passed))
+        forwarder.record_reading(relay.floor(reads(context, "a", heard)), reads(context, "b", passed))
         own, leads = reads(context, "b", passed), reads(context, "leader", passed)
         context.floors.append((forwarder.floor(own).seconds, leads))
         until = passed + constants.CALL_PATIENCE
@@ -94,14 +94,14 @@
 def step_term_four(context):
     context.leader_clock = LeaderClock()
     assert context.leader_clock.floor(1.0) is None and context.leader_clock.end(3.0, 1.0) is None
-    context.leader_clock.hear((4, 700.0), 10.0)
+    context.leader_clock.record_reading((4, 700.0), 10.0)
 
 
 @when("a reading of term 3 comes, and one of term 5")
 def step_terms(context):
-    context.leader_clock.hear((3, 9000.0), 11.0)
+    context.leader_clock.record_reading((3, 9000.0), 11.0)
     assert context.leader_clock.floor(11.0).term == 4
-    context.leader_clock.hear((5, 2.0), 11.0)
+    context.leader_clock.record_reading((5, 2.0), 11.0)
 
 
 @then("only that of term 5 counts")
--- a/features/steps/outage.py
+++ b/features/steps/outage.py
@@ -199,7 +199,7 @@
     os.close(context.lock.descriptor)
     begun = time.monotonic()
     again = FolderLock(context.folder)
-    assert begun <= again.since <= time.monotonic()
+    assert begun <= again.locked_at <= time.monotonic()
     os.close(again.descriptor)
 
 
--- a/src/pinepitch/consensus/cluster_clock.py
+++ b/src/pinepitch/consensus/cluster_clock.py
@@ -23,7 +23,7 @@
         self.newest = 0.0  # the newest result of read()
         self.read_at: float | None = None  # the monotonic time of the newest read
 
-    def hear(self, member: str, clock: float, now: float) -> None:
+    def record_reading(self, member: str, clock: float, now: float) -> None:
         """Records a member's wall clock, received at monotonic `now`."""
         self.readings[member] = (clock - now, now)
 
--- a/src/pinepitch/consensus/leader_clock.py
+++ b/src/pinepitch/consensus/leader_clock.py
@@ -27,7 +27,7 @@
         self.term = 0
         self.seconds = self.heard_at = 0.0
 
-    def hear(self, reading: tuple[int, float] | None, now: float) -> None:
+    def record_reading(self, reading: tuple[int, float] | None, now: float) -> None:
         """Records a reading sent by the leader or relayed by another daemon."""
         if reading is None:
             return
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -326,7 +326,7 @@
         """Processes one message and returns the effects. `now` is the steady clock's time and `clock` the
         wall clock's, both in seconds.
         """
-        self.time.hear(self.identity, clock, now)
+        self.time.record_reading(self.identity, clock, now)
         self.step_at = now
         kind, *fields = message
         handler = self.inputs.get(kind)
--- a/src/pinepitch/control/greetings.py
+++ b/src/pinepitch/control/greetings.py
@@ -57,7 +57,7 @@
         if handshake.kind == "accord":
             daemon.advertised_levels[identity] = handshake.level
             if daemon.consensus is None or identity in daemon.consensus.membership.members():
-                daemon.time.hear(identity, handshake.clock, now)
+                daemon.time.record_reading(identity, handshake.clock, now)
         if daemon.cluster is None:
             daemon.cluster_entry.on_handshake(handshake, now)
         elif handshake.cluster == daemon.cluster and handshake.kind == "accord":
@@ -81,7 +81,7 @@
         clock.
         """
         *fields, _, _, reading, now = fields_and_now
-        self.daemon.leader_clock.hear(reading, now)
+        self.daemon.leader_clock.record_reading(reading, now)
         self._receive(Greeting(*fields), now)
 
     def on_sessions_report(self, reporter: str, sessions: Any, now: float) -> None:
--- a/src/pinepitch/control/outside_requests.py
+++ b/src/pinepitch/control/outside_requests.py
@@ -73,7 +73,7 @@
         self, token: str, leader: str | None, attempt: int, reading: Reading | None, now: float
     ) -> None:
         """Handles an attempt that its receiver refused; the receiver names the leader if it knows it."""
-        self.daemon.leader_clock.hear(reading, now)
+        self.daemon.leader_clock.record_reading(reading, now)
         self.daemon.forwarder.not_taken(token, attempt)
         call = self.daemon.forwarder.calls.get(token)
         if call is not None and leader is not None and (call.term or 0) < self.daemon.leader_clock.term:
--- a/src/pinepitch/control/program.py
+++ b/src/pinepitch/control/program.py
@@ -66,7 +66,7 @@
     daemon.tracing = settings.level == "debug"
     daemon.rules = rules
     daemon.limits = Limits(settings.memory, settings.disk)
-    daemon.begun_at = lock.since
+    daemon.begun_at = lock.locked_at
     daemon.restore(base, steps, segments)
     serve("accord", daemon, settings, log, store)
 
--- a/src/pinepitch/control/startup.py
+++ b/src/pinepitch/control/startup.py
@@ -33,11 +33,11 @@
     loaded = store.load(packed_step)
     if isinstance(loaded, Foreign):
         raise OSError(
-            f"{loaded.why}; run the version that wrote it, or give an empty folder to start as a newcomer"
+            f"{loaded.reason}; run the version that wrote it, or give an empty folder to start as a newcomer"
         )
     if isinstance(loaded, Damaged):
         store.wipe()
-        return store, None, [], {}, loaded.why
+        return store, None, [], {}, loaded.reason
     return store, loaded.base, loaded.steps, loaded.segments, None
 
 
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -140,7 +140,7 @@
     def _on_greeted(self, *rest: Any) -> None:
         """The answer to a greeting tells who leads."""
         *fields, leader, _, reading, now = rest
-        self.leader_clock.hear(reading, now)
+        self.leader_clock.record_reading(reading, now)
         self._hear(fields, now)
         if fields[1] == "accord" and leader:
             self.leader = leader
@@ -215,7 +215,7 @@
         """A control daemon that doesn't take a request says who leads, and what the leader's clock has
         passed.
         """
-        self.leader_clock.hear(reading, now)
+        self.leader_clock.record_reading(reading, now)
         if token == self.updates_token:
             self.updates_token = None
             self.leader = leader
--- a/src/pinepitch/simulation/power_loss/disk.py
+++ b/src/pinepitch/simulation/power_loss/disk.py
@@ -105,7 +105,7 @@
         loaded = self.store.load(packed_step)
         self.pending.clear()
         if isinstance(loaded, Damaged):
-            self.damages.append(loaded.why)
+            self.damages.append(loaded.reason)
             self.store.wipe()
             self.base_version = 0
             self.segments = {}
--- a/src/pinepitch/simulation/scale/hollow.py
+++ b/src/pinepitch/simulation/scale/hollow.py
@@ -122,7 +122,7 @@
             return
         if kind == "elsewhere" and rest[1]:
             self.leader = rest[1]
-            self.leader_clock.hear(rest[3], time.monotonic())
+            self.leader_clock.record_reading(rest[3], time.monotonic())
             await self._forward(self.leader, token, 2)
             return
         del self.calls[token]
--- a/src/pinepitch/storage/folder_lock.py
+++ b/src/pinepitch/storage/folder_lock.py
@@ -12,8 +12,8 @@
 class FolderLock:
     """An exclusive lock on a data folder.
 
-    Invariant: from `since` (seconds on the steady clock) until this process ends, no other process owns the
-    folder; any earlier owner had ended by `since`.
+    Invariant: from `locked_at` (seconds on the steady clock) until this process ends, no other process owns
+    the folder; any earlier owner had ended by `locked_at`.
     """
 
     def __init__(self, folder: str) -> None:
@@ -26,4 +26,4 @@
         except OSError:
             os.close(self.descriptor)
             raise
-        self.since = time.clock_gettime(time.CLOCK_BOOTTIME)  # the clock of runtime.clocks.steady_clock()
+        self.locked_at = time.clock_gettime(time.CLOCK_BOOTTIME)  # the clock of runtime.clocks.steady_clock()
--- a/src/pinepitch/storage/store.py
+++ b/src/pinepitch/storage/store.py
@@ -19,9 +19,9 @@
 
 
 class Damaged(NamedTuple):
-    """The result of loading a data folder that can't be trusted; `why` names the file and the reason."""
+    """The result of loading a data folder that can't be trusted; `reason` names the file and the fault."""
 
-    why: str
+    reason: str
 
 
 class Foreign(Damaged):
@@ -46,7 +46,7 @@
     """Ends a load because the folder is damaged."""
 
     def __init__(self, damage: Damaged) -> None:
-        super().__init__(damage.why)
+        super().__init__(damage.reason)
         self.damage = damage
 
 
