--- a/features/same_bytes/golden.py
+++ b/features/same_bytes/golden.py
@@ -252,7 +252,7 @@
         for text in examples:
             data = bytes_of(text)
             same(f"frame {label}", data, taps.frame_again(data))
-            if not taps.keeps_contract(data):
+            if not taps.fits_contract(data):
                 lines.append(f"frame {label} breaks its contract")
     for label, examples in golden["operations"].items():
         for text, _ in examples:
--- a/features/same_bytes/taps.py
+++ b/features/same_bytes/taps.py
@@ -139,9 +139,9 @@
     return cbor2.loads(frame[framing.LENGTH.size :])[2]
 
 
-def keeps_contract(frame):
+def fits_contract(frame):
     """Whether the code takes a frame for one that keeps its contract."""
-    return contract.keeps_contract(framing.decode(frame[framing.LENGTH.size :])[1])
+    return contract.fits_contract(framing.decode(frame[framing.LENGTH.size :])[1])
 
 
 def frame_again(frame):
--- a/features/steps/input.py
+++ b/features/steps/input.py
@@ -380,15 +380,17 @@
             running=(),
             ended=(),
             counter=1,
-            heard=core.cluster_time(now),
+            latest_cluster_time=core.cluster_time(now),
         )
         core.push_workers[context.worker_name].heard_at = now - 60.0  # the first one fell silent meanwhile
     elif how == "less room than is reserved":
-        changed = known._replace(counter=known.counter + 1, capacity=1, heard=core.cluster_time(now))
+        changed = known._replace(
+            counter=known.counter + 1, capacity=1, latest_cluster_time=core.cluster_time(now)
+        )
         context.capacity = 1
     else:
         changed = known._replace(
-            counter=known.counter - 1, running=(), ended=(), heard=core.cluster_time(now)
+            counter=known.counter - 1, running=(), ended=(), latest_cluster_time=core.cluster_time(now)
         )
     context.ends, _, _ = core.take_report(changed, now)
 
--- a/src/pinepitch/control/applied_entries.py
+++ b/src/pinepitch/control/applied_entries.py
@@ -64,8 +64,8 @@
         """Updates the failure rating of a worker, if it is known, after an attempt ended there."""
         worker = self.daemon.worker_reports.push_workers.get(name)
         if worker is not None:
-            worker.judge(done)
-            if worker.poor():
+            worker.record_outcome(done)
+            if worker.is_unreliable():
                 self.daemon.event(157, minion=name)
 
     def _leased_job_assigned(self, operation: tuple[Any, ...], outcome: tuple[Any, ...], now: float) -> None:
--- a/src/pinepitch/control/cluster_entry.py
+++ b/src/pinepitch/control/cluster_entry.py
@@ -5,7 +5,7 @@
 
 from ..common import constants
 from ..common.effects import WriteNote
-from ..model.greeting import Greeting
+from ..model.handshake import Handshake
 from .membership_changes import Members
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
         """Whether a daemon at that address may take part in the founding of a cluster."""
         return self.daemon.bootstrap_among is None or address in self.daemon.bootstrap_among
 
-    def on_handshake(self, handshake: Greeting, now: float) -> None:
+    def on_handshake(self, handshake: Handshake, now: float) -> None:
         """Processes a handshake while this daemon knows no cluster."""
         if handshake.cluster or handshake.kind != "accord" or self._may_found(handshake.address):
             self.daemon.bootstrap.observe(
--- a/src/pinepitch/control/front_updates.py
+++ b/src/pinepitch/control/front_updates.py
@@ -76,7 +76,7 @@
             return None
         worker = self.daemon.worker_reports.push_workers.get(task_record[2].worker)
         if worker and outcome in ("unsent", "unknown"):
-            worker.judge(False)
+            worker.record_outcome(False)
         if outcome in ("unsent", "late", "withheld"):
             return "never"
         return "refused" if outcome == "refused" else None
@@ -159,8 +159,8 @@
         worker = self.daemon.worker_reports.push_workers.get(standing.worker)
         if worker is None or standing.yields_to:
             return
-        if worker.poor():
-            worker.trial_at = now
+        if worker.is_unreliable():
+            worker.last_trial_at = now
         order: Order = {
             "task": ref,
             "attempt": standing.attempt,
--- a/src/pinepitch/control/greetings.py
+++ b/src/pinepitch/control/greetings.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..model.greeting import Greeting
+from ..model.handshake import Handshake
 
 if TYPE_CHECKING:
     from .daemon import ControlDaemon
@@ -15,11 +15,11 @@
         self.daemon = daemon
         self.last_handshake_at = -1e9  # seconds; when handshakes were last sent
 
-    def _own_handshake(self, now: float) -> Greeting:
+    def _own_handshake(self, now: float) -> Handshake:
         """The handshake of this daemon."""
         daemon = self.daemon
         view = () if daemon.cluster or not daemon.may_bootstrap else daemon.bootstrap.view(now)
-        return Greeting(
+        return Handshake(
             daemon.identity,
             "accord",
             daemon.zone,
@@ -45,7 +45,7 @@
             if session.identity != self.daemon.identity:
                 self.daemon.send(session.address, notice)
 
-    def _receive(self, handshake: Greeting, now: float) -> None:
+    def _receive(self, handshake: Handshake, now: float) -> None:
         """Processes what a handshake and its reply have in common."""
         daemon, identity = self.daemon, handshake.identity
         if identity == daemon.identity:
@@ -66,7 +66,7 @@
     def on_handshake(self, *fields_and_now: Any) -> None:
         """Handles a handshake: replies with this daemon's own handshake and who leads."""
         *fields, now = fields_and_now
-        handshake = Greeting(*fields)
+        handshake = Handshake(*fields)
         self._receive(handshake, now)
         if not self.daemon.stopping:
             notice = (
@@ -77,12 +77,12 @@
             self.daemon.send(handshake.address, ("greeted", *self._own_handshake(now), *notice))
 
     def on_handshake_reply(self, *fields_and_now: Any) -> None:
-        """Handles a reply: a Greeting, the leader's address, cluster time, and a reading of the leader's
+        """Handles a reply: a Handshake, the leader's address, cluster time, and a reading of the leader's
         clock.
         """
         *fields, _, _, reading, now = fields_and_now
         self.daemon.leader_clock.record_reading(reading, now)
-        self._receive(Greeting(*fields), now)
+        self._receive(Handshake(*fields), now)
 
     def on_sessions_report(self, reporter: str, sessions: Any, now: float) -> None:
         """Handles the report of another control daemon's direct sessions."""
--- a/src/pinepitch/control/metrics_text.py
+++ b/src/pinepitch/control/metrics_text.py
@@ -160,7 +160,9 @@
 def _push_workers_by_state(daemon: ControlDaemon, now: float) -> dict[str, int]:
     states = {"open": 0, "silent": 0, "on trial": 0}
     for worker in daemon.push_workers.values():
-        states["silent" if worker.unresponsive(now) else "on trial" if worker.poor() else "open"] += 1
+        states[
+            "silent" if worker.unresponsive(now) else "on trial" if worker.is_unreliable() else "open"
+        ] += 1
     return states
 
 
--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -155,8 +155,8 @@
             if worker.unresponsive(now) or cluster_state.closed(name, report.zone):
                 continue
             taken = sum(cluster_state.reserved.get(name, {}).values()) + pending.get(name, 0)
-            poor = worker.poor()
-            if poor and (taken or now - worker.trial_at < constants.TRIAL_EVERY):
+            poor = worker.is_unreliable()
+            if poor and (taken or now - worker.last_trial_at < constants.TRIAL_EVERY):
                 continue
             free[name] = report.capacity - taken
             labels = frozenset(report.labels)
--- a/src/pinepitch/control/requests/cluster.py
+++ b/src/pinepitch/control/requests/cluster.py
@@ -134,7 +134,7 @@
         "messages": daemon.counts["sent"],
         "minions": len(daemon.push_workers),
         "setup_version": cluster_state.version,
-        "on_trial": sum(worker.poor() for worker in daemon.push_workers.values()),
+        "on_trial": sum(worker.is_unreliable() for worker in daemon.push_workers.values()),
     }
     return Answer(200, document)
 
--- a/src/pinepitch/control/requests/explanations.py
+++ b/src/pinepitch/control/requests/explanations.py
@@ -129,4 +129,4 @@
         return "lacks " + ", ".join(lacking)
     if left < task.units:
         return f"{left} units left of {report.capacity}"
-    return "on trial" if worker.poor() else "open"
+    return "on trial" if worker.is_unreliable() else "open"
--- a/src/pinepitch/control/requests/push_workers.py
+++ b/src/pinepitch/control/requests/push_workers.py
@@ -72,8 +72,8 @@
         "reserved": sum(reserved.values()),
         "tasks": len(reserved),
         "labels": list(known.labels) if known else [],
-        "failing": round(worker.failing, 3) if worker else None,
-        "on_trial": bool(worker and worker.poor()),
+        "failing": round(worker.failure_rate, 3) if worker else None,
+        "on_trial": bool(worker and worker.is_unreliable()),
     }
 
 
--- a/src/pinepitch/control/worker_reports.py
+++ b/src/pinepitch/control/worker_reports.py
@@ -68,9 +68,9 @@
             newest = False  # another machine uses a name that is taken
             self.daemon.event(158, minion=report.worker, address=report.address, known=known.report.address)
         else:
-            newest = report.heard >= known.report.heard or known.unresponsive(now)
+            newest = report.latest_cluster_time >= known.report.latest_cluster_time or known.unresponsive(now)
             if newest:
-                known.failing = 0.0
+                known.failure_rate = 0.0
         if newest:
             known.report, known.heard_at = report, now
         return newest
@@ -84,7 +84,7 @@
             standing = self.daemon.cluster_state.find_known(ref)[2]
             if (ref, standing.attempt) in listed:
                 continue
-            if report.heard >= standing.send_by + constants.SEND_MARGIN:
+            if report.latest_cluster_time >= standing.send_by + constants.SEND_MARGIN:
                 same = standing.incarnation == report.incarnation
                 if not same and standing.address != report.address:
                     continue
--- a/src/pinepitch/model/contract.py
+++ b/src/pinepitch/model/contract.py
@@ -163,7 +163,7 @@
 }
 
 
-def keeps_contract(message: Any) -> bool:
+def fits_contract(message: Any) -> bool:
     """Whether a message from another process has the form that its contract requires."""
     kind, *fields = message
     if not isinstance(kind, str) or kind not in CONTRACTS or not fits(fields, CONTRACTS[kind]):
--- a/src/pinepitch/model/greeting.py
+++ b/src/pinepitch/model/handshake.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple
 
 
-class Greeting(NamedTuple):
+class Handshake(NamedTuple):
     """What a daemon reports about itself in a handshake message and in the answer to one.
 
     On the wire the fields follow the kind of the message, in this order.
--- a/src/pinepitch/model/push_worker.py
+++ b/src/pinepitch/model/push_worker.py
@@ -16,7 +16,7 @@
 
     Invariants: counter increases within an incarnation; running lists (reference, attempt) of
     everything it runs now; ended lists (reference, attempt, how it ended) until each is acknowledged;
-    heard is the newest cluster time, in seconds, that the worker received in an answer, so the
+    latest_cluster_time is the newest cluster time, in seconds, that the worker received in an answer, so the
     report was begun after that time.
     """
 
@@ -28,7 +28,7 @@
     guards: bool  # whether it refuses work beyond its capacity by itself
     incarnation: str
     counter: int
-    heard: float
+    latest_cluster_time: float
     running: tuple[tuple[Any, ...], ...]
     ended: tuple[tuple[Any, ...], ...]
 
@@ -90,27 +90,27 @@
 class PushWorker:
     """What the leader knows about one worker. It is not stored but rebuilt from reports.
 
-    Invariants: report is the newest by (incarnation, counter); failing, the exponentially decaying
-    share of bad outcomes, lies in [0, 1]. heard_at, when the newest report arrived, and trial_at, when
+    Invariants: report is the newest by (incarnation, counter); failure_rate, the exponentially decaying
+    share of bad outcomes, lies in [0, 1]. heard_at, when the newest report arrived, and last_trial_at, when
     the newest trial began, are seconds of the leader's clock.
     """
 
     def __init__(self, report: Report, now: float) -> None:
         self.report = report
         self.heard_at = now
-        self.failing = 0.0
-        self.trial_at = -1e9
+        self.failure_rate = 0.0
+        self.last_trial_at = -1e9
         self.unreached = 0
 
-    def judge(self, well: bool) -> None:
+    def record_outcome(self, well: bool) -> None:
         """Updates the failure rate with the outcome of a task or of an order; `well` if it succeeded."""
         weight = 1.0 / constants.LIVENESS_HALF
-        self.failing += weight * ((0.0 if well else 1.0) - self.failing)
+        self.failure_rate += weight * ((0.0 if well else 1.0) - self.failure_rate)
 
     def unresponsive(self, now: float) -> bool:
         """Whether the worker has not reported for so long that it gets no new work."""
         return now - self.heard_at > constants.PUSH_WORKER_TIMEOUT
 
-    def poor(self) -> bool:
+    def is_unreliable(self) -> bool:
         """Whether the failure rate is so high that the worker gets work only on trial."""
-        return self.failing > constants.LIVENESS_POOR
+        return self.failure_rate > constants.LIVENESS_POOR
--- a/src/pinepitch/runtime/frame_port.py
+++ b/src/pinepitch/runtime/frame_port.py
@@ -39,6 +39,6 @@
     if isinstance(frame, framing.Refused):
         return frame
     message: Sequence[Any] = frame[1]
-    if not contract.keeps_contract(message):
+    if not contract.fits_contract(message):
         return framing.Refused(f"a message that keeps no contract: {str(message[0])[:40]}")
     return tuple(message)
--- a/src/pinepitch/simulation/jobs/replays.py
+++ b/src/pinepitch/simulation/jobs/replays.py
@@ -66,7 +66,7 @@
     if known is None or draw.random() >= DISTORTED:
         return message
     changed = draw.choice(known)(draw, message)
-    if not contract.keeps_contract(changed):
+    if not contract.fits_contract(changed):
         raise AssertionError(f"a distorted frame breaks the contract: {changed!r}")
     return changed
 
--- a/src/pinepitch/simulation/simulator.py
+++ b/src/pinepitch/simulation/simulator.py
@@ -379,7 +379,7 @@
         if self.link_rates is not None and target.core is not None:
             delay += self.link_rates.delay(node.name, target.name, len(frame), self.now)
         source, plain = framing.decode(frame[4:])
-        if not contract.keeps_contract(plain):
+        if not contract.fits_contract(plain):
             raise AssertionError(f"{node.name} breaks a contract: {message!r}")
         self.at(delay, "give", target.name, target.incarnation, tuple(plain))
         if self.double and self.draw.random() < self.double:
