--- a/src/pinepitch/control/cluster_entry.py
+++ b/src/pinepitch/control/cluster_entry.py
@@ -5,7 +5,7 @@
 
 from ..common import constants
 from ..common.effects import WriteNote
-from ..model.greeting import Greeting
+from ..model.handshake import Handshake
 from .membership_changes import Members
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
         """Whether a daemon at that address may take part in the founding of a cluster."""
         return self.daemon.bootstrap_among is None or address in self.daemon.bootstrap_among
 
-    def on_handshake(self, handshake: Greeting, now: float) -> None:
+    def on_handshake(self, handshake: Handshake, now: float) -> None:
         """Processes a handshake while this daemon knows no cluster."""
         if handshake.cluster or handshake.kind != "accord" or self._may_found(handshake.address):
             self.daemon.bootstrap.observe(
@@ -80,7 +80,9 @@
 
     def ask_to_join(self, now: float) -> None:
         """Asks the control daemons in session to be admitted, at intervals."""
-        follows_leader = self.daemon.consensus is not None and self.daemon.consensus.leader_near(now)
+        follows_leader = self.daemon.consensus is not None and self.daemon.consensus.leader_heard_recently(
+            now
+        )
         wait = constants.JOIN_AGAIN if follows_leader else constants.JOIN_SEEK
         if now - self.last_join_at < wait or self.daemon.stopping:
             return
--- a/src/pinepitch/front/daemon.py
+++ b/src/pinepitch/front/daemon.py
@@ -140,7 +140,7 @@
     def _on_handshake_answer(self, *message_fields: Any) -> None:
         """Handles the answer to a handshake, which names the leader."""
         *fields, leader, _, reading, now = message_fields
-        self.leader_clock.hear(reading, now)
+        self.leader_clock.record_reading(reading, now)
         self._learn_peers(fields, now)
         if fields[1] == "accord" and leader:
             self.leader = leader
@@ -215,7 +215,7 @@
         """Handles a control daemon's refusal of a request, which names the leader and a lower bound on
         the leader's clock.
         """
-        self.leader_clock.hear(reading, now)
+        self.leader_clock.record_reading(reading, now)
         if token == self.updates_token:
             self.updates_token = None
             self.leader = leader
--- a/src/pinepitch/runtime/frame_port.py
+++ b/src/pinepitch/runtime/frame_port.py
@@ -39,6 +39,6 @@
     if isinstance(frame, framing.InvalidFrame):
         return frame
     message: Sequence[Any] = frame[1]
-    if not contract.keeps_contract(message):
+    if not contract.fits_contract(message):
         return framing.InvalidFrame(f"message violates its contract: {str(message[0])[:40]}")
     return tuple(message)
--- a/src/pinepitch/simulation/jobs/replays.py
+++ b/src/pinepitch/simulation/jobs/replays.py
@@ -66,7 +66,7 @@
     if distortions is None or rng.random() >= DISTORTED:
         return message
     changed = rng.choice(distortions)(rng, message)
-    if not contract.keeps_contract(changed):
+    if not contract.fits_contract(changed):
         raise AssertionError(f"a distorted frame breaks the contract: {changed!r}")
     return changed
 
