--- a/src/pinepitch/cli/drafts_text.py
+++ b/src/pinepitch/cli/drafts_text.py
@@ -1,4 +1,9 @@
-"""Drafts of the queue table as text: their cells, the results of a rehearsal, and its verdict."""
+"""Drafts of the queue table as text.
+
+A draft is a proposed change of the queue table. Each of its cells is one changed setting of one queue. A
+draft is tried out in a rehearsal, on recent pushed jobs; the result, with the values of each queue and a
+verdict, is the field "measure" of the draft's document.
+"""
 
 from typing import Any
 
@@ -7,8 +12,10 @@
 
 DRAFTS_COLUMNS = ("draft", "base", "state", "verdict", "stale", "who", "why")
 CELL_COLUMNS = ("cell", "in force", "draft")
-MEASURE_COLUMNS = ("queue", "figure", "in force", "draft", "difference")
-MEASURED = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
+# headings of the table of a rehearsal
+REHEARSAL_COLUMNS = ("queue", "figure", "in force", "draft", "difference")
+# the rows of that table: keys of a queue in the document, with the prefix "draft_" for the draft
+REHEARSED_VALUES = ("wait_median", "wait_99", "dues_missed", "failed", "shed", "room_used", "preemptions")
 
 
 def drafts_text(document: Document) -> str:
@@ -18,7 +25,7 @@
 
 
 def draft_text(document: Document) -> str:
-    """One draft with its cells and its measure."""
+    """One draft with its cells and the result of its rehearsal."""
     stale = ", stale: another change came first" if document["stale"] else ""
     cells = [dict(zip(CELL_COLUMNS, cell, strict=False)) for cell in document["cells"]]
     lines = [
@@ -26,27 +33,28 @@
         table(cells, CELL_COLUMNS),
     ]
     if document["measure"]:
-        lines += _measure_lines(document["measure"])
+        lines += _rehearsal_lines(document["measure"])
     return "\n".join(lines)
 
 
-def _measure_lines(measure: dict[str, Any]) -> list[str]:
+def _rehearsal_lines(rehearsal: dict[str, Any]) -> list[str]:
     rows = []
-    for queue in measure["queues"]:
+    for queue in rehearsal["queues"]:
         rows += _queue_rows(queue)
     return [
-        table(rows, MEASURE_COLUMNS),
-        f"measured on {measure['tickets']} recent pushed jobs: {measure['why']}",
-        f"verdict: {measure['verdict']}",
+        table(rows, REHEARSAL_COLUMNS),
+        f"measured on {rehearsal['tickets']} recent pushed jobs: {rehearsal['why']}",
+        f"verdict: {rehearsal['verdict']}",
     ]
 
 
 def _queue_rows(queue: dict[str, Any]) -> list[dict[str, Any]]:
     """One row for each value of a queue, except values that are 0 both in the active table and the draft."""
     rows = []
-    for name in MEASURED:
+    # Values have 4 decimals, as control.rehearsal rounds them; so do the differences.
+    for name in REHEARSED_VALUES:
         before, after = queue[name], queue[f"draft_{name}"]
         if before or after:
             values = (queue["queue"], name, before, after, round(after - before, 4))
-            rows.append(dict(zip(MEASURE_COLUMNS, values, strict=True)))
+            rows.append(dict(zip(REHEARSAL_COLUMNS, values, strict=True)))
     return rows
--- a/src/pinepitch/cli/timeline.py
+++ b/src/pinepitch/cli/timeline.py
@@ -1,9 +1,12 @@
 """How long jobs spent in each stage, from the logs of control daemons at level `debug`.
 
-Stages of a leased job, in seconds, each from the end of the one before: agreed (from the time the leader
-accepts the call until the job is agreed on), placed (until its first placement; the job waits for capacity),
-told (until its first start is sent to a worker), ran (until its last end is agreed on, repeated runs
-included), shown (until a caller receives its final state).
+Stages of a leased job, in seconds:
+
+- agreed: from when the leader accepts the call to when the job is agreed on.
+- placed: from then to its first placement; the job waits for capacity.
+- told: from then to when its first start is sent to a worker.
+- ran: from then to when its last end is agreed on, repeated runs included.
+- shown: from then to when a caller receives its final state.
 """
 
 import collections
@@ -16,11 +19,12 @@
 
 # event numbers (docs/events.md)
 SUBMITTED, ACCEPTED, PLACED, NOTIFIED, ENDED, SHOWN = 186, 187, 188, 189, 155, 190
-STOPPED, MISJUDGED = 183, 185
+# STALL_MISJUDGED: a run that was stopped as stalled was seen to make progress
+STOPPED, STALL_MISJUDGED = 183, 185
 REACHED_BY = (ACCEPTED, PLACED, NOTIFIED, ENDED, SHOWN)  # the event at the end of each stage
-FINAL = ("completed", "failed")  # results of the run end that also ends the job
+FINAL = ("completed", "failed")  # results of an ENDED event by which the whole job ends
 STAGES = ("agreed", "placed", "told", "ran", "shown")
-HIGH_PERCENTILE = 0.95
+HIGH_QUANTILE = 0.95
 NO_JOBS = "no job's handing in is told: are these logs of control daemons at level debug?"
 
 Event = dict[str, Any]
@@ -40,7 +44,7 @@
     attempt: int
 
 
-class Outcome(NamedTuple):
+class StopOutcome(NamedTuple):
     """Why a run was stopped and how it then ended."""
 
     why: str
@@ -52,13 +56,15 @@
 
     queue: str
     submitted_at: float
-    reached: tuple[float | None, ...]  # one time per stage
+    stage_ends: tuple[float | None, ...]  # one time per stage
 
     def spans(self) -> list[float | None]:
-        """Seconds spent in each stage; None if the logs lack the time of its start or end."""
+        """Seconds spent in each stage; None if the logs lack the time of its start or end. A negative
+        difference counts as 0.
+        """
         spans: list[float | None] = []
         before: float | None = self.submitted_at
-        for at in self.reached:
+        for at in self.stage_ends:
             spans.append(max(0.0, at - before) if at is not None and before is not None else None)
             before = at
         return spans
@@ -87,13 +93,16 @@
 
 
 class Timeline:
-    """The content of the logs. Invariant: the first time counts for each job and stage, for ends the last."""
+    """The content of the logs.
+
+    Invariant: event_times holds, for each job, the earliest time of each event, but the latest of ENDED.
+    """
 
     def __init__(self, timed_events: Iterable[TimedEvent]) -> None:
         self.queues: dict[str, str] = {}  # job -> queue
-        self.reached: dict[str, dict[int, float]] = collections.defaultdict(dict)  # job -> event -> when
+        self.event_times: dict[str, dict[int, float]] = collections.defaultdict(dict)  # job -> event -> when
         self.ends: collections.Counter[str] = collections.Counter()  # how a run ended -> runs
-        self.outcomes: collections.Counter[Outcome] = collections.Counter()
+        self.outcomes: collections.Counter[StopOutcome] = collections.Counter()
         self.misjudged = 0
         self._stopped: dict[RunName, str] = {}  # run -> why it was stopped, until the run has ended
         for at, event in timed_events:
@@ -104,16 +113,16 @@
         if number in (SUBMITTED, ACCEPTED, SHOWN):
             self._take_job(at, event)
         elif number in (PLACED, NOTIFIED):
-            self.reached[_job_of(event["task"])].setdefault(number, at)
+            self.event_times[_job_of(event["task"])].setdefault(number, at)
         elif number == ENDED:
             self._take_end(at, event)
         elif number == STOPPED:
             self._stopped[RunName(event["task"], event["run"])] = event["why"]
-        elif number == MISJUDGED:
+        elif number == STALL_MISJUDGED:
             self.misjudged += 1
 
     def _take_job(self, at: float, event: Event) -> None:
-        self.reached[event["job"]].setdefault(event["number"], at)
+        self.event_times[event["job"]].setdefault(event["number"], at)
         if event["number"] == SUBMITTED:
             self.queues[event["job"]] = event["queue"]
 
@@ -121,16 +130,16 @@
         self.ends[event["how"]] += 1
         stop_reason = self._stopped.pop(RunName(event["task"], event["attempt"]), None)
         if stop_reason is not None:
-            self.outcomes[Outcome(stop_reason, event["how"])] += 1
+            self.outcomes[StopOutcome(stop_reason, event["how"])] += 1
         if event.get("result") in FINAL:
-            self.reached[_job_of(event["task"])][ENDED] = at
+            self.event_times[_job_of(event["task"])][ENDED] = at
 
     def jobs(self) -> list[JobTimes]:
         """JobTimes of every job whose submission is in the logs."""
         return [self._times_of(job, queue) for job, queue in self.queues.items()]
 
     def _times_of(self, job: str, queue: str) -> JobTimes:
-        times = self.reached[job]
+        times = self.event_times[job]
         return JobTimes(queue, times[SUBMITTED], tuple(times.get(number) for number in REACHED_BY))
 
 
@@ -146,7 +155,7 @@
 def _percentiles(values: Sequence[float]) -> str:
     if not values:
         return "-"
-    return f"{values[len(values) // 2]:.3f} / {values[int(len(values) * HIGH_PERCENTILE)]:.3f}"
+    return f"{values[len(values) // 2]:.3f} / {values[int(len(values) * HIGH_QUANTILE)]:.3f}"
 
 
 def _queues_table(jobs: Sequence[JobTimes]) -> str:
@@ -171,7 +180,7 @@
     return table([{"how": how, "runs": count} for how, count in sorted(ends.items())])
 
 
-def _outcomes_table(outcomes: collections.Counter[Outcome]) -> str:
+def _outcomes_table(outcomes: collections.Counter[StopOutcome]) -> str:
     return table(
         [
             {"why": outcome.why, "ended": outcome.ended, "runs": count}
