--- a/src/pinepitch/control/startup.py
+++ b/src/pinepitch/control/startup.py
@@ -1,4 +1,4 @@
-"""How a control daemon opens its data folder: the store, and the identity stored in it."""
+"""How a control daemon starts: the plan of its cluster, its data folder, and the identity stored there."""
 
 import secrets
 from typing import Any, NamedTuple
@@ -18,19 +18,22 @@
 
 def cluster_plan_of(machines_lost: int) -> ClusterPlan:
     """The plan that keeps the cluster serving after any `machines_lost` machines are lost at once: a majority
-    of 2 n + 1 voters is left after n losses. For one machine, zones are the groups ("static", FlexiRaft's
-    quorums, with the usual three voters). For more, each voter is a group of its own ("single"), as no zone
-    may contain a majority.
+    of 2 n + 1 voters is left after n losses, where n is `machines_lost`.
+
+    If one machine may be lost, the quorum mode is "static": the groups of FlexiRaft's quorums are the zones,
+    with the usual three voters. If more may be lost, the mode is "single": each voter is a group of its own,
+    as no zone may contain a majority.
     """
     return ClusterPlan("single" if machines_lost > 1 else "static", 2 * machines_lost + 1)
 
 
 def open_store(folder: str) -> Opened:
-    """(store, snapshot base, steps, segments, why it was damaged or None). A damaged store counts as empty. A
-    store of another version is left as it is, and OSError is raised.
+    """(store, snapshot base, steps, segments, why it was damaged or None). A damaged store is wiped and
+    returned as empty. A store of another file version is left as it is, and OSError is raised.
     """
     store = Store(folder)
     loaded = store.load(packed_step)
+    # Foreign is a kind of Damaged: it is checked first, as a damaged store is wiped.
     if isinstance(loaded, Foreign):
         raise OSError(
             f"{loaded.why}; run the version that wrote it, or give an empty folder to start as a newcomer"
@@ -42,7 +45,10 @@
 
 
 def identity_of(store: Store, base: Any, steps: list[Any]) -> str:
-    """The store's identity. An empty store gets a new one, which is durable before it is used."""
+    """The identity of the daemon that owns the store. A store without one gets a new identity, which is
+    durable before it is used. In a snapshot base it is the first item; in a step, a list of (kind, payload),
+    it is the payload ["identity", identity] of kind "note".
+    """
     if base is not None:
         return str(base[0])
     for step in steps:
