--- a/src/pinepitch/scheduling/assignment_manager.py
+++ b/src/pinepitch/scheduling/assignment_manager.py
@@ -1,5 +1,5 @@
 """The leader's work for leased jobs: receives heartbeats and reported ends, answers heartbeats with starts
-and stops, runs scheduling rounds, and watches for expired leases.
+and stops, runs scheduling rounds, and watches for expired leases of workers.
 
 No guarantee rests on this module's memory alone: every decision is committed to the log before it takes
 effect. A new leader starts with empty state and learns from heartbeats what is running.
@@ -58,9 +58,10 @@
 
     Invariants: the state is empty unless the daemon leads. A start is sent only while the leader's lease is
     valid, in answer to a heartbeat that is not stale, for a committed placement that is still wanted and
-    whose end is not being proposed. A run that is absent from a heartbeat counts as never started only if the
-    heartbeat is not stale, and only if the placement has this leader's epoch or answers of earlier leaders
-    can no longer arrive.
+    whose end is not being proposed. A run that is absent from a heartbeat counts as never started only if
+    both conditions hold: the heartbeat is not stale, and no start sent by an earlier leader can still arrive.
+    The second holds if the placement has this leader's epoch, or once this leader has led for
+    REPORT_GATHERING seconds.
     """
 
     def __init__(self, core: Daemon, now: float, policy: policies.Policy = policies.DEFAULT) -> None:
@@ -69,7 +70,8 @@
         self.workers: dict[str, Worker] = {}
         # identity of a worker -> DeferredHeartbeat
         self.deferred_heartbeats: dict[str, DeferredHeartbeat] = {}
-        self.answers_to_check: dict[str, bool] = {}  # workers whose deferred answer may be due
+        # workers whose deferred answer may be due; an ordered set, its values say nothing
+        self.answers_to_check: dict[str, bool] = {}
         # oldest first
         self.idle_heartbeats: collections.deque[IdleHeartbeat] = collections.deque()
         self.estimator = RunTimeEstimator(core.far)
@@ -122,7 +124,7 @@
     def leave(self, identity: str, now: float) -> None:
         """Handles a worker's report that it shuts down. If this leader has no heartbeat of the worker, or the
         worker never drained, the report does not prove that its runs have ended: only reported ends or an
-        expired lease do.
+        expired lease of the worker do.
         """
         worker = self.workers.get(identity)
         if worker is not None and worker.leave():
@@ -133,6 +135,7 @@
         """Proposes the end of runs that never started: those that the worker lists neither as running nor as
         ended in a heartbeat that is not stale, and that no earlier answer can start any more.
         """
+        # A first heartbeat can't be recognized as stale: there is no earlier one to compare its clock with.
         if worker.stale or worker.heartbeats < 2:
             return
         for (reference, run), placement in self.leased_jobs.placements.get(worker.identity, {}).items():
@@ -169,6 +172,7 @@
     # --- answers ----------------------------------------------------------------------
     def flush(self, now: float) -> None:
         """Answers the heartbeats whose reported ends are committed, and those deferred for long enough."""
+        # core.leased() is about the lease of the leader itself
         if not self.deferred_heartbeats or not self.core.leased(now):
             return
         while (
@@ -194,9 +198,9 @@
             self.core.answer(address, token, Answer(200, self._heartbeat_answer(worker, received_at, now)))
 
     def _is_idle(self, worker: Worker) -> bool:
-        """Whether a worker runs nothing and its answer would be empty. In large fleets the answer to such a
-        worker is deferred, so that a start can be sent at once. As the worker runs nothing, it has no end to
-        report meanwhile.
+        """Whether a worker runs nothing and its answer would contain no starts or stops. In large
+        fleets the answer to such a worker is deferred, so that a start can be sent at once. As the worker
+        runs nothing, it has no end to report meanwhile.
         """
         return (
             self.policy.defer_idle_heartbeats
@@ -204,7 +208,7 @@
             and worker.state == READY
             and not worker.running
             and not worker.listed_ends
-            and worker.heartbeats > 1
+            and worker.heartbeats > 1  # a worker with one heartbeat can't be known to be stale
             and worker.identity not in self.leased_jobs.placements
         )
 
@@ -213,11 +217,13 @@
         user documentation on workers.
         """
         placements = self.leased_jobs.placements.get(worker.identity, {})
-        strays = [key for key in worker.running if key not in placements]
-        start, unwanted = self._starts_and_stops(worker, placements, not strays, now)
-        for reference, run in strays:
+        # A worker that runs something without a placement gets no starts until that has stopped.
+        unknown_runs = [key for key in worker.running if key not in placements]
+        start, unwanted = self._starts_and_stops(worker, placements, not unknown_runs, now)
+        for reference, run in unknown_runs:
             self.core.event(156, minion=worker.identity, task=reference, run=run)
-        stop = (*strays, *unwanted)
+        stop = (*unknown_runs, *unwanted)
+        # the worker's lease, of hold_ms, starts with its heartbeat
         worker.leased_from = received_at
         self.counts["starts"] += len(start)
         self.counts["stops"] += len(stop)
@@ -285,6 +291,8 @@
         if now - self.watched_at >= constants.WATCH_EVERY:
             self.watched_at = now
             self._watch(now)
+        # If a round is due and no assignments are unapplied, it begins `pause` seconds after the last one.
+        # Else it begins after at least PLACE_IDLE seconds, and only once all assignments are applied.
         pause = constants.ROUND_REST * (len(self.leased_jobs.ready) + len(self.workers))
         if now - self.round_at >= (
             pause if self.round_due and not self.unapplied_assignments else max(pause, constants.PLACE_IDLE)
--- a/src/pinepitch/scheduling/tenants.py
+++ b/src/pinepitch/scheduling/tenants.py
@@ -16,7 +16,7 @@
 _NAME = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_NAME_LENGTH))
 _KEY = voluptuous.All(str, voluptuous.Length(min=1, max=constants.MAX_KEY_LENGTH))
 _LIMIT = _number(0, constants.MAX_NUMBER)
-MAXIMUM_SCHEMA = {
+MAXIMUM_SCHEMA = {  # units as in Tenant.maximum
     voluptuous.Optional("cpu"): _LIMIT,
     voluptuous.Optional("mem_mb"): _LIMIT,
     voluptuous.Optional("gpu"): _LIMIT,
@@ -38,12 +38,14 @@
     """One tenant. Invariant: `maximum` is infinite for resources that are not limited."""
 
     name: str
-    weight: float  # jobs per second; also its share of a service that is full. 0 if it has no weight
+    # Jobs per second; its jobs beyond this rate are in excess. It is also the tenant's share of a service
+    # that is full. 0 if the tenant has no weight.
+    weight: float
     maximum: Amount  # thousandths of a core, megabytes, accelerators
 
     @property
     def is_limited(self) -> bool:
-        """Whether any resource that the tenant may use is limited."""
+        """Whether the tenant has a maximum for any resource."""
         return any(math.isfinite(limit) for limit in self.maximum)
 
     def admits(self, used: Resources, requested: Resources) -> bool:
@@ -104,7 +106,7 @@
         )
 
     def limited(self, name: str) -> Tenant | None:
-        """The tenant of that name if any resource that it may use is limited, else None."""
+        """The tenant of that name if it has a maximum for any resource, else None."""
         tenant = self.by_name.get(name)
         return tenant if tenant is not None and tenant.is_limited else None
 
@@ -141,13 +143,14 @@
 def _parse_tenant(document: Document) -> Tenant:
     """Makes a tenant from its item in a valid configuration."""
     limits = document.get("maximum") or {}
+    # A maximum that is 0 or absent means that the resource is not limited.
     cpu, memory, accelerators = (limits.get(resource) or math.inf for resource in LIMITED_RESOURCES)
     return Tenant(document["name"], document.get("weight", 0), (cpu, memory, accelerators))
 
 
 class TenantCapacity:
     """The capacity that tenants may still be given in the current scheduling round. Invariant: as long as
-    only allowed tasks are charged, LeasedJobState.assign admits them.
+    no more tasks are charged than allowance() allows, LeasedJobState.assign admits them.
     """
 
     def __init__(self, tenants: Tenants, used: dict[str, Amount]) -> None:
@@ -160,6 +163,7 @@
         if tenant is None:
             return wanted
         used = self.used.get(name, NO_RESOURCES)
+        # One task alone may need more than the maximum; Tenant.admits_task then admits only that one.
         if tenant.admits_task(used, task) and not tenant.admits(used, task):
             return min(wanted, 1)
         counts = [
@@ -174,6 +178,6 @@
         return type(self)(self.tenants, self.used)
 
     def charge(self, name: str, resources: Resources) -> None:
-        """Counts resources that a tenant is given as used."""
+        """Counts resources that a tenant is given as used. The name is empty for a job without a tenant."""
         if name:
             self.used[name] = add(self.used.get(name, NO_RESOURCES), resources)
