--- a/src/pinepitch/state/audit.py
+++ b/src/pinepitch/state/audit.py
@@ -5,7 +5,7 @@
 if TYPE_CHECKING:
     from .cluster_state import ClusterState
 
-DERIVED = (  # the attributes that ClusterState.derive() rebuilds
+DERIVED = (  # the attributes that derive() rebuilds and that operations update incrementally
     "reserved",
     "used_units",
     "outstanding_credits",
@@ -21,7 +21,10 @@
 
 
 def audit(state: "ClusterState") -> None:
-    """Rebuilds the derived attributes; raises AssertionError if one differs from its earlier value."""
+    """Rebuilds the derived attributes; raises AssertionError if one differs from its earlier value.
+
+    The state keeps the rebuilt values.
+    """
     incremental = {name: getattr(state, name) for name in DERIVED}
     state.derive()
     for name, before in incremental.items():
@@ -31,7 +34,10 @@
 
 
 def _without_empty(derived: dict[Any, Any]) -> dict[Any, Any]:
-    """A derived map without the entries whose value is zero or an empty map."""
+    """A derived map without the entries whose value is zero or an empty map.
+
+    Incremental updates may leave such entries where derive() creates none; both mean the same.
+    """
     result = {}
     for key, value in derived.items():
         value = _without_empty(value) if isinstance(value, dict) else value
--- a/src/pinepitch/state/cluster_operations.py
+++ b/src/pinepitch/state/cluster_operations.py
@@ -1,4 +1,7 @@
-"""Operations on the cluster itself: roles, levels, and alerts that block approvals of drafts."""
+"""Operations on the cluster itself: roles, levels, and alerts that block approvals of drafts.
+
+The level of operations is the newest set of operations that every member can apply.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -10,12 +13,12 @@
 
 
 def ignore(state: "ClusterState", operation: ConsensusEntry) -> Outcome:
-    """Applies an entry that only consensus uses, which changes nothing here."""
+    """Applies an entry that only consensus uses, which changes nothing in the cluster state."""
     return OK
 
 
 def take_role(state: "ClusterState", operation: TakeRole) -> Outcome:
-    """Gives a singleton role to a new owner and begins its next epoch."""
+    """Gives a singleton role to a new owner and begins the role's next epoch."""
     epoch = state.epoch(operation.role) + 1
     state.epochs[operation.role] = (epoch, operation.owner)
     return ("epoch", epoch)
@@ -28,7 +31,10 @@
 
 
 def pause_approvals(state: "ClusterState", operation: PauseApprovals) -> Outcome:
-    """Records that an alert blocks approvals of drafts, or that it no longer does."""
+    """Records that an alert blocks approvals of drafts, or, if the reason is None, that it no longer does.
+
+    Refused if the proposer has lost the "placing" role, whose epoch the operation has.
+    """
     if operation.epoch != state.epoch("placing"):
         return STALE_EPOCH
     if operation.reason is None:
--- a/src/pinepitch/state/cluster_state.py
+++ b/src/pinepitch/state/cluster_state.py
@@ -35,27 +35,36 @@
 class ClusterState:
     """All that the control daemons agree on.
 
-    These attributes are stored in the image:
-
-    - time: the cluster's clock in seconds at the newest entry; it never decreases. index: the log
-      index of that entry.
-    - pushed_jobs: identity -> PushedJob, for the live jobs and the newest finished ones; older
-      finished jobs are in archive. keys: client's key -> identity, for the jobs in pushed_jobs.
-      count: the number of pushed jobs ever accepted. finished: (identity, end time) of each
-      finished job in pushed_jobs, in the order in which they ended.
-    - version, queue_configuration: the active version of the queue configuration and its document.
-      queue_configurations: the history of all versions. Version numbers increase by one.
+    These attributes are stored in the image, whose encoded form is in snapshots:
+
+    - time: the cluster's clock in seconds at the newest entry; it never decreases.
+    - index: the log index of that entry.
+    - pushed_jobs: identity -> PushedJob, for the live jobs and the newest finished ones.
+    - archive: the older finished jobs.
+    - keys: client's key -> identity, for the jobs in pushed_jobs.
+    - count: the number of pushed jobs ever accepted.
+    - finished: (identity, end time) of each finished job in pushed_jobs, in the order in which they
+      ended.
+    - version: the active version of the queue configuration; version numbers increase by one.
+    - queue_configuration: the document of that version.
+    - queue_configurations: the history of all versions.
     - epochs: singleton role -> (epoch, owner of the role); an epoch never decreases.
-    - drained: worker -> since when. emptied: zone -> since when. withdrawn: worker -> (time when
-      the withdrawal is due, whether the worker is gone).
+    - drained: worker -> since when an order has closed it to new pushed tasks.
+    - emptied: zone -> since when an order has closed its workers to new pushed tasks. The evacuated
+      zones of leased jobs are stored separately, in leased_jobs.
+    - withdrawn: worker -> (time when the withdrawal is due, whether the worker is gone).
     - approval_pauses: alert -> (since, why), while the alert blocks approvals of drafts.
-    - drafts: identity -> draft. draft_count: the number of drafts ever created.
-    - leased_jobs: the state of leased jobs, which the scheduling package owns. level: the level of
-      operations in use, which rises once all members know the next one and never decreases.
-    - sample: a sample of the traffic, for rehearsals. marks: the changes already applied.
-
-    These attributes are not stored in the image: sealed, the (number, bytes) of segments sealed
-    since the daemon last fetched them; and what derive() computes from the attributes above:
+    - drafts: identity -> draft.
+    - draft_count: the number of drafts ever created.
+    - leased_jobs: the state of leased jobs, which the scheduling package owns.
+    - level: the level of operations in use, which rises once all members know the next one and never
+      decreases.
+    - sample: a sample of the traffic, for rehearsals.
+    - marks: the outcomes of the changes already applied, so that a change that is forwarded again
+      is applied once.
+
+    These attributes are not stored in the image: sealed, the (number, bytes) of archive segments
+    sealed since the daemon last wrote them; and what derive() computes from the attributes above:
     queue_settings (queue -> QueueSettings), progress, reservations and ready_queue. audit() checks
     the invariants of the derived ones.
     """
@@ -125,14 +134,14 @@
         self.reservations = Reservations()
         self.ready_queue = ReadyQueue(self.ready_queue.promoted_until)
         for identity in sorted(self.pushed_jobs, key=lambda job_identity: int(job_identity[1:])):
-            job = self.pushed_jobs[identity]
+            job = self.pushed_jobs[identity]  # identities are t1, t2, ... in the order of acceptance
             if job.state in LIVE_STATES:
                 self.add_live_job(job)
 
     def add_live_job(self, job: PushedJob) -> None:
         """Adds a live job to the derived attributes."""
         self.progress.add(job)
-        units = {}
+        units = {}  # start unit -> one of its waiting tasks; any of them identifies the unit
         for name, task in job.tasks.items():
             standing = job.standings[name]
             if standing.state == "waiting":
@@ -187,7 +196,10 @@
         return self.epochs.get(role, (0, ""))[0]
 
     def balance(self, queue: str) -> int:
-        """Credits that a queue has left: its share minus those used by its own or other queues' tasks."""
+        """Credits that a queue has left: its share minus those lent to its own or other queues' tasks.
+
+        A placed task uses the credits listed in Standing.charges, of its own or other queues, until it ends.
+        """
         queue_settings = self.queue_settings.get(queue)
         share = queue_settings.share if queue_settings else 0
         return share - self.reservations.outstanding_credits.get(queue, 0)
@@ -220,7 +232,7 @@
         return waiting_members(job, unit)
 
     def closed(self, worker: str, zone: str) -> str:
-        """The reason why a worker may not get new work, or ''."""
+        """The reason why a worker may not get new pushed tasks, or ''."""
         if worker in self.withdrawn:
             return "withdrawn"
         if worker in self.drained:
@@ -257,7 +269,7 @@
 
     @property
     def yielding(self) -> dict[str, int]:
-        """Reference -> attempt, for each placed task that has been asked to stop."""
+        """Reference -> attempt, for each placed task that has been asked to stop, for whatever reason."""
         return self.reservations.yielding
 
     @property
--- a/src/pinepitch/state/leased_job_operations.py
+++ b/src/pinepitch/state/leased_job_operations.py
@@ -1,4 +1,4 @@
-"""Operations on leased jobs, which pass the agreed time and their fields on to LeasedJobState."""
+"""Operations on leased jobs, which pass the cluster time and their fields, in order, to LeasedJobState."""
 
 from typing import TYPE_CHECKING
 
@@ -36,29 +36,32 @@
 
 
 def stop_runs(state: "ClusterState", operation: StopRuns) -> Outcome:
-    """Marks runs that are to stop, unless the proposer has lost the placing role."""
+    """Marks runs that the leader wants stopped, unless the proposer has lost the placing role."""
     if operation.epoch != state.epoch("placing"):
         return STALE_EPOCH
     return state.leased_jobs.stop(state.time, operation.items)
 
 
 def end_runs(state: "ClusterState", operation: EndRuns) -> Outcome:
-    """Records the proven ends of runs."""
+    """Records runs that are proven to have ended.
+
+    The operation has no epoch: an end counts whichever leader proposed it.
+    """
     return state.leased_jobs.end(state.time, operation.items)
 
 
 def configure_routes(state: "ClusterState", operation: ConfigureRoutes) -> Outcome:
-    """Replaces the whole configuration of the routes."""
+    """Replaces the whole configuration of the routes of leased jobs."""
     return state.leased_jobs.configure(state.time, *operation)
 
 
 def amend_routes(state: "ClusterState", operation: AmendRoutes) -> Outcome:
-    """Changes individual routes."""
+    """Changes individual routes of leased jobs."""
     return state.leased_jobs.amend(state.time, *operation)
 
 
 def evacuate_zone(state: "ClusterState", operation: EvacuateZone) -> Outcome:
-    """Begins or ends the evacuation of a zone; the log index of the operation identifies the order."""
+    """Begins or ends the evacuation of a zone; its log index identifies this order to begin or end."""
     return state.leased_jobs.evacuate(
         state.time, operation.zone, operation.begun, state.index, operation.confirmed
     )
--- a/src/pinepitch/state/pushed_job_operations.py
+++ b/src/pinepitch/state/pushed_job_operations.py
@@ -31,13 +31,14 @@
     state.put_job(job)
     state.keys = state.keys.set(operation.key, job.identity)
     state.add_live_job(job)
+    # the running tasks are counted only if the sample begins a block with this job
     state.sample.add_arrival(job, lambda: _count_running(state))
     return ("accepted", job.identity)
 
 
 def _new_job(state: "ClusterState", identity: str, operation: AcceptJob) -> PushedJob:
     """The job of a document, completed with the settings of its queue."""
-    document = operation.document
+    document = operation.document  # a negative urgency means that none was given
     queue_settings = state.queue_settings[document["queue"]]
     tasks = tasks_from(document, queue_settings.retries, document["kind"] == "feed")
     return PushedJob(
@@ -57,7 +58,7 @@
 
 
 def cancel_job(state: "ClusterState", operation: CancelJob) -> Outcome:
-    """Cancels a job that is not final yet."""
+    """Cancels a pending job. A failing job is refused like one that has ended."""
     job = state.pushed_job(operation.identity)
     if job is None:
         return MISSING
@@ -80,7 +81,7 @@
         image = state.archive.find_by_key(key)
         if image is None:
             return None
-        identity, known_digest = image[0], image[2]
+        identity, known_digest = image[0], image[2]  # in the order of the fields of PushedJob
     return ("known", identity) if known_digest == digest else ("mismatch", identity)
 
 
@@ -89,6 +90,7 @@
 
     `unplaceable` is the reason why no worker known to the leader could run the job, or ''.
     """
+    # The result depends on the present queue settings and counts.
     queue_settings = state.queue_settings.get(document["queue"])
     if queue_settings is None:
         return ("invalid", (("queue", f"no queue {document['queue']!r}"),))
@@ -130,10 +132,10 @@
 def _queue_full(
     state: "ClusterState", document: dict[str, Any], queue_settings: QueueSettings, unplaceable: str
 ) -> str:
-    """Why the queue can't accept these waiting tasks, or ''.
+    """The reason why the queue can't accept these waiting tasks, or ''.
 
-    Unplaceable jobs are limited to a separate part of the queue's bound, so that they don't crowd
-    out jobs that could run.
+    Unplaceable jobs are limited to a separate part of the queue's bound, 1 / UNPLACEABLE_PART of it,
+    so that they don't crowd out jobs that could run.
     """
     queue, count = document["queue"], len(document["tasks"])
     if not unplaceable:
