--- a/features/steps/archive.py
+++ b/features/steps/archive.py
@@ -39,7 +39,7 @@
     record = context.cluster_state
     for _ in range(count):
         context.index += 1
-        moment, place = context.begun + context.index * 0.01, record.count
+        moment, place = context.begun + context.index * 0.01, record.accepted_count
         identity = record.apply(context.index, moment, ("ticket", f"key-{place}", f"digest-{place}", PLAIN))[
             1
         ]
@@ -94,9 +94,9 @@
 
 @then("each archived key with its body is known, and with another is refused")
 def step_keys(context):
-    for place in range(0, context.cluster_state.count, 7):
+    for place in range(0, context.cluster_state.accepted_count, 7):
         identity = f"t{place + 1}"
-        before = context.cluster_state.count
+        before = context.cluster_state.accepted_count
         assert context.cluster_state.apply(
             10**6, 0.0, ("ticket", f"key-{place}", f"digest-{place}", PLAIN)
         ) == (
@@ -107,7 +107,7 @@
             "mismatch",
             identity,
         )
-        assert context.cluster_state.count == before
+        assert context.cluster_state.accepted_count == before
 
 
 @then("cancelling an archived job says how it ended")
@@ -148,19 +148,20 @@
 @then("the oldest are gone with their keys, and what is kept still reads")
 def step_gone(context):
     record = context.cluster_state
-    assert record.pushed_job("t1") is None and record.known("key-0", "digest-0") is None
+    assert record.pushed_job("t1") is None and record.outcome_for_key("key-0", "digest-0") is None
     kept = [identity for identity in context.was if record.pushed_job(identity) is not None]
     assert 1000 <= len(kept) < len(context.was) and record.archive.retired
     archive = record.archive
     assert (
-        len(archive.segment_of_job) <= record.count - archive.first_job + 1 and archive.segment_of_job[0]
+        len(archive.segment_of_job) <= record.accepted_count - archive.first_job + 1
+        and archive.segment_of_job[0]
     ), archive.first_job
     assert len(archive.keys) == archive.count == len(kept) - len(record.pushed_jobs), (
         len(archive.keys),
         archive.count,
     )
     for identity in kept:
-        assert record.known(context.was[identity][1], f"digest-{int(identity[1:]) - 1}") == (
+        assert record.outcome_for_key(context.was[identity][1], f"digest-{int(identity[1:]) - 1}") == (
             "known",
             identity,
         )
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -114,9 +114,9 @@
         record = self.cluster_state
         leased_jobs = record.leased_jobs
         return {
-            "versions": [tuple(line)[0] for line in record.queue_configurations.lines],
+            "versions": [tuple(line)[0] for line in record.queue_configurations.records],
             "notes": record.queue_configuration["notes"],
-            "tickets": (record.count, sorted(record.pushed_jobs)),
+            "tickets": (record.accepted_count, sorted(record.pushed_jobs)),
             "drafts": (record.draft_count, sorted(record.drafts)),
             "closed": (sorted(record.drained), sorted(record.emptied), dict(record.withdrawn)),
             "jobs": sorted(leased_jobs.jobs),
--- a/features/steps/history.py
+++ b/features/steps/history.py
@@ -96,7 +96,7 @@
     )
     assert context.cluster_state.queue_configurations.read(3)["queues"]["q0000"]["retries"] == 1
     assert (
-        sum(line[5] == "whole" for line in context.cluster_state.queue_configurations.lines)
+        sum(line[5] == "whole" for line in context.cluster_state.queue_configurations.records)
         >= context.times // constants.QUEUE_CONFIGURATION_FULL_EVERY
     )
 
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -704,7 +704,7 @@
 
 @then("no more than {outcomes:d} outcomes and {fronts:d} front daemons are remembered")
 def step_configurations_bounded(context, outcomes, fronts):
-    kept, forgotten = context.core.cluster_state.marks.image()
+    kept, forgotten = context.core.cluster_state.change_watermarks.image()
     assert len(kept) == outcomes and len(forgotten) == fronts, (len(kept), len(forgotten))
 
 
--- a/features/steps/placing.py
+++ b/features/steps/placing.py
@@ -43,7 +43,7 @@
     ):
         """Hands in a ticket of `count` alike tasks; its identity, or None when refused."""
         self.made += 1
-        before = self.cluster_state.count
+        before = self.cluster_state.accepted_count
         self.arrive(
             now,
             (
@@ -59,7 +59,7 @@
             ),
             self.made,
         )
-        return f"t{self.cluster_state.count}" if self.cluster_state.count > before else None
+        return f"t{self.cluster_state.accepted_count}" if self.cluster_state.accepted_count > before else None
 
     def until(self, now, end, stream=()):
         """Runs to `end`; `stream` holds (when, keywords of put) still to come."""
--- a/src/pinepitch/control/agreement.py
+++ b/src/pinepitch/control/agreement.py
@@ -165,7 +165,7 @@
             self.bytes_before_snapshot + self.bytes_since_snapshot,
         )
         self._snapshot_threshold = self._bytes_until_full = None
-        self.snapshot_segments = state.archive.range()
+        self.snapshot_segments = state.archive.segment_range()
         self.daemon.effects.append(EncodeSnapshot(state.index, state.image()))
 
     def _snapshot_due(self, index: int) -> bool:
--- a/src/pinepitch/control/leader.py
+++ b/src/pinepitch/control/leader.py
@@ -119,7 +119,7 @@
         cluster_state, yields = self.daemon.cluster_state, []
         for worker, placed_references in cluster_state.reserved.items():
             push_worker = self.daemon.worker_reports.push_workers.get(worker)
-            closed = cluster_state.closed(worker, push_worker.report.zone if push_worker else "")
+            closed = cluster_state.closed_reason(worker, push_worker.report.zone if push_worker else "")
             for ref in placed_references:
                 job, task, standing = cluster_state.find_known(ref)
                 if standing.yields_to or (ref, standing.attempt) in self.ending_runs:
@@ -164,7 +164,7 @@
             report = worker.report
             taken = sum(self.daemon.cluster_state.reserved.get(name, {}).values())
             if (
-                not self.daemon.cluster_state.closed(name, report.zone)
+                not self.daemon.cluster_state.closed_reason(name, report.zone)
                 and set(task.labels) <= set(report.labels)
                 and report.capacity - taken >= task.units
             ):
--- a/src/pinepitch/control/placement.py
+++ b/src/pinepitch/control/placement.py
@@ -152,7 +152,7 @@
         for name in sorted(workers):
             worker = workers[name]
             report = worker.report
-            if worker.unresponsive(now) or cluster_state.closed(name, report.zone):
+            if worker.unresponsive(now) or cluster_state.closed_reason(name, report.zone):
                 continue
             taken = sum(cluster_state.reserved.get(name, {}).values()) + pending.get(name, 0)
             poor = worker.is_unreliable()
--- a/src/pinepitch/control/rehearsal_role.py
+++ b/src/pinepitch/control/rehearsal_role.py
@@ -39,7 +39,7 @@
         draft = min(requested, key=lambda queued_draft: queued_draft["time"])
         self.rehearsing = (draft["draft"], draft["asked"])
         state = self.daemon.cluster_state
-        traffic = state.sample.traffic(state.pushed_jobs)
+        traffic = state.traffic_sample.traffic(state.pushed_jobs)
         self.daemon.effects.append(
             Rehearse(
                 epoch, *self.rehearsing, traffic, state.queue_configuration, draft["setup"], draft["rooms"]
--- a/src/pinepitch/control/requests/drafts.py
+++ b/src/pinepitch/control/requests/drafts.py
@@ -74,7 +74,7 @@
     capacities = [
         [name, worker.report.zone, worker.report.capacity, list(worker.report.labels)]
         for name, worker in sorted(daemon.push_workers.items())
-        if not worker.unresponsive(now) and not daemon.cluster_state.closed(name, worker.report.zone)
+        if not worker.unresponsive(now) and not daemon.cluster_state.closed_reason(name, worker.report.zone)
     ]
     return Propose(("rehearse", arguments[0], capacities), "draft")
 
--- a/src/pinepitch/control/requests/explanations.py
+++ b/src/pinepitch/control/requests/explanations.py
@@ -119,7 +119,7 @@
     """Why a worker can't run a task, or "open"."""
     report = worker.report
     left = report.capacity - sum(daemon.cluster_state.reserved.get(name, {}).values())
-    closed = daemon.cluster_state.closed(name, report.zone)
+    closed = daemon.cluster_state.closed_reason(name, report.zone)
     lacking = sorted(set(task.labels) - set(report.labels))
     if closed:
         return closed
--- a/src/pinepitch/control/requests/push_workers.py
+++ b/src/pinepitch/control/requests/push_workers.py
@@ -63,7 +63,7 @@
     known = worker.report if worker else None
     reserved = daemon.cluster_state.reserved.get(name, {})
     unresponsive = worker is None or worker.unresponsive(now)
-    closed = daemon.cluster_state.closed(name, known.zone if known else "")
+    closed = daemon.cluster_state.closed_reason(name, known.zone if known else "")
     return {
         "minion": name,
         "area": known.zone if known else None,
--- a/src/pinepitch/control/requests/pushed_jobs.py
+++ b/src/pinepitch/control/requests/pushed_jobs.py
@@ -25,7 +25,7 @@
     key, digest, plain = arguments
     cluster_state = daemon.cluster_state
     unplaceable = _why_unplaceable(daemon, plain, now)
-    refusal = cluster_state.known(key, digest) or cluster_state.job_refusal(plain, unplaceable)
+    refusal = cluster_state.outcome_for_key(key, digest) or cluster_state.job_refusal(plain, unplaceable)
     if refusal is None:
         return Propose(("ticket", key, digest, plain, unplaceable), "submit")
     if refusal[0] == "shed":
@@ -168,20 +168,20 @@
         return Answer(200, {"tickets": _jobs_of_key(daemon, key), "next": None})
     cluster_state, listed = daemon.cluster_state, []
     number, following = after, None
-    while number < cluster_state.count:
+    while number < cluster_state.accepted_count:
         number += 1
         job = cluster_state.pushed_job(f"t{number}")
         if job is None or (state and job.state != state) or (queue and job.queue != queue):
             continue
         listed.append(job_summary(job))
         if len(listed) >= page_size:
-            following = number if number < cluster_state.count else None
+            following = number if number < cluster_state.accepted_count else None
             break
     return Answer(200, {"tickets": listed, "next": following})
 
 
 def _jobs_of_key(daemon: ControlDaemon, key: str) -> list[dict[str, Any]]:
-    known = daemon.cluster_state.known(key, "")
+    known = daemon.cluster_state.outcome_for_key(key, "")
     return [_summary_of(daemon, known[1])] if known else []
 
 
--- a/src/pinepitch/control/requests/queue_configuration.py
+++ b/src/pinepitch/control/requests/queue_configuration.py
@@ -25,7 +25,7 @@
     """One version with its document; 0 asks for the active version."""
     cluster_state = daemon.cluster_state
     version = arguments[0] or cluster_state.version
-    version_entry = cluster_state.queue_configurations.line(version)
+    version_entry = cluster_state.queue_configurations.record(version)
     if version_entry is None:
         return _unknown_version(repr(arguments[0]))
     is_active = version == cluster_state.version
@@ -38,7 +38,7 @@
 def list_versions(daemon: ControlDaemon, token: str, arguments: tuple[Any, ...], now: float) -> Answer:
     """The stored history, without the documents."""
     cluster_state = daemon.cluster_state
-    versions = [_version_view(version_entry) for version_entry in cluster_state.queue_configurations.lines]
+    versions = [_version_view(version_entry) for version_entry in cluster_state.queue_configurations.records]
     return Answer(200, {"version": cluster_state.version, "setups": versions})
 
 
@@ -54,7 +54,9 @@
     base, manner, document, who, why = arguments
     cluster_state = daemon.cluster_state
     outdated = base is not None and base != cluster_state.version
-    if outdated and cluster_state.marks.outcome(token) is None:  # a change made before is answered below
+    if (
+        outdated and cluster_state.change_watermarks.outcome(token) is None
+    ):  # a change made before is answered below
         return change_answer(daemon, ("conflict", cluster_state.version))
     return Propose(("setup", token, base, manner, document, who, why), "setup")
 
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -219,7 +219,7 @@
     "own-clock": [(cluster_clock.ClusterClock, "read", _own_clock)],
     "cancel-in-word": [(pushed_job_operations, "cancel_job", _cancel_in_word)],
     "closed-ignored": [
-        (ClusterState, "closed", lambda self, name, zone: ""),
+        (ClusterState, "closed_reason", lambda self, name, zone: ""),
         (Orders, "_closed", lambda self, order, body: False),
     ],
     "room-doubled": [(push_worker, "checked", _double_capacity)],
--- a/src/pinepitch/state/archive.py
+++ b/src/pinepitch/state/archive.py
@@ -67,7 +67,7 @@
         """A value that later changes of the archive do not affect."""
         return tuple(self.summaries)
 
-    def range(self) -> tuple[int, int]:
+    def segment_range(self) -> tuple[int, int]:
         """(first, last) numbers of the segments that the image refers to; (1, 0) if there are none."""
         if not self.summaries:
             return (1, 0)
--- a/src/pinepitch/state/cluster_state.py
+++ b/src/pinepitch/state/cluster_state.py
@@ -41,7 +41,7 @@
       index of that entry.
     - pushed_jobs: identity -> PushedJob, for the live jobs and the newest finished ones; older
       finished jobs are in archive. keys: client's key -> identity, for the jobs in pushed_jobs.
-      count: the number of pushed jobs ever accepted. finished: (identity, end time) of each
+      accepted_count: the number of pushed jobs ever accepted. finished: (identity, end time) of each
       finished job in pushed_jobs, in the order in which they ended.
     - version, queue_configuration: the active version of the queue configuration and its document.
       queue_configurations: the history of all versions. Version numbers increase by one.
@@ -52,7 +52,7 @@
     - drafts: identity -> draft. draft_count: the number of drafts ever created.
     - leased_jobs: the state of leased jobs, which the scheduling package owns. level: the level of
       operations in use, which rises once all members know the next one and never decreases.
-    - sample: a sample of the traffic, for rehearsals. marks: the changes already applied.
+    - traffic_sample: a sample of the traffic, for rehearsals. change_watermarks: the changes already applied.
 
     These attributes are not stored in the image: sealed, the (number, bytes) of segments sealed
     since the daemon last fetched them; and what derive() computes from the attributes above:
@@ -68,7 +68,7 @@
         self.index = 0
         self.pushed_jobs: immutables.Map[str, PushedJob] = immutables.Map()
         self.keys: immutables.Map[str, str] = immutables.Map()
-        self.count = 0
+        self.accepted_count = 0
         self.finished: list[tuple[str, float]] = []
         self.version = 1
         self.queue_configuration: dict[str, Any] = queue_documents.initial()
@@ -87,8 +87,8 @@
         self.leased_jobs = LeasedJobState()
         self.level = 1
         self.sealed: list[tuple[int, bytes]] = []
-        self.sample = Sample()
-        self.marks = ChangeWatermarks()
+        self.traffic_sample = Sample()
+        self.change_watermarks = ChangeWatermarks()
         self.ready_queue = ReadyQueue()
         self.derive()
 
@@ -219,7 +219,7 @@
         """Names of the waiting tasks of a start unit, in the order of the job's document."""
         return waiting_members(job, unit)
 
-    def closed(self, worker: str, zone: str) -> str:
+    def closed_reason(self, worker: str, zone: str) -> str:
         """The reason why a worker may not get new work, or ''."""
         if worker in self.withdrawn:
             return "withdrawn"
@@ -235,7 +235,7 @@
         """
         return pushed_job_operations.job_refusal(self, document, unplaceable)
 
-    def known(self, key: str, digest: str) -> Outcome | None:
+    def outcome_for_key(self, key: str, digest: str) -> Outcome | None:
         """The outcome of submitting a key that is already in use, or None for a new key."""
         return pushed_job_operations.known_key(self, key, digest)
 
--- a/src/pinepitch/state/configuration_history.py
+++ b/src/pinepitch/state/configuration_history.py
@@ -54,24 +54,24 @@
 class ConfigurationHistory:
     """All versions of the queue configuration.
 
-    Invariants: lines has one record per version, from version 1 on without a gap, and records are
+    Invariants: records has one record per version, from version 1 on without a gap, and these are
     only appended. After the last whole record there are fewer than QUEUE_CONFIGURATION_FULL_EVERY
     patches, and together these have fewer bytes than that record or QUEUE_CONFIGURATION_SMALL,
     whichever is larger.
     """
 
-    def __init__(self, lines: Iterable[Iterable[Any]] = ()) -> None:
-        self.lines = [VersionRecord._make(fields) for fields in lines]
+    def __init__(self, records: Iterable[Iterable[Any]] = ()) -> None:
+        self.records = [VersionRecord._make(fields) for fields in records]
         self.patch_bytes = 0  # bytes of the patches after the last whole record
         self.whole_bytes = 0  # bytes of the last whole record
         self._newest: tuple[int, dict[str, Any]] | None = None  # (version, configuration) last added
         self._last_read: tuple[int, dict[str, Any]] | None = None  # the one last read; reads start from it
-        for record in self.lines:
+        for record in self.records:
             self._count_bytes(record)
 
     def image(self) -> tuple[VersionRecord, ...]:
         """A value that later changes of the history do not affect."""
-        return tuple(self.lines)
+        return tuple(self.records)
 
     def _count_bytes(self, record: VersionRecord) -> None:
         size = len(cbor2.dumps(record.content))
@@ -88,41 +88,41 @@
         patch = self._patch_to(version, configuration)
         if patch is not None:
             record = record._replace(kind="patch", content=patch)
-        self.lines.append(record)
+        self.records.append(record)
         self._count_bytes(record)
         self._newest = (version, configuration)
 
     def _patch_to(self, version: int, configuration: dict[str, Any]) -> dict[str, Any] | None:
         """The patch that makes the next version, or None if that version is to be stored whole."""
-        if not self.lines:
+        if not self.records:
             return None
         before = self._newest[1] if self._newest else self.read(version - 1)
         if before is None:
             raise AssertionError(f"version {version} has no version before it in the history")
         patch = difference(before, configuration)
-        newest = self.lines[-constants.QUEUE_CONFIGURATION_FULL_EVERY :]
+        newest = self.records[-constants.QUEUE_CONFIGURATION_FULL_EVERY :]
         if patch is None or not any(record.kind == "whole" for record in newest):
             return None
         patch_bytes = len(cbor2.dumps(patch)) + self.patch_bytes
         is_small = patch_bytes < max(self.whole_bytes, constants.QUEUE_CONFIGURATION_SMALL)
         return patch if is_small else None
 
-    def line(self, version: int) -> VersionRecord | None:
+    def record(self, version: int) -> VersionRecord | None:
         """The record of a version, or None."""
-        return self.lines[version - 1] if 0 < version <= len(self.lines) else None
+        return self.records[version - 1] if 0 < version <= len(self.records) else None
 
     def read(self, version: int) -> dict[str, Any] | None:
         """The whole configuration of a version, or None."""
-        if self.line(version) is None:
+        if self.record(version) is None:
             return None
         start = version
-        while self.lines[start - 1].kind != "whole" and not self._is_last_read(start):
+        while self.records[start - 1].kind != "whole" and not self._is_last_read(start):
             start -= 1
         if self._last_read is not None and self._last_read[0] == start:
             configuration = self._last_read[1]
         else:
-            configuration = self.lines[start - 1].content
-        for record in self.lines[start:version]:
+            configuration = self.records[start - 1].content
+        for record in self.records[start:version]:
             configuration = merged(configuration, record.content)
         self._last_read = (version, configuration)
         return configuration
--- a/src/pinepitch/state/configuration_operations.py
+++ b/src/pinepitch/state/configuration_operations.py
@@ -24,11 +24,11 @@
 
 def apply_once(state: "ClusterState", token: str, change: Callable[[], Outcome]) -> Outcome:
     """Applies a change the first time its token is seen; returns that outcome at each repetition."""
-    known: Outcome | None = state.marks.outcome(token)
+    known: Outcome | None = state.change_watermarks.outcome(token)
     if known is not None:
         return known
     outcome = (*change(), state.index)
-    state.marks.record(token, outcome, state.level >= WATERMARKS_LEVEL)
+    state.change_watermarks.record(token, outcome, state.level >= WATERMARKS_LEVEL)
     return outcome
 
 
--- a/src/pinepitch/state/image_codec.py
+++ b/src/pinepitch/state/image_codec.py
@@ -41,7 +41,7 @@
         state.index,
         state.pushed_jobs,
         state.keys,
-        state.count,
+        state.accepted_count,
         tuple(state.finished),
         state.version,
         state.queue_configuration,
@@ -52,8 +52,8 @@
         dict(state.withdrawn),
         state.drafts,
         state.draft_count,
-        state.marks.image(),
-        state.sample.image(),
+        state.change_watermarks.image(),
+        state.traffic_sample.image(),
         state.archive.image(),
         dict(state.approval_pauses),
         state.leased_jobs.image(),
@@ -95,7 +95,7 @@
         state.index,
         jobs,
         keys,
-        state.count,
+        state.accepted_count,
         finished,
         state.version,
         state.queue_configuration,
@@ -116,8 +116,8 @@
     state.leased_jobs = LeasedJobState.from_image(leased_jobs)
     state.approval_pauses = {alert: tuple(pause) for alert, pause in approval_pauses.items()}
     state.archive = Archive(segment_summaries, segments)
-    state.sample = Sample(sample)
-    state.marks = ChangeWatermarks(*marks)
+    state.traffic_sample = Sample(sample)
+    state.change_watermarks = ChangeWatermarks(*marks)
     state.pushed_jobs = immutables.Map({identity: job_of_image(image) for identity, image in jobs.items()})
     state.keys = immutables.Map(keys)
     state.finished = [tuple(pair) for pair in finished]
--- a/src/pinepitch/state/job_lifecycle.py
+++ b/src/pinepitch/state/job_lifecycle.py
@@ -60,7 +60,7 @@
         raise AssertionError(f"{identity} would finish although some of its tasks are not done")
     state.put_job(job._replace(state=final_state, ended_at=state.time))
     state.progress.remove(job)
-    state.sample.add_result(state.pushed_jobs[identity])
+    state.traffic_sample.add_result(state.pushed_jobs[identity])
     state.finished.append((identity, state.time))
     if len(state.finished) >= constants.FINISHED_LIVE + constants.SEGMENT_JOBS:
         _seal_oldest(state)
--- a/src/pinepitch/state/placing_operations.py
+++ b/src/pinepitch/state/placing_operations.py
@@ -58,7 +58,7 @@
         job, task, standing = match
         refusal = (
             _task_refusal(state, job, task, standing)
-            or state.closed(item.worker, item.zone)
+            or state.closed_reason(item.worker, item.zone)
             or _gang_refusal(state, job, task, group)
             or totals.refusal(job, task, item)
         )
--- a/src/pinepitch/state/pushed_job_operations.py
+++ b/src/pinepitch/state/pushed_job_operations.py
@@ -20,18 +20,18 @@
 
 def accept_job(state: "ClusterState", operation: AcceptJob) -> Outcome:
     """Accepts a job, unless its key is already in use or the job has to be refused now."""
-    known_outcome = state.known(operation.key, operation.digest)
+    known_outcome = state.outcome_for_key(operation.key, operation.digest)
     if known_outcome is not None:
         return known_outcome
     refusal = state.job_refusal(operation.document, operation.unplaceable)
     if refusal is not None:
         return refusal
-    state.count += 1
-    job = _new_job(state, f"t{state.count}", operation)
+    state.accepted_count += 1
+    job = _new_job(state, f"t{state.accepted_count}", operation)
     state.put_job(job)
     state.keys = state.keys.set(operation.key, job.identity)
     state.add_live_job(job)
-    state.sample.add_arrival(job, lambda: _count_running(state))
+    state.traffic_sample.add_arrival(job, lambda: _count_running(state))
     return ("accepted", job.identity)
 
 
