--- a/features/steps/images.py
+++ b/features/steps/images.py
@@ -10,7 +10,7 @@
 from pinepitch.common.effects import EncodeSnapshot, Event, SaveChange, Send
 from pinepitch.common.limits import Limits
 from pinepitch.consensus.snapshot_payload import ReceivedPayload, SnapshotPayload
-from pinepitch.control import agreement, image_digests
+from pinepitch.control import consensus_driver, image_digests
 from pinepitch.control.metrics_text import text
 from pinepitch.control.requests import REQUESTS
 from pinepitch.simulation import injected_faults, pushed_job_trial
@@ -353,7 +353,7 @@
 
 @when("{count:d} jobs with specifications of {size:d} bytes are handed in with no heed to the bound")
 def step_unbounded(context, count, size):
-    with mock.patch.object(agreement.ConsensusDriver, "is_full", lambda self: False):
+    with mock.patch.object(consensus_driver.ConsensusDriver, "is_full", lambda self: False):
         for number in range(count):
             assert context.fleet.hand_in_large(number)[0] == 200
 
--- a/src/pinepitch/control/daemon.py
+++ b/src/pinepitch/control/daemon.py
@@ -20,22 +20,22 @@
 from ..transport.forwarder import Forwarder
 from ..transport.indexed_forwarder import IndexedForwarder
 from . import membership, rehearsal
-from .agreement import ConsensusDriver
 from .applied_entries import AppliedEntries
 from .bootstrap import Bootstrap
+from .client_requests import ClientRequests
 from .cluster_entry import ClusterEntry
+from .consensus_driver import ConsensusDriver
 from .forwarded_requests import ForwardedRequests
 from .front_updates import FrontUpdates
-from .greetings import Handshakes
+from .handshakes import Handshakes
 from .image_digests import ImageDigests
-from .leader import Leadership
+from .leadership import Leadership
 from .membership_changes import Members, MembershipChanges
-from .outside_requests import ClientRequests
 from .placement import Placer
 from .proposals import OutcomeListener, Proposals
 from .rehearsal_role import RehearsalRole
 from .sessions import Sessions
-from .stopping import Shutdown
+from .shutdown import Shutdown
 from .worker_reports import WorkerReports
 
 
--- a/src/pinepitch/control/image_digests.py
+++ b/src/pinepitch/control/image_digests.py
@@ -2,10 +2,10 @@
 
 Each member records the digest of every image that it encodes and of each snapshot that it installs. A member
 that does not lead asks the leader for its digests once it has a new one, and logs event 135 if two digests of
-one index differ. All members make images at the same indexes (control/agreement.py), so that most can be
-compared. An installed snapshot is compared with its sender's digest only, because an earlier version encodes
-the same state to other bytes. A leader of an earlier version does not know the request and refuses it; then
-nothing is compared.
+one index differ. All members make images at the same indexes (control/consensus_driver.py), so that most can
+be compared. An installed snapshot is compared with its sender's digest only, because an earlier version
+encodes the same state to other bytes. A leader of an earlier version does not know the request and refuses
+it; then nothing is compared.
 """
 
 from collections.abc import Mapping
--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -11,7 +11,7 @@
 from ..common.effects import SaveChange
 from ..consensus import cluster_clock, election, handlers, messages
 from ..control.front_updates import FrontUpdates
-from ..control.leader import Leadership
+from ..control.leadership import Leadership
 from ..control.requests import pushed_jobs
 from ..control.worker_reports import WorkerReports
 from ..front import daemon as verge_core
