--- a/src/pinepitch/simulation/jobs/checks.py
+++ b/src/pinepitch/simulation/jobs/checks.py
@@ -21,7 +21,7 @@
     event: tuple  # the history event of its start
 
     @property
-    def wave(self):
+    def batch(self):
         """The (job, time, step) of its task."""
         return tuple(self.reference.split(".")[:3])
 
@@ -105,7 +105,7 @@
         if job is None:
             faults.append(f"{run.reference} started, but its job was never submitted")
             continue
-        step = job["document"]["steps"][int(run.wave[2])]
+        step = job["document"]["steps"][int(run.batch[2])]
         faults.extend(_started_too_soon(run, step, job["document"], done))
         faults.extend(_started_at_wrong_worker(run, step, job))
         faults.extend(_started_too_close(run, step, ends_by_worker))
@@ -114,17 +114,17 @@
 
 
 def _first_done(runs):
-    """Returns wave -> task -> when its earliest started run that ended as done did so."""
+    """Returns batch -> task -> when its earliest started run that ended as done did so."""
     done = {}
     for run in runs:
         if run.how == "done":
-            done.setdefault(run.wave, {}).setdefault(run.task, run.ended)
+            done.setdefault(run.batch, {}).setdefault(run.task, run.ended)
     return done
 
 
 def _started_too_soon(run, step, document, done):
     """A run starts after the steps that its step depends on, and not before its due time."""
-    job, time, _ = run.wave
+    job, time, _ = run.batch
     for other in step.get("after", ()):
         dependency = document["steps"][other]
         ends = [when for when in done.get((job, time, str(other)), {}).values() if when <= run.began]
@@ -153,7 +153,7 @@
     """
     if not step.get("apart"):
         return
-    ends = ends_by_worker.setdefault((run.identity, *run.wave), [])
+    ends = ends_by_worker.setdefault((run.identity, *run.batch), [])
     running = [ended for ended in ends if ended is None or ended > run.began]
     if len(running) >= step["apart"]:
         yield f"{run.reference} started beside {len(running)} of its step"
@@ -163,11 +163,11 @@
 def _started_from_wrong_checkpoint(run, step, checkpoints):
     """A run starts from a checkpoint of its own task or gang, and all members of a gang from the same one."""
     saved = run.event[8]
-    gang = ".".join(run.wave)
+    gang = ".".join(run.batch)
     owner = gang if step.get("gang") else run.reference
     if saved and saved.rpartition(":")[0] != owner:
         yield f"{run.reference} was started from a checkpoint that another saved: {saved}"
-    if step.get("gang") and checkpoints.setdefault((*run.wave, run.number), saved) != saved:
+    if step.get("gang") and checkpoints.setdefault((*run.batch, run.number), saved) != saved:
         yield f"members of gang {gang} run {run.number} were started from different checkpoints"
 
 
@@ -289,21 +289,21 @@
 
 
 def _earliest_done(runs):
-    """Returns wave -> task -> the earliest time at which a run of it ended as done."""
+    """Returns batch -> task -> the earliest time at which a run of it ended as done."""
     done = {}
     for run in runs:
         if run.how == "done":
-            ends = done.setdefault(run.wave, {})
+            ends = done.setdefault(run.batch, {})
             ends[run.task] = min(run.ended, ends.get(run.task, run.ended))
     return done
 
 
 def _failures(runs):
-    """Returns wave -> [(task, run)] of the failed runs."""
+    """Returns batch -> [(task, run)] of the failed runs."""
     failed = {}
     for run in runs:
         if run.how == "failed":
-            failed.setdefault(run.wave, []).append((run.task, run.number))
+            failed.setdefault(run.batch, []).append((run.task, run.number))
     return failed
 
 
--- a/src/pinepitch/simulation/jobs/fleet.py
+++ b/src/pinepitch/simulation/jobs/fleet.py
@@ -276,7 +276,7 @@
             for name, derived in (
                 ("ready", lambda state: set(state.ready)),
                 ("counts", _counted),
-                ("waves", _waves),
+                ("waves", _batches),
             ):
                 if derived(leased_jobs) != derived(restored):
                     faults.append(
@@ -289,9 +289,9 @@
     return {queue: count for queue, count in leased_jobs.queued_counts.items() if count}
 
 
-def _waves(leased_jobs):
+def _batches(leased_jobs):
     return {
-        wave.key(): (wave.open_predecessors, wave.open_tasks, tuple(sorted(wave.waiting)))
+        batch.key(): (batch.open_predecessors, batch.open_tasks, tuple(sorted(batch.waiting)))
         for job in leased_jobs.jobs.values()
-        for wave in job.batches.values()
+        for batch in job.batches.values()
     }
--- a/src/pinepitch/simulation/jobs/injected_faults.py
+++ b/src/pinepitch/simulation/jobs/injected_faults.py
@@ -43,14 +43,14 @@
     def proposed(operation, waiting, when):
         if operation[0] == "job-assign":
             for identity, time, number, group in operation[2]:
-                wave = self.leased_jobs.jobs[identity].batches[(time, number)]
-                run = max(task.run for task in wave.tasks) + 1
+                batch = self.leased_jobs.jobs[identity].batches[(time, number)]
+                run = max(task.run for task in batch.tasks) + 1
                 for index, worker_name in group:
-                    task = wave.tasks[index]
+                    task = batch.tasks[index]
                     start = (
-                        wave.reference(index),
-                        run if wave.step.gang else task.run + 1,
-                        wave.job.spec,
+                        batch.reference(index),
+                        run if batch.step.gang else task.run + 1,
+                        batch.job.spec,
                         task.saved,
                     )
                     self.__dict__.setdefault("early_starts", {}).setdefault(worker_name, []).append(start)
--- a/src/pinepitch/simulation/jobs/quota_trial.py
+++ b/src/pinepitch/simulation/jobs/quota_trial.py
@@ -167,7 +167,7 @@
 }
 
 
-def _always_admits(self, wave, count):
+def _always_admits(self, batch, count):
     return True
 
 
