--- a/features/steps/second_loss.py
+++ b/features/steps/second_loss.py
@@ -1,4 +1,4 @@
-"""Steps for Second loss: trials of losses timed to the steps of a replacement."""
+"""Steps for the second-loss trials, whose losses are timed to the steps of a replacement."""
 
 from behave import then, when
 
@@ -26,9 +26,9 @@
 
 @then("some trial of second losses finds {fault}")
 def step_found(context, fault):
-    found = []
+    faults = []
     for name, seed in context.trials:
-        found.extend(second_loss.run(name, seed, context.injected_fault))
-        if any(fault in one for one in found):
+        faults.extend(second_loss.run(name, seed, context.injected_fault))
+        if any(fault in text for text in faults):
             return
-    raise AssertionError(f"the planted fault went unseen; found: {found[:6]}")
+    raise AssertionError(f"the injected fault was not detected; faults found: {faults[:6]}")
--- a/src/pinepitch/simulation/second_loss/__init__.py
+++ b/src/pinepitch/simulation/second_loss/__init__.py
@@ -1,5 +1,6 @@
-"""Second losses: what is tried around replacements of voters, each trial replayed by its name and seed.
+"""Trials in which a second machine is lost around the replacement of a voter.
 
-Every trial loses no more at once than a fleet of its size may, but where it says otherwise; then service
-must go on. Where more is lost, nothing acknowledged may be, and service must be back once it is back.
+A trial is replayed by its name and seed. Unless its docstring says otherwise, a trial never loses more
+machines at once than a fleet of its size tolerates, and service must continue. Where it loses more, no
+acknowledged change may be lost, and service must resume once the lost machines are back.
 """
--- a/src/pinepitch/simulation/second_loss/__main__.py
+++ b/src/pinepitch/simulation/second_loss/__main__.py
@@ -1,4 +1,4 @@
-"""Runs trials of second losses over seeds: `python -m pinepitch.simulation.second_loss NAMES FIRST SEEDS`."""
+"""Runs the second-loss trials: `python -m pinepitch.simulation.second_loss NAMES FIRST SEEDS`."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def main(names: str = "all", first: str = "0", seeds: str = "5", injected_fault: str = "") -> int:
-    """Runs trials over seeds; prints the faults of each that fails."""
+    """Runs the trials and prints the first faults of each that fails."""
     failed = 0
     for name in TRIALS if names == "all" else names.split(","):
         for seed in range(int(first), int(first) + int(seeds)):
--- a/src/pinepitch/simulation/second_loss/planned_stops.py
+++ b/src/pinepitch/simulation/second_loss/planned_stops.py
@@ -1,69 +1,73 @@
-"""Second losses around planned stops of voters."""
+"""Trials of second losses around planned stops of voters."""
 
 from typing import Any
 
 from ..simulator import GRACE
-from .fleets import JOINT, SERVED_ON, begun, followers, with_spare
+from .fleets import CHANGE_WITHIN, JOINT, begun, followers, start_with_spare
 from .trial import RECOVERS_WITHIN, LossTrial
 
-HANDED_WITHIN = 0.1  # seconds; without a leader while one hands over, on the slowest disk
-STOPPED_WITHIN = 0.5  # seconds; until a process without an heir for its seat has ended
+TRANSFER_WITHIN = 0.1  # seconds; longest time without a leader in a transfer, on the slowest disk
+STOPPED_WITHIN = 0.5  # seconds; until a process ends when no spare can replace it as a voter
 
 
 def leader_stops(seed: int) -> LossTrial:
-    """A leader stops: soon a successor serves, and the old one's lease is over before that."""
+    """A leader stops. A successor must serve soon, and only after the old leader's lease has ended."""
     trial = begun(seed)
     leader = trial.leader()
     trial.stop(leader.name)
-    took = trial.served(RECOVERS_WITHIN, but=leader.name)
-    if took is None or took > HANDED_WITHIN:
-        trial.fault(f"without a leader for {took} s")
-    trial.change(SERVED_ON)
+    elapsed = trial.served(RECOVERS_WITHIN, but=leader.name)
+    if elapsed is None or elapsed > TRANSFER_WITHIN:
+        trial.fault(f"without a leader for {elapsed} s")
+    trial.change(CHANGE_WITHIN)
     trial.check_recovery()
     return trial
 
 
 def leader_stops_partitioned(seed: int) -> LossTrial:
-    """A leader stops and is cut off just as it hands over: it must not go on beside its successor."""
+    """A stopping leader is partitioned as it transfers leadership. It must not serve beside its successor."""
     trial = begun(seed)
     leader = trial.leader()
-    rest = [one for one in trial.nodes if one != leader.name]
-    trial.on(121, lambda node: trial.partition([leader.name], rest))
+    others = [machine for machine in trial.nodes if machine != leader.name]
+    trial.on(121, lambda node: trial.partition([leader.name], others))
     trial.stop(leader.name)
     trial.run(2)
     trial.check_recovery()
     return trial
 
 
-def seat_handed_on(seed: int) -> LossTrial:
-    """A voter stops beside a spare of its zone: the spare votes before the process ends, and the loss of
-    another voter right then stops nothing.
+def voter_replaced_before_stop(seed: int) -> LossTrial:
+    """A voter stops while its zone has a spare. The spare must vote before the process ends, so that the
+    loss of another voter at that moment does not interrupt service.
     """
     zone = "abc"[seed % 3]
-    trial, spare = with_spare(seed, zone)
-    node = next(one for one in trial.control_nodes() if one.zone == zone and one is not spare)
+    trial, spare = start_with_spare(seed, zone)
+    node = next(machine for machine in trial.control_nodes() if machine.zone == zone and machine is not spare)
     trial.stop(node.name)
-    took = trial.until(lambda: node.core is None, GRACE, 0.005)
-    if took is None or not trial.votes(spare) or len(trial.voters()) != 3:
-        trial.fault(f"the process ended after {took} s and the voters are {trial.voters()}")
-    other = next(one for one in trial.control_nodes() if one not in (node, spare) and one.core is not None)
+    elapsed = trial.until(lambda: node.core is None, GRACE, 0.005)
+    if elapsed is None or not trial.votes(spare) or len(trial.voters()) != 3:
+        trial.fault(f"the process ended after {elapsed} s and the voters are {trial.voters()}")
+    other = next(
+        machine
+        for machine in trial.control_nodes()
+        if machine not in (node, spare) and machine.core is not None
+    )
     trial.kill(other.name)
-    trial.change(SERVED_ON)
+    trial.change(CHANGE_WITHIN)
     trial.check_recovery()
     return trial
 
 
 def rolling_restart(seed: int) -> LossTrial:
-    """Each machine in turn stops and comes back with its disk; without a spare that may have it, be it in
-    another zone, no seat changes hands.
+    """The machines of zones a and c stop in turn and return with their disks. There is no spare, or only
+    one in another zone, which may not replace them, so the voters must not change.
     """
-    trial = begun(seed) if seed % 2 == 0 else with_spare(seed, "b", mode="single")[0]
+    trial = begun(seed) if seed % 2 == 0 else start_with_spare(seed, "b", mode="single")[0]
     before, changes = trial.voters(), trial.event_count(JOINT)
-    for node in [one for one in trial.control_nodes() if one.zone in "ac"]:
+    for node in [machine for machine in trial.control_nodes() if machine.zone in "ac"]:
         trial.stop(node.name)
-        took = trial.until(lambda node=node: node.core is None, GRACE, 0.005)
-        if took is None or took > STOPPED_WITHIN:
-            trial.fault(f"{node.name} ended after {took} s")
+        elapsed = trial.until(lambda node=node: node.core is None, GRACE, 0.005)
+        if elapsed is None or elapsed > STOPPED_WITHIN:
+            trial.fault(f"{node.name} ended after {elapsed} s")
         trial.run(0.3)
         trial.start(node.name)
         trial.run(2)
@@ -73,21 +77,22 @@
     return trial
 
 
-def only_copy_leaves(seed: int) -> LossTrial:
-    """A leader that alone holds what it was told last stops beside a spare of its zone: others are slow
-    or stalled, and no list counts as agreed on before all earlier entries lie on quorums of both.
+def only_copy_stops(seed: int) -> LossTrial:
+    """A leader stops while its zone has a spare and only the leader stores the last changes, because the
+    disks of the others are slow or stalled. A membership list must not count as committed before all
+    earlier entries are on quorums of both the old and the new list.
     """
-    trial, spare = with_spare(seed, "a")
+    trial, spare = start_with_spare(seed, "a")
     for node in trial.control_nodes():
         if node is not trial.leader():
             node.disk.slow = trial.draw.choice((20.0, 60.0, 120.0))
     stalled = trial.draw.choice(followers(trial))
     stalled.disk.stalled = True
-    got: list[tuple[float, int, Any]] = []
+    responses: list[tuple[float, int, Any]] = []
     for limit in range(5):
         patch = {"queues": {"default": {"limit": 1060 + limit}}}
         trial.call(
-            "operator", 0, limit, "PATCH", "/v1/setup", patch, ("plain", got), headers={"if-match": "*"}
+            "operator", 0, limit, "PATCH", "/v1/setup", patch, ("plain", responses), headers={"if-match": "*"}
         )
     trial.run(0.02)
     leader = trial.leader()
@@ -97,7 +102,7 @@
     for node in trial.control_nodes():
         node.disk.slow = trial.slow
     trial.wipe(leader.name)
-    for _, status, answer in got:
+    for _, status, answer in responses:
         if status == 200:
             limit = trial.persist("GET", f"/v1/setup/versions/{answer['version']}", seconds=RECOVERS_WITHIN)
             if limit[0] != 200:
--- a/src/pinepitch/simulation/second_loss/registry.py
+++ b/src/pinepitch/simulation/second_loss/registry.py
@@ -1,15 +1,15 @@
-"""The registry of the trials of second losses.
+"""The registry of the second-loss trials.
 
-The order is part of what is compared: seeds are drawn by a trial's place.
+The order must not change: comparisons of histories choose seeds by a trial's position.
 """
 
 from .injected_faults import injected
 from .planned_stops import (
     leader_stops,
     leader_stops_partitioned,
-    only_copy_leaves,
+    only_copy_stops,
     rolling_restart,
-    seat_handed_on,
+    voter_replaced_before_stop,
 )
 from .replacements import (
     newcomer_partitioned,
@@ -18,34 +18,34 @@
     replacement_replaced,
     spare_lost_too,
     wiped_twice,
-    zone_lost_beside,
+    zone_lost_during_replacement,
 )
-from .strikes import change_struck, founding_struck, snapshot_struck
+from .strikes import loss_during_bootstrap, loss_during_membership_change, loss_during_snapshot
 
-# The registry of trials.
+# Names of trials and their functions.
 TRIALS = {
     "leader-stops": leader_stops,
     "leader-stops-cut-off": leader_stops_partitioned,
-    "seat-handed-on": seat_handed_on,
+    "seat-handed-on": voter_replaced_before_stop,
     "rolling-restart": rolling_restart,
     "replaced-in-time": replaced_in_time,
     "replaced-elsewhere": replaced_in_other_zone,
     "replacement-replaced": replacement_replaced,
     "newcomer-cut-off": newcomer_partitioned,
     "spare-lost-too": spare_lost_too,
-    "area-lost-beside": zone_lost_beside,
+    "area-lost-beside": zone_lost_during_replacement,
     "wiped-twice": wiped_twice,
-    "change-struck": change_struck,
-    "snapshot-struck": snapshot_struck,
-    "founding-struck": founding_struck,
-    "only-copy-leaves": only_copy_leaves,
+    "change-struck": loss_during_membership_change,
+    "snapshot-struck": loss_during_snapshot,
+    "founding-struck": loss_during_bootstrap,
+    "only-copy-leaves": only_copy_stops,
 }
 
 
 def run(name: str, seed: int, injected_fault: str = "") -> list[str]:
-    """The faults of one trial, with an injected fault if one is named."""
+    """Returns the faults of one trial, run with the named injected fault, if any."""
     with injected(injected_fault):
         try:
             return TRIALS[name](seed).faults
-        except AssertionError as broken:
-            return [f"ended by: {broken}"]
+        except AssertionError as error:
+            return [f"ended by: {error}"]
