--- a/src/pinepitch/simulation/second_loss/strikes.py
+++ b/src/pinepitch/simulation/second_loss/strikes.py
@@ -89,7 +89,9 @@
 
 
 def loss_during_bootstrap(seed: int) -> LossTrial:
-    """In each step of a bootstrap by three of four machines, its machine loses power for a while."""
+    """Three of four machines bootstrap a cluster. In each step, the machine that takes the step loses power
+    for a while.
+    """
     for step, count in ((CONSENT, 1), (CONSENT, 2), (CONSENT, 3), (LEADER, 1)):
         trial = LossTrial(seed, ("a", "b", "c", "d"), slow=True, founders=3)
         trial.on(step, functools.partial(_lose_power_briefly, trial), count)
