--- a/features/steps/power_loss.py
+++ b/features/steps/power_loss.py
@@ -5,7 +5,7 @@
 from behave import then, when
 
 from pinepitch.simulation.jobs.limits import PROCESSES
-from pinepitch.simulation.power_loss.__main__ import one
+from pinepitch.simulation.power_loss.__main__ import run_trial
 
 
 @when("power, processes and room on disks are lost in the fleet {fleet} with seeds {first:d} to {last:d}")
@@ -18,23 +18,23 @@
     context.work = [(fleet, seed, injected) for seed in range(first, last + 1)]
 
 
-def found(context):
-    """The faults of all trials, each with what runs it again."""
+def run_trials(context):
+    """The faults of all trials, each with the command that replays its trial."""
     with multiprocessing.Pool(PROCESSES) as pool:
         return [
             f"python -m pinepitch.simulation.power_loss {' '.join(map(str, arguments))}: {fault}"
-            for arguments, faults in pool.imap_unordered(one, context.work)
+            for arguments, faults in pool.imap_unordered(run_trial, context.work)
             for fault in faults
         ]
 
 
 @then("no trial of power losses finds a fault")
 def step_clean(context):
-    faults = found(context)
+    faults = run_trials(context)
     assert not faults, "\n".join(faults[:6])
 
 
 @then("some trial of power losses finds {fault}")
 def step_found(context, fault):
-    faults = found(context)
-    assert any(fault in one for one in faults), f"the injected fault went unseen; found: {faults[:6]}"
+    faults = run_trials(context)
+    assert any(fault in text for text in faults), f"the injected fault was not detected; faults: {faults[:6]}"
--- a/src/pinepitch/simulation/power_loss/__init__.py
+++ b/src/pinepitch/simulation/power_loss/__init__.py
@@ -1,1 +1,1 @@
-"""Trials of what a loss of power leaves of single files: the real store on simulated folders."""
+"""Trials of power loss: the real store runs on simulated folders whose files may be torn or lost."""
--- a/src/pinepitch/simulation/power_loss/disk.py
+++ b/src/pinepitch/simulation/power_loss/disk.py
@@ -1,4 +1,4 @@
-"""The disk of a simulated control daemon that is a real store on a simulated folder."""
+"""The disk of a simulated control daemon: a real store on a simulated folder."""
 
 import collections
 
@@ -10,35 +10,36 @@
 from .folder import PowerLostError, SimulatedFolder
 
 CALLS_OF_A_WRITE = 4  # content, its sync, the name, the folder's sync
-PARTS = 3  # a write under way as the power goes: not begun, done, or cut between two of its calls
+WRITE_OUTCOMES = 3  # of a write in progress at a stop: not begun, complete, or interrupted between calls
 
 
 class FileDisk(Disk):
-    """As Disk, by files. Invariants: what is `pending` are segments that a daemon wants written, in
-    order, before the next base; `damages` tells each load that found what it can't trust.
+    """A Disk that stores its state in files. Invariants: `pending` holds the segments that a daemon
+    wants written, in order, before the next base; `damages` holds the reason of each load that found
+    a damaged folder.
     """
 
-    def __init__(self, draw):
+    def __init__(self, rng):
         super().__init__()
-        self.draw = draw
+        self.rng = rng
         self.folder = SimulatedFolder()
-        self.folder.draw = draw
+        self.folder.rng = rng
         self.store = Store("simulated", self.folder)
         self.pending = collections.deque()
-        self.base_version = 0  # of the newest base
+        self.base_version = 0  # version of the newest base
         self.damages = []
 
     @property
     def steps(self):
-        """As many places as there are steps behind the newest base."""
+        """A range as long as the number of steps after the newest base."""
         return range(self.store.version - self.base_version)
 
     @steps.setter
     def steps(self, value):
-        """Steps are kept by the store."""
+        """Ignores the value: the store holds the steps."""
 
     def add_segment(self, number, data):
-        """Has a segment written before the next base."""
+        """Queues a segment to be written before the next base; False if its content has changed."""
         if self.segments.setdefault(number, data) == data:
             self.pending.append((number, data))
             return True
@@ -58,41 +59,46 @@
             self.store.write_step(payload)
 
     def write_segments(self):
-        """Writes the segments that wait."""
+        """Writes the pending segments."""
         while self.pending:
             self.store.write_segment(*self.pending[0])
             self.pending.popleft()
 
-    def fill(self):
-        """A write that fails for lack of space, after some of its bytes."""
+    def fail_write(self):
+        """Fails the current write for lack of space, after some of its bytes."""
         job = self.in_progress or self.beside
         if job is None:
             return
-        self.folder.free = self.draw.randrange(64)
+        self.folder.free_bytes = self.rng.randrange(64)
         try:
             self.keep(job[0])
         except OSError:
             pass
         else:
-            raise AssertionError("a full disk went unnoticed")
+            raise AssertionError("a write to a full disk raised no error")
         finally:
-            self.folder.free = None
+            self.folder.free_bytes = None
 
     def stop(self, power):
-        """The process ends, by a kill or a loss of power, in the midst of what it writes."""
-        jobs = [one[0] for one in {id(one): one for one in (self.beside, self.in_progress) if one}.values()]
-        self.draw.shuffle(jobs)
+        """Ends the process, by a kill or a loss of power, while its writes are in progress."""
+        jobs = [
+            write[0]
+            for write in {id(write): write for write in (self.beside, self.in_progress) if write}.values()
+        ]
+        self.rng.shuffle(jobs)
         for job in jobs:
-            part = self.draw.randrange(PARTS)
-            if part == 0:
+            outcome = self.rng.randrange(WRITE_OUTCOMES)
+            if outcome == 0:
                 continue
-            self.folder.calls_left = None if part == 1 else self.draw.randrange(CALLS_OF_A_WRITE)
+            self.folder.calls_until_power_loss = (
+                None if outcome == 1 else self.rng.randrange(CALLS_OF_A_WRITE)
+            )
             try:
                 self.keep(job)
             except PowerLostError:
                 break
             finally:
-                self.folder.calls_left = None
+                self.folder.calls_until_power_loss = None
         if power:
             self.folder.lose_power()
         self.jobs.clear()
@@ -100,7 +106,7 @@
         self.in_progress = self.beside = None
 
     def load(self):
-        """What a daemon reads at its start, as `control.startup.open_store` has it."""
+        """Returns what a daemon reads at its start, as `control.startup.open_store` does."""
         self.store = Store("simulated", self.folder)
         loaded = self.store.load(packed_step)
         self.pending.clear()
--- a/src/pinepitch/simulation/power_loss/folder.py
+++ b/src/pinepitch/simulation/power_loss/folder.py
@@ -1,4 +1,4 @@
-"""A simulated folder, whose power may go in any call of the store."""
+"""A simulated folder that may lose power in any call of the store."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class PowerLostError(Exception):
-    """Ends the call in which the power went."""
+    """Interrupts the call during which power is lost."""
 
 
 class File:
-    """What one file holds. Invariant: while it is not synced, a loss of power leaves any beginning of it."""
+    """One file. Invariant: until its content is synced, a loss of power may leave any prefix of it."""
 
     def __init__(self) -> None:
         self.content = b""
@@ -20,45 +20,45 @@
 
 
 class SimulatedFolder:
-    """A folder of files, as `storage.files.Files` has it.
+    """A folder of files with the interface of `storage.files.Files`.
 
-    Invariants: `names` is what a running process sees; `synced` are the names as of the last sync of the
-    folder: a loss of power leaves of each name that changed since either what it was or what it became,
-    apart from all others.
+    Invariants: `current_files` is what a running process sees. `synced` holds the names as of the last
+    sync of the folder. For each name that changed since, a loss of power leaves either the old or the
+    new file, independently of all other names.
     """
 
     def __init__(self) -> None:
-        self.names_now: dict[str, File] = {}
+        self.current_files: dict[str, File] = {}
         self.synced: dict[str, File] = {}
-        self.calls_left: int | None = None  # until the power goes; None for as many as there come
-        self.draw = random.Random(0)
-        self.free: int | None = None  # bytes; None for as many as are wanted
+        self.calls_until_power_loss: int | None = None  # calls before power is lost; None for no limit
+        self.rng = random.Random(0)
+        self.free_bytes: int | None = None  # None for no limit
         self.calls = 0
 
     # --- the calls of the store ---------------------------------------------------------
     def make(self) -> None:
-        """The folder is there."""
+        """Does nothing: the folder always exists."""
 
     def names(self) -> list[str]:
-        """The names of all files, in no order that could be relied on."""
-        names = sorted(self.names_now)
-        self.draw.shuffle(names)
+        """Returns the names of all files in random order, so that no caller can rely on an order."""
+        names = sorted(self.current_files)
+        self.rng.shuffle(names)
         return names
 
     def exists(self, name: str) -> bool:
-        """Whether there is a file of that name."""
-        return name in self.names_now
+        """Whether a file of that name exists."""
+        return name in self.current_files
 
     def read(self, name: str) -> bytes:
-        """What a file holds."""
-        return self.names_now[name].content
+        """Returns the content of a file."""
+        return self.current_files[name].content
 
     def write(self, name: str, parts: Iterable[bytes]) -> None:
-        """Makes a file of these parts, its content durable."""
-        file = self.names_now[name] = File()
+        """Writes a file from these parts and makes its content durable."""
+        file = self.current_files[name] = File()
         content = b"".join(parts)
-        if self.free is not None and len(content) > self.free:
-            file.content = content[: self.free]
+        if self.free_bytes is not None and len(content) > self.free_bytes:
+            file.content = content[: self.free_bytes]
             raise OSError(errno.ENOSPC, "no space")
         file.content = content
         self._call()
@@ -66,49 +66,49 @@
         self._call()
 
     def sync_content(self, file: File) -> None:
-        """Makes what a file holds durable."""
+        """Makes the content of a file durable."""
         file.synced = True
 
     def rename(self, name: str, to: str) -> None:
-        """Gives a file another name, in the place of any file that has it."""
-        self.names_now[to] = self.names_now.pop(name)
+        """Renames a file and replaces any file of the new name."""
+        self.current_files[to] = self.current_files.pop(name)
         self._call()
 
     def remove(self, name: str) -> None:
         """Removes a file."""
-        del self.names_now[name]
+        del self.current_files[name]
         self._call()
 
     def sync(self) -> None:
         """Makes the names of the folder durable."""
-        self.synced = dict(self.names_now)
+        self.synced = dict(self.current_files)
         self._call()
 
-    # --- what may happen to it ----------------------------------------------------------
+    # --- loss of power -------------------------------------------------------------------
     def _call(self) -> None:
-        """Counts a call; the power may go just behind it."""
+        """Counts a call; power may be lost right after it."""
         self.calls += 1
-        if self.calls_left is not None:
-            self.calls_left -= 1
-            if self.calls_left < 0:
+        if self.calls_until_power_loss is not None:
+            self.calls_until_power_loss -= 1
+            if self.calls_until_power_loss < 0:
                 raise PowerLostError
 
     def lose_power(self) -> None:
-        """Leaves what a loss of power may leave, drawn for each name and each unsynced content apart."""
-        left = {}
-        for name in sorted({*self.names_now, *self.synced}):
-            now, before = self.names_now.get(name), self.synced.get(name)
-            file = now if now is before else self.draw.choice((now, before))
+        """Loses power: chooses at random, for each name and each unsynced content, what survives."""
+        remaining = {}
+        for name in sorted({*self.current_files, *self.synced}):
+            now, before = self.current_files.get(name), self.synced.get(name)
+            file = now if now is before else self.rng.choice((now, before))
             if file is not None:
-                left[name] = self._as_left(file)
-        self.names_now, self.synced = dict(left), dict(left)
-        self.calls_left = None
+                remaining[name] = self._after_power_loss(file)
+        self.current_files, self.synced = dict(remaining), dict(remaining)
+        self.calls_until_power_loss = None
 
-    def _as_left(self, file: File) -> File:
-        """A file after a loss of power: torn anywhere unless its content was durable."""
+    def _after_power_loss(self, file: File) -> File:
+        """Returns a file after a loss of power: cut at a random offset unless its content was durable."""
         if file.synced:
             return file
         torn = File()
-        torn.content = file.content[: self.draw.randrange(len(file.content) + 1)]
+        torn.content = file.content[: self.rng.randrange(len(file.content) + 1)]
         torn.synced = True
         return torn
--- a/src/pinepitch/simulation/power_loss/injected_faults.py
+++ b/src/pinepitch/simulation/power_loss/injected_faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into what is written to files, each of which the trials must find."""
+"""Faults injected into the writing of files; the trials must detect each of them."""
 
 import contextlib
 import hashlib
@@ -12,7 +12,7 @@
 
 
 def _written_in_place(self, name, payload):
-    """Writes a file under its final name at once."""
+    """Writes a file directly under its final name, without a rename."""
     body = packed_operations.dumps((constants.FILE_VERSION, payload))
     self.files.write(name, (hashlib.sha256(body).digest(), body))
     self.files.sync()
@@ -23,7 +23,7 @@
 
 
 def _removed_before_base(self, payload, version):
-    """Removes what a base is to replace before the base is there."""
+    """Removes the steps that a base replaces before the base is written."""
     for name in self.files.names():
         if name.startswith("step-") and name <= f"step-{version:016d}":
             self.files.remove(name)
@@ -31,12 +31,12 @@
     original_write_base(self, payload, version)
 
 
-def _segments_behind_base(self):
-    """Leaves segments to be written once a base that names them is durable."""
+def _segments_after_base(self):
+    """Writes no segments, so that a base that names them becomes durable first."""
 
 
 def _all_retired_forgotten(self, before):
-    """Forgets segments that a base being made still names."""
+    """Forgets segments that a base in progress still names."""
     self.retired.clear()
 
 
@@ -46,14 +46,14 @@
     "content-unsynced": [(SimulatedFolder, "sync_content", lambda self, file: None)],
     "written-in-place": [(Store, "_write", _written_in_place)],
     "removed-before-base": [(Store, "write_base", _removed_before_base)],
-    "segments-behind-base": [(FileDisk, "write_segments", _segments_behind_base)],
+    "segments-behind-base": [(FileDisk, "write_segments", _segments_after_base)],
     "retired-forgotten": [(Archive, "forget_retired", _all_retired_forgotten)],
 }
 
 
 @contextlib.contextmanager
 def injected(name):
-    """The fault of that name in place; '' for none."""
+    """Applies the injected fault of that name; '' for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
--- a/src/pinepitch/simulation/power_loss/trials.py
+++ b/src/pinepitch/simulation/power_loss/trials.py
@@ -1,14 +1,14 @@
-"""Random schedules of losses of power, kills and full disks; a trial is replayed by its fleet and seed."""
+"""Random schedules of power losses, kills and full disks; fleet and seed suffice to replay a trial."""
 
 import contextlib
 import traceback
 from unittest import mock
 
 from ...common import constants
-from .fleet import USUAL_SLOWNESS, PowerLossFleet
+from .fleet import NORMAL_SLOWDOWN, PowerLossFleet
 from .injected_faults import injected
 
-# Images, segments and chunks of snapshots come all the time.
+# Small limits, so that images, segments and snapshot chunks are written all the time.
 CONDITIONS = {
     "SNAPSHOT_ENTRIES": 40,
     "SNAPSHOT_TAIL": 10,
@@ -16,11 +16,11 @@
     "FINISHED_LIVE": 6,
     "SEGMENT_JOBS": 4,
 }
-# The same, and finished jobs are forgotten soon, so that segments go.
-FORGETFUL = {**CONDITIONS, "FINISHED_KEPT": 12, "KEYS_KEPT": 1.0}
+# As above, and finished jobs are forgotten soon, so that segments are removed.
+SHORT_RETENTION = {**CONDITIONS, "FINISHED_KEPT": 12, "KEYS_KEPT": 1.0}
 WORKERS = (("m", 4, 8, (), True),)
 NINE_ZONES = ("a", "a", "a", "b", "b", "b", "c", "c", "c")
-# The registry of fleets: name -> (how the fleet is made, the constants of its trials).
+# The registry of fleets: name -> (arguments of the fleet, the constants of its trials).
 FLEETS = {
     "three": ({"control_daemons": ("a", "b", "c"), "mode": "static"}, CONDITIONS),
     "five": (
@@ -28,23 +28,23 @@
         CONDITIONS,
     ),
     "nine": ({"control_daemons": NINE_ZONES, "mode": "dynamic", "founders": 9}, CONDITIONS),
-    "forgetful": ({"control_daemons": ("a", "b", "c"), "mode": "static", "forgets": True}, FORGETFUL),
+    "forgetful": ({"control_daemons": ("a", "b", "c"), "mode": "static", "forgets": True}, SHORT_RETENTION),
 }
-TURNS = 7  # of trouble, in one trial
-SERVED_WITHIN = 20.0  # seconds; once all is well again
-ALL_END_WITHIN = 120.0  # seconds; jobs, once all is well again
+DISRUPTIONS_PER_TRIAL = 7
+SERVED_WITHIN = 20.0  # seconds after the last disruption
+ALL_END_WITHIN = 120.0  # seconds; for all jobs, once a leader serves again
 
 
-# --- what happens in a turn ------------------------------------------------------------------
+# --- disruptions -----------------------------------------------------------------------------
 def lose_power(fleet):
-    """Some machines lose power at once, often all, and come back one after the other."""
+    """Some machines, often all, lose power at the same time and restart one after the other."""
     names = fleet.control_names()
     count = fleet.draw.choice((1, len(names) // 2, len(names), len(names)))
     _end_and_restart(fleet, fleet.draw.sample(names, count), power=True)
 
 
 def kill(fleet):
-    """Some processes are killed at once."""
+    """Some processes are killed at the same time and restart one after the other."""
     names = fleet.control_names()
     count = fleet.draw.choice((1, 1, len(names)))
     _end_and_restart(fleet, fleet.draw.sample(names, count), power=False)
@@ -60,7 +60,7 @@
 
 
 def fill_disk(fleet):
-    """A disk is full for a while; at times its machine loses power meanwhile."""
+    """A disk is full for a while; in half of the cases its machine loses power meanwhile."""
     node = fleet.nodes[fleet.draw.choice(fleet.control_names())]
     node.disk.full = True
     fleet.run(fleet.draw.uniform(0.3, 3))
@@ -72,21 +72,21 @@
 
 
 def slow_disk(fleet):
-    """A disk is slow for a while, so that more is under way when the power goes."""
+    """A disk is slow for a while, so that more writes are in progress when power is lost."""
     node = fleet.nodes[fleet.draw.choice(fleet.control_names())]
     node.disk.slow = 30.0
     fleet.run(fleet.draw.uniform(0.5, 2))
     fleet.end(node.name, power=True)
-    node.disk.slow = USUAL_SLOWNESS
+    node.disk.slow = NORMAL_SLOWDOWN
     fleet.start(node.name)
 
 
-# The registry of troubles.
-TROUBLES = (lose_power, lose_power, kill, fill_disk, slow_disk)
+# The registry of disruptions; a repeated entry is chosen more often.
+DISRUPTIONS = (lose_power, lose_power, kill, fill_disk, slow_disk)
 
 
 def run(name, seed, injected_fault=""):
-    """The faults of one trial, with an injected fault if one is named."""
+    """Runs one trial, with an injected fault if a name is given, and returns its faults."""
     fleet, conditions = FLEETS[name]
     with contextlib.ExitStack() as stack:
         for constant, value in conditions.items():
@@ -99,25 +99,25 @@
     try:
         fleet.begin()
         fleet.run(4)
-        for _ in range(TURNS):
-            fleet.draw.choice(TROUBLES)(fleet)
+        for _ in range(DISRUPTIONS_PER_TRIAL):
+            fleet.draw.choice(DISRUPTIONS)(fleet)
             fleet.run(fleet.draw.uniform(0.2, 3))
         _check_recovery(fleet)
-    except Exception as broken:  # a trial reports whatever ends it, to be replayed
-        place = traceback.extract_tb(broken.__traceback__)[-1]
-        fleet.fault(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
+    except Exception as error:  # reported as a fault, so that the trial can be replayed
+        last_frame = traceback.extract_tb(error.__traceback__)[-1]
+        fleet.fault(f"{type(error).__name__} at {last_frame.name}:{last_frame.lineno}: {error}")
     return fleet.faults
 
 
 def _check_recovery(fleet):
-    """Once all is well again somebody serves, all jobs end, and the members agree."""
+    """Checks that, after the disruptions, a leader serves, all jobs end and the members agree."""
 
     def serves():
         leader = fleet.leader()
         return leader is not None and leader.core.consensus.serving()
 
     if fleet.until(serves, SERVED_WITHIN) is None:
-        fleet.fault(f"nobody served within {SERVED_WITHIN:.0f} s")
+        fleet.fault(f"no leader served within {SERVED_WITHIN:.0f} s")
     elif not fleet.finish(ALL_END_WITHIN):
         fleet.fault("jobs never ended")
     fleet.run(2)
