--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -34,14 +34,14 @@
 @then("no check of contact finds a fault")
 def step_clean(context):
     found = []
-    for arguments, faults, _ in leased_job_trial.many(context.work, trials.one):
+    for arguments, faults, _ in leased_job_trial.many(context.work, trials.run_trial):
         found.extend(f"{trials.replay(*arguments)}\n   {fault}" for fault in faults)
     assert not found, "\n".join(found[:6])
 
 
 @then("some check of contact finds {fault}")
 def step_found(context, fault):
-    found = [one for _, faults, _ in leased_job_trial.many(context.work, trials.one) for one in faults]
+    found = [one for _, faults, _ in leased_job_trial.many(context.work, trials.run_trial) for one in faults]
     assert any(fault in one for one in found), f"the planted fault went unseen; found: {found[:6]}"
 
 
--- a/src/pinepitch/simulation/isolation/__main__.py
+++ b/src/pinepitch/simulation/isolation/__main__.py
@@ -1,4 +1,4 @@
-"""python -m pinepitch.simulation.isolation SCENARIO FIRST_SEED SEEDS [PLANT]"""
+"""Runs trials: `python -m pinepitch.simulation.isolation SCENARIO FIRST_SEED SEEDS [FAULT]`."""
 
 import sys
 
--- a/src/pinepitch/simulation/isolation/injected_faults.py
+++ b/src/pinepitch/simulation/isolation/injected_faults.py
@@ -1,4 +1,4 @@
-"""Injected faults that the trials must find: each takes one mechanism away."""
+"""Injected faults that the trials must detect; each disables one mechanism."""
 
 import contextlib
 from unittest import mock
@@ -13,46 +13,46 @@
 from ...transport.forwarder import Forwarder
 
 
-def _never_in_doubt(self, call):
-    """Tells every call that is given up as not taken."""
+def _never_doubtful(self, call):
+    """Reports every call that timed out as not accepted."""
     call.open, call.doubtful = set(), False
-    return original_given_up(self, call)
+    return original_give_up(self, call)
 
 
-def _forgetting(take):
-    """Knows no change that was taken before."""
+def _without_digests(replace):
+    """Forgets all changes that were accepted before."""
 
-    def forgetting(self, *arguments):
+    def replace_without_digests(self, *arguments):
         self.digests_by_version.clear()
-        return take(self, *arguments)
+        return replace(self, *arguments)
 
-    return forgetting
+    return replace_without_digests
 
 
-def _carried_unconfirmed(self, request, call, arguments, now, patience):
-    """Carries an order for a zone at once, as if the newest index of all had been confirmed."""
+def _forward_unconfirmed(self, request, call, arguments, now, patience):
+    """Forwards an order for a zone at once, as if the highest possible index had been confirmed."""
     if call in indexed_forwarder.INDEXED_CALLS:
         arguments = (*arguments, constants.MAX_NUMBER)
     return self.forwarder.begin(request, call, arguments, now, patience)
 
 
-def _refusing(take):
-    """Refuses some changes on the version in force, as a daemon with an old record would."""
+def _refusing_some(replace):
+    """Refuses some changes on the version in force, as a daemon with an outdated record would."""
 
-    def refusing(self, base, document, *rest):
+    def replace_or_refuse(self, base, document, *rest):
         if base == self.version and document["version"] % 5 == 0:
             return ("stale", self.version + 1)
-        return take(self, base, document, *rest)
+        return replace(self, base, document, *rest)
 
-    return refusing
+    return replace_or_refuse
 
 
-original_given_up = Forwarder._given_up
-UNCONFIRMED_ORDERS = (indexed_forwarder.IndexedForwarder, "begin", _carried_unconfirmed)
+original_give_up = Forwarder._given_up
+UNCONFIRMED_ORDERS = (indexed_forwarder.IndexedForwarder, "begin", _forward_unconfirmed)
 # The registry of injected faults: name -> [(owner, attribute, replacement)].
 INJECTED_FAULTS = {
-    # What a late copy of an order for a zone would undo, its confirmed index keeps too: each of these
-    # faults does harm only beside one that carries orders without that.
+    # The confirmed index of an order for a zone also protects against late copies of the order. Faults
+    # that let late copies through do harm only together with UNCONFIRMED_ORDERS.
     "asks-without-end": [
         (ForwardedRequests, "_in_time", lambda self, end, now: True),
         UNCONFIRMED_ORDERS,
@@ -70,15 +70,15 @@
         (Consensus, "leased", lambda self, now: self.serving()),
         (constants, "CHECK_QUORUM", 15.0),
     ],
-    "doubt-unsaid": [(Forwarder, "_given_up", _never_in_doubt)],
-    "refused-at-will": [(Configuration, "replace", _refusing(Configuration.replace))],
-    "taken-forgotten": [(Configuration, "replace", _forgetting(Configuration.replace))],
+    "doubt-unsaid": [(Forwarder, "_given_up", _never_doubtful)],
+    "refused-at-will": [(Configuration, "replace", _refusing_some(Configuration.replace))],
+    "taken-forgotten": [(Configuration, "replace", _without_digests(Configuration.replace))],
 }
 
 
 @contextlib.contextmanager
 def injected(name):
-    """The fault of that name in place; '' for none."""
+    """Applies the injected fault of that name; '' for none."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in INJECTED_FAULTS[name] if name else ():
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
--- a/src/pinepitch/simulation/isolation/orders.py
+++ b/src/pinepitch/simulation/isolation/orders.py
@@ -1,4 +1,4 @@
-"""Operators' calls, each sent once to one daemon, and what was told of them."""
+"""Calls of operators, each sent once to one daemon, and the answers to them."""
 
 import dataclasses
 
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass
 class Order:
-    """One call of an operator. Invariant: answered and status are None until some answer comes."""
+    """One call of an operator. Invariant: answered and status are None until an answer arrives."""
 
     call: str
     subject: object  # the version of a change, the zone of an evacuation
     sent: float
-    strict: bool = False  # a read that the leader itself decided and was stopped before it wrote it
+    strict: bool = False  # a read that the leader decided itself and was stopped before it wrote the answer
     base: int = 0
     arguments: tuple = ()
     answered: float | None = None
@@ -23,8 +23,8 @@
 
 
 class Operators:
-    """Stand-in operators. Invariants: every change has a version of its own, every evacuation a
-    zone of its own, so that each effect is known by the order that it comes from.
+    """Stand-in operators. Invariants: every change has a unique version and every evacuation a
+    unique zone, so that each effect identifies the order that caused it.
     """
 
     def __init__(self, simulator, documents):
@@ -42,55 +42,57 @@
         """Sends one order."""
         if self.stopped:
             return
-        draw = self.simulator.draw
-        act = draw.choices(
-            (self.change, self.evacuate, self.read, self.list_evacuations, self.change_again),
+        rng = self.simulator.draw
+        action = rng.choices(
+            (self.change, self.evacuate, self.read, self.list_evacuations, self.resend_change),
             (3, 3, 3, 1, 1),
         )[0]
-        act(draw.choice(self.simulator.control_nodes()))
+        action(rng.choice(self.simulator.control_nodes()))
         self.simulator.at(ORDER_EVERY, "later", self.tick)
 
     def change(self, node):
         """Sends a change of the configuration to a daemon."""
         self.version += 1
-        before = self.documents[self.known]
+        previous = self.documents[self.known]
         route = {
-            **before["routes"][0],
+            **previous["routes"][0],
             "name": f"extra{self.version}",
             "prefix": f"/extra{self.version}/",
         }
-        routes = [one for one in before["routes"] if not one["name"].startswith("extra")]
-        document = {**before, "version": self.version, "routes": [*routes, route]}
+        routes = [
+            known_route for known_route in previous["routes"] if not known_route["name"].startswith("extra")
+        ]
+        document = {**previous, "version": self.version, "routes": [*routes, route]}
         self.documents[self.version] = document
         arguments = (self.known, document)
         order = self._send(node, "configure", self.version, arguments, base=self.known)
         self.newest_change = (order, arguments)
 
-    def change_again(self, node):
-        """The last change once more, when it was acknowledged and none was made since."""
+    def resend_change(self, node):
+        """Sends the last change again if it was acknowledged."""
         if self.newest_change is not None and self.newest_change[0].status == 200:
             order, arguments = self.newest_change
             self._send(node, "configure", order.subject, arguments, base=order.base)
 
     def evacuate(self, node):
-        """Orders the evacuation of a zone that no other order speaks of."""
+        """Orders the evacuation of a zone that no other order names."""
         self.zones += 1
         zone = f"zone{self.zones}"
         self._send(node, "evacuate", zone, (zone, True))
 
-    def ask_again(self):
-        """Every change and evacuation that was answered unclearly or not at all is sent again as it was, to
-        any daemon, as its operator would.
+    def resend_unclear(self):
+        """Sends every change and evacuation without a clear answer again, unchanged, to a random daemon, as
+        its operator would.
         """
-        draw = self.simulator.draw
-        unclear = {}  # the newest attempt of each order that none was clearly answered of
+        rng = self.simulator.draw
+        unclear = {}  # the newest attempt of each order, None if that attempt was clearly answered
         for order in self.orders:
             if order.call in ("configure", "evacuate"):
                 key = (order.call, order.subject)
                 unclear[key] = None if order.status not in (None, 504) else order
-        for order in [one for one in unclear.values() if one is not None]:
+        for order in [attempt for attempt in unclear.values() if attempt is not None]:
             if self.now() - order.sent > 1.0:
-                node = draw.choice(self.simulator.control_nodes())
+                node = rng.choice(self.simulator.control_nodes())
                 self._send(node, order.call, order.subject, order.arguments, base=order.base)
 
     def read(self, node, strict=False):
@@ -98,11 +100,11 @@
         return self._send(node, "configuration", None, (), strict=strict)
 
     def list_evacuations(self, node):
-        """Reads from a daemon which zones are evacuated."""
+        """Reads the list of evacuated zones from a daemon."""
         return self._send(node, "evacuations", None, ())
 
-    def _send(self, node, call, subject, arguments, **more):
-        order = Order(call, subject, self.now(), arguments=arguments, **more)
+    def _send(self, node, call, subject, arguments, **fields):
+        order = Order(call, subject, self.now(), arguments=arguments, **fields)
         self.orders.append(order)
 
         def on_answer(status, document):
@@ -113,11 +115,11 @@
             elif status == 200 and call == "configuration":
                 self.known = max(self.known, document["version"])
 
-        self.simulator.ask_once(node, call, arguments, on_answer)
+        self.simulator.send_operator_call(node, call, arguments, on_answer)
         return order
 
-    def look(self):
-        """A read and a list of evacuations that were answered now, at the end; None if they weren't."""
+    def read_final_state(self):
+        """Reads the configuration and the evacuations at the end; None if no daemon answers both."""
         for _ in range(40):
             node = self.simulator.draw.choice(self.simulator.control_nodes())
             orders = self.read(node), self.list_evacuations(node)
--- a/src/pinepitch/simulation/isolation/scenarios.py
+++ b/src/pinepitch/simulation/isolation/scenarios.py
@@ -1,37 +1,37 @@
-"""What brings a control machine, a control daemon and the front daemon beside it, out of contact."""
+"""Scenarios that isolate a control machine: a control daemon and the front daemon next to it."""
 
 from ...common.effects import Reply, Send
 
-NOBODY_ELECTED = 0.5  # of turns in which the others can't elect a leader meanwhile
-ISOLATED = 20.0  # seconds; a machine is cut off or stopped this long
+NO_ELECTION_PROBABILITY = 0.5  # probability that the other daemons can't elect a leader meanwhile
+ISOLATION_TIME = 20.0  # seconds that a machine is partitioned or stopped
 
 
-def _machine(simulator):
-    """(control daemon, front daemon) that lose contact: the leader's machine with every other seed."""
+def _isolated_machine(simulator):
+    """Returns the isolated (control daemon, front daemon); every other seed isolates the leader."""
     leader = simulator.leader()
     others = [node for node in simulator.control_nodes() if node is not leader]
     control_daemon = leader if simulator.seed % 2 == 0 else simulator.draw.choice(others)
     return control_daemon, simulator.nodes[f"verge{simulator.seed % 3}"]
 
 
-def _partition(simulator, manner):
-    machine = [node.name for node in _machine(simulator)]
+def _partition(simulator, direction):
+    machine = [node.name for node in _isolated_machine(simulator)]
     rest = [
         node.name
         for node in simulator.nodes.values()
         if node.kind in ("accord", "verge") and node.name not in machine
     ]
-    simulator.holding = simulator.seed % 4 < 2
-    if manner == "in":
+    simulator.delays_frames = simulator.seed % 4 < 2
+    if direction == "in":
         simulator.partition(rest, machine, both=False)
     else:
-        simulator.partition(machine, rest, both=manner == "both")
-    simulator.run(ISOLATED)
+        simulator.partition(machine, rest, both=direction == "both")
+    simulator.run(ISOLATION_TIME)
     simulator.heal()
 
 
 def partition_both(simulator):
-    """No frame reaches the machine, none leaves it."""
+    """No frame reaches or leaves the machine."""
     _partition(simulator, "both")
 
 
@@ -46,10 +46,10 @@
 
 
 def seeds_swapped(simulator):
-    """The machine is cut off, and all are told other seeds meanwhile: it just its own address and
-    one where nobody is, the others one that is cut off.
+    """The machine is partitioned, and meanwhile all daemons get other seed addresses: the machine its own
+    and an unused address, the others the address of the isolated daemon and of a control daemon.
     """
-    control_daemon, front = _machine(simulator)
+    control_daemon, front = _isolated_machine(simulator)
     seeds = {
         True: (control_daemon.address, "10.9.9.9:7000"),
         False: (control_daemon.address, simulator.control_nodes()[0].address),
@@ -62,20 +62,20 @@
 
 
 def frozen(simulator):
-    """The machine's processes are stopped while calls go on coming to their sockets."""
-    machine = _machine(simulator)
+    """The machine's processes are stopped while their sockets still receive calls."""
+    machine = _isolated_machine(simulator)
     for node in machine:
         simulator.freeze(node.name)
-    simulator.run(ISOLATED)
+    simulator.run(ISOLATION_TIME)
     for node in machine:
         simulator.thaw(node.name)
 
 
-def _stopped_before(simulator, wanted, seconds):
-    """A control daemon is stopped just before it carries out an effect of one kind, three times."""
+def _stopped_before(simulator, matches, seconds):
+    """Stops a control daemon three times, each just before it carries out a matching effect."""
     for _ in range(3):
-        control_daemon, _ = _machine(simulator)
-        control_daemon.stops_at = wanted
+        control_daemon, _ = _isolated_machine(simulator)
+        control_daemon.stops_at = matches
         simulator.operators.evacuate(control_daemon)
         simulator.operators.read(control_daemon, strict=control_daemon is simulator.leader())
         simulator.run(seconds)
@@ -86,27 +86,26 @@
 
 
 def stopped_at_write(simulator):
-    """A control daemon has decided on an answer to a read and is stopped before it writes it."""
+    """A control daemon is stopped after it decided the answer to a read, before it writes the answer."""
 
-    def wanted(effect):
+    def matches(effect):
         return isinstance(effect, Reply) and effect.status == 200 and "routes" in effect.document
 
-    _stopped_before(simulator, wanted, simulator.draw.choice((1.2, 2.0, ISOLATED)))
+    _stopped_before(simulator, matches, simulator.draw.choice((1.2, 2.0, ISOLATION_TIME)))
 
 
 def stopped_at_send(simulator):
-    """A control daemon has taken a call to carry and is stopped before it sends it to the leader."""
+    """A control daemon is stopped after it accepted a call, before it forwards the call to the leader."""
 
-    def wanted(effect):
+    def matches(effect):
         return isinstance(effect, Send) and effect.message[0] == "ask" and effect.message[3] == "evacuate"
 
-    _stopped_before(simulator, wanted, simulator.draw.choice((3.0, 5.0, ISOLATED)))
+    _stopped_before(simulator, matches, simulator.draw.choice((3.0, 5.0, ISOLATION_TIME)))
 
 
 def stopped_at_append(simulator):
-    """The leader has taken a call as being in time and is stopped before it appends what it decides, three
-    times; it goes on before or after another was elected, and callers ask again what they got no clear
-    answer to.
+    """The leader accepts a call as timely and is stopped before it appends its decision, three times. It
+    resumes before or after another leader is elected, and callers repeat calls without a clear answer.
     """
     for call in ("evacuate", "configure", "job"):
         leader = simulator.leader()
@@ -114,14 +113,14 @@
             simulator.run(1)
             continue
 
-        def wanted(message, call=call):
+        def matches(message, call=call):
             return message[0] == "ask" and message[3] == call
 
-        simulator.interrupts = (leader, wanted)
-        simulator.run(1)  # such calls come all the time
+        simulator.interrupts = (leader, matches)
+        simulator.run(1)  # such calls arrive continually
         followers = [node.name for node in simulator.control_nodes() if node is not leader]
-        alone = simulator.draw.random() < NOBODY_ELECTED
-        if alone:
+        no_election = simulator.draw.random() < NO_ELECTION_PROBABILITY
+        if no_election:
             simulator.partition(followers[:1], followers[1:])
         simulator.run(simulator.draw.choice((0.3, 0.55, 1.5, 4.0)))
         simulator.heal()
@@ -129,13 +128,13 @@
             simulator.thaw(leader.name)
         simulator.interrupts = None
         simulator.run(1)
-        simulator.operators.ask_again()
+        simulator.operators.resend_unclear()
         simulator.run(2)
     if not simulator.late_steps:
         raise AssertionError("no step was interrupted")
 
 
-# The registry of scenarios: name -> what it does to the fleet.
+# The registry of scenarios: name -> function that applies it to the fleet.
 SCENARIOS = {
     "cut-both": partition_both,
     "cut-in": partition_inbound,
--- a/src/pinepitch/simulation/isolation/trials.py
+++ b/src/pinepitch/simulation/isolation/trials.py
@@ -1,4 +1,4 @@
-"""Trials over scenarios and seeds; each is replayed by its scenario and seed."""
+"""Trials over scenarios and seeds; scenario and seed suffice to replay a trial."""
 
 import json
 import time
@@ -13,7 +13,7 @@
 
 
 def trial(scenario, seed, injected_fault=""):
-    """(faults, simulator) of one trial, with an injected fault if one is named."""
+    """Runs one trial, with an injected fault if a name is given; returns (faults, simulator)."""
     with injected(injected_fault):
         return _trial(scenario, seed)
 
@@ -28,35 +28,35 @@
         simulator.operators.stopped = True
         if not simulator.finish():
             faults.append("jobs never ended")
-        final = simulator.operators.look()
-    except Exception as broken:  # a trial reports whatever ends it, to be replayed
-        place = traceback.extract_tb(broken.__traceback__)[-1]
-        faults.append(f"{type(broken).__name__} at {place.name}:{place.lineno}: {broken}")
+        final = simulator.operators.read_final_state()
+    except Exception as error:  # reported as a fault, so that the trial can be replayed
+        last_frame = traceback.extract_tb(error.__traceback__)[-1]
+        faults.append(f"{type(error).__name__} at {last_frame.name}:{last_frame.lineno}: {error}")
     if final is None:
-        faults.append("nothing was read back at the end")
+        faults.append("the final state could not be read")
     else:
-        faults.extend(checks.changes_kept(simulator.operators.orders, final[0].document["version"]))
+        faults.extend(checks.changes_retained(simulator.operators.orders, final[0].document["version"]))
         faults.extend(checks.reads_fresh(simulator.operators.orders))
-        faults.extend(checks.evacuations_kept(simulator.operators.orders))
+        faults.extend(checks.evacuations_retained(simulator.operators.orders))
     history, client = simulator.worker_history, simulator.client_stand_in
-    for found in (
+    for check_faults in (
         job_checks.never_twice(history),
         job_checks.attempts_kept(history, client.jobs),
         job_checks.outcomes_true(history, client),
         simulator.agreement(),
     ):
-        faults.extend(found)
+        faults.extend(check_faults)
     return faults, simulator
 
 
-def one(arguments):
-    """A trial for tenancy.many(): (arguments, faults, virtual seconds)."""
+def run_trial(arguments):
+    """Runs a trial for leased_job_trial.many(); returns (arguments, faults, virtual seconds)."""
     faults, simulator = trial(*arguments)
     return arguments, faults, simulator.now
 
 
 def replay(scenario, seed, injected_fault=""):
-    """The command that runs one trial again."""
+    """Returns the command that replays one trial."""
     return f"python -m pinepitch.simulation.isolation {scenario} {seed} 1 {injected_fault}".strip()
 
 
@@ -66,11 +66,11 @@
     work = [
         (name, seed, injected_fault) for name in names for seed in range(int(first), int(first) + int(seeds))
     ]
-    begun, failed = time.monotonic(), 0
-    for arguments, faults, _ in leased_job_trial.many(work, one):
+    started, failed = time.monotonic(), 0
+    for arguments, faults, _ in leased_job_trial.many(work, run_trial):
         if faults:
             failed += 1
             print(replay(*arguments) + "\n   " + "\n   ".join(faults[:5]), flush=True)
-    seconds = round(time.monotonic() - begun, 1)
+    seconds = round(time.monotonic() - started, 1)
     print(json.dumps({"trials": len(work), "failed": failed, "seconds": seconds}))
     return 1 if failed else 0
