--- a/src/pinepitch/consensus/acknowledgements.py
+++ b/src/pinepitch/consensus/acknowledgements.py
@@ -28,7 +28,7 @@
     if success:
         follower.denials = 0
     elif index < follower.match_index:
-        _note_lost_entries(replica, sender, follower, index)
+        _record_lost_entries(replica, sender, follower, index)
     if follower.lost_entries:
         return
     if success:
@@ -45,7 +45,7 @@
         replication.replicate(replica, sender, now)
 
 
-def _note_lost_entries(replica: Consensus, sender: str, follower: Follower, index: int) -> None:
+def _record_lost_entries(replica: Consensus, sender: str, follower: Follower, index: int) -> None:
     """Counts rejections of entries that the follower had acknowledged.
 
     The first ones may be old replies that newer ones overtook. After DENIALS in a row the follower must
--- a/src/pinepitch/state/configuration_history.py
+++ b/src/pinepitch/state/configuration_history.py
@@ -63,7 +63,7 @@
     def __init__(self, records: Iterable[Iterable[Any]] = ()) -> None:
         self.records = [VersionRecord._make(fields) for fields in records]
         self.patch_bytes = 0  # bytes of the patches after the last whole record
-        self.whole_bytes = 0  # bytes of the last whole record
+        self.full_bytes = 0  # bytes of the last whole record
         self._newest: tuple[int, dict[str, Any]] | None = None  # (version, configuration) last added
         self._last_read: tuple[int, dict[str, Any]] | None = None  # the one last read; reads start from it
         for record in self.records:
@@ -76,7 +76,7 @@
     def _count_bytes(self, record: VersionRecord) -> None:
         size = len(cbor2.dumps(record.content))
         if record.kind == "whole":
-            self.whole_bytes, self.patch_bytes = size, 0
+            self.full_bytes, self.patch_bytes = size, 0
         else:
             self.patch_bytes += size
 
@@ -104,7 +104,7 @@
         if patch is None or not any(record.kind == "whole" for record in newest):
             return None
         patch_bytes = len(cbor2.dumps(patch)) + self.patch_bytes
-        is_small = patch_bytes < max(self.whole_bytes, constants.QUEUE_CONFIGURATION_SMALL)
+        is_small = patch_bytes < max(self.full_bytes, constants.QUEUE_CONFIGURATION_SMALL)
         return patch if is_small else None
 
     def record(self, version: int) -> VersionRecord | None:
--- a/src/pinepitch/transport/link.py
+++ b/src/pinepitch/transport/link.py
@@ -128,12 +128,12 @@
         if len(batch) <= constants.LINK_SLICE:
             await curio.timeout_after(constants.ELECTION_TIMEOUT, socket.sendall(batch))
             return
-        unsent = memoryview(batch)
-        while unsent:
+        remaining_bytes = memoryview(batch)
+        while remaining_bytes:
             await curio.timeout_after(
-                constants.ELECTION_TIMEOUT, socket.sendall(unsent[: constants.LINK_SLICE])
+                constants.ELECTION_TIMEOUT, socket.sendall(remaining_bytes[: constants.LINK_SLICE])
             )
-            unsent = unsent[constants.LINK_SLICE :]
+            remaining_bytes = remaining_bytes[constants.LINK_SLICE :]
 
 
 class Link:
