--- a/src/pinepitch/simulation/injected_faults.py
+++ b/src/pinepitch/simulation/injected_faults.py
@@ -183,8 +183,8 @@
 def _short_history(self, *line):
     """Forgets all but the newest versions."""
     original_add(self, *line)
-    if len(self.lines) > 4:
-        self.lines[2] = self.lines[2]._replace(reason="forgotten")
+    if len(self.records) > 4:
+        self.records[2] = self.records[2]._replace(reason="forgotten")
 
 
 original_add = configuration_history.ConfigurationHistory.add
